--- a/crates/relay/src/admit.rs
+++ b/crates/relay/src/admit.rs
@@ -9,7 +9,7 @@
 use switchfold_kernel::clock::now_millis;
 use switchfold_router::{
     Millis,
-    access::{KeyCheck, RouteRule, RoutingConfig},
+    routing::{KeyCheck, RouteRule, RoutingConfig},
 };
 
 use crate::{answers::Refusal, state::Relay};
--- a/crates/relay/src/engines.rs
+++ b/crates/relay/src/engines.rs
@@ -21,7 +21,7 @@
     headers::read_answer,
 };
 use switchfold_router::{
-    Millis, chain::PathPart, cover::GiveUpRule, fleet::LayerRange, life::ReplicaLife,
+    Millis, fleet::LayerRange, life::ReplicaLife, path::PathStage, placement::UnloadMode,
 };
 use tokio::{task::spawn_local, time::timeout};
 
@@ -154,7 +154,7 @@
     relay: &Relay,
     address: SocketAddr,
     range: LayerRange,
-    give_up: GiveUpRule,
+    give_up: UnloadMode,
     orders_taken: u64,
 ) -> OrderEnd {
     count(&relay.counts.orders);
@@ -162,7 +162,7 @@
 }
 
 /// Orders the first engine of a request's path to go on over another path.
-pub async fn order_repath(relay: &Relay, attempt_id: &str, path: &[PathPart]) -> OrderEnd {
+pub async fn order_repath(relay: &Relay, attempt_id: &str, path: &[PathStage]) -> OrderEnd {
     count(&relay.counts.repaths);
     order(relay, path[0].address, repath_order(attempt_id, path)).await
 }
--- a/crates/relay/src/flow.rs
+++ b/crates/relay/src/flow.rs
@@ -14,7 +14,7 @@
     events::EventFramer,
     headers::{AnswerMarks, read_answer},
 };
-use switchfold_router::{Millis, chain::PathPart};
+use switchfold_router::{Millis, path::PathStage};
 use tokio::time::{Instant, sleep_until};
 
 mod recovery;
@@ -59,7 +59,7 @@
     body: Incoming,
     link: Option<BusyLink>,
     marks: AnswerMarks,
-    path: Vec<PathPart>,
+    path: Vec<PathStage>,
     room: RoomGuard,
     run: RunWatch,
     framer: EventFramer,
@@ -190,7 +190,7 @@
 
     /// Pause between events that makes an answer late.
     fn longest_gap(&self) -> Millis {
-        match self.permit.route.event_gap {
+        match self.permit.route.max_event_gap {
             0 => DEFAULT_GAP,
             gap => gap,
         }
--- a/crates/relay/src/flow/recovery.rs
+++ b/crates/relay/src/flow/recovery.rs
@@ -8,7 +8,7 @@
 use rand::RngExt;
 use switchfold_kernel::clock::now_millis;
 use switchfold_platform::headers::read_answer;
-use switchfold_router::{Millis, chain::PathPart, life::ReplicaLife};
+use switchfold_router::{Millis, life::ReplicaLife, path::PathStage};
 use tokio::time::sleep;
 
 use super::StreamFlow;
@@ -171,7 +171,7 @@
     /// were, with memory of it.
     fn restarted_parts(&self) -> Vec<ReplicaLife> {
         let beliefs = self.relay.beliefs.borrow();
-        let ended = |part: &&PathPart| beliefs.fleet.view.living(&part.life).is_none();
+        let ended = |part: &&PathStage| beliefs.fleet.view.living(&part.life).is_none();
         let present = self.path.iter().filter(ended);
         let present = present.filter_map(|part| beliefs.fleet.view.at(part.address));
         present.map(|replica| replica.life.clone()).collect()
@@ -181,7 +181,7 @@
     async fn order_path(&mut self, avoid: &[ReplicaLife]) -> Option<OrderEnd> {
         let service = self.permit.config.services.get(&self.permit.service);
         let engine = service.and_then(|service| service.engine.as_ref())?;
-        let tokens = self.request.tokens((engine.usual_prompt, engine.usual_answer));
+        let tokens = self.request.tokens((engine.mean_prompt_tokens, engine.mean_answer_tokens));
         let first = self.path[0].clone();
         let wish = PathWish {
             service: &self.permit.service,
--- a/crates/relay/src/heads.rs
+++ b/crates/relay/src/heads.rs
@@ -9,7 +9,7 @@
 use http::Response;
 use hyper::body::Incoming;
 use switchfold_kernel::clock::now_millis;
-use switchfold_router::{Millis, chain::PathPart, life::ReplicaLife, mute::leave_after};
+use switchfold_router::{Millis, life::ReplicaLife, mute::leave_after, path::PathStage};
 use tokio::time::{Instant, sleep_until};
 
 use crate::{
@@ -95,7 +95,7 @@
     /// Earlier sends that a replica may have run.
     pub earlier_sends: u32,
     /// Its path.
-    pub path: &'a [PathPart],
+    pub path: &'a [PathStage],
 }
 
 impl HeadWait<'_> {
@@ -190,7 +190,7 @@
     /// evidence: what another one heard may be a fault of its link.
     fn look_at_parts(&self) -> Result<(), WaitEnd> {
         let now = now_millis();
-        let is_lost = |part: &&PathPart| self.relay.part_state(part) == PartState::Lost;
+        let is_lost = |part: &&PathStage| self.relay.part_state(part) == PartState::Lost;
         let Some(lost) = self.path.iter().find(is_lost) else { return Ok(()) };
         let beliefs = self.relay.beliefs.borrow();
         let is_listed = beliefs.fleet.view.living(&lost.life).is_some();
--- a/crates/relay/src/limits.rs
+++ b/crates/relay/src/limits.rs
@@ -132,7 +132,7 @@
             && beliefs.limit_wait(&replica.life, rank, now).is_some()
     };
     let load = |replica: &ReplicaEntry| {
-        beliefs.places.promised(&replica.life) / f64::from(replica.slots.max(1))
+        beliefs.places.reserved(&replica.life) / f64::from(replica.slots.max(1))
     };
     let replicas = beliefs.fleet.view.of_service(service).filter(lacks);
     let least = replicas.min_by(|left, right| load(left).total_cmp(&load(right)));
--- a/crates/relay/src/paths.rs
+++ b/crates/relay/src/paths.rs
@@ -6,14 +6,14 @@
 use switchfold_kernel::clock::now_millis;
 use switchfold_router::{
     Millis,
-    access::EngineSpec,
-    chain::{
-        ChainCosts, FULL_START_COST, PartOffer, PathPart, PathRequest, choose_path, start_cost,
-    },
     fleet::{LayerRange, ReplicaEntry},
     grants::GrantNeed,
     groups::{group_count, group_of},
     life::ReplicaLife,
+    path::{
+        FULL_START_COST, PathCosts, PathRequest, PathStage, StageOffer, choose_path, start_cost,
+    },
+    routing::EngineSpec,
 };
 
 use tokio::time::{Instant, sleep};
@@ -91,7 +91,7 @@
     wish: &PathWish<'_>,
     rule: RoomRule,
     crossing: CrossingRule,
-) -> Option<Vec<PathPart>> {
+) -> Option<Vec<PathStage>> {
     let scope = draw_scope(relay, wish.service);
     if let PathScope::Groups { .. } = scope {
         let path = find_within(relay, wish, scope, rule, crossing);
@@ -139,7 +139,7 @@
     scope: PathScope,
     rule: RoomRule,
     crossing: CrossingRule,
-) -> Option<Vec<PathPart>> {
+) -> Option<Vec<PathStage>> {
     let beliefs = relay.beliefs.borrow();
     let mut data_centres = DataCentres::default();
     let home_name = &relay.settings.data_centre;
@@ -149,19 +149,19 @@
     let request = PathRequest {
         layers: wish.engine.layers,
         tokens: wish.tokens,
-        home,
+        entry_data_centre: home,
         data_centres: data_centres.count(),
         may_cross: crossing == CrossingRule::Allowed,
         first: wish.first,
     };
-    let costs = ChainCosts::default();
+    let costs = PathCosts::default();
     let path = choose_path(&request, &offers, &costs);
     if path.is_some() || rule == RoomRule::Needed {
         return path;
     }
     for offer in &mut offers {
-        offer.room = f64::INFINITY;
-        let full = (!offer.is_held_back).then_some(FULL_START_COST);
+        offer.free_token_layers = f64::INFINITY;
+        let full = (!offer.is_throttled).then_some(FULL_START_COST);
         offer.start_cost = offer.start_cost.or(full);
     }
     choose_path(&request, &offers, &costs)
@@ -176,7 +176,7 @@
     relay: &Rc<Relay>,
     wish: &PathWish<'_>,
     patience: Duration,
-) -> Option<Vec<PathPart>> {
+) -> Option<Vec<PathStage>> {
     let end = Instant::now() + patience;
     let mut grant_wait = None;
     loop {
@@ -211,7 +211,7 @@
 
 /// Notes a replica with a limit at which a request would have begun, where it found no grant: one of its own data centre, or
 /// any where it begins elsewhere all the same.
-fn note_missed(relay: &Rc<Relay>, wish: &PathWish<'_>, path: &[PathPart]) {
+fn note_missed(relay: &Rc<Relay>, wish: &PathWish<'_>, path: &[PathStage]) {
     let home = &relay.settings.data_centre;
     let begins_at_home = {
         let beliefs = relay.beliefs.borrow();
@@ -243,13 +243,13 @@
 }
 
 /// Tells which replica of a path has least room.
-fn log_crowded(relay: &Relay, wish: &PathWish<'_>, path: &[PathPart]) {
+fn log_crowded(relay: &Relay, wish: &PathWish<'_>, path: &[PathStage]) {
     let beliefs = relay.beliefs.borrow();
-    let fill = |part: &PathPart| {
+    let fill = |part: &PathStage| {
         let replica = beliefs.fleet.view.living(&part.life)?;
         let memory = wish.engine.kind(&replica.kind)?.memory_mb;
-        let total = wish.engine.room(memory, replica.layers?.len());
-        Some((beliefs.room.promised(&part.life) / total.max(1.0), &replica.life))
+        let total = wish.engine.free_token_layers(memory, replica.layers?.len());
+        Some((beliefs.room.reserved(&part.life) / total.max(1.0), &replica.life))
     };
     let fullest = path.iter().filter_map(fill).max_by(|left, right| left.0.total_cmp(&right.0));
     if let Some((fill, replica)) = fullest {
@@ -258,14 +258,14 @@
 }
 
 /// A path over several data centres, where this relay's share of the pipe has room for the request.
-fn crossing_path(relay: &Relay, wish: &PathWish<'_>) -> Option<Vec<PathPart>> {
+fn crossing_path(relay: &Relay, wish: &PathWish<'_>) -> Option<Vec<PathStage>> {
     let path = find_path(relay, wish, RoomRule::Wanted, CrossingRule::Allowed)?;
     let crossings = count_crossings(relay, &path);
-    let pipe_time = wish.engine.crossing_time(wish.tokens) * f64::from(crossings);
+    let pipe_time = wish.engine.transfer_ms(wish.tokens) * f64::from(crossings);
     let now = now_millis();
     let mut beliefs = relay.beliefs.borrow_mut();
     let entries = beliefs.peers.known() + 1;
-    let taken = beliefs.pipe.take(pipe_time, entries, now);
+    let taken = beliefs.pipe.try_reserve(pipe_time, entries, now);
     if !taken {
         tracing::info!(event = "pipe-full", service = wish.service, crossings, pipe_time, entries);
     }
@@ -273,10 +273,11 @@
 }
 
 /// How often a path passes from one data centre to another.
-fn count_crossings(relay: &Relay, path: &[PathPart]) -> u32 {
+fn count_crossings(relay: &Relay, path: &[PathStage]) -> u32 {
     let beliefs = relay.beliefs.borrow();
-    let place =
-        |part: &PathPart| beliefs.fleet.view.living(&part.life).map(|replica| &replica.data_centre);
+    let place = |part: &PathStage| {
+        beliefs.fleet.view.living(&part.life).map(|replica| &replica.data_centre)
+    };
     let passes = path.windows(2).filter(|pair| place(&pair[0]) != place(&pair[1]));
     passes.count() as u32
 }
@@ -303,7 +304,7 @@
     wish: &PathWish<'_>,
     in_scope: impl Fn(&ReplicaEntry) -> bool,
     data_centres: &mut DataCentres,
-) -> Vec<PartOffer> {
+) -> Vec<StageOffer> {
     let now = now_millis();
     let usable = |replica: &&ReplicaEntry| {
         in_scope(replica)
@@ -312,27 +313,29 @@
             && !wish.avoid.contains(&replica.life)
     };
     let replicas = beliefs.fleet.view.of_service(wish.service).filter(usable);
-    let mut offers: Vec<PartOffer> = kept_part(beliefs, wish, data_centres).into_iter().collect();
+    let mut offers: Vec<StageOffer> = kept_part(beliefs, wish, data_centres).into_iter().collect();
     for replica in replicas {
         let Some(range) = replica.layers else { continue };
         let kind = wish.engine.kind(&replica.kind);
-        let total = kind.map_or(0.0, |kind| wish.engine.room(kind.memory_mb, range.len()));
-        let promised = beliefs.room.promised(&replica.life);
+        let total =
+            kind.map_or(0.0, |kind| wish.engine.free_token_layers(kind.memory_mb, range.len()));
+        let promised = beliefs.room.reserved(&replica.life);
         // A replica that was short of memory a moment ago counts as full.
         let promised = if beliefs.full.is_suspect(&replica.life, now) { total } else { promised };
-        let pace = kind.map_or(1.0, |kind| kind.pace) * beliefs.paces.factor(&replica.life, now);
+        let pace =
+            kind.map_or(1.0, |kind| kind.step_factor) * beliefs.paces.factor(&replica.life, now);
         let layer_cost = layer_cost(wish.engine, pace, promised, total);
         let data_centre = data_centres.number(&replica.data_centre);
-        let is_held_back = beliefs.send_wait(&replica.life, wish.rank, now).is_some();
-        offers.push(PartOffer {
+        let is_throttled = beliefs.send_wait(&replica.life, wish.rank, now).is_some();
+        offers.push(StageOffer {
             life: replica.life.clone(),
             address: replica.address,
             data_centre,
             range,
             layer_cost,
-            room: (total * PLANNED_FILL - promised).max(0.0),
-            start_cost: if is_held_back { None } else { begin_cost(beliefs, replica, now) },
-            is_held_back,
+            free_token_layers: (total * PLANNED_FILL - promised).max(0.0),
+            start_cost: if is_throttled { None } else { begin_cost(beliefs, replica, now) },
+            is_throttled,
         });
     }
     offers
@@ -347,7 +350,7 @@
     if beliefs.full_starts.is_full(&replica.life, now) {
         return None;
     }
-    let cost = start_cost(beliefs.places.promised(&replica.life), replica.slots)?;
+    let cost = start_cost(beliefs.places.reserved(&replica.life), replica.slots)?;
     Some(cost + mute_cost(beliefs, &replica.life, now))
 }
 
@@ -363,18 +366,18 @@
     beliefs: &Beliefs,
     wish: &PathWish<'_>,
     data_centres: &mut DataCentres,
-) -> Option<PartOffer> {
+) -> Option<StageOffer> {
     let (life, range) = wish.first?;
     let replica = beliefs.fleet.view.living(life)?;
-    Some(PartOffer {
+    Some(StageOffer {
         life: life.clone(),
         address: replica.address,
         data_centre: data_centres.number(&replica.data_centre),
         range,
         layer_cost: 0.0,
-        room: f64::INFINITY,
+        free_token_layers: f64::INFINITY,
         start_cost: Some(0.0),
-        is_held_back: false,
+        is_throttled: false,
     })
 }
 
@@ -396,14 +399,14 @@
 
 impl RoomGuard {
     /// Promises room for `tokens` along a path.
-    pub fn new(relay: &Rc<Relay>, path: &[PathPart], tokens: f64) -> Self {
-        let amount = |part: &PathPart| tokens * f64::from(part.range.len());
+    pub fn new(relay: &Rc<Relay>, path: &[PathStage], tokens: f64) -> Self {
+        let amount = |part: &PathStage| tokens * f64::from(part.range.len());
         let parts: Vec<(ReplicaLife, f64)> =
             path.iter().map(|part| (part.life.clone(), amount(part))).collect();
         let mut beliefs = relay.beliefs.borrow_mut();
-        parts.iter().for_each(|(life, amount)| beliefs.room.promise(life, *amount));
+        parts.iter().for_each(|(life, amount)| beliefs.room.reserve(life, *amount));
         let first = path.first().map(|part| part.life.clone());
-        first.iter().for_each(|life| beliefs.places.promise(life, 1.0));
+        first.iter().for_each(|life| beliefs.places.reserve(life, 1.0));
         Self { relay: relay.clone(), parts, first }
     }
 }
--- a/crates/relay/src/peers.rs
+++ b/crates/relay/src/peers.rs
@@ -14,7 +14,7 @@
     membership::{OwnState, PeerStamp, PeerState, ReportKind},
     origin::NewsOrigin,
     replicas::NewsSource,
-    room::{RoomLedger, SumPart},
+    reservations::{ReservationLedger, SumScope},
 };
 use tokio::time::sleep;
 
@@ -109,7 +109,7 @@
         take_load(beliefs, news, kind, now);
         for (life, hundredfold) in &news.paces {
             let factor = f64::from(*hundredfold) / 100.0;
-            beliefs.paces.take_over(&life.into(), factor, origin, now);
+            beliefs.paces.merge_heard(&life.into(), factor, origin, now);
         }
         let mutes = news.mutes.iter().map(|(life, lasts)| (life.into(), Millis::from(*lasts)));
         beliefs.heads.hear_mutes(&news.name, origin, mutes, now);
@@ -164,26 +164,26 @@
     let Beliefs { room, places, .. } = beliefs;
     match &news.load {
         LoadNews::Gathered(load) if !is_member || kind == ReportKind::Counted => {
-            room.hear(&news.name, amounts(&load.room), now);
-            places.hear(&news.name, amounts(&load.places), now);
+            room.merge_peer(&news.name, amounts(&load.room), now);
+            places.merge_peer(&news.name, amounts(&load.places), now);
         }
         LoadNews::Sums { near, far } if is_member => {
-            take_sum(room, places, SumPart::Near, near, now);
-            far.iter().for_each(|far| take_sum(room, places, SumPart::Far, far, now));
+            take_sum(room, places, SumScope::SameDataCentre, near, now);
+            far.iter().for_each(|far| take_sum(room, places, SumScope::OtherDataCentres, far, now));
         }
         LoadNews::Untold | LoadNews::Gathered(_) | LoadNews::Sums { .. } => {}
     }
 }
 
 fn take_sum(
-    room: &mut RoomLedger,
-    places: &mut RoomLedger,
-    part: SumPart,
+    room: &mut ReservationLedger,
+    places: &mut ReservationLedger,
+    part: SumScope,
     load: &LoadRecord,
     now: Millis,
 ) {
-    room.hear_sum(part, amounts(&load.room), now);
-    places.hear_sum(part, amounts(&load.places), now);
+    room.merge_sum(part, amounts(&load.room), now);
+    places.merge_sum(part, amounts(&load.places), now);
 }
 
 fn amounts(records: &[(LifeRecord, u32)]) -> HashMap<ReplicaLife, f64> {
--- a/crates/relay/src/placer.rs
+++ b/crates/relay/src/placer.rs
@@ -16,11 +16,13 @@
 use switchfold_kernel::clock::now_millis;
 use switchfold_router::{
     Millis,
-    access::EngineSpec,
-    cover::{CoverConfig, LayerHolder, ModelShape, PlaceOrder, layout_worth, plan_group},
     fleet::{EntryState, LayerRange, ReplicaEntry},
     groups::planner_count,
     life::ReplicaLife,
+    placement::{
+        LayerHolder, ModelShape, PlacementConfig, PlacementOrder, layout_score, plan_group,
+    },
+    routing::EngineSpec,
 };
 use tokio::{
     sync::Semaphore,
@@ -190,7 +192,7 @@
         self.probe_suspects(relay, now).await;
         for (service, engine) in config.engines() {
             let orders = self.plan(relay, share, service, engine, now).await;
-            let limit = (engine.loads_at_once as usize / share.planners).max(1);
+            let limit = (engine.max_parallel_loads as usize / share.planners).max(1);
             // Before the first request, loads are quick and all may run at once.
             let untouched = is_untouched(relay);
             let free = limit.saturating_sub(self.pending.len());
@@ -261,18 +263,18 @@
         service: &str,
         engine: &EngineSpec,
         now: Millis,
-    ) -> Vec<PlaceOrder> {
+    ) -> Vec<PlacementOrder> {
         let mut groups = self.groups(relay, service, engine, now);
         let covered = covered_places(&groups, engine.layers);
         keep_share(&mut groups, share);
         groups.retain(|name, holders| self.settled.get(name) != Some(holders));
         let model = model_shape(engine);
         let planning = spawn_blocking(move || {
-            let config = CoverConfig::default();
+            let config = PlacementConfig::default();
             let planned = groups.into_iter().map(|(name, holders)| {
                 let mut orders = plan_group(&holders, model, &config);
                 if covered.contains(&name.data_centre) {
-                    let waiting = orders.into_iter().map(PlaceOrder::while_others_serve);
+                    let waiting = orders.into_iter().map(PlacementOrder::without_cut);
                     orders = waiting.collect();
                 }
                 let worths = (!orders.is_empty()).then(|| plan_worths(&holders, &orders, model));
@@ -312,7 +314,7 @@
         service: &str,
         engine: &EngineSpec,
         now: Millis,
-    ) -> Vec<PlaceOrder> {
+    ) -> Vec<PlacementOrder> {
         if self.searches.is_empty() {
             return Vec::new();
         }
@@ -367,7 +369,7 @@
             life: replica.life.clone(),
             memory_mb: kind.memory_mb,
             slots: replica.slots,
-            layer_ms: kind.pace * engine.step_ms / f64::from(engine.layers.max(1)),
+            layer_ms: kind.step_factor * engine.step_ms / f64::from(engine.layers.max(1)),
             range: pending.map(|order| order.range).or(held),
             held,
             can_order: pending.is_none() && !suspect,
@@ -378,12 +380,13 @@
         &mut self,
         relay: &Rc<Relay>,
         engine: &EngineSpec,
-        order: PlaceOrder,
+        order: PlacementOrder,
         now: Millis,
     ) {
         let replica = relay.beliefs.borrow().fleet.view.living(&order.life).cloned();
         let Some(replica) = replica else { return };
-        let share = u64::from(order.range.len()) * engine.load / u64::from(engine.layers.max(1));
+        let share =
+            u64::from(order.range.len()) * engine.load_time / u64::from(engine.layers.max(1));
         let until = now + share * 2 + LIST_LAG;
         self.pending.insert(order.life.clone(), PendingOrder { range: order.range, until });
         let (relay, refused) = (relay.clone(), self.refused.clone());
@@ -398,7 +401,7 @@
 }
 
 fn model_shape(engine: &EngineSpec) -> ModelShape {
-    let tokens = f64::from(engine.usual_prompt) + f64::from(engine.usual_answer);
+    let tokens = f64::from(engine.mean_prompt_tokens) + f64::from(engine.mean_answer_tokens);
     ModelShape {
         layers: engine.layers,
         layer_mb: engine.layer_mb,
@@ -407,13 +410,17 @@
 }
 
 /// What a group of replicas carries before and after its orders, by the plan's own measure.
-fn plan_worths(holders: &[LayerHolder], orders: &[PlaceOrder], model: ModelShape) -> (f64, f64) {
+fn plan_worths(
+    holders: &[LayerHolder],
+    orders: &[PlacementOrder],
+    model: ModelShape,
+) -> (f64, f64) {
     let planned = carried_out(holders, orders);
-    (layout_worth(holders, model), layout_worth(&planned, model))
+    (layout_score(holders, model), layout_score(&planned, model))
 }
 
 /// A group once its orders are carried out.
-fn carried_out(holders: &[LayerHolder], orders: &[PlaceOrder]) -> Vec<LayerHolder> {
+fn carried_out(holders: &[LayerHolder], orders: &[PlacementOrder]) -> Vec<LayerHolder> {
     let mut planned = holders.to_vec();
     for order in orders {
         let holder = planned.iter_mut().find(|holder| holder.life == order.life);
@@ -438,7 +445,7 @@
 }
 
 /// Gives an order; tells whether it may be under way.
-async fn carry_out(relay: &Relay, replica: &ReplicaEntry, order: &PlaceOrder) -> bool {
+async fn carry_out(relay: &Relay, replica: &ReplicaEntry, order: &PlacementOrder) -> bool {
     let range = order.range;
     let (from, to) = (range.from, range.to);
     let Some(report) = ask_report(relay, replica.address).await else {
@@ -454,7 +461,7 @@
         tracing::info!(event = "order-waits", replica = %replica.life, from, to, why = "busy");
         return false;
     }
-    let give_up = order.reason.give_up_rule();
+    let give_up = order.reason.unload_mode();
     let end = order_layers(relay, replica.address, range, give_up, report.orders_taken).await;
     tracing::info!(
         event = "order",
--- a/crates/relay/src/placer/groups.rs
+++ b/crates/relay/src/placer/groups.rs
@@ -3,10 +3,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use switchfold_router::{
-    access::RoutingConfig,
-    cover::LayerHolder,
     fleet::{FleetView, LayerRange},
     groups::{group_count, group_of, is_planned_by},
+    placement::LayerHolder,
+    routing::RoutingConfig,
 };
 
 /// Replicas that are planned together.
--- a/crates/relay/src/placer/searches.rs
+++ b/crates/relay/src/placer/searches.rs
@@ -8,7 +8,7 @@
 
 use switchfold_router::{
     Millis,
-    cover::{CoverConfig, LayerHolder, ModelShape, PlaceOrder, improve_group},
+    placement::{LayerHolder, ModelShape, PlacementConfig, PlacementOrder, improve_group},
 };
 use tokio::task::{JoinHandle, spawn_blocking};
 
@@ -26,7 +26,7 @@
     /// When these were given.
     ordered: Millis,
     /// The search itself, once it has begun.
-    searching: Option<JoinHandle<Vec<PlaceOrder>>>,
+    searching: Option<JoinHandle<Vec<PlacementOrder>>>,
 }
 
 /// Searches by group, those that wait for their turn among them.
@@ -60,7 +60,7 @@
         groups: &PlanGroups,
         model: ModelShape,
         now: Millis,
-    ) -> Vec<(GroupName, Vec<PlaceOrder>)> {
+    ) -> Vec<(GroupName, Vec<PlacementOrder>)> {
         self.renew(groups, now);
         self.begin_next(groups, model, now);
         let mut ended = Vec::new();
@@ -101,7 +101,7 @@
         };
         let Some((_, search)) = self.searches.iter_mut().find(is_due) else { return };
         let group = search.laid_out.clone();
-        let config = CoverConfig::default();
+        let config = PlacementConfig::default();
         search.searching = Some(spawn_blocking(move || improve_group(&group, model, &config)));
     }
 }
--- a/crates/relay/src/request.rs
+++ b/crates/relay/src/request.rs
@@ -13,11 +13,11 @@
 use switchfold_router::{
     Millis,
     attempt::{AttemptEnd, NextStep},
-    chain::PathPart,
     fingerprint::{RequestFingerprint, RequestParts},
     fleet::ReplicaEntry,
     life::ReplicaLife,
-    returns::awaits_config,
+    path::PathStage,
+    reconnects::awaits_config,
 };
 use tokio::time::sleep;
 
@@ -72,7 +72,7 @@
     /// Replica that takes it.
     pub replica: &'a ReplicaEntry,
     /// Path over several replicas, the first of them this one.
-    pub path: Option<&'a [PathPart]>,
+    pub path: Option<&'a [PathStage]>,
     /// Last event that the caller has.
     pub last_event: Option<u64>,
 }
@@ -139,7 +139,7 @@
         permit: &Permit,
         first: &ReplicaLife,
         last_event: Option<u64>,
-        path: Option<&[PathPart]>,
+        path: Option<&[PathStage]>,
     ) {
         let now = now_millis();
         let beliefs = relay.beliefs.borrow();
@@ -159,7 +159,7 @@
             limit = beliefs.limits.limit(first.id()),
             waited_ms = now - self.arrived,
             objective = permit.route.objective,
-            gap = permit.route.event_gap,
+            gap = permit.route.max_event_gap,
             last_event,
             %first,
             path = path.map(path_value),
@@ -244,7 +244,7 @@
     let asked = asked_for(&parts, &marks);
     wait_for_config(relay).await;
     let permit = admit(relay, &asked)?;
-    let most = permit.config.limits.map_or(DEFAULT_BODY, |limits| limits.body_bytes);
+    let most = permit.config.limits.map_or(DEFAULT_BODY, |limits| limits.max_body_bytes);
     let body = match Limited::new(body, most).collect().await {
         Ok(body) => body.to_bytes(),
         Err(error) if error.is::<http_body_util::LengthLimitError>() => {
--- a/crates/relay/src/runs.rs
+++ b/crates/relay/src/runs.rs
@@ -9,8 +9,8 @@
 use switchfold_kernel::clock::now_millis;
 use switchfold_router::{
     Millis,
-    chain::PathPart,
     life::ReplicaLife,
+    path::PathStage,
     quarantine::{LostRun, PROVEN_AFTER, RunYield},
 };
 
@@ -38,7 +38,7 @@
     }
 
     /// Watches a stream that is sent now over a path.
-    pub fn over_path(path: &[PathPart]) -> Self {
+    pub fn over_path(path: &[PathStage]) -> Self {
         let lives = path.iter().map(|part| part.life.clone()).collect();
         Self::new(lives, RunYield::Stream { begun: None, events: 0 })
     }
--- a/crates/relay/src/serve.rs
+++ b/crates/relay/src/serve.rs
@@ -64,8 +64,8 @@
 async fn serve_connection(relay: Rc<Relay>, stream: TcpStream) {
     let _without_delay = stream.set_nodelay(true);
     let limits = relay.config().and_then(|config| config.limits);
-    let idle = limits.map_or(DEFAULT_IDLE, |limits| Duration::from_millis(limits.idle_time));
-    let header_bytes = limits.map_or(DEFAULT_HEADER_BYTES, |limits| limits.header_bytes);
+    let idle = limits.map_or(DEFAULT_IDLE, |limits| Duration::from_millis(limits.idle_timeout));
+    let header_bytes = limits.map_or(DEFAULT_HEADER_BYTES, |limits| limits.max_header_bytes);
     let service = service_fn(|request: Request<Incoming>| {
         let relay = relay.clone();
         async move { Ok::<RelayAnswer, Infallible>(handle(relay, request).await) }
--- a/crates/relay/src/state.rs
+++ b/crates/relay/src/state.rs
@@ -15,10 +15,9 @@
 use switchfold_kernel::{clock::now_millis, http::HttpClient};
 use switchfold_router::{
     Millis,
-    access::{ConfigSlot, RoutingConfig},
     backoff::BackoffTable,
+    bandwidth::BandwidthShare,
     budget::{BudgetConfig, RepeatBudget},
-    chain::PathPart,
     clocks::PeerClocks,
     fleet::EntryState,
     freshness::FreshnessLease,
@@ -28,11 +27,12 @@
     limits::LimitTable,
     membership::{PeerTable, TalkCircle},
     mute::HeadWatch,
-    pace::PaceTable,
-    pipe::PipeShare,
+    path::PathStage,
     quarantine::QuarantineTable,
     replicas::{FleetBelief, OddEntries},
-    room::{FullStarts, RoomLedger},
+    reservations::{FullReplicas, ReservationLedger},
+    routing::{ConfigSlot, RoutingConfig},
+    slowdown::SlowdownTable,
     suspect::SuspectList,
 };
 
@@ -71,11 +71,11 @@
     /// Entries that are no replica's own.
     pub odd_entries: OddEntries,
     /// Memory for requests promised at each replica.
-    pub room: RoomLedger,
+    pub room: ReservationLedger,
     /// Requests that run, by the first replica of their path.
-    pub places: RoomLedger,
+    pub places: ReservationLedger,
     /// First replicas that had no place a moment ago.
-    pub full_starts: FullStarts,
+    pub full_starts: FullReplicas,
     /// Replicas that asked this VM to stay away for a time.
     pub backoffs: BackoffTable,
     /// Limits that replicas named.
@@ -89,9 +89,9 @@
     /// Clocks of the other relays.
     pub clocks: PeerClocks,
     /// Engines that are slow.
-    pub paces: PaceTable,
+    pub paces: SlowdownTable,
     /// This relay's share of the pipe between data centres.
-    pub pipe: PipeShare,
+    pub pipe: BandwidthShare,
     /// Replicas to keep away from.
     pub suspects: SuspectList,
     /// Beginnings of answers, and first replicas that begin none.
@@ -281,7 +281,7 @@
     }
 
     /// State of a part of a running request's path.
-    pub fn part_state(&self, part: &PathPart) -> PartState {
+    pub fn part_state(&self, part: &PathStage) -> PartState {
         let beliefs = self.beliefs.borrow();
         let Some(replica) = beliefs.fleet.view.living(&part.life) else { return PartState::Lost };
         if beliefs.suspects.is_suspect(&part.life, now_millis()) {
--- a/crates/relay/src/stream.rs
+++ b/crates/relay/src/stream.rs
@@ -11,10 +11,10 @@
 use switchfold_router::{
     Millis,
     attempt::{AttemptEnd, AttemptState, NextStep, decide_next},
-    chain::PathPart,
     fleet::ReplicaEntry,
     life::ReplicaLife,
-    returns::return_delay,
+    path::PathStage,
+    reconnects::reconnect_delay,
 };
 use tokio::time::sleep;
 
@@ -48,7 +48,7 @@
     /// Connection that it comes on.
     pub link: BusyLink,
     /// Path that it runs over.
-    pub path: Vec<PathPart>,
+    pub path: Vec<PathStage>,
     /// Room promised along the path.
     pub room: RoomGuard,
     /// Its run.
@@ -139,7 +139,7 @@
 async fn wait_in_turn(relay: &Relay, request: &CallerRequest) -> bool {
     let draw = relay.random.borrow_mut().random();
     let age = now_millis();
-    let delay = return_delay(age, request.marks.last_event.is_some(), draw);
+    let delay = reconnect_delay(age, request.marks.last_event.is_some(), draw);
     if delay > 0 {
         sleep(Duration::from_millis(delay)).await;
     }
@@ -177,7 +177,7 @@
     patience: Duration,
 ) -> Option<OpenEnd> {
     let engine = permit.config.services.get(&permit.service)?.engine.as_ref()?;
-    let tokens = request.tokens((engine.usual_prompt, engine.usual_answer));
+    let tokens = request.tokens((engine.mean_prompt_tokens, engine.mean_answer_tokens));
     let wish = PathWish {
         service: &permit.service,
         engine,
@@ -270,7 +270,7 @@
 
 /// What goes with a request that was sent over a path.
 struct SentRun {
-    path: Vec<PathPart>,
+    path: Vec<PathStage>,
     room: RoomGuard,
     run: RunWatch,
     begun: Millis,
@@ -329,7 +329,7 @@
         return;
     };
     if marks.at_fault.is_none() && status == StatusCode::SERVICE_UNAVAILABLE {
-        relay.beliefs.borrow_mut().full_starts.note_rejection(&life, now_millis());
+        relay.beliefs.borrow_mut().full_starts.record_rejection(&life, now_millis());
     }
     if marks.at_fault.is_some() && status == StatusCode::SERVICE_UNAVAILABLE {
         match recent_report(relay, at_fault).await {
--- a/crates/relay/src/tell.rs
+++ b/crates/relay/src/tell.rs
@@ -13,7 +13,7 @@
     life::ReplicaLife,
     membership::{ReportKind, TalkLeg, TalkPeer, name_hash},
     origin::NewsReach,
-    room::RoomLedger,
+    reservations::ReservationLedger,
 };
 use tokio::time::{Instant, sleep, sleep_until};
 
@@ -105,8 +105,8 @@
     relay.circle.replace(circle);
     if speaks_now {
         let mut beliefs = relay.beliefs.borrow_mut();
-        beliefs.room.forget_sums();
-        beliefs.places.forget_sums();
+        beliefs.room.clear_sums();
+        beliefs.places.clear_sums();
         drop(beliefs);
         greet_all(relay);
     }
@@ -246,8 +246,8 @@
 /// What this relay and its members promised.
 fn gathered_load(beliefs: &Beliefs, now: Millis) -> LoadRecord {
     let counts = |name: &str| beliefs.peers.report_kind(name, now) == ReportKind::Counted;
-    let records = |ledger: &RoomLedger| -> Vec<(LifeRecord, u32)> {
-        let gathered = ledger.gathered(counts);
+    let records = |ledger: &ReservationLedger| -> Vec<(LifeRecord, u32)> {
+        let gathered = ledger.sum_with(counts);
         gathered.into_iter().map(|(life, amount)| (life.into(), amount as u32)).collect()
     };
     LoadRecord { room: records(&beliefs.room), places: records(&beliefs.places) }
@@ -260,7 +260,7 @@
         beliefs.fleet.view.living(life).is_some_and(|replica| replica.data_centre == *home)
     };
     let sum = |near: bool| {
-        let records = |ledger: &RoomLedger| -> Vec<(LifeRecord, u32)> {
+        let records = |ledger: &ReservationLedger| -> Vec<(LifeRecord, u32)> {
             let total = ledger.total_without(member).filter(|(life, _)| is_near(life) == near);
             total.map(|(life, amount)| (life.into(), amount as u32)).collect()
         };
@@ -272,12 +272,12 @@
 fn compose_state(relay: &Relay, reach: NewsReach, now: Millis) -> StateNews {
     let fleet_is_fresh = relay.is_fleet_fresh(now);
     let mut beliefs = relay.beliefs.borrow_mut();
-    beliefs.room.forget(now);
-    beliefs.places.forget(now);
+    beliefs.room.expire(now);
+    beliefs.places.expire(now);
     beliefs.quarantine.forget(now);
     let suspects = beliefs.suspects.told_on(reach, now);
     let mutes = beliefs.heads.told_on(reach, now);
-    let paces = beliefs.paces.told_on(reach, now);
+    let paces = beliefs.paces.shared_with(reach, now);
     let told = beliefs.quarantine.news(reach, now);
     let crashes = told.iter().map(|news| CrashRecord::of(news, now)).collect();
     let cleared = beliefs.quarantine.cleared(now);
--- a/crates/relay/src/watch.rs
+++ b/crates/relay/src/watch.rs
@@ -307,7 +307,7 @@
     {
         let mut beliefs = relay.beliefs.borrow_mut();
         beliefs.fleet.view.note_services(config.services.keys().map(String::as_str));
-        beliefs.config.merge(version, config);
+        beliefs.config.replace_if_newer(version, config);
         beliefs.config_unreadable = false;
         beliefs.config_object = Some(object);
     }
--- a/crates/router/benches/plans.rs
+++ b/crates/router/benches/plans.rs
@@ -8,14 +8,14 @@
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use switchfold_router::{
     backoff::BackoffTable,
-    chain::{ChainCosts, PartOffer, PathRequest, choose_path},
-    cover::{CoverConfig, LayerHolder, ModelShape, improve_group, plan_group},
     fleet::{EntryState, LayerRange, ReplicaEntry, ReplicaNews},
     grants::HeldGrants,
     life::ReplicaLife,
     limits::{LimitTable, LimitWord},
+    path::{PathCosts, PathRequest, StageOffer, choose_path},
+    placement::{LayerHolder, ModelShape, PlacementConfig, improve_group, plan_group},
     replicas::{FleetBelief, FleetList, NewsSource},
-    room::RoomLedger,
+    reservations::ReservationLedger,
 };
 
 const MODEL: ModelShape = ModelShape { layers: 80, layer_mb: 1_750.0, request_mb: 0.0 };
@@ -43,7 +43,7 @@
 
 fn laid_out(count: usize) -> Vec<LayerHolder> {
     let mut holders = empty_group(count);
-    for order in plan_group(&holders, MODEL, &CoverConfig::default()) {
+    for order in plan_group(&holders, MODEL, &PlacementConfig::default()) {
         let holder = holders.iter_mut().find(|holder| holder.life == order.life).expect("a holder");
         holder.range = Some(order.range);
         holder.held = holder.range;
@@ -60,7 +60,8 @@
         lost.remove(count / 2);
         for (name, holders) in [("new", empty_group(count)), ("settled", settled), ("lost", lost)] {
             group.bench_function(BenchmarkId::new(name, count), |bencher| {
-                bencher.iter(|| plan_group(black_box(&holders), MODEL, &CoverConfig::default()));
+                bencher
+                    .iter(|| plan_group(black_box(&holders), MODEL, &PlacementConfig::default()));
             });
         }
     }
@@ -73,7 +74,7 @@
     for count in GROUPS {
         let holders = laid_out(count);
         group.bench_function(BenchmarkId::from_parameter(count), |bencher| {
-            bencher.iter(|| improve_group(black_box(&holders), MODEL, &CoverConfig::default()));
+            bencher.iter(|| improve_group(black_box(&holders), MODEL, &PlacementConfig::default()));
         });
     }
     group.finish();
@@ -82,33 +83,33 @@
 fn paths(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("choose_path");
     for (data_centres, count) in [(3, 13), (12, 180)] {
-        let offers: Vec<PartOffer> =
+        let offers: Vec<StageOffer> =
             (0..data_centres).flat_map(|place| offers(place, count)).collect();
         let request = PathRequest {
             layers: MODEL.layers,
             tokens: 1_000.0,
-            home: 0,
+            entry_data_centre: 0,
             data_centres,
             may_cross: false,
             first: None,
         };
         group.bench_function(BenchmarkId::from_parameter(data_centres * count), |bencher| {
-            bencher.iter(|| choose_path(&request, black_box(&offers), &ChainCosts::default()));
+            bencher.iter(|| choose_path(&request, black_box(&offers), &PathCosts::default()));
         });
     }
     group.finish();
 }
 
-fn offers(data_centre: usize, count: usize) -> Vec<PartOffer> {
-    let offer = |holder: LayerHolder| PartOffer {
+fn offers(data_centre: usize, count: usize) -> Vec<StageOffer> {
+    let offer = |holder: LayerHolder| StageOffer {
         life: ReplicaLife::new(&format!("{data_centre}-{}", holder.life), 0),
         address: "10.0.0.1:8000".parse().expect("an address"),
         data_centre,
         range: holder.range.unwrap_or_default(),
         layer_cost: holder.layer_ms,
-        room: 1e7,
+        free_token_layers: 1e7,
         start_cost: Some(0.0),
-        is_held_back: false,
+        is_throttled: false,
     };
     laid_out(count).into_iter().map(offer).collect()
 }
@@ -119,13 +120,13 @@
     const HELD: usize = 100;
     let lives: Vec<ReplicaLife> =
         (0..3_000).map(|number| ReplicaLife::new(&format!("i-{number:010x}"), 0)).collect();
-    let mut ledger = RoomLedger::default();
+    let mut ledger = ReservationLedger::default();
     for entry in 0..ENTRIES {
         let held = (0..HELD).map(|number| lives[(entry * 37 + number * 29) % lives.len()].clone());
-        ledger.hear(&format!("edge-{entry}"), held.map(|life| (life, 900.0)).collect(), 0);
+        ledger.merge_peer(&format!("edge-{entry}"), held.map(|life| (life, 900.0)).collect(), 0);
     }
     criterion.bench_function("promised/3000 replicas, 300 entries", |bencher| {
-        bencher.iter(|| lives.iter().map(|life| ledger.promised(black_box(life))).sum::<f64>());
+        bencher.iter(|| lives.iter().map(|life| ledger.reserved(black_box(life))).sum::<f64>());
     });
 }
 
--- a/crates/router/src/attempt.rs
+++ b/crates/router/src/attempt.rs
@@ -45,7 +45,9 @@
 pub fn decide_next(state: AttemptState, end: AttemptEnd) -> NextStep {
     match end {
         AttemptEnd::NotSent | AttemptEnd::Rejected => after_no_run(state),
-        AttemptEnd::Answered(status) if status < 500 && !is_promise(status) => NextStep::PassOn,
+        AttemptEnd::Answered(status) if status < 500 && !promises_not_run(status) => {
+            NextStep::PassOn
+        }
         AttemptEnd::Answered(status) => after_failure(state, status),
         AttemptEnd::Broken if state.repeatable && state.can_repeat => NextStep::TryElsewhere,
         AttemptEnd::Broken => NextStep::AnswerUnknown,
@@ -53,7 +55,7 @@
 }
 
 /// Whether a status promises the caller that the request did not run.
-pub fn is_promise(status: u16) -> bool {
+pub fn promises_not_run(status: u16) -> bool {
     matches!(status, 408 | 421 | 429 | 503)
 }
 
@@ -71,7 +73,7 @@
     if state.repeatable && state.can_repeat {
         return NextStep::TryElsewhere;
     }
-    match is_promise(status) {
+    match promises_not_run(status) {
         true => NextStep::AnswerUnknown,
         false => NextStep::PassOn,
     }
--- a/crates/router/src/pipe.rs
+++ b/crates/router/src/bandwidth.rs
@@ -16,14 +16,14 @@
 
 /// An entry's share of the pipe.
 #[derive(Clone, Debug, Default)]
-pub struct PipeShare {
+pub struct BandwidthShare {
     filled_until: f64,
 }
 
-impl PipeShare {
+impl BandwidthShare {
     /// Takes `pipe_time` milliseconds of the pipe, of which `entries` have an even share each; tells
     /// whether they were left.
-    pub fn take(&mut self, pipe_time: f64, entries: usize, now: Millis) -> bool {
+    pub fn try_reserve(&mut self, pipe_time: f64, entries: usize, now: Millis) -> bool {
         let now = now as f64;
         let start = self.filled_until.max(now);
         let left = start - now <= MOST_AHEAD;
--- a/crates/router/src/groups.rs
+++ b/crates/router/src/groups.rs
@@ -2,11 +2,11 @@
 //!
 //! The weighing of a layout takes time in proportion to the cube of its replicas, which for a thousand of them
 //! stops a small VM for a minute. So the replicas of a data centre are dealt to groups of
-//! at most [`MOST_GROUP`] on average, each of which covers the model by itself; paths pass between groups as they
+//! at most [`TARGET_GROUP_SIZE`] on average, each of which covers the model by itself; paths pass between groups as they
 //! please. Groups are dealt by the hash of the id, and their count is a power of two: a replica that joins or
 //! leaves changes one group, and where their count changes, each is split in two or joined with one other.
 //!
-//! One relay plans up to [`GROUPS_ALONE`] groups; where there are more, one relay plans [`GROUPS_EACH`], in the order of
+//! One relay plans up to [`MAX_GROUPS_ONE_PLANNER`] groups; where there are more, one relay plans [`GROUPS_PER_PLANNER`], in the order of
 //! their names.
 //! Two that take themselves for the planner of one group are harmless: engines count the orders that they took.
 //!
@@ -18,19 +18,19 @@
 use crate::life::ReplicaLife;
 
 /// Replicas of a group on average, at most: its layout is weighed within a tenth of a second of a small VM.
-pub const MOST_GROUP: usize = 64;
+pub const TARGET_GROUP_SIZE: usize = 64;
 
 /// Groups that one relay plans alone: it knows all orders under way, so that no more loads run at once than the store
 /// of weights serves at full speed.
-pub const GROUPS_ALONE: usize = 6;
+pub const MAX_GROUPS_ONE_PLANNER: usize = 6;
 
 /// Groups that each relay plans where there are more: some 125 replicas, which want 250 calls of a small VM within the
 /// seconds between a start of all and the traffic.
-pub const GROUPS_EACH: usize = 2;
+pub const GROUPS_PER_PLANNER: usize = 2;
 
 /// Count of groups for the replicas of a data centre.
 pub fn group_count(replicas: usize) -> u32 {
-    let wanted = replicas.div_ceil(MOST_GROUP).max(1);
+    let wanted = replicas.div_ceil(TARGET_GROUP_SIZE).max(1);
     wanted.next_power_of_two() as u32
 }
 
@@ -43,9 +43,9 @@
 
 /// Count of relays that plan so many groups, of `relays` that are there.
 pub fn planner_count(groups: usize, relays: usize) -> usize {
-    match groups <= GROUPS_ALONE {
+    match groups <= MAX_GROUPS_ONE_PLANNER {
         true => 1,
-        false => groups.div_ceil(GROUPS_EACH).clamp(1, relays.max(1)),
+        false => groups.div_ceil(GROUPS_PER_PLANNER).clamp(1, relays.max(1)),
     }
 }
 
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -39,13 +39,11 @@
 //! The trade-off: an entry chooses alone, from what it last heard. Two entries may choose the same
 //! replica at once; the reserve in [`room`] is what absorbs that.
 
-pub mod access;
 pub mod attempt;
 pub mod backoff;
+pub mod bandwidth;
 pub mod budget;
-pub mod chain;
 pub mod clocks;
-pub mod cover;
 pub mod fingerprint;
 pub mod fleet;
 pub mod follow;
@@ -60,13 +58,15 @@
 pub mod membership;
 pub mod mute;
 pub mod origin;
-pub mod pace;
-pub mod pipe;
+pub mod path;
 pub mod place;
+pub mod placement;
 pub mod quarantine;
+pub mod reconnects;
 pub mod replicas;
-pub mod returns;
-pub mod room;
+pub mod reservations;
+pub mod routing;
+pub mod slowdown;
 pub mod suspect;
 
 pub use switchfold_core::Millis;
--- a/crates/router/src/chain.rs
+++ b/crates/router/src/path.rs
@@ -10,7 +10,7 @@
 use crate::{fleet::LayerRange, life::ReplicaLife};
 
 /// Most parts that a path may have.
-pub const MOST_PARTS: usize = 32;
+pub const MAX_STAGES: usize = 32;
 
 /// Costs that decide between paths, in milliseconds of a token step. The relations matter, not the
 /// unit: crossing between data centres moves the activations of a whole prompt over a shared pipe
@@ -18,7 +18,7 @@
 /// path crosses only where no data centre has a whole one. Starting elsewhere moves only the request's
 /// bytes.
 #[derive(Clone, Copy, Debug)]
-pub struct ChainCosts {
+pub struct PathCosts {
     /// One more part.
     pub hop: f64,
     /// Passing from one data centre to another.
@@ -27,7 +27,7 @@
     pub remote_start: f64,
 }
 
-impl Default for ChainCosts {
+impl Default for PathCosts {
     fn default() -> Self {
         Self { hop: 0.5, crossing: 1_000.0, remote_start: 3.0 }
     }
@@ -59,7 +59,7 @@
 
 /// What a replica offers to a path.
 #[derive(Clone, Debug)]
-pub struct PartOffer {
+pub struct StageOffer {
     /// The replica.
     pub life: ReplicaLife,
     /// Its address.
@@ -71,16 +71,16 @@
     /// Cost for each layer.
     pub layer_cost: f64,
     /// Room for requests that is left, in tokens times layers.
-    pub room: f64,
+    pub free_token_layers: f64,
     /// Cost of beginning here, which grows as its places for requests fill up; nothing where none is left.
     pub start_cost: Option<f64>,
     /// Whether no path may begin here at the moment, whatever that would cost: the replica wants none from this VM.
-    pub is_held_back: bool,
+    pub is_throttled: bool,
 }
 
 /// One part of a path.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct PathPart {
+pub struct PathStage {
     /// The replica.
     pub life: ReplicaLife,
     /// Its address.
@@ -97,7 +97,7 @@
     /// Tokens that the request may hold.
     pub tokens: f64,
     /// The entry's own data centre.
-    pub home: usize,
+    pub entry_data_centre: usize,
     /// Count of data centres.
     pub data_centres: usize,
     /// Whether the path may pass from one data centre to another.
@@ -117,9 +117,9 @@
 /// Finds the cheapest path; nothing where the offers leave a gap or have no room.
 pub fn choose_path(
     request: &PathRequest<'_>,
-    offers: &[PartOffer],
-    costs: &ChainCosts,
-) -> Option<Vec<PathPart>> {
+    offers: &[StageOffer],
+    costs: &PathCosts,
+) -> Option<Vec<PathStage>> {
     let bounds = boundaries(request, offers);
     // One row for "no part yet" beside the data centres.
     let rows = request.data_centres + 1;
@@ -138,10 +138,10 @@
         .filter_map(|row| best[last][row].map(|step| (row, step.cost)))
         .min_by(|left, right| left.1.total_cmp(&right.1))?;
     let parts = merge_revisits(walk_back(&best, &bounds, (last, end.0), offers));
-    (parts.len() <= MOST_PARTS).then_some(parts)
+    (parts.len() <= MAX_STAGES).then_some(parts)
 }
 
-fn boundaries(request: &PathRequest<'_>, offers: &[PartOffer]) -> Vec<u32> {
+fn boundaries(request: &PathRequest<'_>, offers: &[StageOffer]) -> Vec<u32> {
     let mut bounds = vec![0, request.layers];
     for offer in offers {
         bounds.push(offer.range.from);
@@ -157,8 +157,8 @@
 /// Tries every part that may follow the state `from`.
 fn relax(
     request: &PathRequest<'_>,
-    offers: &[PartOffer],
-    costs: &ChainCosts,
+    offers: &[StageOffer],
+    costs: &PathCosts,
     bounds: &[u32],
     from: (usize, usize),
     cost: f64,
@@ -179,7 +179,7 @@
         };
         let Some(start_cost) = start_cost else { continue };
         let entry = match starts {
-            true if offer.data_centre == request.home => start_cost,
+            true if offer.data_centre == request.entry_data_centre => start_cost,
             true => costs.remote_start + start_cost,
             false if offer.data_centre == row => 0.0,
             false if request.may_cross => costs.crossing,
@@ -188,7 +188,7 @@
         for next in position + 1..bounds.len() {
             let to = bounds[next];
             let span = f64::from(to - layer);
-            if to > offer.range.to || span * request.tokens > offer.room {
+            if to > offer.range.to || span * request.tokens > offer.free_token_layers {
                 break;
             }
             if fixed.is_some_and(|(_, range)| range.to != to) {
@@ -207,15 +207,15 @@
     best: &[Vec<Option<Step>>],
     bounds: &[u32],
     end: (usize, usize),
-    offers: &[PartOffer],
-) -> Vec<PathPart> {
+    offers: &[StageOffer],
+) -> Vec<PathStage> {
     let mut parts = Vec::new();
     let mut state = end;
     while state.0 > 0 {
         let step = best[state.0][state.1].expect("states on a path were reached");
         let offer = &offers[step.offer];
         let range = LayerRange { from: bounds[step.previous.0], to: bounds[state.0] };
-        parts.push(PathPart { life: offer.life.clone(), address: offer.address, range });
+        parts.push(PathStage { life: offer.life.clone(), address: offer.address, range });
         state = step.previous;
     }
     parts.reverse();
@@ -224,7 +224,7 @@
 
 /// Joins parts of one replica, which may stand in a path only once. What lies between them is within
 /// its own range, so it can run that as well.
-fn merge_revisits(mut parts: Vec<PathPart>) -> Vec<PathPart> {
+fn merge_revisits(mut parts: Vec<PathStage>) -> Vec<PathStage> {
     let mut index = 0;
     while index < parts.len() {
         let later =
@@ -239,7 +239,7 @@
 }
 
 /// Whether parts run each of `layers` layers once, in order.
-pub fn tiles(parts: &[PathPart], layers: u32) -> bool {
+pub fn is_complete_path(parts: &[PathStage], layers: u32) -> bool {
     let mut next = 0;
     for part in parts {
         if part.range.from != next || part.range.is_empty() {
--- a/crates/router/src/cover/capacity.rs
+++ b/crates/router/src/placement/capacity.rs
@@ -15,8 +15,8 @@
 //! capacity, once for the whole layout and once for each replica that may be lost.
 
 use crate::{
-    cover::{LayerHolder, ModelShape},
     fleet::LayerRange,
+    placement::{LayerHolder, ModelShape},
 };
 
 /// Time that a token step takes for one more part of its path, in milliseconds: half of a usual pass is
--- a/crates/router/src/cover/gaps.rs
+++ b/crates/router/src/placement/gaps.rs
@@ -1,11 +1,11 @@
 //! Closing gaps: layers that no replica of a group holds.
 
 use crate::{
-    cover::{
-        Group, LayerHolder, PlaceReason, is_spare,
+    fleet::LayerRange,
+    placement::{
+        Group, LayerHolder, PlacementReason, is_spare,
         tiling::{URGENT, tile, wanted_range},
     },
-    fleet::LayerRange,
 };
 
 /// Gaps below so many layers are closed by neighbours: each loads two or three layers, in less time than
@@ -69,7 +69,7 @@
     /// Deals the layers anew over all replicas, with the least cost.
     fn retile(&mut self) {
         for (index, part) in tile(self.model, &self.holders, &self.most(), URGENT) {
-            self.take_over(index, part, PlaceReason::Gap);
+            self.take_over(index, part, PlacementReason::Gap);
         }
     }
 
@@ -78,7 +78,7 @@
         self.holders.iter().map(|holder| self.most_layers(holder)).collect()
     }
 
-    fn take_over(&mut self, index: usize, part: LayerRange, reason: PlaceReason) {
+    fn take_over(&mut self, index: usize, part: LayerRange, reason: PlacementReason) {
         let holder = &self.holders[index];
         let Some(range) = holder.range else { return };
         if range.from <= part.from && part.to <= range.to {
@@ -102,7 +102,7 @@
         let best = spare.min_by_key(|(_, len)| (len.abs_diff(gap.len()), *len));
         let Some((index, len)) = best else { return false };
         let from = gap.from.min(self.model.layers - len);
-        self.order(index, LayerRange { from, to: from + len }, PlaceReason::Move);
+        self.order(index, LayerRange { from, to: from + len }, PlacementReason::Move);
         true
     }
 }
--- a/crates/router/src/cover/mod.rs
+++ b/crates/router/src/placement/mod.rs
@@ -12,7 +12,7 @@
 //! 2. **Empty replicas** of an old group are placed where such a layout gains most.
 //! 3. **Gaps** that remain are closed. Wide ones are given to a replica all of whose layers others hold
 //!    as well; for the rest, all replicas in the order of their layers take over from each other with
-//!    the fewest loads, up to [`CoverConfig::stretch_fill`] of their memory.
+//!    the fewest loads, up to [`PlacementConfig::max_fill`] of their memory.
 //! 4. **Balance**: where nothing else is to do, the one replica moves, grows or shrinks by which the layout
 //!    gains most, if that is worth a load. A replica that was stretched into a gap so gives back what
 //!    others came to hold.
@@ -28,29 +28,29 @@
 
 pub use self::gaps::widest_gap;
 use crate::{
-    cover::{
+    fleet::LayerRange,
+    life::ReplicaLife,
+    placement::{
         capacity::LayoutMeter,
         scarcity::room_by_layer,
         search::{BestPlace, PlaceWish, best_place, improve_layout, search_steps},
     },
-    fleet::LayerRange,
-    life::ReplicaLife,
 };
 
 /// Fractions of a replica's memory that weights may take.
 #[derive(Clone, Copy, Debug)]
-pub struct CoverConfig {
+pub struct PlacementConfig {
     /// In the usual layout: what is left holds the requests, and is what binds first.
-    pub base_fill: f64,
+    pub usual_fill: f64,
     /// Where the group cannot cover the model otherwise.
-    pub stretch_fill: f64,
+    pub max_fill: f64,
     /// Times that a group's usual layout should cover the model.
-    pub wanted_cover: f64,
+    pub target_coverage: f64,
 }
 
-impl Default for CoverConfig {
+impl Default for PlacementConfig {
     fn default() -> Self {
-        Self { base_fill: 0.70, stretch_fill: 0.90, wanted_cover: 1.10 }
+        Self { usual_fill: 0.70, max_fill: 0.90, target_coverage: 1.10 }
     }
 }
 
@@ -87,18 +87,18 @@
 
 /// An order to hold these layers and no others.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct PlaceOrder {
+pub struct PlacementOrder {
     /// The replica.
     pub life: ReplicaLife,
     /// Layers that it is to hold.
     pub range: LayerRange,
     /// Why, for the logs.
-    pub reason: PlaceReason,
+    pub reason: PlacementReason,
 }
 
 /// Why a replica is to hold other layers.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum PlaceReason {
+pub enum PlacementReason {
     /// It holds nothing.
     Empty,
     /// Layers beside its own are held by nobody.
@@ -113,32 +113,32 @@
 
 /// What becomes of running requests that use layers given up.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum GiveUpRule {
+pub enum UnloadMode {
     /// They are waited for; nothing new is loaded until they have ended.
     Wait,
     /// They are cut at once, and go on elsewhere where their route allows it.
     Cut,
 }
 
-impl PlaceOrder {
+impl PlacementOrder {
     /// The same order for a group whose missing layers others of the data centre hold meanwhile: requests that use
     /// the layers given up are waited for, since none are lost to the gap.
-    pub fn while_others_serve(self) -> Self {
-        match self.reason.give_up_rule() {
-            GiveUpRule::Cut => Self { reason: PlaceReason::Balance, ..self },
-            GiveUpRule::Wait => self,
+    pub fn without_cut(self) -> Self {
+        match self.reason.unload_mode() {
+            UnloadMode::Cut => Self { reason: PlacementReason::Balance, ..self },
+            UnloadMode::Wait => self,
         }
     }
 }
 
-impl PlaceReason {
+impl PlacementReason {
     /// Where a gap is open, the whole group serves nobody, and the requests that an order waits for
     /// cannot move within the group either: a replica once waited 14 s for them before it began a load
     /// of a second and a half.
-    pub fn give_up_rule(self) -> GiveUpRule {
+    pub fn unload_mode(self) -> UnloadMode {
         match self {
-            Self::Gap | Self::Move => GiveUpRule::Cut,
-            Self::Empty | Self::Balance | Self::Search => GiveUpRule::Wait,
+            Self::Gap | Self::Move => UnloadMode::Cut,
+            Self::Empty | Self::Balance | Self::Search => UnloadMode::Wait,
         }
     }
 }
@@ -147,8 +147,8 @@
 pub fn plan_group(
     holders: &[LayerHolder],
     model: ModelShape,
-    config: &CoverConfig,
-) -> Vec<PlaceOrder> {
+    config: &PlacementConfig,
+) -> Vec<PlacementOrder> {
     if model.layers == 0 {
         return Vec::new();
     }
@@ -171,8 +171,8 @@
 pub fn improve_group(
     holders: &[LayerHolder],
     model: ModelShape,
-    config: &CoverConfig,
-) -> Vec<PlaceOrder> {
+    config: &PlacementConfig,
+) -> Vec<PlacementOrder> {
     let group = Group::new(holders, model, config);
     let most = group.most();
     let mut improved = group.holders.clone();
@@ -182,14 +182,14 @@
     });
     let order = |after: LayerHolder| {
         let range = after.range.unwrap_or_default();
-        PlaceOrder { life: after.life, range, reason: PlaceReason::Search }
+        PlacementOrder { life: after.life, range, reason: PlacementReason::Search }
     };
     changed.map(|(_, after)| order(after)).collect()
 }
 
 /// What a layout carries, now and on average after the loss of one replica: the measure by which the plan
 /// compares layouts of one group.
-pub fn layout_worth(holders: &[LayerHolder], model: ModelShape) -> f64 {
+pub fn layout_score(holders: &[LayerHolder], model: ModelShape) -> f64 {
     LayoutMeter::new(holders, model).worth(holders)
 }
 
@@ -208,29 +208,30 @@
 struct Group<'a> {
     holders: Vec<LayerHolder>,
     model: ModelShape,
-    config: &'a CoverConfig,
+    config: &'a PlacementConfig,
     fill: f64,
-    orders: Vec<PlaceOrder>,
+    orders: Vec<PlacementOrder>,
 }
 
 impl<'a> Group<'a> {
-    fn new(holders: &[LayerHolder], model: ModelShape, config: &'a CoverConfig) -> Self {
+    fn new(holders: &[LayerHolder], model: ModelShape, config: &'a PlacementConfig) -> Self {
         let mut holders = holders.to_vec();
         // Largest first, so that small replicas fill what large ones leave.
         holders.sort_by(|left, right| {
             right.memory_mb.total_cmp(&left.memory_mb).then_with(|| left.life.cmp(&right.life))
         });
-        let mut group = Self { holders, model, config, fill: config.base_fill, orders: Vec::new() };
-        group.fill = group.usual_fill();
+        let mut group =
+            Self { holders, model, config, fill: config.usual_fill, orders: Vec::new() };
+        group.fill = group.choose_fill();
         group
     }
 
     /// Smallest fill, from the usual one up, at which the group covers the model as often as wanted.
-    fn usual_fill(&self) -> f64 {
+    fn choose_fill(&self) -> f64 {
         const STEP: f64 = 0.02;
-        let wanted = f64::from(self.model.layers) * self.config.wanted_cover;
-        let mut fill = self.config.base_fill;
-        while fill + STEP <= self.config.stretch_fill {
+        let wanted = f64::from(self.model.layers) * self.config.target_coverage;
+        let mut fill = self.config.usual_fill;
+        while fill + STEP <= self.config.max_fill {
             let held: u32 = self.holders.iter().map(|holder| self.layers_at(holder, fill)).sum();
             if f64::from(held) >= wanted {
                 break;
@@ -246,7 +247,7 @@
     }
 
     fn most_layers(&self, holder: &LayerHolder) -> u32 {
-        self.layers_at(holder, self.config.stretch_fill)
+        self.layers_at(holder, self.config.max_fill)
     }
 
     /// How many replicas hold each layer, or will.
@@ -284,7 +285,7 @@
             let len = self.layers_at(&self.holders[index], self.fill);
             if len > 0 {
                 let from = self.best_start(len);
-                self.order(index, LayerRange { from, to: from + len }, PlaceReason::Empty);
+                self.order(index, LayerRange { from, to: from + len }, PlacementReason::Empty);
             }
         }
     }
@@ -312,7 +313,7 @@
                 || LayerRange { from: self.best_start(usual), to: self.best_start(usual) + usual },
                 |place| place.range,
             );
-            self.order(index, range, PlaceReason::Empty);
+            self.order(index, range, PlacementReason::Empty);
         }
     }
 
@@ -348,12 +349,12 @@
         gains
     }
 
-    fn order(&mut self, index: usize, range: LayerRange, reason: PlaceReason) {
+    fn order(&mut self, index: usize, range: LayerRange, reason: PlacementReason) {
         let holder = &mut self.holders[index];
         holder.range = Some(range);
         let life = holder.life.clone();
         self.orders.retain(|order| order.life != life);
-        self.orders.push(PlaceOrder { life, range, reason });
+        self.orders.push(PlacementOrder { life, range, reason });
     }
 
     /// Gives one replica other layers, where that is worth a load.
@@ -375,7 +376,7 @@
             }
         }
         if let Some((index, place)) = best {
-            self.order(index, place.range, PlaceReason::Balance);
+            self.order(index, place.range, PlacementReason::Balance);
         }
     }
 }
--- a/crates/router/src/cover/scarcity.rs
+++ b/crates/router/src/placement/scarcity.rs
@@ -3,7 +3,7 @@
 //! A path is as wide as its narrowest layer, so what counts is not the sum of memory but the sum over
 //! the layers of one over the memory that each has.
 
-use crate::cover::{LayerHolder, ModelShape};
+use crate::placement::{LayerHolder, ModelShape};
 
 /// Memory for requests that the holders of each layer have for it, in MB.
 pub(super) fn room_by_layer(holders: &[LayerHolder], model: ModelShape) -> Vec<f64> {
--- a/crates/router/src/cover/search.rs
+++ b/crates/router/src/placement/search.rs
@@ -10,8 +10,8 @@
 use switchfold_core::hash::hash_bytes;
 
 use crate::{
-    cover::{LayerHolder, ModelShape, capacity::LayoutMeter},
     fleet::LayerRange,
+    placement::{LayerHolder, ModelShape, capacity::LayoutMeter},
 };
 
 /// Weighings of a layout, for groups of up to [`USUAL_GROUP`] replicas.
--- a/crates/router/src/cover/tiling.rs
+++ b/crates/router/src/placement/tiling.rs
@@ -7,8 +7,8 @@
 //! want of a few loads.
 
 use crate::{
-    cover::{LayerHolder, ModelShape, scarcity::scarcity},
     fleet::LayerRange,
+    placement::{LayerHolder, ModelShape, scarcity::scarcity},
 };
 
 /// What the tiling weighs, against loading one layer at 1.
--- a/crates/router/src/room.rs
+++ b/crates/router/src/reservations.rs
@@ -10,7 +10,7 @@
 
 /// Age at which another entry's figures are dropped, in milliseconds: some of its reports were lost, or
 /// it is gone and its requests with it.
-pub const PEER_AGE: Millis = 2_000;
+pub const PEER_MAX_AGE: Millis = 2_000;
 
 /// Figures of another entry, or of all others together.
 #[derive(Clone, Debug, Default)]
@@ -24,7 +24,7 @@
 /// Sums are kept as figures come and go, since every choice of a path asks for that of every replica: added up anew
 /// over hundreds of entries for each, they would take most of a small VM.
 #[derive(Clone, Debug, Default)]
-pub struct RoomLedger {
+pub struct ReservationLedger {
     own: HashMap<ReplicaLife, f64>,
     peers: HashMap<String, PeerRoom>,
     sums: [PeerRoom; 2],
@@ -33,11 +33,11 @@
 
 /// A part of the replicas, of which one entry tells another what all together promised.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum SumPart {
+pub enum SumScope {
     /// Those of the data centre.
-    Near,
+    SameDataCentre,
     /// All others.
-    Far,
+    OtherDataCentres,
 }
 
 /// Amount below which nothing is promised: figures are whole numbers, but for what sums lose.
@@ -56,9 +56,9 @@
     }
 }
 
-impl RoomLedger {
+impl ReservationLedger {
     /// Promises room at a replica.
-    pub fn promise(&mut self, life: &ReplicaLife, amount: f64) {
+    pub fn reserve(&mut self, life: &ReplicaLife, amount: f64) {
         add(&mut self.own, life, amount);
         add(&mut self.total, life, amount);
     }
@@ -70,7 +70,7 @@
     }
 
     /// Takes over the figures of another entry.
-    pub fn hear(&mut self, peer: &str, promised: HashMap<ReplicaLife, f64>, now: Millis) {
+    pub fn merge_peer(&mut self, peer: &str, promised: HashMap<ReplicaLife, f64>, now: Millis) {
         promised.iter().for_each(|(life, amount)| add(&mut self.total, life, *amount));
         let room = PeerRoom { heard: now, promised };
         if let Some(earlier) = self.peers.insert(peer.to_owned(), room) {
@@ -79,7 +79,7 @@
     }
 
     /// Takes over what all other entries promised at a part of the replicas, as one of them adds it up.
-    pub fn hear_sum(&mut self, part: SumPart, promised: HashMap<ReplicaLife, f64>, now: Millis) {
+    pub fn merge_sum(&mut self, part: SumScope, promised: HashMap<ReplicaLife, f64>, now: Millis) {
         promised.iter().for_each(|(life, amount)| add(&mut self.total, life, *amount));
         let sum = PeerRoom { heard: now, promised };
         let earlier = std::mem::replace(&mut self.sums[part as usize], sum);
@@ -87,14 +87,14 @@
     }
 
     /// Drops the sums of all others: this entry hears them one by one from now on.
-    pub fn forget_sums(&mut self) {
+    pub fn clear_sums(&mut self) {
         let sums = std::mem::take(&mut self.sums);
         sums.iter().for_each(|sum| self.take_off(sum));
     }
 
     /// Drops what was heard too long ago.
-    pub fn forget(&mut self, now: Millis) {
-        let is_old = |peer: &PeerRoom| now.saturating_sub(peer.heard) >= PEER_AGE;
+    pub fn expire(&mut self, now: Millis) {
+        let is_old = |peer: &PeerRoom| now.saturating_sub(peer.heard) >= PEER_MAX_AGE;
         let peers = self.peers.extract_if(|_, peer| is_old(peer)).map(|(_, peer)| peer);
         let mut old: Vec<PeerRoom> = peers.collect();
         old.extend(self.sums.iter_mut().filter(|sum| is_old(sum)).map(std::mem::take));
@@ -102,7 +102,7 @@
     }
 
     /// What this entry and those that `counts` names promised together.
-    pub fn gathered(&self, counts: impl Fn(&str) -> bool) -> HashMap<&ReplicaLife, f64> {
+    pub fn sum_with(&self, counts: impl Fn(&str) -> bool) -> HashMap<&ReplicaLife, f64> {
         let members = self.peers.iter().filter(|(name, _)| counts(name));
         let members = members.flat_map(|(_, peer)| &peer.promised);
         let mut gathered: HashMap<&ReplicaLife, f64> = HashMap::new();
@@ -140,14 +140,14 @@
     }
 
     /// What all entries promised at a replica.
-    pub fn promised(&self, life: &ReplicaLife) -> f64 {
+    pub fn reserved(&self, life: &ReplicaLife) -> f64 {
         self.total.get(life).copied().unwrap_or(0.0)
     }
 }
 
 /// Time for which a first replica that rejected a request has no place, in milliseconds: until what the other entries
 /// begin there is heard, and a few of its requests have ended.
-pub const FULL_TIME: Millis = 250;
+pub const FULL_DURATION: Millis = 250;
 
 /// First replicas that had no place for a request a moment ago.
 ///
@@ -155,15 +155,15 @@
 /// heard of another; one first replica gets twice what it has places for, and each entry would find that out with each
 /// request anew.
 #[derive(Clone, Debug, Default)]
-pub struct FullStarts {
+pub struct FullReplicas {
     until: HashMap<ReplicaLife, Millis>,
 }
 
-impl FullStarts {
+impl FullReplicas {
     /// Notes that a replica rejected a request for want of a place.
-    pub fn note_rejection(&mut self, life: &ReplicaLife, now: Millis) {
+    pub fn record_rejection(&mut self, life: &ReplicaLife, now: Millis) {
         self.until.retain(|_, until| now < *until);
-        self.until.insert(life.clone(), now + FULL_TIME);
+        self.until.insert(life.clone(), now + FULL_DURATION);
     }
 
     /// Whether a replica counts as having none.
--- a/crates/router/src/access.rs
+++ b/crates/router/src/routing.rs
@@ -53,7 +53,7 @@
     /// Whether a stream may go on at another replica.
     pub resumable: bool,
     /// Longest pause between events that keeps an answer in time, in milliseconds; 0 where unset.
-    pub event_gap: Millis,
+    pub max_event_gap: Millis,
 }
 
 impl RouteRule {
@@ -83,13 +83,13 @@
 
 /// A kind of accelerator that engines of a service run on.
 #[derive(Clone, Debug, PartialEq)]
-pub struct CardKind {
+pub struct AcceleratorKind {
     /// Name of the kind.
     pub name: String,
     /// Memory in MB.
     pub memory_mb: f64,
     /// Factor on the time of token steps, against the fastest.
-    pub pace: f64,
+    pub step_factor: f64,
 }
 
 /// What the operator says of a service's engines.
@@ -104,19 +104,19 @@
     /// Time of one token step over all layers at pace 1, in milliseconds.
     pub step_ms: f64,
     /// Kinds of accelerators.
-    pub kinds: Vec<CardKind>,
+    pub kinds: Vec<AcceleratorKind>,
     /// Loads of weights that run at full speed at the same time.
-    pub loads_at_once: u32,
+    pub max_parallel_loads: u32,
     /// Time to load the whole model, in milliseconds.
-    pub load: Millis,
+    pub load_time: Millis,
     /// Mean tokens of a prompt.
-    pub usual_prompt: u32,
+    pub mean_prompt_tokens: u32,
     /// Mean tokens of an answer.
-    pub usual_answer: u32,
+    pub mean_answer_tokens: u32,
     /// Bytes of activations that one token hands from one replica to the next.
     pub activation_bytes: f64,
     /// Width of the pipe between data centres, in Mbit/s; 0 where nothing limits it.
-    pub pipe_mbps: f64,
+    pub bandwidth_mbps: f64,
 }
 
 impl EngineSpec {
@@ -127,20 +127,20 @@
 
     /// Time that the activations of so many tokens take of the pipe between data centres, in
     /// milliseconds.
-    pub fn crossing_time(&self, tokens: f64) -> f64 {
-        if self.pipe_mbps <= 0.0 {
+    pub fn transfer_ms(&self, tokens: f64) -> f64 {
+        if self.bandwidth_mbps <= 0.0 {
             return 0.0;
         }
-        tokens * self.activation_bytes * 8.0 / (self.pipe_mbps * 1_000.0)
+        tokens * self.activation_bytes * 8.0 / (self.bandwidth_mbps * 1_000.0)
     }
 
     /// Kind of that name.
-    pub fn kind(&self, name: &str) -> Option<&CardKind> {
+    pub fn kind(&self, name: &str) -> Option<&AcceleratorKind> {
         self.kinds.iter().find(|kind| kind.name == name)
     }
 
     /// Room for requests beside `held` layers, in tokens times layers.
-    pub fn room(&self, memory_mb: f64, held: u32) -> f64 {
+    pub fn free_token_layers(&self, memory_mb: f64, held: u32) -> f64 {
         let free = memory_mb - f64::from(held) * self.layer_mb;
         (free / self.token_layer_mb()).max(0.0)
     }
@@ -159,11 +159,11 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct CallerLimits {
     /// Bytes of a request's line and headers.
-    pub header_bytes: usize,
+    pub max_header_bytes: usize,
     /// Bytes of a request's body.
-    pub body_bytes: usize,
+    pub max_body_bytes: usize,
     /// Time that a kept connection may rest, in milliseconds.
-    pub idle_time: Millis,
+    pub idle_timeout: Millis,
 }
 
 /// An organisation and its keys.
@@ -271,7 +271,7 @@
     }
 
     /// Takes a version where it is newer than the one in force; tells whether it was taken.
-    pub fn merge(&mut self, version: u64, config: T) -> bool {
+    pub fn replace_if_newer(&mut self, version: u64, config: T) -> bool {
         let newer = self.current.as_ref().is_none_or(|(current, _)| version > *current);
         if newer {
             self.current = Some((version, config));
--- a/crates/router/src/pace.rs
+++ b/crates/router/src/slowdown.rs
@@ -14,7 +14,7 @@
 
 /// Age at which what an engine told is dropped, in milliseconds: an engine is asked every two seconds,
 /// and other entries repeat the answer several times a second.
-pub const PACE_AGE: Millis = 3_000;
+pub const SLOWDOWN_MAX_AGE: Millis = 3_000;
 
 /// Factor from which an engine counts as slow: below it lies the noise of its own measurement.
 const SLOW: f64 = 1.25;
@@ -30,14 +30,14 @@
 
 /// Factors by engine.
 #[derive(Clone, Debug, Default)]
-pub struct PaceTable {
+pub struct SlowdownTable {
     paces: HashMap<ReplicaLife, EnginePace>,
 }
 
-impl PaceTable {
+impl SlowdownTable {
     /// Notes what an engine told this entry; tells whether it is news that the engine is slow, or that it
     /// no longer is.
-    pub fn note(&mut self, life: &ReplicaLife, factor: f64, now: Millis) -> bool {
+    pub fn record(&mut self, life: &ReplicaLife, factor: f64, now: Millis) -> bool {
         let was_slow = self.factor(life, now) > 1.0;
         let is_slow = factor >= SLOW;
         match is_slow {
@@ -48,7 +48,13 @@
     }
 
     /// Takes over what another entry was told. What is known at first hand, and lately, counts for more.
-    pub fn take_over(&mut self, life: &ReplicaLife, factor: f64, origin: NewsOrigin, now: Millis) {
+    pub fn merge_heard(
+        &mut self,
+        life: &ReplicaLife,
+        factor: f64,
+        origin: NewsOrigin,
+        now: Millis,
+    ) {
         let known = self.paces.get(life).filter(|known| known.is_recent(now));
         if known.is_none_or(|known| known.origin <= origin) {
             self.insert(life, EnginePace { factor, heard: now, origin });
@@ -63,7 +69,7 @@
 
     /// Slow engines that others are told of, with their factors: all that reach them by nobody else, or two entries would keep
     /// one alive between them.
-    pub fn told_on(
+    pub fn shared_with(
         &self,
         reach: NewsReach,
         now: Millis,
@@ -85,6 +91,6 @@
 
 impl EnginePace {
     fn is_recent(&self, now: Millis) -> bool {
-        now.saturating_sub(self.heard) < PACE_AGE
+        now.saturating_sub(self.heard) < SLOWDOWN_MAX_AGE
     }
 }
--- a/crates/router/tests/attempts.rs
+++ b/crates/router/tests/attempts.rs
@@ -2,7 +2,9 @@
 
 use assert_matches::assert_matches;
 use proptest::prelude::*;
-use switchfold_router::attempt::{AttemptEnd, AttemptState, NextStep, decide_next, is_promise};
+use switchfold_router::attempt::{
+    AttemptEnd, AttemptState, NextStep, decide_next, promises_not_run,
+};
 
 const fn state(repeatable: bool, may_have_run: bool, can_repeat: bool) -> AttemptState {
     AttemptState { repeatable, may_have_run, can_repeat }
@@ -68,7 +70,7 @@
             match next {
                 NextStep::TryElsewhere => prop_assert!(repeatable || !may_have_run),
                 NextStep::AnswerNotRun => prop_assert!(!may_have_run),
-                NextStep::PassOn => assert_matches!(end, AttemptEnd::Answered(status) if !is_promise(status)),
+                NextStep::PassOn => assert_matches!(end, AttemptEnd::Answered(status) if !promises_not_run(status)),
                 NextStep::AnswerUnknown => {}
             }
             if next != NextStep::TryElsewhere {
--- a/crates/router/tests/circle_model/mod.rs
+++ b/crates/router/tests/circle_model/mod.rs
@@ -19,7 +19,7 @@
         PeerStamp, PeerState, PeerTable, ReportKind, TalkCircle, TalkLeg, TalkPeer, name_hash,
     },
     origin::{NewsOrigin, NewsReach},
-    room::{RoomLedger, SumPart},
+    reservations::{ReservationLedger, SumScope},
     suspect::SuspectList,
 };
 
@@ -83,7 +83,7 @@
     name: String,
     place: String,
     peers: PeerTable,
-    room: RoomLedger,
+    room: ReservationLedger,
     suspects: SuspectList,
     circle: TalkCircle,
     is_gone: bool,
@@ -133,7 +133,7 @@
         name: format!("r{number:04}"),
         place: format!("d{}", number % day.data_centres),
         peers: PeerTable::default(),
-        room: RoomLedger::default(),
+        room: ReservationLedger::default(),
         suspects: SuspectList::default(),
         circle: TalkCircle::default(),
         is_gone: false,
@@ -189,7 +189,7 @@
             }
             Step::Request(relay) if !self.relays[relay].is_gone => {
                 let replica = self.random.random_range(0..REPLICAS);
-                self.relays[relay].room.promise(&life(replica), 100.0);
+                self.relays[relay].room.reserve(&life(replica), 100.0);
                 self.promised[replica] += 100.0;
                 self.at(now + HOLDS, Step::End(relay, replica));
                 let pause = self.random.random_range(0.0..2_000.0 / REQUESTS) as Millis;
@@ -241,11 +241,11 @@
     fn round(&mut self, relay: usize, round: u64, now: Millis) {
         self.note_away(relay, now);
         let own = &mut self.relays[relay];
-        own.room.forget(now);
+        own.room.expire(now);
         let was_member = own.circle.is_member;
         own.circle = own.peers.settle_circle(&own.name, &own.place, now);
         if was_member && !own.circle.is_member {
-            own.room.forget_sums();
+            own.room.clear_sums();
             self.greet_all(relay, now);
         }
         self.tell(relay, now, |_, leg| match leg {
@@ -288,7 +288,7 @@
             }
             TalkLeg::Member(_) | TalkLeg::Report(ReportKind::Spare) => Load::Untold,
             _ => {
-                let gathered = own.room.gathered(counts).into_iter();
+                let gathered = own.room.sum_with(counts).into_iter();
                 Load::Gathered(gathered.map(|(life, amount)| (life.clone(), amount)).collect())
             }
         };
@@ -337,10 +337,10 @@
         let is_counted = report == ReportKind::Counted;
         match &message.load {
             Load::Gathered(load) if !own.circle.is_member || is_counted => {
-                own.room.hear(&name, load.clone(), now);
+                own.room.merge_peer(&name, load.clone(), now);
             }
             Load::Sums(load) if own.circle.is_member => {
-                own.room.hear_sum(SumPart::Near, load.clone(), now);
+                own.room.merge_sum(SumScope::SameDataCentre, load.clone(), now);
             }
             _ => {}
         }
@@ -370,7 +370,7 @@
             self.seen.is_member.push(relay.circle.is_member && !relay.peers.has_members(now));
             self.seen.is_there.push(!relay.is_gone);
             let off = (0..REPLICAS).map(|replica| {
-                (relay.room.promised(&life(replica)) - self.promised[replica]).abs()
+                (relay.room.reserved(&life(replica)) - self.promised[replica]).abs()
             });
             self.seen.misjudged.push(off.sum::<f64>() / true_sum.max(1.0));
             let keeps = !relay.circle.is_member;
--- a/crates/router/tests/groups.rs
+++ b/crates/router/tests/groups.rs
@@ -3,11 +3,12 @@
 use std::collections::BTreeMap;
 
 use switchfold_router::{
-    cover::{CoverConfig, LayerHolder, ModelShape, plan_group, widest_gap},
     groups::{
-        GROUPS_ALONE, GROUPS_EACH, MOST_GROUP, group_count, group_of, is_planned_by, planner_count,
+        GROUPS_PER_PLANNER, MAX_GROUPS_ONE_PLANNER, TARGET_GROUP_SIZE, group_count, group_of,
+        is_planned_by, planner_count,
     },
     life::ReplicaLife,
+    placement::{LayerHolder, ModelShape, PlacementConfig, plan_group, widest_gap},
 };
 
 fn lives(count: usize) -> Vec<ReplicaLife> {
@@ -27,7 +28,10 @@
             .iter()
             .for_each(|life| *sizes.entry(group_of(life, count)).or_default() += 1);
         assert_eq!(sizes.len(), count as usize, "{replicas}: none is empty");
-        assert!(sizes.values().all(|size| *size <= MOST_GROUP * 3 / 2), "{replicas}: {sizes:?}");
+        assert!(
+            sizes.values().all(|size| *size <= TARGET_GROUP_SIZE * 3 / 2),
+            "{replicas}: {sizes:?}"
+        );
     }
 }
 
@@ -46,9 +50,9 @@
 fn each_group_has_one_planner() {
     let rows = [
         (1, 26, 1),
-        (GROUPS_ALONE, 26, 1),
-        (GROUPS_ALONE + 1, 26, 4),
-        (48, 302, 48 / GROUPS_EACH),
+        (MAX_GROUPS_ONE_PLANNER, 26, 1),
+        (MAX_GROUPS_ONE_PLANNER + 1, 26, 4),
+        (48, 302, 48 / GROUPS_PER_PLANNER),
         (48, 4, 4),
         (3, 0, 1),
     ];
@@ -83,7 +87,7 @@
         groups.entry(part).or_default().push(holder);
     }
     for (part, mut holders) in groups {
-        for order in plan_group(&holders, model, &CoverConfig::default()) {
+        for order in plan_group(&holders, model, &PlacementConfig::default()) {
             let holder = holders.iter_mut().find(|holder| holder.life == order.life).expect("one");
             holder.range = Some(order.range);
         }
--- a/crates/router/tests/layouts.rs
+++ b/crates/router/tests/layouts.rs
@@ -2,12 +2,12 @@
 
 use proptest::prelude::*;
 use switchfold_router::{
-    cover::{
-        CoverConfig, LayerHolder, ModelShape, PlaceOrder, PlaceReason, improve_group, layout_worth,
-        plan_group, widest_gap,
-    },
     fleet::LayerRange,
     life::ReplicaLife,
+    placement::{
+        LayerHolder, ModelShape, PlacementConfig, PlacementOrder, PlacementReason, improve_group,
+        layout_score, plan_group, widest_gap,
+    },
 };
 
 const MODEL: ModelShape = ModelShape { layers: 80, layer_mb: 1_750.0, request_mb: 0.0 };
@@ -44,15 +44,15 @@
 
 /// The group once its orders are carried out.
 fn carried_out(holders: &[LayerHolder]) -> Vec<LayerHolder> {
-    apply(holders, plan_group(holders, MODEL, &CoverConfig::default()))
+    apply(holders, plan_group(holders, MODEL, &PlacementConfig::default()))
 }
 
 /// The group once a search improved it.
 fn searched(holders: &[LayerHolder]) -> Vec<LayerHolder> {
-    apply(holders, improve_group(holders, MODEL, &CoverConfig::default()))
+    apply(holders, improve_group(holders, MODEL, &PlacementConfig::default()))
 }
 
-fn apply(holders: &[LayerHolder], orders: Vec<PlaceOrder>) -> Vec<LayerHolder> {
+fn apply(holders: &[LayerHolder], orders: Vec<PlacementOrder>) -> Vec<LayerHolder> {
     let mut holders = holders.to_vec();
     for order in orders {
         let holder = holders.iter_mut().find(|holder| holder.life == order.life).expect("a holder");
@@ -94,7 +94,7 @@
     let searched = searched(&carried_out(&empty_group(2, 4, 4)));
     assert_eq!(gap(&searched), None);
     let (greedy, searched) =
-        (layout_worth(&greedy_layout(), MODEL), layout_worth(&searched, MODEL));
+        (layout_score(&greedy_layout(), MODEL), layout_score(&searched, MODEL));
     assert!(searched > greedy * 1.05, "{searched} against {greedy}");
 }
 
@@ -132,7 +132,7 @@
             let holders = parts.into_iter().enumerate();
             let holders: Vec<LayerHolder> =
                 holders.map(|(id, (kind, range))| holder(id, kind, range)).collect();
-            layout_worth(&holders, MODEL)
+            layout_score(&holders, MODEL)
         };
         assert!(worth(better) > worth(worse), "{case}: {} {}", worth(better), worth(worse));
     }
@@ -148,12 +148,12 @@
     let from = range.from.saturating_sub(11 - range.len());
     holders[stretched].range = Some(LayerRange { from, to: from + 11 });
     holders[stretched].held = holders[stretched].range;
-    let before = layout_worth(&holders, MODEL);
+    let before = layout_score(&holders, MODEL);
     for _ in 0..10 {
         holders = carried_out(&holders);
     }
-    assert!(layout_worth(&holders, MODEL) >= before);
-    assert_eq!(plan_group(&holders, MODEL, &CoverConfig::default()), []);
+    assert!(layout_score(&holders, MODEL) >= before);
+    assert_eq!(plan_group(&holders, MODEL, &PlacementConfig::default()), []);
 }
 
 /// An accelerator that holds no layer at all gets none, whatever the search tries.
@@ -164,7 +164,7 @@
     let planned = searched(&carried_out(&group));
     assert_eq!(planned.last().and_then(|holder| holder.range), None);
     assert_eq!(gap(&planned), None);
-    assert_eq!(plan_group(&group[10..], MODEL, &CoverConfig::default()), []);
+    assert_eq!(plan_group(&group[10..], MODEL, &PlacementConfig::default()), []);
 }
 
 /// A large group is planned in bounded steps, and whole.
@@ -188,17 +188,17 @@
         prop_assert_eq!(gap(&greedy), None);
         let mut holders = searched(&greedy);
         prop_assert_eq!(&holders, &searched(&greedy));
-        prop_assert!(layout_worth(&holders, MODEL) >= layout_worth(&greedy, MODEL));
+        prop_assert!(layout_score(&holders, MODEL) >= layout_score(&greedy, MODEL));
         prop_assert_eq!(gap(&holders), None);
         for _ in 0..30 {
-            let orders = plan_group(&holders, MODEL, &CoverConfig::default());
-            prop_assert!(orders.iter().all(|order| order.reason == PlaceReason::Balance));
+            let orders = plan_group(&holders, MODEL, &PlacementConfig::default());
+            prop_assert!(orders.iter().all(|order| order.reason == PlacementReason::Balance));
             if orders.is_empty() {
                 return Ok(());
             }
-            let before = layout_worth(&holders, MODEL);
+            let before = layout_score(&holders, MODEL);
             holders = carried_out(&holders);
-            prop_assert!(layout_worth(&holders, MODEL) > before);
+            prop_assert!(layout_score(&holders, MODEL) > before);
             prop_assert_eq!(gap(&holders), None);
             for holder in &holders {
                 let len = holder.range.map_or(0, |range| range.len());
@@ -218,7 +218,7 @@
     let mut holders: Vec<LayerHolder> =
         of_kind.enumerate().map(|(id, kind)| holder(id, kind, None)).collect();
     holders.iter_mut().for_each(|holder| holder.slots = 192);
-    let config = CoverConfig::default();
+    let config = PlacementConfig::default();
     let holders = apply(&holders, plan_group(&holders, model, &config));
     apply(&holders, improve_group(&holders, model, &config))
 }
@@ -235,6 +235,6 @@
     let [by_memory, by_places] = [0.0, 4.7].map(laid_out_with_places);
     assert_eq!((places(&by_memory), places(&by_places)), (384, 576));
     let model = ModelShape { request_mb: 4.7, ..MODEL };
-    let worths = [&by_memory, &by_places].map(|holders| layout_worth(holders, model));
+    let worths = [&by_memory, &by_places].map(|holders| layout_score(holders, model));
     assert!(worths[1] > 1.05 * worths[0], "{worths:?}");
 }
--- a/crates/router/tests/model/relay.rs
+++ b/crates/router/tests/model/relay.rs
@@ -7,13 +7,13 @@
 use switchfold_core::retry::Backoff;
 use switchfold_router::{
     Millis,
-    access::ConfigSlot,
     fleet::{EntryState, ReplicaEntry, ReplicaNews},
     follow::{CONFIG_TIMES, FollowSight, FollowStep, FollowTimes, REPLICA_TIMES, StoreFollower},
     freshness::FreshnessLease,
     life::ReplicaLife,
     membership::{OwnState, PeerProof, PeerStamp, PeerState, PeerTable, StateTeller},
     replicas::{FleetBelief, FleetList, NewsSource},
+    routing::ConfigSlot,
 };
 
 use super::{
@@ -336,7 +336,7 @@
         };
         match kind {
             Kind::Config => {
-                self.config.merge(told.version, told.version);
+                self.config.replace_if_newer(told.version, told.version);
                 self.config_at = self.config_at.max(told.at);
                 proof.proved.into_iter().for_each(|at| self.config_lease.prove_at(at));
                 proof.answered.into_iter().for_each(|at| self.config_lease.note_answer(at));
@@ -412,7 +412,7 @@
             }
             Reply::Config(version, at) => {
                 if let Some(version) = version {
-                    self.config.merge(version, version);
+                    self.config.replace_if_newer(version, version);
                 }
                 at
             }
--- a/crates/router/tests/paths.rs
+++ b/crates/router/tests/paths.rs
@@ -2,26 +2,27 @@
 
 use proptest::prelude::*;
 use switchfold_router::{
-    chain::{ChainCosts, PartOffer, PathRequest, choose_path, start_cost, tiles},
-    cover::{
-        CoverConfig, GiveUpRule, LayerHolder, ModelShape, PlaceReason, plan_group, widest_gap,
-    },
     fleet::LayerRange,
     life::ReplicaLife,
+    path::{PathCosts, PathRequest, StageOffer, choose_path, is_complete_path, start_cost},
+    placement::{
+        LayerHolder, ModelShape, PlacementConfig, PlacementReason, UnloadMode, plan_group,
+        widest_gap,
+    },
 };
 
 const LAYERS: u32 = 80;
 
-fn offer(id: usize, from: u32, to: u32, data_centre: usize, layer_cost: f64) -> PartOffer {
-    PartOffer {
+fn offer(id: usize, from: u32, to: u32, data_centre: usize, layer_cost: f64) -> StageOffer {
+    StageOffer {
         life: ReplicaLife::new(&format!("r{id}"), 0),
         address: format!("10.0.0.{}:80", id + 1).parse().expect("address"),
         data_centre,
         range: LayerRange { from, to },
         layer_cost,
-        room: 1e9,
+        free_token_layers: 1e9,
         start_cost: Some(0.0),
-        is_held_back: false,
+        is_throttled: false,
     }
 }
 
@@ -29,7 +30,7 @@
     PathRequest {
         layers: LAYERS,
         tokens: 900.0,
-        home: 0,
+        entry_data_centre: 0,
         data_centres: 3,
         may_cross: true,
         first: None,
@@ -39,7 +40,7 @@
 #[test]
 fn stays_inside_a_data_centre_where_it_can() {
     let offers = [offer(0, 0, 40, 0, 1.0), offer(1, 40, 80, 0, 1.0), offer(2, 40, 80, 1, 0.5)];
-    let path = choose_path(&request(), &offers, &ChainCosts::default()).expect("a path");
+    let path = choose_path(&request(), &offers, &PathCosts::default()).expect("a path");
     let ids: Vec<&str> = path.iter().map(|part| part.life.id()).collect();
     assert_eq!(ids, ["r0", "r1"]);
 }
@@ -74,9 +75,9 @@
             let is_seen = |(at, by, _): &Begun| *by == relay || at + HEARD <= now;
             let seen = running(&begun, first, now).filter(|one| is_seen(one)).count();
             let start_cost = start_cost(seen as f64, SLOTS);
-            PartOffer { start_cost, ..offer(first, 0, LAYERS, first, costs[first]) }
+            StageOffer { start_cost, ..offer(first, 0, LAYERS, first, costs[first]) }
         });
-        let path = choose_path(&request(), &offers, &ChainCosts::default());
+        let path = choose_path(&request(), &offers, &PathCosts::default());
         let path = path.expect("there are places for all");
         let first = offers.iter().position(|offer| offer.life == path[0].life).expect("an offer");
         begun.push((now, relay, first));
@@ -90,7 +91,7 @@
     let mut full = offer(0, 0, LAYERS, 0, 0.1);
     full.start_cost = start_cost(192.0, 192);
     let dear = offer(1, 0, LAYERS, 1, 2.0);
-    let costs = ChainCosts::default();
+    let costs = PathCosts::default();
     let path = choose_path(&request(), &[full.clone(), dear], &costs).expect("a path");
     assert_eq!(path[0].life.id(), "r1");
     assert_eq!(choose_path(&request(), &[full.clone()], &costs), None);
@@ -105,7 +106,7 @@
 #[test]
 fn crosses_only_where_it_may() {
     let offers = [offer(1, 0, 40, 0, 1.0), offer(2, 40, 80, 1, 1.0)];
-    let costs = ChainCosts::default();
+    let costs = PathCosts::default();
     assert!(choose_path(&request(), &offers, &costs).is_some());
     let inside = PathRequest { may_cross: false, ..request() };
     assert_eq!(choose_path(&inside, &offers, &costs), None);
@@ -114,10 +115,10 @@
 #[test]
 fn crosses_once_where_a_layer_is_missing() {
     let offers = [offer(0, 0, 40, 0, 1.0), offer(1, 48, 80, 0, 1.0), offer(2, 30, 80, 1, 1.0)];
-    let path = choose_path(&request(), &offers, &ChainCosts::default()).expect("a path");
+    let path = choose_path(&request(), &offers, &PathCosts::default()).expect("a path");
     let ids: Vec<&str> = path.iter().map(|part| part.life.id()).collect();
     assert_eq!(ids, ["r0", "r2"]);
-    assert!(tiles(&path, LAYERS));
+    assert!(is_complete_path(&path, LAYERS));
 }
 
 #[test]
@@ -126,31 +127,31 @@
     let life = ReplicaLife::new("r0", 0);
     let first = Some((&life, LayerRange { from: 0, to: 35 }));
     let request = PathRequest { first, ..request() };
-    let path = choose_path(&request, &offers, &ChainCosts::default()).expect("a path");
+    let path = choose_path(&request, &offers, &PathCosts::default()).expect("a path");
     assert_eq!(path[0].life.id(), "r0");
     assert_eq!(path[0].range, LayerRange { from: 0, to: 35 });
-    assert!(tiles(&path, LAYERS));
+    assert!(is_complete_path(&path, LAYERS));
 }
 
 #[test]
 fn full_replicas_are_passed_by() {
     let mut full = offer(0, 0, 80, 0, 0.1);
-    full.room = 100.0;
+    full.free_token_layers = 100.0;
     let offers = [full, offer(1, 0, 80, 0, 5.0)];
-    let path = choose_path(&request(), &offers, &ChainCosts::default()).expect("a path");
+    let path = choose_path(&request(), &offers, &PathCosts::default()).expect("a path");
     assert_eq!(path[0].life.id(), "r1");
 }
 
 #[test]
 fn a_gap_has_no_path() {
     let offers = [offer(0, 0, 40, 0, 1.0), offer(1, 41, 80, 0, 1.0)];
-    assert_eq!(choose_path(&request(), &offers, &ChainCosts::default()), None);
+    assert_eq!(choose_path(&request(), &offers, &PathCosts::default()), None);
 }
 
 prop_compose! {
     fn offers()(
         parts in prop::collection::vec((0u32..LAYERS, 1u32..40, 0usize..3, 0.1f64..5.0), 1..24)
-    ) -> Vec<PartOffer> {
+    ) -> Vec<StageOffer> {
         parts
             .into_iter()
             .enumerate()
@@ -165,10 +166,10 @@
     /// Any path runs each layer once, in order, names no replica twice and stays within what each holds.
     #[test]
     fn paths_tile(offers in offers()) {
-        let Some(path) = choose_path(&request(), &offers, &ChainCosts::default()) else {
+        let Some(path) = choose_path(&request(), &offers, &PathCosts::default()) else {
             return Ok(());
         };
-        prop_assert!(tiles(&path, LAYERS));
+        prop_assert!(is_complete_path(&path, LAYERS));
         for (index, part) in path.iter().enumerate() {
             let held = offers.iter().find(|offer| offer.life == part.life).expect("an offer").range;
             prop_assert!(held.from <= part.range.from && part.range.to <= held.to);
@@ -182,7 +183,7 @@
         offers.push(offer(30, 0, 27, 2, 3.0));
         offers.push(offer(31, 27, 54, 2, 3.0));
         offers.push(offer(32, 54, 80, 2, 3.0));
-        prop_assert!(choose_path(&request(), &offers, &ChainCosts::default()).is_some());
+        prop_assert!(choose_path(&request(), &offers, &PathCosts::default()).is_some());
     }
 }
 
@@ -203,7 +204,7 @@
 
 /// Ranges after the orders were carried out.
 fn after(holders: &[LayerHolder]) -> Vec<LayerHolder> {
-    let orders = plan_group(holders, MODEL, &CoverConfig::default());
+    let orders = plan_group(holders, MODEL, &PlacementConfig::default());
     let mut holders = holders.to_vec();
     for order in orders {
         let holder = holders.iter_mut().find(|holder| holder.life == order.life).expect("a holder");
@@ -217,7 +218,7 @@
 fn settle(mut holders: Vec<LayerHolder>) -> Vec<LayerHolder> {
     const MOST_ROUNDS: usize = 20;
     for _ in 0..MOST_ROUNDS {
-        if plan_group(&holders, MODEL, &CoverConfig::default()).is_empty() {
+        if plan_group(&holders, MODEL, &PlacementConfig::default()).is_empty() {
             return holders;
         }
         holders = after(&holders);
@@ -272,18 +273,18 @@
 /// While a gap is open, an order does not wait for requests that cannot move away either.
 #[test]
 fn only_orders_that_close_gaps_cut_requests() {
-    for reason in [PlaceReason::Gap, PlaceReason::Move] {
-        assert_eq!(reason.give_up_rule(), GiveUpRule::Cut);
+    for reason in [PlacementReason::Gap, PlacementReason::Move] {
+        assert_eq!(reason.unload_mode(), UnloadMode::Cut);
     }
-    for reason in [PlaceReason::Empty, PlaceReason::Balance, PlaceReason::Search] {
-        assert_eq!(reason.give_up_rule(), GiveUpRule::Wait);
+    for reason in [PlacementReason::Empty, PlacementReason::Balance, PlacementReason::Search] {
+        assert_eq!(reason.unload_mode(), UnloadMode::Wait);
     }
 }
 
 #[test]
 fn a_settled_group_is_left_alone() {
     let settled = settle(mixed_group());
-    assert_eq!(plan_group(&settled, MODEL, &CoverConfig::default()), []);
+    assert_eq!(plan_group(&settled, MODEL, &PlacementConfig::default()), []);
 }
 
 #[test]
@@ -348,7 +349,7 @@
     ];
     holders[2].held = None;
     holders[2].can_order = false;
-    assert_eq!(plan_group(&holders, MODEL, &CoverConfig::default()), []);
+    assert_eq!(plan_group(&holders, MODEL, &PlacementConfig::default()), []);
 }
 
 /// The same for a replica that would be moved into a gap: its layers are ordered elsewhere, not held.
@@ -368,9 +369,9 @@
         holders[loading].held = None;
         holders[loading].can_order = false;
     }
-    let orders = plan_group(&holders, MODEL, &CoverConfig::default());
+    let orders = plan_group(&holders, MODEL, &PlacementConfig::default());
     let moved = orders.iter().find(|order| order.life.id() == "r02");
-    assert!(moved.is_none_or(|order| order.reason != PlaceReason::Move), "{orders:?}");
+    assert!(moved.is_none_or(|order| order.reason != PlacementReason::Move), "{orders:?}");
     assert_eq!(widest_gap(&counts(&after(&holders))), None);
 }
 
@@ -412,7 +413,7 @@
             .collect();
         let mut gaps = counts(&holders).iter().filter(|count| **count == 0).count();
         for _ in 0..4 {
-            let orders = plan_group(&holders, MODEL, &CoverConfig::default());
+            let orders = plan_group(&holders, MODEL, &PlacementConfig::default());
             for order in &orders {
                 let holder = holders.iter_mut().find(|holder| holder.life == order.life).expect("one");
                 prop_assert!(holder.can_order);
--- a/crates/router/tests/returns.rs
+++ b/crates/router/tests/reconnects.rs
@@ -1,7 +1,7 @@
 //! Callers that come back to entries that were stopped all at once, replayed in virtual time.
 
-use switchfold_router::returns::{
-    CONFIG_WAIT, RETURN_SPREAD, RETURN_WINDOW, awaits_config, return_delay,
+use switchfold_router::reconnects::{
+    CONFIG_WAIT, RECONNECT_SPREAD, RECONNECT_WINDOW, awaits_config, reconnect_delay,
 };
 
 /// Prompts that the engines read in a second, of streams that go on and of new requests alike.
@@ -36,19 +36,19 @@
 fn new_requests_go_before_streams_that_were_cut() {
     let rows = [(300, 240, 240), (600, 147, 240), (700, 89, 240)];
     for (cut, at_once, spread) in rows {
-        let found = (in_time(cut, |_, _, _| 0), in_time(cut, return_delay));
+        let found = (in_time(cut, |_, _, _| 0), in_time(cut, reconnect_delay));
         assert_eq!(found, (at_once, spread), "{cut} streams");
     }
 }
 
 #[test]
 fn only_cut_streams_wait_and_only_at_a_start() {
-    for age in [0, RETURN_WINDOW - 1, RETURN_WINDOW, 60_000] {
+    for age in [0, RECONNECT_WINDOW - 1, RECONNECT_WINDOW, 60_000] {
         for draw in [0.0, 0.5, 0.999] {
-            assert_eq!(return_delay(age, false, draw), 0);
-            let delay = return_delay(age, true, draw);
-            assert!(delay <= RETURN_SPREAD);
-            assert!(age < RETURN_WINDOW || delay == 0, "{age}");
+            assert_eq!(reconnect_delay(age, false, draw), 0);
+            let delay = reconnect_delay(age, true, draw);
+            assert!(delay <= RECONNECT_SPREAD);
+            assert!(age < RECONNECT_WINDOW || delay == 0, "{age}");
         }
     }
 }
--- a/crates/router/tests/state.rs
+++ b/crates/router/tests/state.rs
@@ -4,15 +4,15 @@
 
 use proptest::prelude::*;
 use switchfold_router::{
-    access::ConfigSlot,
+    bandwidth::BandwidthShare,
     budget::{BudgetConfig, RepeatBudget},
     freshness::{FreshnessLease, LEASE_MARGIN},
     lapse::{LAPSE_GRACE, LONGEST_KEPT, LapseGrace},
     life::ReplicaLife,
     origin::{NewsOrigin, NewsReach},
-    pace::{PACE_AGE, PaceTable},
-    pipe::PipeShare,
-    room::{FULL_TIME, FullStarts, PEER_AGE, RoomLedger},
+    reservations::{FULL_DURATION, FullReplicas, PEER_MAX_AGE, ReservationLedger},
+    routing::ConfigSlot,
+    slowdown::{SLOWDOWN_MAX_AGE, SlowdownTable},
     suspect::{FIRST_TIME_OUT, SuspectList},
 };
 
@@ -113,7 +113,7 @@
         let mut slot = ConfigSlot::new();
         let mut highest = None;
         for version in versions {
-            slot.merge(version, version);
+            slot.replace_if_newer(version, version);
             highest = highest.max(Some(version));
             prop_assert_eq!(slot.get().copied(), highest);
         }
@@ -122,14 +122,14 @@
 
 #[test]
 fn room_is_idle_while_nobody_promises() {
-    let mut room = RoomLedger::default();
-    room.hear("b", HashMap::new(), 0);
+    let mut room = ReservationLedger::default();
+    room.merge_peer("b", HashMap::new(), 0);
     assert!(room.is_idle());
-    room.hear("b", HashMap::from([(life("x"), 5.0)]), 0);
+    room.merge_peer("b", HashMap::from([(life("x"), 5.0)]), 0);
     assert!(!room.is_idle());
-    room.forget(PEER_AGE);
+    room.expire(PEER_MAX_AGE);
     assert!(room.is_idle());
-    room.promise(&life("x"), 5.0);
+    room.reserve(&life("x"), 5.0);
     assert!(!room.is_idle());
 }
 
@@ -140,7 +140,7 @@
         steps in prop::collection::vec((0usize..4, 0u64..900, prop::collection::vec((0usize..3, 0u32..50), 0..4)), 1..60)
     ) {
         let lives = ["a", "b", "c"].map(life);
-        let mut ledger = RoomLedger::default();
+        let mut ledger = ReservationLedger::default();
         let mut heard: HashMap<usize, (u64, HashMap<ReplicaLife, f64>)> = HashMap::new();
         let mut own: Vec<(usize, f64)> = Vec::new();
         let mut now = 0;
@@ -150,22 +150,22 @@
                 match figures.first() {
                     Some((which, amount)) => {
                         own.push((*which, f64::from(*amount)));
-                        ledger.promise(&lives[*which], f64::from(*amount));
+                        ledger.reserve(&lives[*which], f64::from(*amount));
                     }
                     None => own.drain(..).for_each(|(which, amount)| ledger.release(&lives[which], amount)),
                 }
             } else {
                 let told: HashMap<ReplicaLife, f64> =
                     figures.iter().map(|(which, amount)| (lives[*which].clone(), f64::from(*amount))).collect();
-                ledger.hear(&who.to_string(), told.clone(), now);
+                ledger.merge_peer(&who.to_string(), told.clone(), now);
                 heard.insert(who, (now, told));
             }
-            ledger.forget(now);
-            heard.retain(|_, (at, _)| now - *at < PEER_AGE);
+            ledger.expire(now);
+            heard.retain(|_, (at, _)| now - *at < PEER_MAX_AGE);
             for (which, life) in lives.iter().enumerate() {
                 let own: f64 = own.iter().filter(|(own, _)| *own == which).map(|(_, amount)| amount).sum();
                 let others: f64 = heard.values().filter_map(|(_, told)| told.get(life)).sum();
-                prop_assert_eq!(ledger.promised(life), own + others);
+                prop_assert_eq!(ledger.reserved(life), own + others);
             }
         }
     }
@@ -173,14 +173,14 @@
 
 #[test]
 fn room_adds_up_over_entries_and_forgets_the_gone() {
-    let mut ledger = RoomLedger::default();
-    ledger.promise(&life("a"), 100.0);
-    ledger.hear("peer", HashMap::from([(life("a"), 50.0)]), 1_000);
-    assert_eq!(ledger.promised(&life("a")), 150.0);
-    ledger.forget(1_000 + PEER_AGE);
-    assert_eq!(ledger.promised(&life("a")), 100.0);
+    let mut ledger = ReservationLedger::default();
+    ledger.reserve(&life("a"), 100.0);
+    ledger.merge_peer("peer", HashMap::from([(life("a"), 50.0)]), 1_000);
+    assert_eq!(ledger.reserved(&life("a")), 150.0);
+    ledger.expire(1_000 + PEER_MAX_AGE);
+    assert_eq!(ledger.reserved(&life("a")), 100.0);
     ledger.release(&life("a"), 100.0);
-    assert_eq!(ledger.promised(&life("a")), 0.0);
+    assert_eq!(ledger.reserved(&life("a")), 0.0);
     assert!(ledger.own().is_empty());
 }
 
@@ -206,12 +206,12 @@
     ) {
         const ENTRIES: usize = 4;
         const AHEAD: f64 = 250.0;
-        let mut shares = vec![PipeShare::default(); ENTRIES];
+        let mut shares = vec![BandwidthShare::default(); ENTRIES];
         let (mut now, mut taken, mut largest) = (0, 0.0, 0.0_f64);
         for (entry, wait, time) in steps {
             now += wait;
             largest = largest.max(time);
-            if shares[entry].take(time, ENTRIES, now) {
+            if shares[entry].try_reserve(time, ENTRIES, now) {
                 taken += time;
             }
             let most = now as f64 + AHEAD + ENTRIES as f64 * largest;
@@ -222,26 +222,26 @@
 
 #[test]
 fn a_full_pipe_has_room_again_later() {
-    let mut share = PipeShare::default();
+    let mut share = BandwidthShare::default();
     let mut now = 0;
-    while share.take(40.0, 5, now) {}
-    assert!(!share.take(40.0, 5, now));
+    while share.try_reserve(40.0, 5, now) {}
+    assert!(!share.try_reserve(40.0, 5, now));
     now += 10_000;
-    assert!(share.take(40.0, 5, now));
+    assert!(share.try_reserve(40.0, 5, now));
 }
 
 #[test]
 fn a_slow_engine_is_told_by_the_entry_that_asked_it() {
-    let mut paces = PaceTable::default();
-    assert!(paces.note(&life("i-1"), 4.0, 0));
-    assert!(!paces.note(&life("i-1"), 3.0, 100));
-    paces.take_over(&life("i-2"), 2.0, NewsOrigin::Told, 100);
+    let mut paces = SlowdownTable::default();
+    assert!(paces.record(&life("i-1"), 4.0, 0));
+    assert!(!paces.record(&life("i-1"), 3.0, 100));
+    paces.merge_heard(&life("i-2"), 2.0, NewsOrigin::Told, 100);
     assert_eq!(paces.factor(&life("i-1"), 200), 3.0);
     assert_eq!(paces.factor(&life("i-2"), 200), 2.0);
-    let told = paces.told_on(NewsReach::Speakers, 200);
+    let told = paces.shared_with(NewsReach::Speakers, 200);
     assert_eq!(told.collect::<Vec<_>>(), [(&life("i-1"), 3.0)]);
-    assert_eq!(paces.factor(&life("i-2"), 100 + PACE_AGE), 1.0);
-    assert!(paces.note(&life("i-1"), 1.0, 300));
+    assert_eq!(paces.factor(&life("i-2"), 100 + SLOWDOWN_MAX_AGE), 1.0);
+    assert!(paces.record(&life("i-1"), 1.0, 300));
     assert_eq!(paces.factor(&life("i-1"), 300), 1.0);
 }
 
@@ -343,24 +343,24 @@
     let mut rejections = [0, 0];
     for (learns, rejected) in [false, true].into_iter().zip(&mut rejections) {
         let mut begun: HashMap<ReplicaLife, u32> = HashMap::new();
-        let mut entries = vec![(RoomLedger::default(), FullStarts::default()); ENTRIES];
+        let mut entries = vec![(ReservationLedger::default(), FullReplicas::default()); ENTRIES];
         for request in 0..918 {
             let now = request as u64 * 250 / 918;
             let (places, full) = &mut entries[request % ENTRIES];
             // Nobody hears of others within these 250 ms: the order of the replicas decides between equal ones.
             let cost = |first: &&ReplicaLife| {
-                (full.is_full(first, now), places.promised(first) as u64 / 16)
+                (full.is_full(first, now), places.reserved(first) as u64 / 16)
             };
             let first = firsts.iter().min_by_key(cost).expect("there are some");
             let taken = begun.entry(first.clone()).or_default();
             if *taken < PLACES {
                 *taken += 1;
-                places.promise(first, 1.0);
+                places.reserve(first, 1.0);
                 continue;
             }
             *rejected += 1;
             if learns {
-                full.note_rejection(first, now);
+                full.record_rejection(first, now);
             }
         }
     }
@@ -369,9 +369,9 @@
 
 #[test]
 fn a_replica_without_a_place_is_asked_again_soon() {
-    let mut full = FullStarts::default();
-    full.note_rejection(&life("a"), 100);
-    assert!(full.is_full(&life("a"), 100 + FULL_TIME - 1) && !full.is_full(&life("b"), 100));
-    assert!(!full.is_full(&life("a"), 100 + FULL_TIME));
+    let mut full = FullReplicas::default();
+    full.record_rejection(&life("a"), 100);
+    assert!(full.is_full(&life("a"), 100 + FULL_DURATION - 1) && !full.is_full(&life("b"), 100));
+    assert!(!full.is_full(&life("a"), 100 + FULL_DURATION));
     assert!(!full.is_full(&ReplicaLife::new("a", 7), 101), "its next life has all its places");
 }
