--- a/crates/agent/src/admin.rs
+++ b/crates/agent/src/admin.rs
@@ -3,7 +3,7 @@
 use http::{Request, StatusCode};
 use hyper::body::Incoming;
 use switchfold_kernel::{
-    http::{Answer, ConnectionDropped, HttpLimits, serve, whole},
+    http::{ConnectionDropped, HttpLimits, HttpResponse, full_response, serve},
     shutdown::ShutdownSignal,
 };
 use tokio::net::TcpListener;
@@ -19,19 +19,21 @@
 ) {
     let handler = move |request: Request<Incoming>| {
         let gate = gate.clone();
-        async move { Ok::<Answer, ConnectionDropped>(answer(&request, &gate).await) }
+        async move { Ok::<HttpResponse, ConnectionDropped>(answer(&request, &gate).await) }
     };
     serve(listener, HttpLimits::default(), shutdown, handler).await;
 }
 
-async fn answer(request: &Request<Incoming>, gate: &Address<GateService>) -> Answer {
+async fn answer(request: &Request<Incoming>, gate: &Address<GateService>) -> HttpResponse {
     match request.uri().path() {
-        "/healthz" => whole(StatusCode::OK, "text/plain", "ok\n"),
+        "/healthz" => full_response(StatusCode::OK, "text/plain", "ok\n"),
         "/metrics" => match gate.send(ReadCounts).await {
-            Ok(reading) => whole(StatusCode::OK, "text/plain; version=0.0.4", render(&reading)),
-            Err(_) => whole(StatusCode::SERVICE_UNAVAILABLE, "text/plain", "stopping\n"),
+            Ok(reading) => {
+                full_response(StatusCode::OK, "text/plain; version=0.0.4", render(&reading))
+            }
+            Err(_) => full_response(StatusCode::SERVICE_UNAVAILABLE, "text/plain", "stopping\n"),
         },
-        _ => whole(StatusCode::NOT_FOUND, "text/plain", "one of /healthz, /metrics\n"),
+        _ => full_response(StatusCode::NOT_FOUND, "text/plain", "one of /healthz, /metrics\n"),
     }
 }
 
--- a/crates/agent/src/bin/switchfold-agent.rs
+++ b/crates/agent/src/bin/switchfold-agent.rs
@@ -10,7 +10,7 @@
     listen::bind,
     logs,
     settings::load_settings,
-    shutdown::signal_on_request,
+    shutdown::shutdown_on_signal,
 };
 
 /// Gate in front of one endpoint: a model engine or a plain service.
@@ -39,7 +39,7 @@
         Some(address) => Some(bind(address).await?),
         None => None,
     };
-    run_agent(settings, AgentSockets { link, admin }, signal_on_request()).await
+    run_agent(settings, AgentSockets { link, admin }, shutdown_on_signal()).await
 }
 
 #[tokio::main]
--- a/crates/agent/src/calls.rs
+++ b/crates/agent/src/calls.rs
@@ -4,7 +4,7 @@
 
 use http::{HeaderName, HeaderValue, Method, Request};
 use http_body_util::Full;
-use switchfold_kernel::http::{CallError, HttpClient, WholeAnswer};
+use switchfold_kernel::http::{CallError, FullResponse, HttpClient};
 use switchfold_proto::link::Header;
 use xtra::Address;
 
@@ -57,7 +57,7 @@
         match self.http.call(request).await {
             Ok(answer) => answered(answer),
             Err(CallError::NotConnected { .. }) => CallEnd::NotSent,
-            Err(CallError::NoAnswer { .. }) => CallEnd::Unclear,
+            Err(CallError::NoResponse { .. }) => CallEnd::Unclear,
         }
     }
 
@@ -76,7 +76,7 @@
     }
 }
 
-fn answered(answer: WholeAnswer) -> CallEnd {
+fn answered(answer: FullResponse) -> CallEnd {
     let kept =
         answer.headers.iter().filter(|(name, _)| !CONNECTION_HEADERS.contains(&name.as_str()));
     let headers = kept.filter_map(|(name, value)| {
--- a/crates/agent/src/gate/config.rs
+++ b/crates/agent/src/gate/config.rs
@@ -94,11 +94,11 @@
         match &self.endpoint {
             GateEndpoint::Engine(shape) => WindowConfig {
                 max_batch: shape.max_batch,
-                most: self.open_slots(),
+                max_requests: self.open_slots(),
                 target_hundredths: self.target_hundredths,
             },
             GateEndpoint::Service { slots, .. } => {
-                WindowConfig { max_batch: *slots, most: *slots, target_hundredths: 0 }
+                WindowConfig { max_batch: *slots, max_requests: *slots, target_hundredths: 0 }
             }
         }
     }
--- a/crates/agent/src/gate/mod.rs
+++ b/crates/agent/src/gate/mod.rs
@@ -351,8 +351,8 @@
             return Err(RefusalReason::NoSlot);
         }
         match self.ledger.admit(id, attempt, once) {
-            LedgerAdmission::New | LedgerAdmission::Again => Ok(()),
-            LedgerAdmission::Known => Err(RefusalReason::AlreadyKnown),
+            LedgerAdmission::New | LedgerAdmission::Retry => Ok(()),
+            LedgerAdmission::Duplicate => Err(RefusalReason::AlreadyKnown),
             LedgerAdmission::Voided => Err(RefusalReason::Voided),
             LedgerAdmission::TooOld => Err(RefusalReason::TooOld),
             LedgerAdmission::Full => Err(RefusalReason::NoSlot),
--- a/crates/agent/src/gate/request.rs
+++ b/crates/agent/src/gate/request.rs
@@ -5,7 +5,7 @@
 use switchfold_core::{
     activation::{ActivationLog, ActivationSpan},
     id::RequestId,
-    route::{PipelineRoute, StagePlace},
+    route::{PipelineRoute, RouteStage},
     step::StepGate,
 };
 use switchfold_proto::link::{self, RefusalReason, Route, message::Body};
@@ -46,7 +46,7 @@
         self.place + 1 == self.pipeline.stages().len()
     }
 
-    pub(super) fn next(&self) -> Option<&StagePlace> {
+    pub(super) fn next(&self) -> Option<&RouteStage> {
         self.pipeline.stages().get(self.place + 1)
     }
 
@@ -86,7 +86,7 @@
         let Some(place) = pipeline.position(own) else {
             return;
         };
-        if self.gate.raise(attempt) {
+        if self.gate.raise_attempt(attempt) {
             self.route = route.clone();
             self.pipeline = pipeline;
             self.place = place;
@@ -98,12 +98,12 @@
     pub(super) fn span_for_next(&self) -> Option<NextSpan> {
         let next = self.next()?;
         let attempt = self.gate.attempt();
-        let is_fresh = next.joined == attempt && self.sent_attempt < attempt;
+        let is_fresh = next.joined_attempt == attempt && self.sent_attempt < attempt;
         let is_replay = is_fresh && attempt > 1;
         if is_fresh && self.log.is_truncated() {
             return Some(NextSpan::Truncated);
         }
-        let span = if is_fresh { self.log.whole() } else { self.log.last() };
+        let span = if is_fresh { self.log.full_output() } else { self.log.last_output() };
         span.map(|span| NextSpan::Send { span, is_replay })
     }
 }
--- a/crates/agent/src/gate/steps.rs
+++ b/crates/agent/src/gate/steps.rs
@@ -5,7 +5,7 @@
 use switchfold_core::{
     activation::ActivationLog,
     id::RequestId,
-    step::{StepDecision, StepGate, StepRefusal, StepView},
+    step::{StepDecision, StepGate, StepHeader, StepRefusal},
 };
 use switchfold_proto::{
     engine::{StepInput, StepOutput},
@@ -21,7 +21,7 @@
 /// Positions that arrive for a request, from whoever sent them.
 struct ArrivingStep {
     id: RequestId,
-    view: StepView,
+    view: StepHeader,
     inputs: Vec<u32>,
     activations: bytes::Bytes,
 }
@@ -35,7 +35,7 @@
         if let Err(reason) = self.join(id, start.attempt, &route) {
             return self.refuse(entry, id, start.attempt, reason);
         }
-        let view = StepView {
+        let view = StepHeader {
             attempt: start.attempt,
             layer: 0,
             first_position: 0,
@@ -61,7 +61,7 @@
                 EntryKey { name: route.entry.clone(), incarnation: route.entry_incarnation };
             return self.refuse(&entry, id, step.attempt, reason);
         }
-        let view = StepView {
+        let view = StepHeader {
             attempt: step.attempt,
             layer: step.layer,
             first_position: step.first_position,
@@ -80,7 +80,7 @@
             self.counts.dropped_steps += 1;
             return Vec::new();
         };
-        let view = StepView {
+        let view = StepHeader {
             attempt: token.attempt,
             layer: 0,
             first_position: state.route.prompt_len + token.index,
@@ -102,7 +102,7 @@
             return Vec::new();
         }
         state.adopt(reroute.attempt, route, &self.config.address);
-        let is_fresh = state.next().is_some_and(|next| next.joined == state.gate.attempt());
+        let is_fresh = state.next().is_some_and(|next| next.joined_attempt == state.gate.attempt());
         if is_fresh { self.forward(id, 0) } else { Vec::new() }
     }
 
@@ -192,7 +192,7 @@
             return Err(RefusalReason::WrongLayer);
         }
         // A stage that joined after the request began replaces one that was lost.
-        let is_replacement = pipeline.stages()[place].joined > route.lineage;
+        let is_replacement = pipeline.stages()[place].joined_attempt > route.lineage;
         let slots = match is_replacement {
             true => self.config.endpoint.slots(),
             false => self.config.open_slots(),
@@ -227,7 +227,7 @@
         }
         match state.gate.decide(&step.view) {
             StepDecision::Run { skip } => actions.push(self.run(step, skip)),
-            StepDecision::Repeat => actions.extend(self.repeat(id, step.view.resend - 1)),
+            StepDecision::ResendOutput => actions.extend(self.repeat(id, step.view.resend - 1)),
             StepDecision::Drop(_) => self.counts.dropped_steps += 1,
             StepDecision::Refuse(refusal) => {
                 self.counts.gaps += 1;
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use switchfold_core::{hash::hash_bytes, id::run_incarnation};
+use switchfold_core::{hash::hash_bytes, id::process_incarnation};
 use switchfold_kernel::{clock::epoch_millis, registry::ServiceRegistry, shutdown::ShutdownSignal};
 use switchfold_link::{LinkAcceptor, bind_incoming};
 use switchfold_proto::link::link_server::LinkServer;
@@ -46,7 +46,7 @@
     shutdown: ShutdownSignal,
 ) -> Result<(), AgentError> {
     let endpoint = endpoint_of(&settings).await?;
-    let incarnation = run_incarnation(&settings.name, epoch_millis());
+    let incarnation = process_incarnation(&settings.name, epoch_millis());
     let registry = ServiceRegistry::new();
     let gate = start_gate(&settings, endpoint, incarnation).await;
     registry.register(GATE, gate.clone()).map_err(|source| AgentError::Registry { source })?;
--- a/crates/agent/src/settings.rs
+++ b/crates/agent/src/settings.rs
@@ -1,8 +1,8 @@
 //! Settings of an agent.
 
 use serde::{Deserialize, Serialize};
-use switchfold_core::window::DEFAULT_TARGET;
-use switchfold_kernel::settings::{CheckedSettings, FieldKind, FieldRule, SettingsFault};
+use switchfold_core::window::DEFAULT_TARGET_PERCENT;
+use switchfold_kernel::settings::{CheckedSettings, FieldError, FieldKind, FieldRule};
 
 /// Settings of an agent, as in its JSON file.
 #[derive(Clone, Debug, Deserialize, Serialize)]
@@ -66,7 +66,7 @@
 }
 
 fn default_target() -> u32 {
-    DEFAULT_TARGET
+    DEFAULT_TARGET_PERCENT
 }
 
 fn default_offer_ms() -> u64 {
@@ -91,13 +91,13 @@
     },
     FieldRule {
         name: "slots",
-        kind: FieldKind::Number(1, 100_000),
+        kind: FieldKind::Integer(1, 100_000),
         required: true,
         help: "calls at once",
     },
     FieldRule {
         name: "call_ms",
-        kind: FieldKind::Number(1, 3_600_000),
+        kind: FieldKind::Integer(1, 3_600_000),
         required: false,
         help: "longest call",
     },
@@ -144,41 +144,41 @@
         },
         FieldRule {
             name: "log_bytes",
-            kind: FieldKind::Number(0, 1 << 30),
+            kind: FieldKind::Integer(0, 1 << 30),
             required: false,
             help: "activations kept for each request",
         },
         FieldRule {
             name: "reserve_hundredths",
-            kind: FieldKind::Number(0, 90),
+            kind: FieldKind::Integer(0, 90),
             required: false,
             help: "hundredths of the slots kept for replacing lost stages",
         },
         FieldRule {
             name: "target_hundredths",
-            kind: FieldKind::Number(0, 10_000),
+            kind: FieldKind::Integer(0, 10_000),
             required: false,
             help: "steps wanted at the engine, in hundredths of a batch",
         },
         FieldRule {
             name: "offer_ms",
-            kind: FieldKind::Number(10, 10_000),
+            kind: FieldKind::Integer(10, 10_000),
             required: false,
             help: "milliseconds between offers",
         },
         FieldRule {
             name: "ledger",
-            kind: FieldKind::Number(1_000, 10_000_000),
+            kind: FieldKind::Integer(1_000, 10_000_000),
             required: false,
             help: "requests remembered",
         },
     ];
 
-    fn cross_check(&self) -> Vec<SettingsFault> {
+    fn cross_check(&self) -> Vec<FieldError> {
         if self.engine.is_some() != self.service.is_some() {
             return Vec::new();
         }
-        vec![SettingsFault {
+        vec![FieldError {
             path: "engine".to_owned(),
             problem: "neither or both of engine and service are set".to_owned(),
             expected: "exactly one of them".to_owned(),
--- a/crates/core/benches/decisions.rs
+++ b/crates/core/benches/decisions.rs
@@ -8,7 +8,7 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use switchfold_core::{
-    claim::{ClaimKey, ClaimShard, ClaimWish},
+    claim::{ClaimKey, ClaimProposal, ClaimShard},
     flow::{FlowReplica, flow_bound},
     id::RequestId,
     ledger::{LedgerConfig, RequestLedger},
@@ -16,8 +16,8 @@
     placement::{PlacementVm, searched_split},
     queue::{AdmissionQueue, QueueEntry},
     route::LayerRange,
-    step::{StepGate, StepView},
-    subset::{rendezvous_subset, ring_subset},
+    step::{StepGate, StepHeader},
+    subset::{balanced_subset, rendezvous_subset},
     version::{ObjectCopy, ObjectKey, VersionedObjects},
 };
 
@@ -77,7 +77,7 @@
             organisation: Arc::from((number % organisations).to_string()),
             priority: (number % 4) as u8,
             deadline: number,
-            queued: 0,
+            queued_at: 0,
             cost: 32,
             weight: 1,
         };
@@ -119,7 +119,7 @@
     criterion.bench_function("step_gate", |bencher| {
         bencher.iter(|| {
             let view =
-                StepView { attempt: 1, layer: 16, first_position: position, len: 1, resend: 0 };
+                StepHeader { attempt: 1, layer: 16, first_position: position, len: 1, resend: 0 };
             position += 1;
             let decision = gate.decide(black_box(&view));
             gate.finish();
@@ -158,7 +158,7 @@
             bencher.iter(|| rendezvous_subset("entry-7", black_box(&members), 30));
         });
         group.bench_function(BenchmarkId::new("ring", count), |bencher| {
-            bencher.iter(|| ring_subset(7, black_box(&members), 30));
+            bencher.iter(|| balanced_subset(7, black_box(&members), 30));
         });
     }
     group.finish();
@@ -172,7 +172,7 @@
             .map(|number| PlacementVm {
                 name: format!("vm-{number}"),
                 layer_rate: 10_000.0 + (number * 7_919 % 60_000) as f64,
-                most_layers: 24,
+                max_layers: 24,
             })
             .collect();
         group.bench_function(BenchmarkId::from_parameter(count), |bencher| {
@@ -187,8 +187,8 @@
     group.sample_size(20);
     for wishes in [1_u64, 50, 425] {
         let shard = ClaimShard::new();
-        let asked: Vec<ClaimWish> = (0..wishes)
-            .map(|number| ClaimWish {
+        let asked: Vec<ClaimProposal> = (0..wishes)
+            .map(|number| ClaimProposal {
                 key: ClaimKey::new("org", &number.to_string()),
                 request: id(number),
                 entry: "entry-7".to_owned(),
--- a/crates/core/src/activation.rs
+++ b/crates/core/src/activation.rs
@@ -56,7 +56,7 @@
     }
 
     /// Bytes of activations held.
-    pub fn held(&self) -> usize {
+    pub fn byte_len(&self) -> usize {
         self.bytes.len()
     }
 
@@ -66,12 +66,12 @@
     }
 
     /// The last output alone, where there is one.
-    pub fn last(&self) -> Option<ActivationSpan> {
+    pub fn last_output(&self) -> Option<ActivationSpan> {
         self.span(self.inputs.len().saturating_sub(self.last_len))
     }
 
     /// All output from position 0, or nothing where it is empty or past its bound.
-    pub fn whole(&self) -> Option<ActivationSpan> {
+    pub fn full_output(&self) -> Option<ActivationSpan> {
         if self.truncated {
             return None;
         }
--- a/crates/core/src/affinity.rs
+++ b/crates/core/src/affinity.rs
@@ -29,17 +29,17 @@
     hash
 }
 
-/// Chooses the highest-ranked candidate whose load is within `bound_hundredths` of the mean for its
+/// Chooses the highest-ranked candidate whose load is within `max_load_percent` of the mean for its
 /// share; nothing where none has a free slot.
-pub fn choose_affine(
+pub fn choose_by_affinity(
     prefix: u64,
     candidates: &[AffinityCandidate],
-    bound_hundredths: u32,
+    max_load_percent: u32,
 ) -> Option<usize> {
     let weights: f64 = candidates.iter().map(|candidate| candidate.weight).sum();
     let total: f64 =
         candidates.iter().map(|candidate| f64::from(candidate.outstanding)).sum::<f64>() + 1.0;
-    let bound = f64::from(bound_hundredths) / 100.0;
+    let bound = f64::from(max_load_percent) / 100.0;
     let allowed = |candidate: &AffinityCandidate| {
         let due = total * candidate.weight / weights.max(f64::MIN_POSITIVE);
         f64::from(candidate.outstanding) < (due * bound).ceil()
--- a/crates/core/src/assembly.rs
+++ b/crates/core/src/assembly.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct AssemblyCounts {
     /// Tokens whose index had been delivered already.
-    pub repeated: u64,
+    pub duplicates: u64,
     /// Tokens past the end of the answer.
     pub past_end: u64,
 }
@@ -44,7 +44,7 @@
             return &[];
         }
         if (index as usize) < before || self.waiting.contains_key(&index) {
-            self.counts.repeated += 1;
+            self.counts.duplicates += 1;
             return &[];
         }
         self.waiting.insert(index, token);
@@ -55,14 +55,14 @@
     }
 
     /// Takes the end marker, which carries the count of tokens.
-    pub fn end(&mut self, total: u32) {
+    pub fn set_total(&mut self, total: u32) {
         if self.total.is_none() {
             self.total = Some(total.min(self.limit));
         }
     }
 
     /// Tells whether every token up to the end has been delivered.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.total == Some(self.delivered.len() as u32)
     }
 
@@ -72,7 +72,7 @@
     }
 
     /// Forgets what waits out of order: a new attempt will make those tokens again.
-    pub fn restart(&mut self) {
+    pub fn discard_pending(&mut self) {
         self.waiting.clear();
     }
 
--- a/crates/core/src/claim.rs
+++ b/crates/core/src/claim.rs
@@ -7,7 +7,7 @@
 //!
 //! Safety rests on the conditional write alone. A [`ClaimShard`] is a process's view of one shard; a
 //! view may be old, but then its write fails, it reads the segment again, and tries anew. A claim is
-//! granted only by [`ClaimShard::written`], that is after the store said yes, or after the segment
+//! granted only by [`ClaimShard::apply_write`], that is after the store said yes, or after the segment
 //! was read back and the claim was found in it. Memory: about 150 bytes a claim.
 
 use std::collections::{HashMap, HashSet};
@@ -20,7 +20,7 @@
 pub const CLAIM_SHARDS: u64 = 8;
 
 /// Claims in one segment; a full segment stays below 400 kB.
-pub const SEGMENT_CLAIMS: usize = 2_000;
+pub const MAX_SEGMENT_CLAIMS: usize = 2_000;
 
 /// Hash of an organisation and the key that it chose.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
@@ -77,7 +77,7 @@
 
 /// A claim that is asked for.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct ClaimWish {
+pub struct ClaimProposal {
     /// What is claimed.
     pub key: ClaimKey,
     /// Who wants it.
@@ -101,7 +101,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ClaimWrite {
     /// Number of the segment.
-    pub number: u32,
+    pub segment_number: u32,
     /// Version that it must still have; 0 means that it must not exist.
     pub expected: u64,
     /// New contents.
@@ -124,7 +124,7 @@
     }
 
     /// Number of the segment that is taken to be the last.
-    pub fn number(&self) -> u32 {
+    pub fn segment_number(&self) -> u32 {
         self.number
     }
 
@@ -147,7 +147,7 @@
     /// Takes in the segment as read at `version`. Returns whether another one follows.
     ///
     /// Segments are read in order; a later record for a key replaced an earlier one.
-    pub fn read(&mut self, version: u64, segment: ClaimSegment) -> bool {
+    pub fn apply_segment(&mut self, version: u64, segment: ClaimSegment) -> bool {
         for record in &segment.claims {
             self.holders.insert(record.key, record.clone());
         }
@@ -165,9 +165,9 @@
 
     /// Plans the write that claims a group of keys; nothing where all of them are held already.
     ///
-    /// The first wish for a key wins. After [`ClaimShard::written`], or after reading the segment
+    /// The first wish for a key wins. After [`ClaimShard::apply_write`], or after reading the segment
     /// again, [`ClaimShard::holder`] tells for each wish who holds its key.
-    pub fn plan(&self, wishes: &[ClaimWish], now: Millis) -> Option<ClaimWrite> {
+    pub fn plan(&self, wishes: &[ClaimProposal], now: Millis) -> Option<ClaimWrite> {
         let mut segment = self.last.clone();
         let mut added: HashSet<ClaimKey> = HashSet::new();
         for wish in wishes {
@@ -182,13 +182,13 @@
                 });
             }
         }
-        segment.sealed = segment.claims.len() >= SEGMENT_CLAIMS;
-        let write = ClaimWrite { number: self.number, expected: self.version, segment };
+        segment.sealed = segment.claims.len() >= MAX_SEGMENT_CLAIMS;
+        let write = ClaimWrite { segment_number: self.number, expected: self.version, segment };
         (!added.is_empty()).then_some(write)
     }
 
     /// Notes that the store accepted a planned write at `version`.
-    pub fn written(&mut self, write: ClaimWrite, version: u64) {
-        self.read(version, write.segment);
+    pub fn apply_write(&mut self, write: ClaimWrite, version: u64) {
+        self.apply_segment(version, write.segment);
     }
 }
--- a/crates/core/src/eject.rs
+++ b/crates/core/src/ejection.rs
@@ -9,20 +9,25 @@
 
 /// Bounds of ejection.
 #[derive(Clone, Copy, Debug)]
-pub struct EjectConfig {
+pub struct EjectionConfig {
     /// Ejected where the step time is above this many hundredths of the group's median.
-    pub slow_hundredths: u64,
+    pub slow_percent: u64,
     /// Ejected after this many failures in a row.
-    pub failures: u32,
+    pub consecutive_failures: u32,
     /// First time out; doubles at each return to it, up to 8 times as long.
-    pub time_out: Millis,
+    pub first_ejection_ms: Millis,
     /// Most of a group's replicas that may be out, in hundredths.
-    pub most_hundredths: usize,
+    pub max_ejected_percent: usize,
 }
 
-impl Default for EjectConfig {
+impl Default for EjectionConfig {
     fn default() -> Self {
-        Self { slow_hundredths: 300, failures: 3, time_out: 2_000, most_hundredths: 50 }
+        Self {
+            slow_percent: 300,
+            consecutive_failures: 3,
+            first_ejection_ms: 2_000,
+            max_ejected_percent: 50,
+        }
     }
 }
 
@@ -47,7 +52,7 @@
 
 impl ReplicaHealth {
     /// Notes how long a step took, for each unit of expected time.
-    pub fn note_step(&mut self, micros: u64) {
+    pub fn record_step(&mut self, micros: u64) {
         let old = self.step_micros * (16 - NEWEST_SIXTEENTHS);
         self.step_micros = match self.samples {
             0 => micros,
@@ -57,12 +62,12 @@
     }
 
     /// Notes a failure that was the replica's.
-    pub fn note_failure(&mut self) {
+    pub fn record_failure(&mut self) {
         self.failures = self.failures.saturating_add(1);
     }
 
     /// Notes a whole answer; the record is clean again.
-    pub fn note_success(&mut self, now: Millis) {
+    pub fn record_success(&mut self, now: Millis) {
         self.failures = 0;
         if now >= self.out_until {
             self.times_out = self.times_out.saturating_sub(1);
@@ -70,13 +75,13 @@
     }
 
     /// Tells whether the replica is kept away from.
-    pub fn is_out(&self, now: Millis) -> bool {
+    pub fn is_ejected(&self, now: Millis) -> bool {
         now < self.out_until
     }
 
-    fn eject(&mut self, config: &EjectConfig, now: Millis) {
+    fn eject(&mut self, config: &EjectionConfig, now: Millis) {
         let doublings = self.times_out.min(MOST_DOUBLINGS);
-        self.out_until = now + (config.time_out << doublings);
+        self.out_until = now + (config.first_ejection_ms << doublings);
         self.times_out += 1;
         self.samples = 0;
         self.failures = 0;
@@ -84,21 +89,20 @@
 }
 
 /// Judges the replicas of one group; returns the positions that were ejected now.
-pub fn judge_group(
+pub fn eject_outliers(
     group: &mut [&mut ReplicaHealth],
-    config: &EjectConfig,
+    config: &EjectionConfig,
     now: Millis,
 ) -> Vec<usize> {
     let median = median_step(group);
-    let most_out = group.len() * config.most_hundredths / 100;
-    let mut out = group.iter().filter(|health| health.is_out(now)).count();
+    let most_out = group.len() * config.max_ejected_percent / 100;
+    let mut out = group.iter().filter(|health| health.is_ejected(now)).count();
     let mut ejected = Vec::new();
     for (position, health) in group.iter_mut().enumerate() {
         let slow = health.samples >= LEAST_SAMPLES
-            && median
-                .is_some_and(|median| health.step_micros * 100 > median * config.slow_hundredths);
-        let failing = health.failures >= config.failures;
-        if health.is_out(now) || out >= most_out || !(slow || failing) {
+            && median.is_some_and(|median| health.step_micros * 100 > median * config.slow_percent);
+        let failing = health.failures >= config.consecutive_failures;
+        if health.is_ejected(now) || out >= most_out || !(slow || failing) {
             continue;
         }
         health.eject(config, now);
--- a/crates/core/src/id.rs
+++ b/crates/core/src/id.rs
@@ -16,7 +16,7 @@
 /// A request, unique over all entries and their restarts.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct RequestId {
-    /// Run of the issuing entry, see [`run_incarnation`].
+    /// Run of the issuing entry, see [`process_incarnation`].
     pub incarnation: u64,
     /// Count of requests within that run, from 1.
     pub counter: u64,
@@ -53,7 +53,7 @@
 /// Incarnation of a run of a process that starts `epoch_millis` after the epoch.
 ///
 /// It grows from run to run of one process, and differs between processes that start together.
-pub fn run_incarnation(process: &str, epoch_millis: Millis) -> u64 {
+pub fn process_incarnation(process: &str, epoch_millis: Millis) -> u64 {
     let name = hash_bytes(17, process.as_bytes()) & ((1 << NAME_BITS) - 1);
     (epoch_millis << NAME_BITS) | name
 }
@@ -66,7 +66,7 @@
 }
 
 impl IdIssuer {
-    /// Starts counting for a run, see [`run_incarnation`].
+    /// Starts counting for a run, see [`process_incarnation`].
     pub fn new(incarnation: u64) -> Self {
         Self { incarnation, issued: 0 }
     }
@@ -78,7 +78,7 @@
     }
 
     /// Tells whether this run issued `id`.
-    pub fn is_own(&self, id: RequestId) -> bool {
+    pub fn has_issued(&self, id: RequestId) -> bool {
         id.incarnation == self.incarnation && id.counter <= self.issued
     }
 }
--- a/crates/core/src/ledger.rs
+++ b/crates/core/src/ledger.rs
@@ -35,9 +35,9 @@
     /// It may run.
     New,
     /// It may run again: a later attempt of a request that may be repeated.
-    Again,
+    Retry,
     /// It ran or runs here.
-    Known,
+    Duplicate,
     /// It was voided.
     Voided,
     /// Too old to tell whether it ran.
@@ -102,10 +102,10 @@
                 LedgerState::Running { attempt: known } | LedgerState::Finished { attempt: known },
             ) => {
                 if once || attempt <= known {
-                    return LedgerAdmission::Known;
+                    return LedgerAdmission::Duplicate;
                 }
                 self.reopen(id, attempt);
-                LedgerAdmission::Again
+                LedgerAdmission::Retry
             }
             None if self.is_forgotten(id) => LedgerAdmission::TooOld,
             None => self.insert_running(id, attempt),
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -11,10 +11,10 @@
 //! A stage of a pipeline runs a step once, whatever the network repeats:
 //!
 //! ```
-//! use switchfold_core::step::{StepDecision, StepGate, StepView};
+//! use switchfold_core::step::{StepDecision, StepGate, StepHeader};
 //!
 //! let mut gate = StepGate::new(16, 1);
-//! let step = StepView { attempt: 1, layer: 16, first_position: 0, len: 4, resend: 0 };
+//! let step = StepHeader { attempt: 1, layer: 16, first_position: 0, len: 4, resend: 0 };
 //! assert_eq!(gate.decide(&step), StepDecision::Run { skip: 0 });
 //! gate.finish();
 //! assert!(matches!(gate.decide(&step), StepDecision::Drop(_)));
@@ -26,7 +26,7 @@
 //! |---|---|
 //! | [`id`], [`route`], [`step`], [`activation`], [`assembly`] | what may run, in which order, and what the caller gets |
 //! | [`ledger`], [`claim`] | what must not run a second time |
-//! | [`queue`], [`retry`], [`share`], [`eject`], [`credit`], [`window`] | what is admitted, repeated or kept away from |
+//! | [`queue`], [`retry`], [`share`], [`ejection`], [`credit`], [`window`] | what is admitted, repeated or kept away from |
 //! | [`flow`], [`path`], [`placement`], [`subset`], [`affinity`] | where work goes |
 //! | [`version`], [`config`] | what is in force |
 //!
@@ -40,7 +40,7 @@
 pub mod claim;
 pub mod config;
 pub mod credit;
-pub mod eject;
+pub mod ejection;
 mod error;
 pub mod flow;
 pub mod hash;
--- a/crates/core/src/placement.rs
+++ b/crates/core/src/placement.rs
@@ -21,7 +21,7 @@
     /// Layers a second at its best batch: the rate of tokens through one layer.
     pub layer_rate: f64,
     /// Most layers that fit its memory.
-    pub most_layers: u32,
+    pub max_layers: u32,
 }
 
 /// What one VM is to hold.
@@ -57,7 +57,7 @@
         let mut totals = vec![0.0; self.ends.len()];
         for (vm, stage) in vms.iter().zip(&self.stage_of) {
             let len = self.len_of(*stage);
-            if len <= vm.most_layers {
+            if len <= vm.max_layers {
                 totals[*stage] += vm.layer_rate / f64::from(len);
             }
         }
@@ -169,7 +169,7 @@
     let mut totals = vec![0.0_f64; split.ends.len()];
     for index in order {
         let lens: Vec<u32> = (0..split.ends.len()).map(|stage| split.len_of(stage)).collect();
-        let fits = |stage: &usize| lens[*stage] <= vms[index].most_layers;
+        let fits = |stage: &usize| lens[*stage] <= vms[index].max_layers;
         let stages = (0..lens.len()).filter(fits);
         let least = stages.min_by(|left, right| totals[*left].total_cmp(&totals[*right]));
         let stage = least.unwrap_or(0);
@@ -236,7 +236,7 @@
         let stage = split.stage_of[index];
         let first = stage.checked_sub(1).map_or(0, |before| split.ends[before]);
         let layers = LayerRange::new(first, split.ends[stage])?;
-        if layers.count() > vms[index].most_layers {
+        if layers.count() > vms[index].max_layers {
             continue;
         }
         ranked.push((
--- a/crates/core/src/queue.rs
+++ b/crates/core/src/queue.rs
@@ -17,7 +17,7 @@
 use crate::{Millis, id::RequestId};
 
 /// Cost that one organisation may use in one turn.
-pub const QUANTUM: u64 = 64;
+pub const QUANTUM_TOKENS: u64 = 64;
 
 /// A request that waits.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -31,7 +31,7 @@
     /// When it is of no use any more.
     pub deadline: Millis,
     /// When it arrived.
-    pub queued: Millis,
+    pub queued_at: Millis,
     /// Expected work, in tokens.
     pub cost: u64,
     /// Share of the organisation, at least 1.
@@ -176,7 +176,7 @@
                 self.close_if_empty(&entry.organisation);
                 return Some(entry);
             }
-            queue.deficit += QUANTUM * head.get().weight.max(1);
+            queue.deficit += QUANTUM_TOKENS * head.get().weight.max(1);
             self.ring.rotate_left(1);
         }
     }
@@ -215,8 +215,8 @@
 
 impl ServiceRate {
     /// Notes that `count` requests were served, while others waited.
-    pub fn note(&mut self, now: Millis, count: u64) {
-        self.roll(now);
+    pub fn record(&mut self, now: Millis, count: u64) {
+        self.advance(now);
         self.served += count;
     }
 
@@ -226,7 +226,7 @@
     }
 
     /// Ends the interval where it has passed.
-    pub fn roll(&mut self, now: Millis) {
+    pub fn advance(&mut self, now: Millis) {
         let passed = now.saturating_sub(self.interval_start);
         if passed < INTERVAL {
             return;
@@ -245,7 +245,7 @@
     }
 
     /// How long a request waits that has `ahead` others before it, where the rate is known.
-    pub fn wait_for(&self, ahead: usize) -> Option<Millis> {
+    pub fn estimated_wait(&self, ahead: usize) -> Option<Millis> {
         let rate = self.milli_per_s?;
         Some((ahead as u64 * 1_000_000) / rate.max(1))
     }
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -39,13 +39,13 @@
     }
 
     /// Notes a success.
-    pub fn earn(&mut self) {
+    pub fn record_success(&mut self) {
         let most = self.config.reserve * PARTS;
         self.parts = (self.parts + self.config.per_thousand).min(most);
     }
 
     /// Takes one retry; returns whether there was one.
-    pub fn spend(&mut self) -> bool {
+    pub fn try_spend(&mut self) -> bool {
         let enough = self.parts >= PARTS;
         if enough {
             self.parts -= PARTS;
--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -54,7 +54,7 @@
 
 /// One stage of a route.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct StagePlace {
+pub struct RouteStage {
     /// Address of the stage's agent.
     pub address: String,
     /// Name of the stage's agent.
@@ -62,13 +62,13 @@
     /// Layers that the stage runs.
     pub layers: LayerRange,
     /// Attempt in which the stage joined the route.
-    pub joined: u32,
+    pub joined_attempt: u32,
 }
 
 /// Stages that tile a model exactly.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct PipelineRoute {
-    stages: Vec<StagePlace>,
+    stages: Vec<RouteStage>,
 }
 
 impl PipelineRoute {
@@ -78,7 +78,7 @@
     ///
     /// Fails with [`ErrorKind::NotTiled`] where the stages leave a gap, overlap, or do not end at
     /// layer `layers`.
-    pub fn new(stages: Vec<StagePlace>, layers: u32) -> Result<Self, Error> {
+    pub fn new(stages: Vec<RouteStage>, layers: u32) -> Result<Self, Error> {
         let mut cursor = 0;
         for stage in &stages {
             if stage.layers.first() != cursor {
@@ -96,7 +96,7 @@
     }
 
     /// Stages in order, at least one.
-    pub fn stages(&self) -> &[StagePlace] {
+    pub fn stages(&self) -> &[RouteStage] {
         &self.stages
     }
 
@@ -111,7 +111,7 @@
     ///
     /// Fails with [`ErrorKind::OutOfBounds`] where there is no such stage, or the replica holds
     /// other layers.
-    pub fn replace(&mut self, position: usize, place: StagePlace) -> Result<(), Error> {
+    pub fn replace(&mut self, position: usize, place: RouteStage) -> Result<(), Error> {
         let Some(stage) = self.stages.get_mut(position) else {
             return Err(Error::new(ErrorKind::OutOfBounds, format!("no stage {position}")));
         };
--- a/crates/core/src/share.rs
+++ b/crates/core/src/share.rs
@@ -32,15 +32,15 @@
 }
 
 /// How long a share holds without word from the home.
-pub const SHARE_LEASE: Millis = 5_000;
+pub const SHARE_LEASE_MS: Millis = 5_000;
 
 /// Share in force `since` milliseconds after the home's last word.
 pub fn decayed_share(share: u64, limit: u64, entries: u64, since: Millis) -> u64 {
     let even = limit / entries.max(1);
-    if since <= SHARE_LEASE || share <= even {
+    if since <= SHARE_LEASE_MS || share <= even {
         return share;
     }
-    let leases = (since / SHARE_LEASE).min(63);
+    let leases = (since / SHARE_LEASE_MS).min(63);
     even + ((share - even) >> leases)
 }
 
@@ -61,7 +61,7 @@
     }
 
     /// Takes one where there is one; `per_s` is the share now in force, and also the burst.
-    pub fn take(&mut self, per_s: u64, now: Millis) -> bool {
+    pub fn try_take(&mut self, per_s: u64, now: Millis) -> bool {
         let passed = now.saturating_sub(self.filled);
         let most = per_s.max(1) * PARTS;
         self.parts = (self.parts + passed * per_s).min(most);
@@ -74,7 +74,7 @@
     }
 
     /// Milliseconds until the next one.
-    pub fn wait(&self, per_s: u64) -> Millis {
+    pub fn time_to_next(&self, per_s: u64) -> Millis {
         let missing = PARTS.saturating_sub(self.parts);
         missing.div_ceil(per_s.max(1))
     }
--- a/crates/core/src/step.rs
+++ b/crates/core/src/step.rs
@@ -6,7 +6,7 @@
 
 /// What a gate needs to know of an arriving step.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct StepView {
+pub struct StepHeader {
     /// Attempt that the sender knows of.
     pub attempt: u32,
     /// Layer that the step's activations enter.
@@ -52,7 +52,7 @@
     },
     /// All of it has run, and the sender asks for the output again: answer it from the last output,
     /// which may be a later step's.
-    Repeat,
+    ResendOutput,
     /// Ignore it.
     Drop(DropReason),
     /// Refuse it.
@@ -85,7 +85,7 @@
     }
 
     /// Raises the attempt in force; a lower one changes nothing. Returns whether it rose.
-    pub fn raise(&mut self, attempt: u32) -> bool {
+    pub fn raise_attempt(&mut self, attempt: u32) -> bool {
         let rises = attempt > self.attempt;
         if rises {
             self.attempt = attempt;
@@ -94,7 +94,7 @@
     }
 
     /// Decides on a step, and takes its positions as running where it may run.
-    pub fn decide(&mut self, step: &StepView) -> StepDecision {
+    pub fn decide(&mut self, step: &StepHeader) -> StepDecision {
         if step.attempt < self.attempt {
             return StepDecision::Drop(DropReason::StaleAttempt);
         }
@@ -117,7 +117,7 @@
             return StepDecision::Run { skip };
         }
         if self.running == 0 && step.resend > 0 {
-            return StepDecision::Repeat;
+            return StepDecision::ResendOutput;
         }
         StepDecision::Drop(DropReason::Repeated)
     }
--- a/crates/core/src/subset.rs
+++ b/crates/core/src/subset.rs
@@ -3,7 +3,7 @@
 //! With hundreds of entries and thousands of replicas, every entry holding a link to every replica
 //! would cost each of them more than it may spend on control. Each entry takes a subset of the
 //! replicas of every layer range. Two ways are kept, to be measured against each other: rendezvous
-//! hashing, which moves least when members change, and [`ring_subset`], which deals replicas so that
+//! hashing, which moves least when members change, and [`balanced_subset`], which deals replicas so that
 //! every one is used by the same number of entries, give or take one.
 
 use crate::hash::{hash_bytes, hash_pair};
@@ -11,7 +11,10 @@
 /// Position of the member with the highest rendezvous weight for a key.
 ///
 /// Every process that knows the same members agrees on it, whatever their order.
-pub fn home_of<'a>(key: &str, members: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
+pub fn rendezvous_owner<'a>(
+    key: &str,
+    members: impl IntoIterator<Item = &'a str>,
+) -> Option<&'a str> {
     members.into_iter().max_by_key(|member| (hash_pair(key, member), *member))
 }
 
@@ -34,7 +37,7 @@
 /// member is dealt twice before all are dealt once. `entry` is the entry's place in the sorted list
 /// of entries. Members keep their place in a shuffle when others go, so one lost member changes each
 /// subset by at most one or two.
-pub fn ring_subset<'a>(entry: usize, members: &[&'a str], count: usize) -> Vec<&'a str> {
+pub fn balanced_subset<'a>(entry: usize, members: &[&'a str], count: usize) -> Vec<&'a str> {
     let count = count.min(members.len());
     if count == 0 {
         return Vec::new();
--- a/crates/core/src/version.rs
+++ b/crates/core/src/version.rs
@@ -67,7 +67,7 @@
     }
 
     /// Copy held, tombstones included.
-    pub fn copy(&self, key: &ObjectKey) -> Option<&ObjectCopy> {
+    pub fn get(&self, key: &ObjectKey) -> Option<&ObjectCopy> {
         self.copies.get(key)
     }
 
@@ -96,7 +96,7 @@
     }
 
     /// Largest version of all.
-    pub fn newest(&self) -> u64 {
+    pub fn max_version(&self) -> u64 {
         self.copies.values().map(|copy| copy.version).max().unwrap_or(0)
     }
 
--- a/crates/core/src/window.rs
+++ b/crates/core/src/window.rs
@@ -11,7 +11,7 @@
 //! than some intervals: it is then off by the change until the next ones.
 
 /// Steps that are wanted, in hundredths of a full batch.
-pub const DEFAULT_TARGET: u32 = 200;
+pub const DEFAULT_TARGET_PERCENT: u32 = 200;
 
 /// Share of the way to the wanted limit that one interval goes.
 const GAIN: f64 = 0.3;
@@ -25,7 +25,7 @@
     /// Sequences of a full batch.
     pub max_batch: u32,
     /// Most requests, by the engine's memory.
-    pub most: u32,
+    pub max_requests: u32,
     /// Steps that are wanted, in hundredths of a full batch; 0 means that only memory limits.
     pub target_hundredths: u32,
 }
@@ -54,7 +54,7 @@
     /// Requests that may be held now, at least 1.
     pub fn limit(&self) -> u32 {
         if self.config.target_hundredths == 0 {
-            return self.config.most.max(1);
+            return self.config.max_requests.max(1);
         }
         self.limit.round() as u32
     }
@@ -80,7 +80,7 @@
     }
 
     fn clamp(&mut self) {
-        let most = f64::from(self.config.most.max(1));
+        let most = f64::from(self.config.max_requests.max(1));
         let least = f64::from(self.config.max_batch.max(1)).min(most);
         self.limit = self.limit.clamp(least, most);
     }
--- a/crates/core/tests/claims.rs
+++ b/crates/core/tests/claims.rs
@@ -8,7 +8,7 @@
 
 use proptest::prelude::*;
 use switchfold_core::{
-    claim::{ClaimKey, ClaimSegment, ClaimShard, ClaimWish, ClaimWrite, SEGMENT_CLAIMS},
+    claim::{ClaimKey, ClaimProposal, ClaimSegment, ClaimShard, ClaimWrite, MAX_SEGMENT_CLAIMS},
     id::RequestId,
 };
 
@@ -21,7 +21,7 @@
 
 impl StoreModel {
     fn write(&mut self, write: &ClaimWrite) -> Option<u64> {
-        let number = write.number as usize;
+        let number = write.segment_number as usize;
         let held = self.segments.get(number).map_or(0, |(version, _)| *version);
         if held != write.expected || number > self.segments.len() {
             return None;
@@ -38,9 +38,9 @@
 
     fn load(&self, shard: &mut ClaimShard) {
         loop {
-            let number = shard.number() as usize;
+            let number = shard.segment_number() as usize;
             let (version, segment) = self.segments.get(number).cloned().unwrap_or_default();
-            if !shard.read(version, segment) {
+            if !shard.apply_segment(version, segment) {
                 return;
             }
         }
@@ -62,7 +62,7 @@
 
 #[derive(Clone, Debug)]
 struct Home {
-    wish: ClaimWish,
+    wish: ClaimProposal,
     shard: ClaimShard,
     state: HomeState,
 }
@@ -79,9 +79,9 @@
     RequestId { incarnation: 1, counter }
 }
 
-fn wish(counter: u64, replaces: Option<RequestId>) -> ClaimWish {
+fn wish(counter: u64, replaces: Option<RequestId>) -> ClaimProposal {
     let key = ClaimKey::new("northcatch", "settlement-7");
-    ClaimWish { key, request: request(counter), entry: format!("entry-{counter}"), replaces }
+    ClaimProposal { key, request: request(counter), entry: format!("entry-{counter}"), replaces }
 }
 
 /// All that can happen next to one home.
@@ -120,7 +120,7 @@
                 let home = &mut world.homes[index];
                 home.state = match answer {
                     Some(version) => {
-                        home.shard.written(write.clone(), version);
+                        home.shard.apply_write(write.clone(), version);
                         HomeState::Granted
                     }
                     None => HomeState::Start,
@@ -183,12 +183,12 @@
     let mut shard = ClaimShard::new();
     let first = shard.plan(&[wish(1, None)], 5).expect("free");
     let version = store.write(&first).expect("accepted");
-    shard.written(first, version);
+    shard.apply_write(first, version);
     assert!(shard.plan(&[wish(2, None)], 6).is_none(), "held, and not given up");
     let takeover =
         shard.plan(&[wish(3, Some(request(1))), wish(4, Some(request(1)))], 7).expect("given up");
     let version = store.write(&takeover).expect("accepted");
-    shard.written(takeover, version);
+    shard.apply_write(takeover, version);
     assert_eq!(shard.holder(wish(3, None).key).map(|holder| holder.request), Some(request(3)));
     assert!(shard.plan(&[wish(4, Some(request(1)))], 8).is_none(), "the holder has changed");
     let mut fresh = ClaimShard::new();
@@ -200,19 +200,22 @@
 fn full_segments_are_sealed_and_the_chain_goes_on() {
     let mut store = StoreModel::default();
     let mut shard = ClaimShard::new();
-    let total = 2 * SEGMENT_CLAIMS + 10;
+    let total = 2 * MAX_SEGMENT_CLAIMS + 10;
     for group in 0..total.div_ceil(100) {
-        let wishes: Vec<ClaimWish> = (0..100)
+        let wishes: Vec<ClaimProposal> = (0..100)
             .map(|number| {
                 let counter = (group * 100 + number) as u64;
-                ClaimWish { key: ClaimKey::new("org", &counter.to_string()), ..wish(counter, None) }
+                ClaimProposal {
+                    key: ClaimKey::new("org", &counter.to_string()),
+                    ..wish(counter, None)
+                }
             })
             .collect();
         let write = shard.plan(&wishes, 1).expect("all are new");
         let version = store.write(&write).expect("nobody else writes");
-        shard.written(write, version);
+        shard.apply_write(write, version);
     }
-    assert_eq!(shard.number(), 2);
+    assert_eq!(shard.segment_number(), 2);
     let largest = store
         .segments
         .iter()
@@ -221,7 +224,7 @@
     assert!(largest < Some(1 << 20), "{largest:?} bytes");
     let mut fresh = ClaimShard::new();
     store.load(&mut fresh);
-    assert_eq!((fresh.len(), fresh.number()), (shard.len(), shard.number()));
+    assert_eq!((fresh.len(), fresh.segment_number()), (shard.len(), shard.segment_number()));
 }
 
 proptest! {
@@ -240,7 +243,7 @@
                 continue;
             }
             let asked = RequestId { incarnation: home as u64 + 1, counter: turn as u64 };
-            let wish = ClaimWish {
+            let wish = ClaimProposal {
                 key: ClaimKey::new("org", &key.to_string()),
                 request: asked,
                 entry: "entry".to_owned(),
@@ -251,7 +254,7 @@
             };
             match (store.write(&write), fate) {
                 (Some(version), 1 | 2) => {
-                    shards[home].written(write, version);
+                    shards[home].apply_write(write, version);
                     let before = granted.insert(key, asked);
                     prop_assert!(before.is_none(), "key {} granted twice", key);
                 }
--- a/crates/core/tests/ledgers.rs
+++ b/crates/core/tests/ledgers.rs
@@ -4,7 +4,7 @@
 
 use proptest::prelude::*;
 use switchfold_core::{
-    id::{IdIssuer, RequestId, run_incarnation},
+    id::{IdIssuer, RequestId, process_incarnation},
     ledger::{LedgerAdmission, LedgerConfig, RequestLedger, VoidOutcome},
 };
 
@@ -17,7 +17,7 @@
     let mut issuer = IdIssuer::new(77);
     let first = issuer.issue();
     assert_eq!(first.to_string().parse::<RequestId>(), Ok(first));
-    assert!(issuer.is_own(first) && !issuer.is_own(id(77, 2)));
+    assert!(issuer.has_issued(first) && !issuer.has_issued(id(77, 2)));
     let malformed =
         ["", "0", "zz", &"g".repeat(32), &"0".repeat(31), &"0".repeat(33), &"é".repeat(16)];
     for text in malformed {
@@ -31,11 +31,11 @@
 fn processes_that_start_together_have_incarnations_of_their_own() {
     let names: Vec<String> = (0..370).map(|number| format!("entry-{number}")).collect();
     let incarnations: std::collections::HashSet<u64> =
-        names.iter().map(|name| run_incarnation(name, 1_796_000_000_000)).collect();
+        names.iter().map(|name| process_incarnation(name, 1_796_000_000_000)).collect();
     assert_eq!(incarnations.len(), names.len());
     assert!(
-        run_incarnation("entry-1", 1_796_000_000_001)
-            > run_incarnation("entry-1", 1_796_000_000_000)
+        process_incarnation("entry-1", 1_796_000_000_001)
+            > process_incarnation("entry-1", 1_796_000_000_000)
     );
 }
 
@@ -46,10 +46,10 @@
     assert_eq!(ledger.admit(id(1, 1), 1, false), LedgerAdmission::Voided);
     assert_eq!(ledger.admit(id(1, 2), 1, true), LedgerAdmission::New);
     assert_eq!(ledger.void(id(1, 2)), VoidOutcome::Ran);
-    assert_eq!(ledger.admit(id(1, 2), 2, true), LedgerAdmission::Known);
+    assert_eq!(ledger.admit(id(1, 2), 2, true), LedgerAdmission::Duplicate);
     assert_eq!(ledger.admit(id(1, 3), 1, false), LedgerAdmission::New);
-    assert_eq!(ledger.admit(id(1, 3), 2, false), LedgerAdmission::Again);
-    assert_eq!(ledger.admit(id(1, 3), 2, false), LedgerAdmission::Known);
+    assert_eq!(ledger.admit(id(1, 3), 2, false), LedgerAdmission::Retry);
+    assert_eq!(ledger.admit(id(1, 3), 2, false), LedgerAdmission::Duplicate);
 }
 
 #[test]
@@ -59,7 +59,7 @@
     assert_eq!(ledger.admit(id(1, 2), 1, true), LedgerAdmission::New);
     assert_eq!(ledger.admit(id(1, 3), 1, true), LedgerAdmission::Full);
     assert_eq!(ledger.void(id(1, 4)), VoidOutcome::Unknown);
-    assert_eq!(ledger.admit(id(1, 1), 2, true), LedgerAdmission::Known);
+    assert_eq!(ledger.admit(id(1, 1), 2, true), LedgerAdmission::Duplicate);
 }
 
 /// Found by `forgetting_costs_no_promise`: the floor of an old run that came back late lowered the
@@ -108,7 +108,7 @@
             match step {
                 LedgerStep::Admit(id, attempt, once) => {
                     let admission = ledger.admit(id, attempt, once);
-                    if matches!(admission, LedgerAdmission::New | LedgerAdmission::Again) {
+                    if matches!(admission, LedgerAdmission::New | LedgerAdmission::Retry) {
                         prop_assert!(!never.contains(&id), "ran after a void said never");
                         let before = ran.insert(id, attempt);
                         prop_assert!(before.is_none_or(|before| !once && attempt > before));
--- a/crates/core/tests/objects.rs
+++ b/crates/core/tests/objects.rs
@@ -93,7 +93,7 @@
     assert!(!objects.merge(&key(1), copy(4)));
     assert_eq!(objects.value(&key(1)), None);
     assert_eq!(objects.of_kind("event").count(), 0);
-    assert_eq!((objects.newest(), objects.len()), (5, 1));
+    assert_eq!((objects.max_version(), objects.len()), (5, 1));
 }
 
 #[test]
--- a/crates/core/tests/queues.rs
+++ b/crates/core/tests/queues.rs
@@ -27,7 +27,7 @@
         organisation: Arc::from(organisation),
         priority,
         deadline,
-        queued: 0,
+        queued_at: 0,
         cost,
         weight,
     }
@@ -96,11 +96,11 @@
     assert_eq!(queue.len(), 6);
 
     let mut rate = ServiceRate::default();
-    assert_eq!(rate.wait_for(5), None);
+    assert_eq!(rate.estimated_wait(5), None);
     for tick in 0..40 {
-        rate.note(tick * 50, 5);
+        rate.record(tick * 50, 5);
     }
-    let wait = rate.wait_for(100).expect("the rate is known");
+    let wait = rate.estimated_wait(100).expect("the rate is known");
     assert!((900..=1_100).contains(&wait), "{wait} ms for 100 at 100 a second");
 }
 
@@ -181,20 +181,20 @@
     let mut budget = RetryBudget::new(RetryConfig { per_thousand: 100, reserve: 10 });
     let mut retries = 0;
     for _ in 0..10_000 {
-        budget.earn();
-        retries += u64::from(budget.spend());
+        budget.record_success();
+        retries += u64::from(budget.try_spend());
     }
     assert!((990..=1_010).contains(&retries), "{retries} for 10000 successes");
-    let in_a_long_fault = (0..1_000).filter(|_| budget.spend()).count();
+    let in_a_long_fault = (0..1_000).filter(|_| budget.try_spend()).count();
     assert!(in_a_long_fault <= 10, "{in_a_long_fault}");
 }
 
 #[test]
 fn buckets_hold_their_rate() {
     let mut bucket = RateBucket::new(50, 0);
-    let taken = (0..10_000_u64).filter(|millis| bucket.take(50, *millis)).count();
+    let taken = (0..10_000_u64).filter(|millis| bucket.try_take(50, *millis)).count();
     assert!((540..=551).contains(&taken), "{taken} in 10 s at 50 a second with a full start");
-    assert!(bucket.wait(50) <= 20);
+    assert!(bucket.time_to_next(50) <= 20);
 }
 
 #[test]
@@ -214,7 +214,7 @@
 #[test]
 fn windows_settle_at_their_target() {
     for (stages, slots) in [(1, 400), (3, 400), (6, 400)] {
-        let config = WindowConfig { max_batch: 16, most: slots, target_hundredths: 200 };
+        let config = WindowConfig { max_batch: 16, max_requests: slots, target_hundredths: 200 };
         let mut window = SlotWindow::new(config);
         for _ in 0..60 {
             let held = window.limit();
@@ -234,7 +234,7 @@
 
 #[test]
 fn windows_learn_nothing_where_they_do_not_bind() {
-    let config = WindowConfig { max_batch: 8, most: 100, target_hundredths: 200 };
+    let config = WindowConfig { max_batch: 8, max_requests: 100, target_hundredths: 200 };
     let mut window = SlotWindow::new(config);
     let before = window.limit();
     for _ in 0..20 {
@@ -245,6 +245,6 @@
     assert_eq!(window.limit(), before);
     let memory_only = SlotWindow::new(WindowConfig { target_hundredths: 0, ..config });
     assert_eq!(memory_only.limit(), 100);
-    let tiny = SlotWindow::new(WindowConfig { most: 2, ..config });
+    let tiny = SlotWindow::new(WindowConfig { max_requests: 2, ..config });
     assert_eq!(tiny.limit(), 2);
 }
--- a/crates/core/tests/routes.rs
+++ b/crates/core/tests/routes.rs
@@ -6,18 +6,23 @@
 use rand_chacha::ChaCha8Rng;
 use switchfold_core::{
     ErrorKind,
-    affinity::{AffinityCandidate, choose_affine},
-    eject::{EjectConfig, ReplicaHealth, judge_group},
+    affinity::{AffinityCandidate, choose_by_affinity},
+    ejection::{EjectionConfig, ReplicaHealth, eject_outliers},
     flow::{CutPart, FlowLink, FlowReplica, flow_bound},
     path::{POLICIES, PathCandidate, PathCursor, PathPolicy, choose_replica},
     placement::{PlacementVm, even_split, plan_rate, proportional_split, searched_split},
-    route::{LayerRange, PipelineRoute, StagePlace},
-    subset::{home_of, rendezvous_subset, ring_subset, tree_children},
+    route::{LayerRange, PipelineRoute, RouteStage},
+    subset::{balanced_subset, rendezvous_owner, rendezvous_subset, tree_children},
 };
 
-fn place(first: u32, end: u32) -> StagePlace {
+fn place(first: u32, end: u32) -> RouteStage {
     let layers = LayerRange::new(first, end).expect("not empty");
-    StagePlace { address: format!("{first}"), process: format!("p{first}"), layers, joined: 1 }
+    RouteStage {
+        address: format!("{first}"),
+        process: format!("p{first}"),
+        layers,
+        joined_attempt: 1,
+    }
 }
 
 #[test]
@@ -133,7 +138,7 @@
         let vms: Vec<PlacementVm> = rates
             .iter()
             .enumerate()
-            .map(|(index, rate)| PlacementVm { name: format!("vm-{index}"), layer_rate: *rate, most_layers: layers })
+            .map(|(index, rate)| PlacementVm { name: format!("vm-{index}"), layer_rate: *rate, max_layers: layers })
             .collect();
         let even = even_split(&vms, layers, stages).unwrap();
         let proportional = proportional_split(&vms, layers, stages).unwrap();
@@ -193,7 +198,7 @@
 
 #[test]
 fn too_few_vms_or_layers_are_an_error() {
-    let vm = PlacementVm { name: "vm".to_owned(), layer_rate: 1.0, most_layers: 8 };
+    let vm = PlacementVm { name: "vm".to_owned(), layer_rate: 1.0, max_layers: 8 };
     for (vms, layers, stages) in
         [(vec![vm.clone()], 8, 2), (vec![vm.clone(), vm.clone()], 1, 2), (vec![vm], 8, 0)]
     {
@@ -208,7 +213,7 @@
     let members: Vec<&str> = names.iter().map(String::as_str).collect();
     let mut uses = std::collections::HashMap::new();
     for entry in 0..60 {
-        let subset = ring_subset(entry, &members, 12);
+        let subset = balanced_subset(entry, &members, 12);
         assert_eq!(subset.len(), 12);
         for member in subset {
             *uses.entry(member).or_insert(0_u32) += 1;
@@ -218,34 +223,34 @@
     let mut reversed = members.clone();
     reversed.reverse();
     assert_eq!(
-        home_of("claims-3", members.iter().copied()),
-        home_of("claims-3", reversed.iter().copied())
+        rendezvous_owner("claims-3", members.iter().copied()),
+        rendezvous_owner("claims-3", reversed.iter().copied())
     );
     assert_eq!(rendezvous_subset("a", &members, 5), rendezvous_subset("a", &reversed, 5));
-    assert!(ring_subset(3, &[], 4).is_empty());
+    assert!(balanced_subset(3, &[], 4).is_empty());
 }
 
 #[test]
 fn slow_and_failing_replicas_are_ejected_up_to_the_floor() {
-    let config = EjectConfig::default();
+    let config = EjectionConfig::default();
     let mut group: Vec<ReplicaHealth> = vec![ReplicaHealth::default(); 6];
     for (index, health) in group.iter_mut().enumerate() {
         for _ in 0..10 {
-            health.note_step(if index < 1 { 50_000 } else { 9_000 });
+            health.record_step(if index < 1 { 50_000 } else { 9_000 });
         }
     }
     let judge = |group: &mut [ReplicaHealth], now| {
         let mut views: Vec<&mut ReplicaHealth> = group.iter_mut().collect();
-        judge_group(&mut views, &config, now)
+        eject_outliers(&mut views, &config, now)
     };
     assert_eq!(judge(&mut group, 100), [0]);
-    assert!(group[0].is_out(100) && !group[0].is_out(100 + config.time_out));
+    assert!(group[0].is_ejected(100) && !group[0].is_ejected(100 + config.first_ejection_ms));
     for health in &mut group[1..] {
-        (0..config.failures).for_each(|_| health.note_failure());
+        (0..config.consecutive_failures).for_each(|_| health.record_failure());
     }
     // All others fail too: only half of the group may be out at once.
     assert_eq!(judge(&mut group, 200).len(), 2);
-    assert_eq!(group.iter().filter(|health| health.is_out(200)).count(), 3);
+    assert_eq!(group.iter().filter(|health| health.is_ejected(200)).count(), 3);
 }
 
 #[test]
@@ -253,11 +258,11 @@
     let candidate =
         |name_hash, outstanding| AffinityCandidate { name_hash, weight: 1.0, outstanding, free: 5 };
     let mut candidates: Vec<AffinityCandidate> = (0..8).map(|name| candidate(name, 2)).collect();
-    let home = choose_affine(99, &candidates, 150).expect("free");
-    assert_eq!(choose_affine(99, &candidates, 150), Some(home));
+    let home = choose_by_affinity(99, &candidates, 150).expect("free");
+    assert_eq!(choose_by_affinity(99, &candidates, 150), Some(home));
     candidates[home].outstanding = 20;
-    let next = choose_affine(99, &candidates, 150).expect("free");
+    let next = choose_by_affinity(99, &candidates, 150).expect("free");
     assert_ne!(next, home);
     candidates.iter_mut().for_each(|candidate| candidate.free = 0);
-    assert_eq!(choose_affine(99, &candidates, 150), None);
+    assert_eq!(choose_by_affinity(99, &candidates, 150), None);
 }
--- a/crates/core/tests/steps.rs
+++ b/crates/core/tests/steps.rs
@@ -5,11 +5,11 @@
 use switchfold_core::{
     activation::ActivationLog,
     assembly::AnswerAssembly,
-    step::{DropReason, StepDecision, StepGate, StepRefusal, StepView},
+    step::{DropReason, StepDecision, StepGate, StepHeader, StepRefusal},
 };
 
-fn view(attempt: u32, first_position: u32, len: u32, resend: u32) -> StepView {
-    StepView { attempt, layer: 8, first_position, len, resend }
+fn view(attempt: u32, first_position: u32, len: u32, resend: u32) -> StepHeader {
+    StepHeader { attempt, layer: 8, first_position, len, resend }
 }
 
 #[test]
@@ -23,7 +23,7 @@
         ("nothing", view(2, 4, 0, 0), StepDecision::Drop(DropReason::Empty)),
         (
             "wrong layer",
-            StepView { layer: 0, ..view(2, 4, 1, 0) },
+            StepHeader { layer: 0, ..view(2, 4, 1, 0) },
             StepDecision::Refuse(StepRefusal::WrongLayer),
         ),
     ];
@@ -32,7 +32,7 @@
     }
     gate.finish();
     assert_eq!(gate.decide(&view(2, 0, 4, 0)), StepDecision::Drop(DropReason::Repeated));
-    assert_eq!(gate.decide(&view(3, 0, 4, 1)), StepDecision::Repeat);
+    assert_eq!(gate.decide(&view(3, 0, 4, 1)), StepDecision::ResendOutput);
     assert_eq!(gate.decide(&view(3, 2, 4, 1)), StepDecision::Run { skip: 2 });
     assert_eq!(gate.attempt(), 3);
 }
@@ -76,13 +76,13 @@
         for (turn, index) in order.iter().enumerate() {
             delivered.extend_from_slice(assembly.accept(*index, index * 7));
             if turn == 10 {
-                assembly.end(total);
+                assembly.set_total(total);
             }
         }
         let expected: Vec<u32> = (0..delivered.len() as u32).map(|index| index * 7).collect();
         prop_assert_eq!(&delivered, &expected);
         prop_assert_eq!(assembly.delivered(), &expected[..]);
-        if assembly.is_whole() {
+        if assembly.is_complete() {
             prop_assert_eq!(delivered.len() as u32, total);
         }
     }
@@ -97,15 +97,15 @@
             let bytes: Vec<u8> = (0..len * 8).map(|byte| (byte + round) as u8).collect();
             log.push(&inputs, &bytes);
             all.extend_from_slice(&bytes);
-            let last = log.last().expect("something was pushed");
+            let last = log.last_output().expect("something was pushed");
             prop_assert_eq!(&last.bytes, &bytes);
             prop_assert_eq!(last.first_position as usize, all.len() / 8 - len);
         }
-        match log.whole() {
+        match log.full_output() {
             Some(span) => prop_assert_eq!(span.bytes, all),
             None => prop_assert!(all.len() > limit),
         }
-        prop_assert!(log.held() <= limit.max(5 * 8));
+        prop_assert!(log.byte_len() <= limit.max(5 * 8));
     }
 }
 
@@ -114,8 +114,8 @@
     let mut assembly = AnswerAssembly::new(8);
     assert_eq!(assembly.accept(0, 10), [10]);
     assert!(assembly.accept(2, 12).is_empty());
-    assembly.restart();
+    assembly.discard_pending();
     assert_eq!(assembly.accept(1, 11), [11]);
     assert_eq!(assembly.accept(1, 99), [0; 0]);
-    assert_eq!(assembly.counts().repeated, 1);
+    assert_eq!(assembly.counts().duplicates, 1);
 }
--- a/crates/ctl/src/inspect.rs
+++ b/crates/ctl/src/inspect.rs
@@ -11,7 +11,7 @@
         PlacementPlan, PlacementVm, even_split, plan_rate, proportional_split, searched_split,
     },
     route::LayerRange,
-    subset::{rendezvous_subset, ring_subset},
+    subset::{balanced_subset, rendezvous_subset},
 };
 
 /// A deployment, as in a file.
@@ -191,7 +191,7 @@
         .map(|row| PlacementVm {
             name: row.name.clone(),
             layer_rate: row.layer_rate,
-            most_layers: row.most_layers,
+            max_layers: row.most_layers,
         })
         .collect();
     let placed = match way {
@@ -238,7 +238,7 @@
         chosen.into_iter().map(str::to_owned).collect()
     };
     let ring = |entry: usize, members: &[&str]| -> Vec<String> {
-        ring_subset(entry, members, size.links).into_iter().map(str::to_owned).collect()
+        balanced_subset(entry, members, size.links).into_iter().map(str::to_owned).collect()
     };
     let mut text = String::from("way         most/mean  unused agents  links moved\n");
     for (name, result) in
--- a/crates/entry/src/bin/switchfold-entry.rs
+++ b/crates/entry/src/bin/switchfold-entry.rs
@@ -10,7 +10,7 @@
     listen::bind,
     logs,
     settings::load_settings,
-    shutdown::signal_on_request,
+    shutdown::shutdown_on_signal,
 };
 
 /// Entry between callers, operators and agents.
@@ -36,7 +36,7 @@
 async fn run(settings: EntrySettings) -> Result<(), EntryError> {
     let web = bind(&settings.listen).await?;
     let peer = bind(&settings.peer_listen).await?;
-    run_entry(settings, EntrySockets { web, peer }, signal_on_request()).await
+    run_entry(settings, EntrySockets { web, peer }, shutdown_on_signal()).await
 }
 
 #[tokio::main]
--- a/crates/entry/src/claims.rs
+++ b/crates/entry/src/claims.rs
@@ -8,10 +8,10 @@
 use std::{collections::HashMap, time::Duration};
 
 use switchfold_core::{
-    claim::{ClaimHolder, ClaimKey, ClaimSegment, ClaimShard, ClaimWish, ClaimWrite},
+    claim::{ClaimHolder, ClaimKey, ClaimProposal, ClaimSegment, ClaimShard, ClaimWrite},
     config::{CLAIM_KIND, render_object},
     id::RequestId,
-    subset::home_of,
+    subset::rendezvous_owner,
     version::ObjectKey,
 };
 use switchfold_kernel::{clock::epoch_millis, registry::ServiceName};
@@ -51,7 +51,7 @@
 #[derive(Clone, Debug)]
 pub struct MakeClaim {
     /// The claim.
-    pub wish: ClaimWish,
+    pub wish: ClaimProposal,
     /// How long to try.
     pub patience: Duration,
 }
@@ -69,7 +69,7 @@
 
 #[derive(Debug)]
 struct PendingClaim {
-    wish: ClaimWish,
+    wish: ClaimProposal,
     until: Instant,
     answer: oneshot::Sender<ClaimState>,
 }
@@ -132,7 +132,7 @@
     let others = book.others();
     let names = others.iter().map(|peer| peer.name.as_str()).chain([own_name]);
     let shard = format!("claims-{}", claim.wish.key.shard());
-    let home = home_of(&shard, names).unwrap_or(own_name);
+    let home = rendezvous_owner(&shard, names).unwrap_or(own_name);
     let Some(peer) = others.iter().find(|peer| peer.name == home) else {
         return claim_here(claims, claim).await;
     };
@@ -185,7 +185,7 @@
             counter: request.replaces_counter,
         };
         Self {
-            wish: ClaimWish {
+            wish: ClaimProposal {
                 key: ClaimKey::from_halves(request.key_high, request.key_low),
                 request: RequestId { incarnation: request.incarnation, counter: request.counter },
                 entry: request.entry,
@@ -269,7 +269,7 @@
         if !self.loaded {
             self.load().await?;
         }
-        let wishes: Vec<ClaimWish> = group.iter().map(|pending| pending.wish.clone()).collect();
+        let wishes: Vec<ClaimProposal> = group.iter().map(|pending| pending.wish.clone()).collect();
         let Some(write) = self.shard.plan(&wishes, epoch_millis()) else {
             return Ok(());
         };
@@ -277,24 +277,24 @@
     }
 
     async fn write(&mut self, write: ClaimWrite) -> Result<(), StoreError> {
-        let key = self.segment_key(write.number);
+        let key = self.segment_key(write.segment_number);
         let value = render_object(&write.segment);
         let version = self.store.write(&key, write.expected, &value).await?;
-        self.shard.written(write, version);
+        self.shard.apply_write(write, version);
         Ok(())
     }
 
     /// Reads the last known segment again, and those that follow.
     async fn load(&mut self) -> Result<(), StoreError> {
         loop {
-            let key = self.segment_key(self.shard.number());
+            let key = self.segment_key(self.shard.segment_number());
             let stored = self.store.read(&key).await?;
             let segment = match stored.value {
                 None => ClaimSegment::default(),
                 Some(value) => serde_json::from_slice(&value)
                     .map_err(|error| StoreError::Malformed { detail: error.to_string() })?,
             };
-            if !self.shard.read(stored.version, segment) {
+            if !self.shard.apply_segment(stored.version, segment) {
                 self.loaded = true;
                 return Ok(());
             }
--- a/crates/entry/src/dispatch/config.rs
+++ b/crates/entry/src/dispatch/config.rs
@@ -1,7 +1,7 @@
 //! Bounds of the state machine.
 
 use serde::{Deserialize, Serialize};
-use switchfold_core::{Millis, eject::EjectConfig, path::PathPolicy, retry::RetryConfig};
+use switchfold_core::{Millis, ejection::EjectionConfig, path::PathPolicy, retry::RetryConfig};
 
 /// A model that is served.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
@@ -43,7 +43,7 @@
     /// Budget for repeating work.
     pub retry: RetryConfig,
     /// Bounds of ejection.
-    pub eject: EjectConfig,
+    pub eject: EjectionConfig,
     /// Seed of all choices.
     pub seed: u64,
 }
@@ -65,7 +65,7 @@
             strand: 10_000,
             outcomes: 50_000,
             retry: RetryConfig::default(),
-            eject: EjectConfig::default(),
+            eject: EjectionConfig::default(),
             seed: incarnation,
         }
     }
--- a/crates/entry/src/dispatch/counts.rs
+++ b/crates/entry/src/dispatch/counts.rs
@@ -47,7 +47,7 @@
     }
 
     pub(super) fn note_assembly(&mut self, counts: AssemblyCounts) {
-        self.repeated_tokens += counts.repeated;
+        self.repeated_tokens += counts.duplicates;
         self.late_tokens += counts.past_end;
     }
 }
--- a/crates/entry/src/dispatch/loss.rs
+++ b/crates/entry/src/dispatch/loss.rs
@@ -115,7 +115,7 @@
     }
 
     fn call_lost(&mut self, now: Millis, id: RequestId) -> Vec<DispatchAction> {
-        if self.budget.spend() {
+        if self.budget.try_spend() {
             return self.requeue(now, id);
         }
         self.end(now, id, Outcome::Unknown(UnknownReason::RetryBudget), false)
--- a/crates/entry/src/dispatch/mod.rs
+++ b/crates/entry/src/dispatch/mod.rs
@@ -152,9 +152,9 @@
         self.counts.submitted += 1;
         let id = submission.id;
         let target = self.targets.entry(submission.target.clone()).or_default();
-        target.rate.roll(now);
+        target.rate.advance(now);
         let ahead = target.queue.ahead_of(submission.priority);
-        let wait = if ahead == 0 { None } else { target.rate.wait_for(ahead) };
+        let wait = if ahead == 0 { None } else { target.rate.estimated_wait(ahead) };
         if let Some(wait) = wait
             && now + wait > submission.deadline
         {
@@ -209,8 +209,8 @@
     fn expire(&mut self, now: Millis) -> Vec<DispatchAction> {
         let mut late = Vec::new();
         for state in self.targets.values_mut() {
-            state.rate.roll(now);
-            let wait = state.rate.wait_for(state.queue.len()).unwrap_or(0);
+            state.rate.advance(now);
+            let wait = state.rate.estimated_wait(state.queue.len()).unwrap_or(0);
             late.extend(state.queue.expire(now).into_iter().map(|entry| (entry.id, wait)));
         }
         let ends = late.into_iter();
@@ -279,7 +279,7 @@
         self.counts.note_assembly(request.assembly.counts());
         self.record.put(id, outcome);
         if outcome == Outcome::Done {
-            self.budget.earn();
+            self.budget.record_success();
         }
         let event = match outcome {
             Outcome::NotRun(reason) => {
--- a/crates/entry/src/dispatch/progress.rs
+++ b/crates/entry/src/dispatch/progress.rs
@@ -100,9 +100,9 @@
         let is_first = request.assembly.delivered().is_empty();
         let tokens = request.assembly.accept(token.index, token.token).to_vec();
         if token.last {
-            request.assembly.end(token.index + 1);
+            request.assembly.set_total(token.index + 1);
         }
-        let is_whole = request.assembly.is_whole();
+        let is_whole = request.assembly.is_complete();
         let mut actions = Vec::new();
         if !tokens.is_empty() {
             let gap = now.saturating_sub(request.last_progress);
@@ -220,7 +220,7 @@
 
     /// A call's service could not be reached: it did not run, and may go elsewhere.
     fn call_unreached(&mut self, now: Millis, id: RequestId) -> Vec<DispatchAction> {
-        if self.budget.spend() {
+        if self.budget.try_spend() {
             return self.requeue(now, id);
         }
         self.end_not_run(now, id, NotRunReason::ServiceUnreachable, self.config.stall)
@@ -232,7 +232,7 @@
         if once {
             return self.end(now, id, Outcome::Unknown(UnknownReason::ServiceFailed), false);
         }
-        if self.budget.spend() {
+        if self.budget.try_spend() {
             return self.requeue(now, id);
         }
         self.end(now, id, Outcome::Unknown(UnknownReason::RetryBudget), false)
@@ -262,7 +262,7 @@
 
     fn note_failure(&mut self, process: &str) {
         if let Some(view) = self.replicas.get_mut(process) {
-            view.health.note_failure();
+            view.health.record_failure();
         }
     }
 
@@ -272,7 +272,7 @@
         };
         for process in run.processes.clone() {
             if let Some(view) = self.replicas.get_mut(&process) {
-                view.health.note_success(now);
+                view.health.record_success(now);
             }
         }
     }
--- a/crates/entry/src/dispatch/pump.rs
+++ b/crates/entry/src/dispatch/pump.rs
@@ -7,7 +7,7 @@
     flow::{FlowReplica, flow_bound},
     id::RequestId,
     path::{PathCandidate, choose_replica},
-    route::{PipelineRoute, StagePlace},
+    route::{PipelineRoute, RouteStage},
 };
 use switchfold_proto::link::{self, message::Body};
 
@@ -48,7 +48,7 @@
             let Some(entry) = state.queue.pop() else {
                 break;
             };
-            state.rate.note(now, 1);
+            state.rate.record(now, 1);
             actions.extend(self.dispatch(now, entry.id, path));
         }
         actions
@@ -84,11 +84,11 @@
             let process = self.choose_among(now, target, at_cursor)?;
             let replica = &self.replicas[&process];
             let range = replica.layers()?;
-            places.push(StagePlace {
+            places.push(RouteStage {
                 address: replica.address.clone(),
                 process,
                 layers: range,
-                joined,
+                joined_attempt: joined,
             });
             cursor = range.end();
         }
@@ -140,7 +140,7 @@
         let all: Vec<(&String, &ReplicaView)> =
             self.replicas.iter().filter(|(_, view)| usable(view)).collect();
         let healthy: Vec<(&String, &ReplicaView)> =
-            all.iter().copied().filter(|(_, view)| !view.health.is_out(now)).collect();
+            all.iter().copied().filter(|(_, view)| !view.health.is_ejected(now)).collect();
         let chosen = if healthy.is_empty() { all } else { healthy };
         let candidates: Vec<PathCandidate> = chosen
             .iter()
@@ -208,7 +208,7 @@
         let path = self.choose_path(now, &target)?;
         self.counts.restarts += 1;
         if let Some(request) = self.requests.get_mut(&id) {
-            request.assembly.restart();
+            request.assembly.discard_pending();
         }
         Some(self.dispatch(now, id, path))
     }
@@ -218,7 +218,7 @@
         &mut self,
         now: Millis,
         target: &str,
-        place: &StagePlace,
+        place: &RouteStage,
         not: &[String],
     ) -> Option<String> {
         let used: BTreeSet<String> =
@@ -270,7 +270,7 @@
 fn join_all(pipeline: &mut PipelineRoute, attempt: u32) {
     for position in 0..pipeline.stages().len() {
         let mut place = pipeline.stages()[position].clone();
-        place.joined = attempt;
+        place.joined_attempt = attempt;
         // The place is the stage's own, so it fits.
         let _fits = pipeline.replace(position, place);
     }
--- a/crates/entry/src/dispatch/recovery.rs
+++ b/crates/entry/src/dispatch/recovery.rs
@@ -12,9 +12,9 @@
 
 use switchfold_core::{
     Millis,
-    eject::{ReplicaHealth, judge_group},
+    ejection::{ReplicaHealth, eject_outliers},
     id::RequestId,
-    route::StagePlace,
+    route::RouteStage,
 };
 use switchfold_proto::link::{self, message::Body};
 
@@ -124,11 +124,11 @@
             };
             view.take_credit(now);
             let layers = pipeline.stages()[*stage].layers;
-            let place = StagePlace {
+            let place = RouteStage {
                 address: view.address.clone(),
                 process: process.clone(),
                 layers,
-                joined: attempt,
+                joined_attempt: attempt,
             };
             // It was chosen for having these layers.
             let _fits = pipeline.replace(*stage, place);
@@ -183,7 +183,7 @@
         };
         if let Some(pipeline) = &mut run.pipeline {
             let mut place = pipeline.stages()[stage].clone();
-            place.joined = attempt;
+            place.joined_attempt = attempt;
             // The place is the stage's own, so it fits.
             let _fits = pipeline.replace(stage, place);
         }
@@ -209,7 +209,7 @@
         &mut self,
         now: Millis,
         id: RequestId,
-        place: &StagePlace,
+        place: &RouteStage,
     ) -> Vec<DispatchAction> {
         let holds = |view: &&ReplicaView| {
             view.connected && !view.draining && view.layers() == Some(place.layers)
@@ -236,7 +236,7 @@
         if !self.has_free_path(&target, layers) {
             return Vec::new();
         }
-        if !self.budget.spend() {
+        if !self.budget.try_spend() {
             return self.end(now, id, Outcome::Unknown(UnknownReason::RetryBudget), true);
         }
         let mut actions = match self.requests.remove(&id) {
@@ -294,7 +294,7 @@
             groups.entry(group).or_default().push(&mut view.health);
         }
         for group in groups.values_mut() {
-            let ejected = judge_group(group, &self.config.eject, now);
+            let ejected = eject_outliers(group, &self.config.eject, now);
             self.counts.ejections += ejected.len() as u64;
         }
     }
--- a/crates/entry/src/dispatch/replica.rs
+++ b/crates/entry/src/dispatch/replica.rs
@@ -1,6 +1,6 @@
 //! What an entry knows of each replica.
 
-use switchfold_core::{Millis, eject::ReplicaHealth, route::LayerRange};
+use switchfold_core::{Millis, ejection::ReplicaHealth, route::LayerRange};
 use switchfold_proto::link;
 
 /// What a replica serves.
--- a/crates/entry/src/dispatch/submission.rs
+++ b/crates/entry/src/dispatch/submission.rs
@@ -78,7 +78,7 @@
             organisation: Arc::clone(&self.organisation),
             priority: self.priority,
             deadline: self.deadline,
-            queued,
+            queued_at: queued,
             cost: self.cost(),
             weight: self.weight,
         }
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -4,7 +4,7 @@
 
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
-use switchfold_core::id::run_incarnation;
+use switchfold_core::id::process_incarnation;
 use switchfold_kernel::{
     clock::{epoch_micros, epoch_millis},
     http::{HttpLimits, serve},
@@ -137,7 +137,7 @@
         work: work.clone(),
         in_touch,
     };
-    let limits = HttpLimits { connections: settings.connections, ..HttpLimits::default() };
+    let limits = HttpLimits { max_connections: settings.connections, ..HttpLimits::default() };
     let handler = move |request| context.clone().answer(request);
     let web = tokio::spawn(serve(sockets.web, limits, shutdown.clone(), handler));
 
@@ -169,7 +169,7 @@
     settings: &EntrySettings,
     metrics: Arc<EntryMetrics>,
 ) -> Address<DispatchService> {
-    let incarnation = run_incarnation(&settings.name, epoch_millis());
+    let incarnation = process_incarnation(&settings.name, epoch_millis());
     let mut config = DispatchConfig::new(&settings.name, incarnation, settings.models.clone());
     config.policy = settings.policy;
     config.stall = settings.stall_ms;
--- a/crates/entry/src/service.rs
+++ b/crates/entry/src/service.rs
@@ -8,7 +8,7 @@
     sync::Arc,
 };
 
-use switchfold_core::{hash::hash_bytes, id::RequestId, subset::ring_subset};
+use switchfold_core::{hash::hash_bytes, id::RequestId, subset::balanced_subset};
 use switchfold_kernel::{clock::now_millis, registry::ServiceName, shutdown::WorkGuard};
 use switchfold_link::LinkSender;
 use switchfold_proto::link::{self, Frame, message::Body};
@@ -260,7 +260,7 @@
             endpoints.map(|vm| (vm.name.clone(), vm.address.clone())).collect();
         if self.agent_links > 0 && agents.len() > self.agent_links {
             let names: Vec<&str> = agents.keys().map(String::as_str).collect();
-            let chosen = ring_subset(self.place_among_entries(), &names, self.agent_links);
+            let chosen = balanced_subset(self.place_among_entries(), &names, self.agent_links);
             let chosen: BTreeSet<String> = chosen.into_iter().map(str::to_owned).collect();
             agents.retain(|name, _| chosen.contains(name));
         }
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 use switchfold_core::path::PathPolicy;
-use switchfold_kernel::settings::{CheckedSettings, FieldKind, FieldRule, SettingsFault};
+use switchfold_kernel::settings::{CheckedSettings, FieldError, FieldKind, FieldRule};
 
 use crate::dispatch::ModelConfig;
 
@@ -92,7 +92,7 @@
     FieldRule { name: "name", kind: FieldKind::Text, required: true, help: "name of the model" },
     FieldRule {
         name: "layers",
-        kind: FieldKind::Number(1, 10_000),
+        kind: FieldKind::Integer(1, 10_000),
         required: true,
         help: "its layers",
     },
@@ -118,21 +118,31 @@
         rule!("peers", FieldKind::Addresses, false, "entries to ask at the start"),
         rule!("models", FieldKind::Objects(MODEL_RULES), true, "models that are served"),
         rule!("operator_token_sha256", FieldKind::Text, true, "64 hexadecimal digits"),
-        rule!("policy", FieldKind::Word(POLICY_WORDS), false, "how paths are chosen"),
-        rule!("agent_links", FieldKind::Number(0, 10_000), false, "agents to link with, 0 for all"),
-        rule!("body_bytes", FieldKind::Number(1_024, 64 << 20), false, "largest body"),
-        rule!("max_tokens", FieldKind::Number(1, 1_000_000), false, "most tokens of an answer"),
-        rule!("connections", FieldKind::Number(1, 1_000_000), false, "connections of callers"),
-        rule!("stall_ms", FieldKind::Number(50, 600_000), false, "milliseconds without progress"),
-        rule!("silence_ms", FieldKind::Number(50, 600_000), false, "milliseconds without an offer"),
-        rule!("cut_off_ms", FieldKind::Number(100, 600_000), false, "milliseconds out of touch"),
+        rule!("policy", FieldKind::OneOf(POLICY_WORDS), false, "how paths are chosen"),
+        rule!(
+            "agent_links",
+            FieldKind::Integer(0, 10_000),
+            false,
+            "agents to link with, 0 for all"
+        ),
+        rule!("body_bytes", FieldKind::Integer(1_024, 64 << 20), false, "largest body"),
+        rule!("max_tokens", FieldKind::Integer(1, 1_000_000), false, "most tokens of an answer"),
+        rule!("connections", FieldKind::Integer(1, 1_000_000), false, "connections of callers"),
+        rule!("stall_ms", FieldKind::Integer(50, 600_000), false, "milliseconds without progress"),
+        rule!(
+            "silence_ms",
+            FieldKind::Integer(50, 600_000),
+            false,
+            "milliseconds without an offer"
+        ),
+        rule!("cut_off_ms", FieldKind::Integer(100, 600_000), false, "milliseconds out of touch"),
     ];
 
-    fn cross_check(&self) -> Vec<SettingsFault> {
+    fn cross_check(&self) -> Vec<FieldError> {
         let mut faults = Vec::new();
         let hash = &self.operator_token_sha256;
         if hash.len() != HASH_DIGITS || !hash.bytes().all(|byte| byte.is_ascii_hexdigit()) {
-            faults.push(SettingsFault {
+            faults.push(FieldError {
                 path: "operator_token_sha256".to_owned(),
                 problem: format!("found {} characters", hash.len()),
                 expected: format!("{HASH_DIGITS} hexadecimal digits"),
@@ -140,7 +150,7 @@
         }
         for (index, model) in self.models.iter().enumerate() {
             if self.models[..index].iter().any(|earlier| earlier.name == model.name) {
-                faults.push(SettingsFault {
+                faults.push(FieldError {
                     path: format!("models[{index}].name"),
                     problem: format!("{:?} is there twice", model.name),
                     expected: "a name of its own".to_owned(),
--- a/crates/entry/src/web/access.rs
+++ b/crates/entry/src/web/access.rs
@@ -6,7 +6,7 @@
 use sha2::{Digest, Sha256};
 use subtle::ConstantTimeEq;
 use switchfold_core::config::{ClassConfig, EventConfig, EventState, OrganisationConfig};
-use switchfold_kernel::http::{Answer, set_header};
+use switchfold_kernel::http::{HttpResponse, set_header};
 
 use super::{WebContext, answer::refusal};
 use crate::config::ConfigView;
@@ -39,7 +39,10 @@
 }
 
 /// Checks the operators' token.
-pub(super) fn check_operator(context: &WebContext, headers: &HeaderMap) -> Result<(), Box<Answer>> {
+pub(super) fn check_operator(
+    context: &WebContext,
+    headers: &HeaderMap,
+) -> Result<(), Box<HttpResponse>> {
     let hash = token_hash(bearer(headers).unwrap_or_default());
     let expected = context.settings.operator_token_sha256.to_ascii_lowercase();
     if bool::from(hash.as_bytes().ct_eq(expected.as_bytes())) {
@@ -53,7 +56,7 @@
 pub(super) fn organisation(
     context: &WebContext,
     headers: &HeaderMap,
-) -> Result<OrganisationConfig, Box<Answer>> {
+) -> Result<OrganisationConfig, Box<HttpResponse>> {
     let view: Arc<ConfigView> = context.view.borrow().clone();
     let hash = token_hash(bearer(headers).unwrap_or_default());
     // The lookup is by the hash, which tells nothing of a token that is nearly right; the comparison
@@ -73,7 +76,7 @@
     context: &WebContext,
     headers: &HeaderMap,
     target: &str,
-) -> Result<CallerAccess, Box<Answer>> {
+) -> Result<CallerAccess, Box<HttpResponse>> {
     if context.shutdown.is_raised() {
         let mut answer =
             refusal(StatusCode::SERVICE_UNAVAILABLE, "stopping", "this entry is stopping");
@@ -102,7 +105,7 @@
     Ok(CallerAccess { organisation, class })
 }
 
-fn find_event(view: &ConfigView, headers: &HeaderMap) -> Result<EventConfig, Box<Answer>> {
+fn find_event(view: &ConfigView, headers: &HeaderMap) -> Result<EventConfig, Box<HttpResponse>> {
     let Some(name) = header_text(headers, EVENT) else {
         let message = "the Switchfold-Event header is missing; expected the name of an event";
         return Err(Box::new(refusal(StatusCode::BAD_REQUEST, "missing-event", message)));
@@ -114,7 +117,7 @@
 }
 
 /// Without a header, the class with the lowest priority.
-fn find_class(event: &EventConfig, headers: &HeaderMap) -> Result<ClassConfig, Box<Answer>> {
+fn find_class(event: &EventConfig, headers: &HeaderMap) -> Result<ClassConfig, Box<HttpResponse>> {
     let names: Vec<&str> = event.classes.iter().map(|class| class.name.as_str()).collect();
     let found = match header_text(headers, CLASS) {
         Some(name) => event.class(name),
--- a/crates/entry/src/web/answer.rs
+++ b/crates/entry/src/web/answer.rs
@@ -3,7 +3,7 @@
 use http::StatusCode;
 use serde::Serialize;
 use switchfold_core::{Millis, id::RequestId};
-use switchfold_kernel::http::{Answer, json, set_header};
+use switchfold_kernel::http::{HttpResponse, json_response, set_header};
 
 use crate::dispatch::submission::{NotRunReason, Outcome, UnknownReason};
 
@@ -28,16 +28,16 @@
 }
 
 /// Refuses something that never became a request: it did not run.
-pub(super) fn refusal(status: StatusCode, reason: &str, message: &str) -> Answer {
+pub(super) fn refusal(status: StatusCode, reason: &str, message: &str) -> HttpResponse {
     let detail = ErrorDetail { outcome: "not-run", reason, message, request: None };
-    let mut answer = json(status, &ErrorBody { error: detail });
+    let mut answer = json_response(status, &ErrorBody { error: detail });
     set_header(&mut answer, OUTCOME, "not-run");
     set_header(&mut answer, REASON, reason);
     answer
 }
 
 /// States that a request did not run.
-pub(super) fn not_run(id: RequestId, reason: NotRunReason, retry_after: Millis) -> Answer {
+pub(super) fn not_run(id: RequestId, reason: NotRunReason, retry_after: Millis) -> HttpResponse {
     let status = match reason {
         NotRunReason::RateLimit => StatusCode::TOO_MANY_REQUESTS,
         NotRunReason::AlreadyClaimed => StatusCode::CONFLICT,
@@ -51,7 +51,7 @@
 }
 
 /// States that a request may have run.
-pub(super) fn unknown(id: RequestId, reason: UnknownReason) -> Answer {
+pub(super) fn unknown(id: RequestId, reason: UnknownReason) -> HttpResponse {
     let status = match reason {
         UnknownReason::AlreadyClaimed => StatusCode::CONFLICT,
         _ => StatusCode::BAD_GATEWAY,
@@ -70,7 +70,7 @@
     id: RequestId,
     outcome: Outcome,
     message: &str,
-) -> Answer {
+) -> HttpResponse {
     let reason = outcome.reason();
     let detail = ErrorDetail {
         outcome: outcome.word(),
@@ -78,13 +78,13 @@
         message,
         request: Some(id.to_string()),
     };
-    let mut answer = json(status, &ErrorBody { error: detail });
+    let mut answer = json_response(status, &ErrorBody { error: detail });
     state(&mut answer, id, outcome);
     answer
 }
 
 /// Adds the outcome's headers.
-pub(super) fn state(answer: &mut Answer, id: RequestId, outcome: Outcome) {
+pub(super) fn state(answer: &mut HttpResponse, id: RequestId, outcome: Outcome) {
     set_header(answer, REQUEST, &id.to_string());
     set_header(answer, OUTCOME, outcome.word());
     let reason = outcome.reason();
--- a/crates/entry/src/web/calls.rs
+++ b/crates/entry/src/web/calls.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use http::{HeaderName, HeaderValue, Request, StatusCode};
 use hyper::body::Incoming;
-use switchfold_kernel::http::{Answer, BodyError, read_body, whole};
+use switchfold_kernel::http::{BodyError, HttpResponse, full_response, read_body};
 use switchfold_proto::link::Header;
 
 use super::{
@@ -27,7 +27,7 @@
     "content-length",
 ];
 
-pub(super) async fn answer(context: &WebContext, request: Request<Incoming>) -> Answer {
+pub(super) async fn answer(context: &WebContext, request: Request<Incoming>) -> HttpResponse {
     let (parts, body) = request.into_parts();
     let rest = parts.uri.path().trim_start_matches("/v1/services/");
     let (service, path) = rest.split_once('/').unwrap_or((rest, ""));
@@ -69,7 +69,7 @@
     }
 }
 
-async fn finish(mut caller: CallerRequest) -> Answer {
+async fn finish(mut caller: CallerRequest) -> HttpResponse {
     let id = caller.id;
     let mut result = None;
     while let Some(event) = caller.events.recv().await {
@@ -80,7 +80,8 @@
             CallerEvent::Tokens(_) => {}
             CallerEvent::Done { .. } => {
                 caller.finished();
-                let mut answer = result.unwrap_or_else(|| whole(StatusCode::OK, "text/plain", ""));
+                let mut answer =
+                    result.unwrap_or_else(|| full_response(StatusCode::OK, "text/plain", ""));
                 answer::state(&mut answer, id, Outcome::Done);
                 return answer;
             }
@@ -90,10 +91,10 @@
     answer::unknown(id, UnknownReason::EntryStopped)
 }
 
-fn service_answer(status: u32, headers: Vec<Header>, body: Bytes) -> Answer {
+fn service_answer(status: u32, headers: Vec<Header>, body: Bytes) -> HttpResponse {
     let status = u16::try_from(status).ok().and_then(|status| StatusCode::from_u16(status).ok());
     let mut answer =
-        whole(status.unwrap_or(StatusCode::BAD_GATEWAY), "application/octet-stream", body);
+        full_response(status.unwrap_or(StatusCode::BAD_GATEWAY), "application/octet-stream", body);
     for header in headers {
         let name = HeaderName::from_bytes(header.name.as_bytes());
         let value = HeaderValue::from_str(&header.value);
--- a/crates/entry/src/web/completions.rs
+++ b/crates/entry/src/web/completions.rs
@@ -10,7 +10,7 @@
 use switchfold_core::id::RequestId;
 use switchfold_kernel::{
     clock::now_millis,
-    http::{Answer, BodyError, json, read_body},
+    http::{BodyError, HttpResponse, json_response, read_body},
 };
 use tokio::sync::mpsc;
 
@@ -117,7 +117,7 @@
     }
 }
 
-pub(super) async fn answer(context: &WebContext, request: Request<Incoming>) -> Answer {
+pub(super) async fn answer(context: &WebContext, request: Request<Incoming>) -> HttpResponse {
     let (parts, body) = request.into_parts();
     let completion = match read_completion(context, body).await {
         Ok(completion) => completion,
@@ -147,7 +147,7 @@
 async fn read_completion(
     context: &WebContext,
     body: Incoming,
-) -> Result<CompletionRequest, Box<Answer>> {
+) -> Result<CompletionRequest, Box<HttpResponse>> {
     let refuse = |status, reason, message: &str| Box::new(answer::refusal(status, reason, message));
     let body = read_body(body, context.settings.body_bytes).await.map_err(|error| match error {
         BodyError::TooLarge { .. } => {
@@ -182,7 +182,7 @@
     access: &CallerAccess,
     target: &str,
     work: Work,
-) -> Result<CallerRequest, Box<Answer>> {
+) -> Result<CallerRequest, Box<HttpResponse>> {
     let key = keyed::key_of(headers)?;
     let stopping =
         || Box::new(answer::refusal(StatusCode::SERVICE_UNAVAILABLE, "stopping", "stopping"));
@@ -216,7 +216,7 @@
     Ok(CallerRequest { id, events, guard })
 }
 
-async fn whole_answer(mut caller: CallerRequest, model: &str) -> Answer {
+async fn whole_answer(mut caller: CallerRequest, model: &str) -> HttpResponse {
     let id = caller.id;
     let mut tokens = Vec::new();
     while let Some(event) = caller.events.recv().await {
@@ -226,7 +226,7 @@
                 caller.finished();
                 let text = id.to_string();
                 let body = completion_answer(&text, model, &tokens, Some("length"));
-                let mut answer = json(StatusCode::OK, &body);
+                let mut answer = json_response(StatusCode::OK, &body);
                 answer::state(&mut answer, id, Outcome::Done);
                 return answer;
             }
@@ -237,7 +237,7 @@
 }
 
 /// Answer to a request that gave no result.
-pub(super) fn ended(mut caller: CallerRequest, event: CallerEvent) -> Answer {
+pub(super) fn ended(mut caller: CallerRequest, event: CallerEvent) -> HttpResponse {
     caller.finished();
     match event {
         CallerEvent::NotRun { reason, retry_after } => {
@@ -260,7 +260,7 @@
 }
 
 /// Waits for the first event, so that a request that did not run gets a status of its own.
-async fn streamed(mut caller: CallerRequest, model: String) -> Answer {
+async fn streamed(mut caller: CallerRequest, model: String) -> HttpResponse {
     let id = caller.id;
     let first = match caller.events.recv().await {
         Some(CallerEvent::Tokens(tokens)) => tokens,
--- a/crates/entry/src/web/keyed.rs
+++ b/crates/entry/src/web/keyed.rs
@@ -4,10 +4,10 @@
 
 use http::{HeaderMap, StatusCode};
 use switchfold_core::{
-    claim::{ClaimHolder, ClaimKey, ClaimWish},
+    claim::{ClaimHolder, ClaimKey, ClaimProposal},
     id::RequestId,
 };
-use switchfold_kernel::http::{Answer, set_header};
+use switchfold_kernel::http::{HttpResponse, set_header};
 use switchfold_proto::peer::OutcomeRequest;
 
 use super::{WebContext, answer};
@@ -34,7 +34,7 @@
 }
 
 /// The caller's key, where there is one.
-pub(super) fn key_of(headers: &HeaderMap) -> Result<Option<&str>, Box<Answer>> {
+pub(super) fn key_of(headers: &HeaderMap) -> Result<Option<&str>, Box<HttpResponse>> {
     let Some(value) = headers.get(KEY) else {
         return Ok(None);
     };
@@ -52,8 +52,8 @@
     key: &str,
     id: RequestId,
     patience: Duration,
-) -> Result<(), Box<Answer>> {
-    let mut wish = ClaimWish {
+) -> Result<(), Box<HttpResponse>> {
+    let mut wish = ClaimProposal {
         key: ClaimKey::new(organisation, key),
         request: id,
         entry: context.settings.name.clone(),
@@ -82,7 +82,7 @@
 
 /// The claim may yet be made, by a write whose answer was lost: that its request did not run must be
 /// remembered, or the key would never be free again.
-async fn unavailable(context: &WebContext, id: RequestId) -> Box<Answer> {
+async fn unavailable(context: &WebContext, id: RequestId) -> Box<HttpResponse> {
     let reason = NotRunReason::ClaimUnavailable;
     let _dispatch_may_have_stopped =
         context.dispatch.send(NoteNotRun { request: id, reason }).await;
@@ -90,7 +90,11 @@
 }
 
 /// The request itself did not run, but the one that holds its key may have: the answer is about that.
-fn held_answer(id: RequestId, holder: &ClaimHolder, outcome: Option<&HolderOutcome>) -> Answer {
+fn held_answer(
+    id: RequestId,
+    holder: &ClaimHolder,
+    outcome: Option<&HolderOutcome>,
+) -> HttpResponse {
     let is_done = outcome.is_some_and(|outcome| outcome.word == "done");
     let outcome =
         if is_done { Outcome::Done } else { Outcome::Unknown(UnknownReason::AlreadyClaimed) };
--- a/crates/entry/src/web/limits.rs
+++ b/crates/entry/src/web/limits.rs
@@ -38,9 +38,9 @@
         }
         let bucket =
             buckets.entry(organisation.name.clone()).or_insert_with(|| RateBucket::new(share, now));
-        if bucket.take(share, now) {
+        if bucket.try_take(share, now) {
             return Ok(());
         }
-        Err(bucket.wait(share))
+        Err(bucket.time_to_next(share))
     }
 }
--- a/crates/entry/src/web/mod.rs
+++ b/crates/entry/src/web/mod.rs
@@ -28,7 +28,7 @@
 use switchfold_core::Millis;
 use switchfold_kernel::{
     clock::now_millis,
-    http::{Answer, ConnectionDropped, whole},
+    http::{ConnectionDropped, HttpResponse, full_response},
     shutdown::ShutdownSignal,
 };
 use tokio::sync::watch;
@@ -78,10 +78,13 @@
     /// # Errors
     ///
     /// Never; the type is that of the server's handlers.
-    pub async fn answer(self, request: Request<Incoming>) -> Result<Answer, ConnectionDropped> {
+    pub async fn answer(
+        self,
+        request: Request<Incoming>,
+    ) -> Result<HttpResponse, ConnectionDropped> {
         let path = request.uri().path();
         Ok(match (request.method(), path) {
-            (_, "/healthz") => whole(StatusCode::OK, "text/plain", "ok\n"),
+            (_, "/healthz") => full_response(StatusCode::OK, "text/plain", "ok\n"),
             (_, "/readyz") => self.readiness(),
             (&Method::GET, "/metrics") => self.metrics_text(),
             (&Method::POST, "/v1/completions") => completions::answer(&self, request).await,
@@ -99,29 +102,35 @@
     }
 
     /// Ready: not stopping, and not cut off from the store and all peers.
-    fn readiness(&self) -> Answer {
+    fn readiness(&self) -> HttpResponse {
         if self.shutdown.is_raised() {
-            return whole(StatusCode::SERVICE_UNAVAILABLE, "text/plain", "stopping\n");
+            return full_response(StatusCode::SERVICE_UNAVAILABLE, "text/plain", "stopping\n");
         }
         let heard = *self.in_touch.borrow();
         if heard == 0 {
-            return whole(StatusCode::SERVICE_UNAVAILABLE, "text/plain", "no configuration yet\n");
+            return full_response(
+                StatusCode::SERVICE_UNAVAILABLE,
+                "text/plain",
+                "no configuration yet\n",
+            );
         }
         let silent = now_millis().saturating_sub(heard);
         if silent > self.settings.cut_off_ms {
-            return whole(
+            return full_response(
                 StatusCode::SERVICE_UNAVAILABLE,
                 "text/plain",
                 "cut off from the store and all peers\n",
             );
         }
-        whole(StatusCode::OK, "text/plain", "ready\n")
+        full_response(StatusCode::OK, "text/plain", "ready\n")
     }
 
-    fn metrics_text(&self) -> Answer {
+    fn metrics_text(&self) -> HttpResponse {
         match self.metrics.render() {
-            Ok(text) => whole(StatusCode::OK, "text/plain; version=0.0.4", text),
-            Err(error) => whole(StatusCode::INTERNAL_SERVER_ERROR, "text/plain", error.to_string()),
+            Ok(text) => full_response(StatusCode::OK, "text/plain; version=0.0.4", text),
+            Err(error) => {
+                full_response(StatusCode::INTERNAL_SERVER_ERROR, "text/plain", error.to_string())
+            }
         }
     }
 }
--- a/crates/entry/src/web/operator.rs
+++ b/crates/entry/src/web/operator.rs
@@ -3,7 +3,7 @@
 use http::{Request, StatusCode};
 use hyper::body::Incoming;
 use serde::Serialize;
-use switchfold_kernel::http::{Answer, json, read_body};
+use switchfold_kernel::http::{HttpResponse, json_response, read_body};
 use switchfold_lang::MOST_TEXT;
 
 use super::{WebContext, access, answer};
@@ -29,7 +29,7 @@
     column: Option<usize>,
 }
 
-pub(super) async fn answer(context: &WebContext, request: Request<Incoming>) -> Answer {
+pub(super) async fn answer(context: &WebContext, request: Request<Incoming>) -> HttpResponse {
     if let Err(refused) = access::check_operator(context, request.headers()) {
         return *refused;
     }
@@ -52,7 +52,7 @@
         }
     };
     match run_statement(&context.commands, &text, &command).await {
-        Ok(answer) => json(StatusCode::OK, &answer),
+        Ok(answer) => json_response(StatusCode::OK, &answer),
         Err(error) => refused(&error),
     }
 }
@@ -61,7 +61,7 @@
     byte.is_ascii_alphanumeric() || byte == b'-'
 }
 
-fn refused(error: &CommandError) -> Answer {
+fn refused(error: &CommandError) -> HttpResponse {
     let (status, reason) = match error {
         CommandError::NotUnderstood { .. } => (StatusCode::BAD_REQUEST, "not-understood"),
         CommandError::Missing { .. } => (StatusCode::NOT_FOUND, "missing"),
@@ -82,5 +82,5 @@
         body.line = Some(source.line);
         body.column = Some(source.column);
     }
-    json(status, &body)
+    json_response(status, &body)
 }
--- a/crates/entry/src/web/outcomes.rs
+++ b/crates/entry/src/web/outcomes.rs
@@ -3,7 +3,7 @@
 use http::{Request, StatusCode};
 use hyper::body::Incoming;
 use switchfold_core::id::RequestId;
-use switchfold_kernel::http::Answer;
+use switchfold_kernel::http::HttpResponse;
 use switchfold_proto::peer::OutcomeRequest;
 
 use super::{WebContext, access, answer};
@@ -12,7 +12,7 @@
     service::ReadOutcome,
 };
 
-pub(super) async fn answer(context: &WebContext, request: &Request<Incoming>) -> Answer {
+pub(super) async fn answer(context: &WebContext, request: &Request<Incoming>) -> HttpResponse {
     if let Err(refused) = access::organisation(context, request.headers()) {
         return *refused;
     }
@@ -29,7 +29,7 @@
     }
 }
 
-fn render(id: RequestId, outcome: Outcome) -> Answer {
+fn render(id: RequestId, outcome: Outcome) -> HttpResponse {
     let (status, message) = match outcome {
         Outcome::Running => (StatusCode::ACCEPTED, "it waits or runs"),
         Outcome::Done => (StatusCode::OK, "it ran whole"),
@@ -40,7 +40,7 @@
 }
 
 /// Another entry may have issued it; where none knows it, nothing can be said of it.
-async fn ask_others(context: &WebContext, id: RequestId) -> Answer {
+async fn ask_others(context: &WebContext, id: RequestId) -> HttpResponse {
     for peer in context.book.others() {
         let Some(mut client) = context.book.client(&peer.address).await else {
             continue;
--- a/crates/kernel/src/http.rs
+++ b/crates/kernel/src/http.rs
@@ -18,37 +18,37 @@
 use tokio::{
     net::{TcpListener, TcpStream},
     sync::Semaphore,
-    time::timeout,
+    time,
 };
 
 use crate::shutdown::ShutdownSignal;
 
 /// Body of every response.
-pub type AnswerBody = BoxBody<Bytes, Infallible>;
+pub type ResponseBody = BoxBody<Bytes, Infallible>;
 
 /// A response with a whole or streamed body.
-pub type Answer = Response<AnswerBody>;
+pub type HttpResponse = Response<ResponseBody>;
 
 /// What a server allows.
 #[derive(Clone, Copy, Debug)]
 pub struct HttpLimits {
     /// Connections at once; more wait in the listen queue.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Bytes of a request's line and headers.
-    pub header_bytes: usize,
+    pub max_header_bytes: usize,
     /// Headers of a request.
-    pub headers: usize,
+    pub max_headers: usize,
     /// Time for headers to arrive, and for a kept connection to stay idle.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
 }
 
 impl Default for HttpLimits {
     fn default() -> Self {
         Self {
-            connections: 10_000,
-            header_bytes: 16 * 1_024,
-            headers: 64,
-            idle: Duration::from_secs(60),
+            max_connections: 10_000,
+            max_header_bytes: 16 * 1_024,
+            max_headers: 64,
+            idle_timeout: Duration::from_secs(60),
         }
     }
 }
@@ -77,9 +77,9 @@
     handler: F,
 ) where
     F: Fn(Request<Incoming>) -> R + Clone + Send + Sync + 'static,
-    R: Future<Output = Result<Answer, ConnectionDropped>> + Send + 'static,
+    R: Future<Output = Result<HttpResponse, ConnectionDropped>> + Send + 'static,
 {
-    let permits = Arc::new(Semaphore::new(limits.connections));
+    let permits = Arc::new(Semaphore::new(limits.max_connections));
     loop {
         let Ok(permit) = Arc::clone(&permits).acquire_owned().await else {
             return;
@@ -89,7 +89,7 @@
             () = lingered(&shutdown) => break,
         };
         let Ok((stream, _)) = accepted else {
-            tokio::time::sleep(Duration::from_millis(10)).await;
+            time::sleep(Duration::from_millis(10)).await;
             continue;
         };
         let (handler, shutdown) = (handler.clone(), shutdown.clone());
@@ -99,14 +99,14 @@
         });
     }
     // All permits are back once the last connection has ended.
-    let all = u32::try_from(limits.connections).unwrap_or(u32::MAX);
+    let all = u32::try_from(limits.max_connections).unwrap_or(u32::MAX);
     let _all_ended = permits.acquire_many(all).await;
 }
 
 /// Waits until the signal was raised a while ago.
 async fn lingered(shutdown: &ShutdownSignal) {
     shutdown.raised().await;
-    tokio::time::sleep(LINGER).await;
+    time::sleep(LINGER).await;
 }
 
 async fn serve_connection<F, R>(
@@ -116,10 +116,10 @@
     handler: F,
 ) where
     F: Fn(Request<Incoming>) -> R,
-    R: Future<Output = Result<Answer, ConnectionDropped>>,
+    R: Future<Output = Result<HttpResponse, ConnectionDropped>>,
 {
     let _without_delay = stream.set_nodelay(true);
-    let closing = |mut answer: Answer| {
+    let closing = |mut answer: HttpResponse| {
         if shutdown.is_raised() {
             answer.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
         }
@@ -131,9 +131,9 @@
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(limits.idle)
-        .max_headers(limits.headers)
-        .max_buf_size(limits.header_bytes.max(8_192))
+        .header_read_timeout(limits.idle_timeout)
+        .max_headers(limits.max_headers)
+        .max_buf_size(limits.max_header_bytes.max(8_192))
         .serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
     let ended = tokio::select! {
@@ -190,7 +190,11 @@
 }
 
 /// Makes a response with a whole body.
-pub fn whole(status: StatusCode, content_type: &'static str, body: impl Into<Bytes>) -> Answer {
+pub fn full_response(
+    status: StatusCode,
+    content_type: &'static str,
+    body: impl Into<Bytes>,
+) -> HttpResponse {
     let mut answer = Response::new(Full::new(body.into()).boxed());
     *answer.status_mut() = status;
     let value = HeaderValue::from_static(content_type);
@@ -199,15 +203,17 @@
 }
 
 /// Makes a response from a value's JSON form.
-pub fn json<T: serde::Serialize>(status: StatusCode, value: &T) -> Answer {
+pub fn json_response<T: serde::Serialize>(status: StatusCode, value: &T) -> HttpResponse {
     match serde_json::to_vec(value) {
-        Ok(body) => whole(status, "application/json", body),
-        Err(error) => whole(StatusCode::INTERNAL_SERVER_ERROR, "text/plain", error.to_string()),
+        Ok(body) => full_response(status, "application/json", body),
+        Err(error) => {
+            full_response(StatusCode::INTERNAL_SERVER_ERROR, "text/plain", error.to_string())
+        }
     }
 }
 
 /// Adds a header whose value may come from outside; one that is not valid is left out.
-pub fn set_header(answer: &mut Answer, name: &'static str, value: &str) {
+pub fn set_header(answer: &mut HttpResponse, name: &'static str, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         answer.headers_mut().insert(HeaderName::from_static(name), value);
     }
@@ -224,7 +230,7 @@
     },
     /// The call was sent, at least in part, and no whole answer came.
     #[display("no answer: {detail}")]
-    NoAnswer {
+    NoResponse {
         /// What the library said.
         detail: String,
     },
@@ -232,7 +238,7 @@
 
 /// A whole answer.
 #[derive(Clone, Debug)]
-pub struct WholeAnswer {
+pub struct FullResponse {
     /// Status code.
     pub status: StatusCode,
     /// Headers.
@@ -246,20 +252,20 @@
 pub struct HttpClient {
     client: Client<HttpConnector, Full<Bytes>>,
     body_limit: usize,
-    patience: Duration,
+    timeout: Duration,
 }
 
 impl HttpClient {
-    /// Makes a client that waits `patience` for each answer and reads at most `body_limit` bytes.
-    pub fn new(patience: Duration, body_limit: usize) -> Self {
+    /// Makes a client that waits `timeout` for each answer and reads at most `body_limit` bytes.
+    pub fn new(timeout: Duration, body_limit: usize) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
-        connector.set_connect_timeout(Some(patience.min(Duration::from_secs(2))));
+        connector.set_connect_timeout(Some(timeout.min(Duration::from_secs(2))));
         let client = Client::builder(TokioExecutor::new())
             .pool_idle_timeout(KEPT_IDLE)
             .retry_canceled_requests(false)
             .build(connector);
-        Self { client, body_limit, patience }
+        Self { client, body_limit, timeout }
     }
 
     /// Sends a request and gives the response as it arrives.
@@ -271,13 +277,13 @@
         &self,
         request: Request<Full<Bytes>>,
     ) -> Result<Response<Incoming>, CallError> {
-        match timeout(self.patience, self.client.request(request)).await {
+        match time::timeout(self.timeout, self.client.request(request)).await {
             Ok(Ok(answer)) => Ok(answer),
             Ok(Err(error)) if error.is_connect() => {
                 Err(CallError::NotConnected { detail: error.to_string() })
             }
-            Ok(Err(error)) => Err(CallError::NoAnswer { detail: error.to_string() }),
-            Err(_) => Err(CallError::NoAnswer { detail: "timed out".to_owned() }),
+            Ok(Err(error)) => Err(CallError::NoResponse { detail: error.to_string() }),
+            Err(_) => Err(CallError::NoResponse { detail: "timed out".to_owned() }),
         }
     }
 
@@ -286,13 +292,13 @@
     /// # Errors
     ///
     /// As [`HttpClient::send`].
-    pub async fn call(&self, request: Request<Full<Bytes>>) -> Result<WholeAnswer, CallError> {
+    pub async fn call(&self, request: Request<Full<Bytes>>) -> Result<FullResponse, CallError> {
         let answer = self.send(request).await?;
         let (parts, body) = answer.into_parts();
-        match timeout(self.patience, read_body(body, self.body_limit)).await {
-            Ok(Ok(body)) => Ok(WholeAnswer { status: parts.status, headers: parts.headers, body }),
-            Ok(Err(error)) => Err(CallError::NoAnswer { detail: error.to_string() }),
-            Err(_) => Err(CallError::NoAnswer { detail: "timed out".to_owned() }),
+        match time::timeout(self.timeout, read_body(body, self.body_limit)).await {
+            Ok(Ok(body)) => Ok(FullResponse { status: parts.status, headers: parts.headers, body }),
+            Ok(Err(error)) => Err(CallError::NoResponse { detail: error.to_string() }),
+            Err(_) => Err(CallError::NoResponse { detail: "timed out".to_owned() }),
         }
     }
 }
--- a/crates/kernel/src/registry.rs
+++ b/crates/kernel/src/registry.rs
@@ -18,13 +18,13 @@
 pub enum RegistryError {
     /// The name is taken.
     #[display("service {_0} is registered already")]
-    Taken(#[error(not(source))] ServiceName),
+    AlreadyRegistered(#[error(not(source))] ServiceName),
     /// No service has the name.
     #[display("service {_0} is not registered")]
-    Missing(#[error(not(source))] ServiceName),
+    NotRegistered(#[error(not(source))] ServiceName),
     /// The service of that name is of another type.
     #[display("service {_0} is of another type")]
-    OtherType(#[error(not(source))] ServiceName),
+    WrongType(#[error(not(source))] ServiceName),
 }
 
 type ServiceMap = HashMap<ServiceName, Box<dyn Any + Send + Sync>>;
@@ -45,7 +45,7 @@
     ///
     /// # Errors
     ///
-    /// Fails with [`RegistryError::Taken`] where the name has a service.
+    /// Fails with [`RegistryError::AlreadyRegistered`] where the name has a service.
     ///
     /// # Panics
     ///
@@ -57,7 +57,7 @@
     ) -> Result<(), RegistryError> {
         let mut services = self.services.write().expect("registry lock is never poisoned");
         if services.contains_key(&name) {
-            return Err(RegistryError::Taken(name));
+            return Err(RegistryError::AlreadyRegistered(name));
         }
         services.insert(name, Box::new(address));
         Ok(())
@@ -67,16 +67,16 @@
     ///
     /// # Errors
     ///
-    /// Fails with [`RegistryError::Missing`] or [`RegistryError::OtherType`].
+    /// Fails with [`RegistryError::NotRegistered`] or [`RegistryError::WrongType`].
     ///
     /// # Panics
     ///
     /// Panics where another thread panicked inside the registry, which it never does.
     pub fn find<A: Actor>(&self, name: ServiceName) -> Result<Address<A>, RegistryError> {
         let services = self.services.read().expect("registry lock is never poisoned");
-        let service = services.get(&name).ok_or(RegistryError::Missing(name))?;
+        let service = services.get(&name).ok_or(RegistryError::NotRegistered(name))?;
         let address = service.downcast_ref::<Address<A>>();
-        address.cloned().ok_or(RegistryError::OtherType(name))
+        address.cloned().ok_or(RegistryError::WrongType(name))
     }
 
     /// Forgets all services, which stops those that nobody else holds.
--- a/crates/kernel/src/settings.rs
+++ b/crates/kernel/src/settings.rs
@@ -17,13 +17,13 @@
     /// An IP address with a port, such as `127.0.0.1:7000`.
     Address,
     /// A whole number between two bounds, both included.
-    Number(u64, u64),
+    Integer(u64, u64),
     /// A number between two bounds, both included, with or without a fraction.
     Decimal(f64, f64),
     /// `true` or `false`.
-    Flag,
+    Bool,
     /// One of some words.
-    Word(&'static [&'static str]),
+    OneOf(&'static [&'static str]),
     /// An object with fields of its own.
     Object(&'static [FieldRule]),
     /// A list of objects.
@@ -48,7 +48,7 @@
 /// One fault in a settings file.
 #[derive(Clone, Debug, Display, Eq, PartialEq)]
 #[display("{path}: {problem}; expected {expected}")]
-pub struct SettingsFault {
+pub struct FieldError {
     /// Path of the field, such as `models[0].layers`.
     pub path: String,
     /// What is wrong.
@@ -77,12 +77,12 @@
         source: serde_json::Error,
     },
     /// Fields are wrong; all of them are listed.
-    #[display("{path}: {} fault(s)\n{}", faults.len(), render(faults))]
-    Faulty {
+    #[display("{path}: {} fault(s)\n{}", errors.len(), render(errors))]
+    Invalid {
         /// The file.
         path: String,
         /// Every fault.
-        faults: Vec<SettingsFault>,
+        errors: Vec<FieldError>,
     },
 }
 
@@ -91,8 +91,8 @@
     /// Rules of its fields.
     const RULES: &'static [FieldRule];
 
-    /// Finds faults that concern several fields at once.
-    fn cross_check(&self) -> Vec<SettingsFault> {
+    /// Finds errors that concern several fields at once.
+    fn cross_check(&self) -> Vec<FieldError> {
         Vec::new()
     }
 }
@@ -122,39 +122,39 @@
         Ok(value) => value,
         Err(source) => return Err(SettingsError::NotJson { path, source }),
     };
-    let mut faults = Vec::new();
-    check_object("", &value, T::RULES, &mut faults);
-    if !faults.is_empty() {
-        return Err(SettingsError::Faulty { path, faults });
+    let mut errors = Vec::new();
+    check_object("", &value, T::RULES, &mut errors);
+    if !errors.is_empty() {
+        return Err(SettingsError::Invalid { path, errors });
     }
     let settings: T = match serde_json::from_value(value) {
         Ok(settings) => settings,
         Err(source) => return Err(SettingsError::NotJson { path, source }),
     };
-    let faults = settings.cross_check();
-    if !faults.is_empty() {
-        return Err(SettingsError::Faulty { path, faults });
+    let errors = settings.cross_check();
+    if !errors.is_empty() {
+        return Err(SettingsError::Invalid { path, errors });
     }
     Ok(settings)
 }
 
-fn render(faults: &[SettingsFault]) -> String {
-    let lines: Vec<String> = faults.iter().map(|fault| format!("  {fault}")).collect();
+fn render(errors: &[FieldError]) -> String {
+    let lines: Vec<String> = errors.iter().map(|fault| format!("  {fault}")).collect();
     lines.join("\n")
 }
 
-fn check_object(prefix: &str, value: &Value, rules: &[FieldRule], faults: &mut Vec<SettingsFault>) {
+fn check_object(prefix: &str, value: &Value, rules: &[FieldRule], errors: &mut Vec<FieldError>) {
     let Value::Object(fields) = value else {
         let path = if prefix.is_empty() { "(whole file)" } else { prefix };
-        push(faults, path, &format!("found {}", describe(value)), "an object");
+        push(errors, path, &format!("found {}", describe(value)), "an object");
         return;
     };
-    check_unknown(prefix, fields, rules, faults);
+    check_unknown(prefix, fields, rules, errors);
     for rule in rules {
         let path = join(prefix, rule.name);
         match fields.get(rule.name) {
-            Some(value) => check_field(&path, value, rule, faults),
-            None if rule.required => push(faults, &path, "missing", &expected(rule)),
+            Some(value) => check_field(&path, value, rule, errors),
+            None if rule.required => push(errors, &path, "missing", &expected(rule)),
             None => {}
         }
     }
@@ -164,44 +164,44 @@
     prefix: &str,
     fields: &Map<String, Value>,
     rules: &[FieldRule],
-    faults: &mut Vec<SettingsFault>,
+    errors: &mut Vec<FieldError>,
 ) {
     for name in fields.keys() {
         if !rules.iter().any(|rule| rule.name == name) {
             let known: Vec<&str> = rules.iter().map(|rule| rule.name).collect();
             let expected = format!("one of {}", known.join(", "));
-            push(faults, &join(prefix, name), "unknown field", &expected);
+            push(errors, &join(prefix, name), "unknown field", &expected);
         }
     }
 }
 
-fn check_field(path: &str, value: &Value, rule: &FieldRule, faults: &mut Vec<SettingsFault>) {
+fn check_field(path: &str, value: &Value, rule: &FieldRule, errors: &mut Vec<FieldError>) {
     let good = match (rule.kind, value) {
         (FieldKind::Object(rules), value) => {
-            check_object(path, value, rules, faults);
+            check_object(path, value, rules, errors);
             return;
         }
         (FieldKind::Objects(rules), Value::Array(items)) => {
             for (index, item) in items.iter().enumerate() {
-                check_object(&format!("{path}[{index}]"), item, rules, faults);
+                check_object(&format!("{path}[{index}]"), item, rules, errors);
             }
             return;
         }
         (FieldKind::Text, Value::String(text)) => !text.is_empty(),
         (FieldKind::Address, value) => is_address(value),
         (FieldKind::Addresses, Value::Array(items)) => items.iter().all(is_address),
-        (FieldKind::Number(least, most), Value::Number(number)) => {
+        (FieldKind::Integer(least, most), Value::Number(number)) => {
             number.as_u64().is_some_and(|number| (least..=most).contains(&number))
         }
         (FieldKind::Decimal(least, most), Value::Number(number)) => {
             number.as_f64().is_some_and(|number| (least..=most).contains(&number))
         }
-        (FieldKind::Flag, Value::Bool(_)) => true,
-        (FieldKind::Word(words), Value::String(text)) => words.contains(&text.as_str()),
+        (FieldKind::Bool, Value::Bool(_)) => true,
+        (FieldKind::OneOf(words), Value::String(text)) => words.contains(&text.as_str()),
         _ => false,
     };
     if !good {
-        push(faults, path, &format!("found {}", describe(value)), &expected(rule));
+        push(errors, path, &format!("found {}", describe(value)), &expected(rule));
     }
 }
 
@@ -214,10 +214,10 @@
         FieldKind::Text => "a text".to_owned(),
         FieldKind::Address => "an IP address with a port, such as 127.0.0.1:7000".to_owned(),
         FieldKind::Addresses => "a list of IP addresses with ports".to_owned(),
-        FieldKind::Number(least, most) => format!("a whole number from {least} to {most}"),
+        FieldKind::Integer(least, most) => format!("a whole number from {least} to {most}"),
         FieldKind::Decimal(least, most) => format!("a number from {least} to {most}"),
-        FieldKind::Flag => "true or false".to_owned(),
-        FieldKind::Word(words) => format!("one of {}", words.join(", ")),
+        FieldKind::Bool => "true or false".to_owned(),
+        FieldKind::OneOf(words) => format!("one of {}", words.join(", ")),
         FieldKind::Object(_) => "an object".to_owned(),
         FieldKind::Objects(_) => "a list of objects".to_owned(),
     };
@@ -239,8 +239,8 @@
     if prefix.is_empty() { name.to_owned() } else { format!("{prefix}.{name}") }
 }
 
-fn push(faults: &mut Vec<SettingsFault>, path: &str, problem: &str, expected: &str) {
-    faults.push(SettingsFault {
+fn push(errors: &mut Vec<FieldError>, path: &str, problem: &str, expected: &str) {
+    errors.push(FieldError {
         path: path.to_owned(),
         problem: problem.to_owned(),
         expected: expected.to_owned(),
--- a/crates/kernel/src/shutdown.rs
+++ b/crates/kernel/src/shutdown.rs
@@ -79,7 +79,7 @@
 /// # Errors
 ///
 /// Fails where the process cannot listen for signals.
-pub async fn stop_requested() -> std::io::Result<()> {
+pub async fn wait_for_stop_signal() -> std::io::Result<()> {
     use tokio::signal::unix::{SignalKind, signal};
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
@@ -92,11 +92,11 @@
 
 /// A signal that is raised when the operator or the platform asks the process to stop. A process that
 /// cannot listen for signals stops at once, rather than never in order.
-pub fn signal_on_request() -> ShutdownSignal {
+pub fn shutdown_on_signal() -> ShutdownSignal {
     let shutdown = ShutdownSignal::new();
     let raised = shutdown.clone();
     tokio::spawn(async move {
-        let _no_signals_means_stop = stop_requested().await;
+        let _no_signals_means_stop = wait_for_stop_signal().await;
         raised.raise();
     });
     shutdown
--- a/crates/kernel/tests/kernel.rs
+++ b/crates/kernel/tests/kernel.rs
@@ -6,7 +6,7 @@
 use http::{Request, StatusCode};
 use http_body_util::Full;
 use switchfold_kernel::{
-    http::{CallError, HttpClient, HttpLimits, read_body, serve, whole},
+    http::{CallError, HttpClient, HttpLimits, full_response, read_body, serve},
     metrics::{LabelBudget, MetricsHub, OTHER_LABEL},
     registry::{RegistryError, ServiceName, ServiceRegistry},
     shutdown::ShutdownSignal,
@@ -24,12 +24,12 @@
 async fn services_are_found_by_name_and_type() {
     const NAME: ServiceName = ServiceName("first");
     let registry = ServiceRegistry::new();
-    assert_eq!(registry.find::<First>(NAME).err(), Some(RegistryError::Missing(NAME)));
+    assert_eq!(registry.find::<First>(NAME).err(), Some(RegistryError::NotRegistered(NAME)));
     let first = xtra::spawn_tokio(First, Mailbox::unbounded());
     registry.register(NAME, first.clone()).expect("the name is free");
     assert!(registry.find::<First>(NAME).is_ok());
-    assert_eq!(registry.find::<Second>(NAME).err(), Some(RegistryError::OtherType(NAME)));
-    assert_eq!(registry.register(NAME, first), Err(RegistryError::Taken(NAME)));
+    assert_eq!(registry.find::<Second>(NAME).err(), Some(RegistryError::WrongType(NAME)));
+    assert_eq!(registry.register(NAME, first), Err(RegistryError::AlreadyRegistered(NAME)));
     registry.clear();
     assert!(registry.find::<First>(NAME).is_err());
 }
@@ -84,8 +84,10 @@
     let signal = ShutdownSignal::new();
     let handler = |request: Request<hyper::body::Incoming>| async {
         Ok(match read_body(request.into_body(), 100).await {
-            Ok(body) => whole(StatusCode::OK, "text/plain", body),
-            Err(error) => whole(StatusCode::PAYLOAD_TOO_LARGE, "text/plain", error.to_string()),
+            Ok(body) => full_response(StatusCode::OK, "text/plain", body),
+            Err(error) => {
+                full_response(StatusCode::PAYLOAD_TOO_LARGE, "text/plain", error.to_string())
+            }
         })
     };
     tokio::spawn(serve(listener, limits, signal.clone(), handler));
@@ -103,7 +105,7 @@
 
 #[tokio::test]
 async fn bodies_headers_and_connections_are_limited() {
-    let (address, signal) = start(HttpLimits { headers: 8, ..HttpLimits::default() }).await;
+    let (address, signal) = start(HttpLimits { max_headers: 8, ..HttpLimits::default() }).await;
     let http = HttpClient::new(Duration::from_secs(10), 1_000);
     assert_eq!(http.call(post(&address, 100)).await.expect("answered").status, StatusCode::OK);
     let large = http.call(post(&address, 101)).await.expect("answered");
@@ -123,7 +125,8 @@
 #[tokio::test]
 async fn idle_connections_end() {
     let (address, _signal) =
-        start(HttpLimits { idle: Duration::from_millis(50), ..HttpLimits::default() }).await;
+        start(HttpLimits { idle_timeout: Duration::from_millis(50), ..HttpLimits::default() })
+            .await;
     let mut stream = TcpStream::connect(&address).await.expect("connected");
     stream.write_all(b"POST / HTTP/1.1\r\n").await.expect("sent");
     let mut rest = Vec::new();
@@ -145,5 +148,5 @@
         let mut buffer = [0; 16];
         let _read = stream.read(&mut buffer).await;
     });
-    assert!(matches!(http.call(post(&address, 1)).await, Err(CallError::NoAnswer { .. })));
+    assert!(matches!(http.call(post(&address, 1)).await, Err(CallError::NoResponse { .. })));
 }
--- a/crates/kernel/tests/settings.rs
+++ b/crates/kernel/tests/settings.rs
@@ -3,7 +3,7 @@
 use assert_matches::assert_matches;
 use serde::Deserialize;
 use switchfold_kernel::settings::{
-    CheckedSettings, FieldKind, FieldRule, SettingsError, SettingsFault, parse_settings,
+    CheckedSettings, FieldError, FieldKind, FieldRule, SettingsError, parse_settings,
 };
 
 #[derive(Debug, Deserialize)]
@@ -20,7 +20,7 @@
 
 const PART_RULES: &[FieldRule] = &[FieldRule {
     name: "size",
-    kind: FieldKind::Number(1, 9),
+    kind: FieldKind::Integer(1, 9),
     required: true,
     help: "size of the part",
 }];
@@ -37,13 +37,13 @@
         FieldRule { name: "peers", kind: FieldKind::Addresses, required: false, help: "others" },
         FieldRule {
             name: "fast",
-            kind: FieldKind::Flag,
+            kind: FieldKind::Bool,
             required: false,
             help: "whether it is fast",
         },
         FieldRule {
             name: "mode",
-            kind: FieldKind::Word(&["a", "b"]),
+            kind: FieldKind::OneOf(&["a", "b"]),
             required: false,
             help: "its mode",
         },
@@ -55,9 +55,9 @@
         },
     ];
 
-    fn cross_check(&self) -> Vec<SettingsFault> {
+    fn cross_check(&self) -> Vec<FieldError> {
         let total: u64 = self.parts.iter().map(|part| part.size).sum();
-        let fault = SettingsFault {
+        let fault = FieldError {
             path: "parts".to_owned(),
             problem: format!("sizes add up to {total}"),
             expected: format!("at most 12 for {}", self.name),
@@ -66,9 +66,9 @@
     }
 }
 
-fn faults(text: &str) -> Vec<SettingsFault> {
+fn faults(text: &str) -> Vec<FieldError> {
     match parse_settings::<Sample>("sample.json", text.as_bytes()) {
-        Err(SettingsError::Faulty { faults, .. }) => faults,
+        Err(SettingsError::Invalid { errors: faults, .. }) => faults,
         other => panic!("{text}: {other:?}"),
     }
 }
--- a/crates/load/src/caller.rs
+++ b/crates/load/src/caller.rs
@@ -106,7 +106,7 @@
         Ok(request) => match http.send(request).await {
             Ok(answer) => read(answer, class, arrival, start, &mut state).await,
             Err(CallError::NotConnected { .. }) => state.outcome = Some(CheckedOutcome::Unreached),
-            Err(CallError::NoAnswer { detail }) => {
+            Err(CallError::NoResponse { detail }) => {
                 state.outcome = Some(CheckedOutcome::Unknown);
                 state.reason = format!("no answer: {detail}");
             }
--- a/crates/local/src/bin/switchfold-local.rs
+++ b/crates/local/src/bin/switchfold-local.rs
@@ -7,7 +7,7 @@
 use switchfold_kernel::{
     exit::{FAILED, OK, UNAVAILABLE, USAGE, fail},
     logs,
-    shutdown::stop_requested,
+    shutdown::wait_for_stop_signal,
 };
 use switchfold_local::{
     LocalCluster,
@@ -60,7 +60,7 @@
     println!("\nAn operator:");
     println!("  switchfold-ctl ask --entry {entry} --token {OPERATOR_TOKEN} 'show placement'");
     println!("\nEnd it with Ctrl-C.");
-    let _no_signals_means_stop = stop_requested().await;
+    let _no_signals_means_stop = wait_for_stop_signal().await;
     ExitCode::from(OK)
 }
 
--- a/crates/local/src/measure.rs
+++ b/crates/local/src/measure.rs
@@ -8,7 +8,7 @@
 
 use serde::Serialize;
 use switchfold_core::{
-    claim::{ClaimKey, ClaimWish},
+    claim::{ClaimKey, ClaimProposal},
     id::RequestId,
 };
 use switchfold_entry::claims::{ClaimService, ClaimState, MakeClaim, claim_here};
@@ -208,7 +208,7 @@
         sleep_until(start + Duration::from_micros(number * 1_000_000 / offered_per_s)).await;
         let claims = claims.clone();
         calls.spawn(async move {
-            let wish = ClaimWish {
+            let wish = ClaimProposal {
                 key: ClaimKey::new("org", &number.to_string()),
                 request: RequestId { incarnation: 1, counter: number },
                 entry: "entry-0".to_owned(),
--- a/crates/local/src/profile.rs
+++ b/crates/local/src/profile.rs
@@ -5,7 +5,7 @@
     flow::{FlowReplica, flow_bound},
     path::PathPolicy,
     route::LayerRange,
-    window::DEFAULT_TARGET,
+    window::DEFAULT_TARGET_PERCENT,
 };
 use switchfold_entry::dispatch::ModelConfig;
 use switchfold_load::{ClassLoad, FaultKind, PlannedFault, WorkKind, Workload};
@@ -82,7 +82,7 @@
         Self {
             policy: PathPolicy::default(),
             reserve_hundredths: 20,
-            target_hundredths: DEFAULT_TARGET,
+            target_hundredths: DEFAULT_TARGET_PERCENT,
             silence_ms: 700,
             cut_off_ms: 8_000,
         }
--- a/crates/local/tests/contracts.rs
+++ b/crates/local/tests/contracts.rs
@@ -5,7 +5,7 @@
 use http_body_util::Full;
 use serde_json::{Value, json};
 use std::time::Duration;
-use switchfold_kernel::http::{HttpClient, WholeAnswer};
+use switchfold_kernel::http::{FullResponse, HttpClient};
 use switchfold_local::{
     ClusterError, LocalCluster,
     cluster::OPERATOR_TOKEN,
@@ -39,7 +39,7 @@
         path: &str,
         headers: &[(&str, &str)],
         body: impl Into<Bytes>,
-    ) -> WholeAnswer {
+    ) -> FullResponse {
         self.send_to(0, method, path, headers, body).await
     }
 
@@ -50,7 +50,7 @@
         path: &str,
         headers: &[(&str, &str)],
         body: impl Into<Bytes>,
-    ) -> WholeAnswer {
+    ) -> FullResponse {
         let mut request =
             Request::builder().method(method).uri(format!("http://{}{path}", self.web(entry)));
         for (name, value) in headers {
@@ -60,7 +60,7 @@
         self.http.call(request).await.expect("answered")
     }
 
-    async fn complete(&self, headers: &[(&str, &str)], body: &Value) -> WholeAnswer {
+    async fn complete(&self, headers: &[(&str, &str)], body: &Value) -> FullResponse {
         self.send("POST", "/v1/completions", headers, body.to_string()).await
     }
 
--- a/crates/proto/src/convert.rs
+++ b/crates/proto/src/convert.rs
@@ -3,7 +3,7 @@
 use switchfold_core::{
     Error,
     id::RequestId,
-    route::{LayerRange, PipelineRoute, StagePlace},
+    route::{LayerRange, PipelineRoute, RouteStage},
 };
 
 use crate::{engine, link};
@@ -26,19 +26,19 @@
     }
 }
 
-impl From<&StagePlace> for link::Stage {
-    fn from(place: &StagePlace) -> Self {
+impl From<&RouteStage> for link::Stage {
+    fn from(place: &RouteStage) -> Self {
         Self {
             address: place.address.clone(),
             first_layer: place.layers.first(),
             end_layer: place.layers.end(),
-            joined: place.joined,
+            joined: place.joined_attempt,
             process: place.process.clone(),
         }
     }
 }
 
-impl TryFrom<&link::Stage> for StagePlace {
+impl TryFrom<&link::Stage> for RouteStage {
     type Error = Error;
 
     fn try_from(stage: &link::Stage) -> Result<Self, Error> {
@@ -46,7 +46,7 @@
             address: stage.address.clone(),
             process: stage.process.clone(),
             layers: LayerRange::new(stage.first_layer, stage.end_layer)?,
-            joined: stage.joined,
+            joined_attempt: stage.joined,
         })
     }
 }
@@ -58,8 +58,8 @@
     ///
     /// Fails where a range is empty or the stages do not tile.
     pub fn pipeline(&self) -> Result<PipelineRoute, Error> {
-        let places: Result<Vec<StagePlace>, Error> =
-            self.stages.iter().map(StagePlace::try_from).collect();
+        let places: Result<Vec<RouteStage>, Error> =
+            self.stages.iter().map(RouteStage::try_from).collect();
         let layers = self.stages.last().map_or(0, |stage| stage.end_layer);
         PipelineRoute::new(places?, layers)
     }
--- a/crates/relay/src/bin/switchfold-relay.rs
+++ b/crates/relay/src/bin/switchfold-relay.rs
@@ -6,7 +6,7 @@
 use switchfold_kernel::{
     exit::{OK, UNAVAILABLE, USAGE, fail},
     settings::load_settings,
-    shutdown::signal_on_request,
+    shutdown::shutdown_on_signal,
 };
 use switchfold_relay::{
     logs,
@@ -38,7 +38,7 @@
 
 async fn run(settings: RelaySettings, file: PathBuf) -> Result<(), RunError> {
     let sockets = RelaySockets::bind(&settings).await?;
-    run_relay(settings, sockets, Some(file), signal_on_request()).await
+    run_relay(settings, sockets, Some(file), shutdown_on_signal()).await
 }
 
 fn main() -> ExitCode {
--- a/crates/relay/src/settings.rs
+++ b/crates/relay/src/settings.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use serde::Deserialize;
-use switchfold_kernel::settings::{CheckedSettings, FieldKind, FieldRule, SettingsFault};
+use switchfold_kernel::settings::{CheckedSettings, FieldError, FieldKind, FieldRule};
 use switchfold_router::Millis;
 
 /// Settings of a relay, as in its JSON file.
@@ -154,7 +154,7 @@
         rule("peer_listen", FieldKind::Address, "where other relays send their figures"),
         rule("metrics_listen", FieldKind::Address, "where metrics are served"),
         rule("platform", FieldKind::Address, "the platform's object store"),
-        optional("first_start", FieldKind::Flag, "whether the whole system starts"),
+        optional("first_start", FieldKind::Bool, "whether the whole system starts"),
         optional(
             "processor_share",
             FieldKind::Decimal(0.0, 1_024.0),
@@ -163,11 +163,11 @@
         rule("bounds", FieldKind::Object(BOUND_RULES), "bounds that the platform sets"),
     ];
 
-    fn cross_check(&self) -> Vec<SettingsFault> {
+    fn cross_check(&self) -> Vec<FieldError> {
         if self.listen != self.ready_listen {
             return Vec::new();
         }
-        vec![SettingsFault {
+        vec![FieldError {
             path: "ready_listen".to_owned(),
             problem: "same address as listen".to_owned(),
             expected: "an address of its own".to_owned(),
--- a/crates/relay/tests/settings.rs
+++ b/crates/relay/tests/settings.rs
@@ -56,7 +56,7 @@
         .replace("0.2,", "-1,")
         .replace("\"grace_s\": 8", "\"graces\": 8");
     let error = parse_settings::<RelaySettings>("faulty", faulty.as_bytes()).expect_err("faulty");
-    let SettingsError::Faulty { faults, .. } = error else { panic!("{error}") };
+    let SettingsError::Invalid { errors: faults, .. } = error else { panic!("{error}") };
     let mut paths: Vec<&str> = faults.iter().map(|fault| fault.path.as_str()).collect();
     paths.sort_unstable();
     assert_eq!(paths, ["bounds.grace_s", "bounds.graces", "bounds.retry_ratio", "listen"]);
@@ -87,7 +87,7 @@
 fn fault_paths(read: Result<RelaySettings, SettingsError>) -> Vec<String> {
     match read {
         Ok(_) => Vec::new(),
-        Err(SettingsError::Faulty { faults, .. }) => {
+        Err(SettingsError::Invalid { errors: faults, .. }) => {
             faults.into_iter().map(|fault| fault.path).collect()
         }
         Err(error) => panic!("{error}"),
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -19,7 +19,8 @@
 use switchfold_kernel::{
     clock::now_millis,
     http::{
-        Answer, BodyError, ConnectionDropped, HttpLimits, json, read_body, serve, set_header, whole,
+        BodyError, ConnectionDropped, HttpLimits, HttpResponse, full_response, json_response,
+        read_body, serve, set_header,
     },
     shutdown::ShutdownSignal,
 };
@@ -190,7 +191,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    async fn answer(self, request: Request<Incoming>) -> Result<Answer, ConnectionDropped> {
+    async fn answer(self, request: Request<Incoming>) -> Result<HttpResponse, ConnectionDropped> {
         if request.uri().path() == "/standin/faults" {
             return Ok(self.answer_faults(request).await);
         }
@@ -202,12 +203,12 @@
             sleep(Duration::from_millis(faults.delay_ms)).await;
         }
         if faults.outage {
-            return Ok(whole(StatusCode::SERVICE_UNAVAILABLE, "text/plain", "outage"));
+            return Ok(full_response(StatusCode::SERVICE_UNAVAILABLE, "text/plain", "outage"));
         }
         let is_write = request.method() == Method::PUT || request.method() == Method::DELETE;
         let is_watch = request.uri().path() == "/v1/watch";
         if !self.count(is_write, is_watch) {
-            return Ok(whole(StatusCode::TOO_MANY_REQUESTS, "text/plain", "rate used up"));
+            return Ok(full_response(StatusCode::TOO_MANY_REQUESTS, "text/plain", "rate used up"));
         }
         if is_write {
             return self.answer_write(request).await;
@@ -215,25 +216,25 @@
         Ok(self.answer_read(&request).await)
     }
 
-    async fn answer_faults(&self, request: Request<Incoming>) -> Answer {
+    async fn answer_faults(&self, request: Request<Incoming>) -> HttpResponse {
         let body = read_body(request.into_body(), MOST_VALUE_BYTES).await.unwrap_or_default();
         match serde_json::from_slice(&body) {
             Ok(faults) => {
                 self.set_faults(faults);
-                json(StatusCode::OK, &faults)
+                json_response(StatusCode::OK, &faults)
             }
-            Err(error) => whole(StatusCode::BAD_REQUEST, "text/plain", error.to_string()),
+            Err(error) => full_response(StatusCode::BAD_REQUEST, "text/plain", error.to_string()),
         }
     }
 
-    async fn answer_set_vm(&self, request: Request<Incoming>) -> Answer {
+    async fn answer_set_vm(&self, request: Request<Incoming>) -> HttpResponse {
         let body = read_body(request.into_body(), MOST_VALUE_BYTES).await.unwrap_or_default();
         match serde_json::from_slice::<VmEntry>(&body) {
             Ok(vm) => {
                 self.set_vm(vm.clone());
-                json(StatusCode::OK, &vm)
+                json_response(StatusCode::OK, &vm)
             }
-            Err(error) => whole(StatusCode::BAD_REQUEST, "text/plain", error.to_string()),
+            Err(error) => full_response(StatusCode::BAD_REQUEST, "text/plain", error.to_string()),
         }
     }
 
@@ -242,8 +243,8 @@
         let mut state = self.state();
         let rates = state.rates;
         let taken = match is_write {
-            true => state.writes.take(rates.writes_per_s, now),
-            false => state.reads.take(rates.reads_per_s, now),
+            true => state.writes.try_take(rates.writes_per_s, now),
+            false => state.reads.try_take(rates.reads_per_s, now),
         };
         match (taken, is_write, is_watch) {
             (false, ..) => state.calls.limited += 1,
@@ -254,20 +255,31 @@
         taken
     }
 
-    async fn answer_write(&self, request: Request<Incoming>) -> Result<Answer, ConnectionDropped> {
+    async fn answer_write(
+        &self,
+        request: Request<Incoming>,
+    ) -> Result<HttpResponse, ConnectionDropped> {
         let (parts, body) = request.into_parts();
         let Some(key) = object_key(parts.uri.path()) else {
-            return Ok(whole(StatusCode::NOT_FOUND, "text/plain", "no such path"));
+            return Ok(full_response(StatusCode::NOT_FOUND, "text/plain", "no such path"));
         };
         let expected =
             parts.headers.get(IF_VERSION).and_then(|value| value.to_str().ok()?.parse().ok());
         let Some(expected) = expected else {
-            return Ok(whole(StatusCode::BAD_REQUEST, "text/plain", "no if-version header"));
+            return Ok(full_response(
+                StatusCode::BAD_REQUEST,
+                "text/plain",
+                "no if-version header",
+            ));
         };
         let value = match read_body(body, MOST_VALUE_BYTES).await {
             Ok(value) => value,
             Err(BodyError::TooLarge { .. }) => {
-                return Ok(whole(StatusCode::PAYLOAD_TOO_LARGE, "text/plain", "value too large"));
+                return Ok(full_response(
+                    StatusCode::PAYLOAD_TOO_LARGE,
+                    "text/plain",
+                    "value too large",
+                ));
             }
             Err(BodyError::Truncated) => return Err(ConnectionDropped),
         };
@@ -282,7 +294,7 @@
             WriteEnd::Written(version) => (StatusCode::OK, version),
             WriteEnd::Conflict(version) => (StatusCode::CONFLICT, version),
         };
-        let mut answer = whole(status, "text/plain", "");
+        let mut answer = full_response(status, "text/plain", "");
         set_header(&mut answer, OBJECT_VERSION, &version.to_string());
         Ok(answer)
     }
@@ -311,26 +323,26 @@
         WriteEnd::Written(version)
     }
 
-    async fn answer_read(&self, request: &Request<Incoming>) -> Answer {
+    async fn answer_read(&self, request: &Request<Incoming>) -> HttpResponse {
         let uri = request.uri();
         match uri.path() {
-            "/v1/vms" => json(StatusCode::OK, &self.state().vms),
+            "/v1/vms" => json_response(StatusCode::OK, &self.state().vms),
             "/v1/watch" => self.answer_watch(uri.query().unwrap_or_default()).await,
             path => match (object_key(path), object_kind(path)) {
                 (Some(key), _) => self.answer_object(&key),
-                (None, Some(kind)) => json(StatusCode::OK, &self.list(&[kind], 0)),
-                (None, None) => whole(StatusCode::NOT_FOUND, "text/plain", "no such path"),
+                (None, Some(kind)) => json_response(StatusCode::OK, &self.list(&[kind], 0)),
+                (None, None) => full_response(StatusCode::NOT_FOUND, "text/plain", "no such path"),
             },
         }
     }
 
-    fn answer_object(&self, key: &ObjectKey) -> Answer {
+    fn answer_object(&self, key: &ObjectKey) -> HttpResponse {
         let state = self.state();
         let copy = state.objects.get(key);
         let version = copy.map_or(0, |copy| copy.version);
         let mut answer = match copy.and_then(|copy| copy.value.as_deref()) {
-            Some(value) => whole(StatusCode::OK, "application/json", value.to_vec()),
-            None => whole(StatusCode::NOT_FOUND, "text/plain", "no such object"),
+            Some(value) => full_response(StatusCode::OK, "application/json", value.to_vec()),
+            None => full_response(StatusCode::NOT_FOUND, "text/plain", "no such object"),
         };
         set_header(&mut answer, OBJECT_VERSION, &version.to_string());
         answer
@@ -347,11 +359,11 @@
         ChangeBatch { revision: *self.revision.borrow(), changes }
     }
 
-    async fn answer_watch(&self, query: &str) -> Answer {
+    async fn answer_watch(&self, query: &str) -> HttpResponse {
         let watch = WatchQuery::parse(query);
         let kinds: Vec<&str> = watch.kinds.split(',').collect();
         if watch.after < self.state().log_start {
-            return whole(StatusCode::GONE, "text/plain", "revision is too old");
+            return full_response(StatusCode::GONE, "text/plain", "revision is too old");
         }
         let mut revision = self.revision.subscribe();
         let wait = async {
@@ -366,7 +378,7 @@
             Ok(batch) => batch,
             Err(_) => self.list(&kinds, watch.after),
         };
-        json(StatusCode::OK, &batch)
+        json_response(StatusCode::OK, &batch)
     }
 }
 
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -10,7 +10,7 @@
 use hyper::body::Incoming;
 use serde::Serialize;
 use switchfold_kernel::{
-    http::{Answer, ConnectionDropped, HttpLimits, json, read_body, serve},
+    http::{ConnectionDropped, HttpLimits, HttpResponse, json_response, read_body, serve},
     shutdown::ShutdownSignal,
 };
 use tokio::{net::TcpListener, time::sleep};
@@ -58,7 +58,7 @@
         serve(listener, HttpLimits::default(), shutdown, handler).await;
     }
 
-    async fn answer(self, request: Request<Incoming>) -> Result<Answer, ConnectionDropped> {
+    async fn answer(self, request: Request<Incoming>) -> Result<HttpResponse, ConnectionDropped> {
         let path = request.uri().path().to_owned();
         let Ok(body) = read_body(request.into_body(), MOST_BODY).await else {
             return Err(ConnectionDropped);
@@ -71,7 +71,7 @@
             *runs
         };
         sleep(self.work).await;
-        Ok(json(StatusCode::OK, &ServiceAnswer { path, body, runs }))
+        Ok(json_response(StatusCode::OK, &ServiceAnswer { path, body, runs }))
     }
 
     fn table(&self) -> MutexGuard<'_, HashMap<String, u64>> {
--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -14,7 +14,7 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use switchfold_core::{hash::hash_bytes, retry::Backoff, version::ObjectKey};
-use switchfold_kernel::http::{CallError, HttpClient, WholeAnswer};
+use switchfold_kernel::http::{CallError, FullResponse, HttpClient};
 use tokio::time::{Instant, sleep};
 
 use crate::{
@@ -264,7 +264,7 @@
             Err(CallError::NotConnected { detail }) => {
                 return Err(StoreError::Unavailable { detail });
             }
-            Err(CallError::NoAnswer { detail }) => return Err(StoreError::Unclear { detail }),
+            Err(CallError::NoResponse { detail }) => return Err(StoreError::Unclear { detail }),
         };
         match answer.status {
             StatusCode::OK => version_of(&answer),
@@ -310,14 +310,14 @@
     format!("/v1/objects/{}/{}", key.kind, key.name)
 }
 
-fn version_of(answer: &WholeAnswer) -> Result<u64, StoreError> {
+fn version_of(answer: &FullResponse) -> Result<u64, StoreError> {
     let header = answer.headers.get(OBJECT_VERSION);
     let text = header.and_then(|value| value.to_str().ok());
     let version = text.and_then(|text| text.parse().ok());
     version.ok_or_else(|| StoreError::Malformed { detail: format!("no {OBJECT_VERSION} header") })
 }
 
-fn parse<T: serde::de::DeserializeOwned>(answer: &WholeAnswer) -> Result<T, StoreError> {
+fn parse<T: serde::de::DeserializeOwned>(answer: &FullResponse) -> Result<T, StoreError> {
     if answer.status != StatusCode::OK {
         return Err(refused(answer.status));
     }
@@ -336,6 +336,6 @@
     }
 }
 
-fn read_call(answer: Result<WholeAnswer, CallError>) -> Result<WholeAnswer, StoreError> {
+fn read_call(answer: Result<FullResponse, CallError>) -> Result<FullResponse, StoreError> {
     answer.map_err(|error| StoreError::Unavailable { detail: error.to_string() })
 }
