--- a/crates/entry/src/commands/change.rs
+++ b/crates/entry/src/commands/change.rs
@@ -10,7 +10,7 @@
     },
     version::{ObjectCopy, ObjectKey},
 };
-use switchfold_lang::{ClassSetting, Command, EventSetting, NewState, OrganisationSetting};
+use switchfold_lang::{ClassSetting, Command, EventSetting, OrganisationSetting, TargetState};
 use switchfold_store::{StoreError, StoredObject};
 
 use super::{CHANGE_PATIENCE, CommandContext, CommandError};
@@ -92,11 +92,11 @@
     }
 }
 
-fn event_state(state: NewState) -> EventState {
+fn event_state(state: TargetState) -> EventState {
     match state {
-        NewState::Open => EventState::Open,
-        NewState::Paused => EventState::Paused,
-        NewState::Closed => EventState::Closed,
+        TargetState::Open => EventState::Open,
+        TargetState::Paused => EventState::Paused,
+        TargetState::Closed => EventState::Closed,
     }
 }
 
@@ -301,7 +301,7 @@
     } else {
         let marker = format!("\"command\":\"{command}\"");
         let is_own = |contents: &[u8]| String::from_utf8_lossy(contents).contains(&marker);
-        context.store.write_settled(&key, stored.version, &value, CHANGE_PATIENCE, is_own).await
+        context.store.write_confirmed(&key, stored.version, &value, CHANGE_PATIENCE, is_own).await
     };
     let version = match written {
         Ok(version) => version,
@@ -309,10 +309,12 @@
             let current = read(context, &key).await?;
             return Err(conflict(&key, &current));
         }
-        Err(source @ StoreError::Unclear { .. }) if is_delete => {
+        Err(source @ StoreError::OutcomeUnknown { .. }) if is_delete => {
             settle_delete(context, &key, &stored, source).await?
         }
-        Err(source @ StoreError::Unclear { .. }) => return Err(CommandError::Unclear { source }),
+        Err(source @ StoreError::OutcomeUnknown { .. }) => {
+            return Err(CommandError::Unclear { source });
+        }
         Err(source) => return Err(CommandError::Store { source }),
     };
     let contents = (!is_delete).then(|| Arc::from(value));
--- a/crates/entry/src/commands/tables.rs
+++ b/crates/entry/src/commands/tables.rs
@@ -55,7 +55,7 @@
 fn select(mut table: TableAnswer, query: &Query) -> Result<TableAnswer, CommandError> {
     for condition in &query.conditions {
         let column = column(&table, &condition.field)?;
-        table.rows.retain(|row| condition.holds(&row[column]));
+        table.rows.retain(|row| condition.matches(&row[column]));
     }
     let Some(field) = &query.group_by else {
         return Ok(table);
--- a/crates/entry/src/config/watch.rs
+++ b/crates/entry/src/config/watch.rs
@@ -86,7 +86,7 @@
                     config.send(Merge { copies, origin: MergeOrigin::Own }).await;
             }
             Err(error) => {
-                if error == StoreError::Gap {
+                if error == StoreError::RevisionExpired {
                     revision = None;
                 }
                 log::debug!("store=watch error={error:?}");
@@ -111,7 +111,7 @@
 pub async fn keep_listing(store: StoreClient, duty: WatchDuty, config: Address<ConfigService>) {
     while config.is_connected() {
         if duty.is_mine()
-            && let Ok(list) = store.vms().await
+            && let Ok(list) = store.list_vms().await
             && let Ok(value) = serde_json::to_vec(&list)
         {
             let copy = ObjectCopy { version: list.revision, value: Some(value.into()) };
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -79,7 +79,7 @@
     let metrics = Arc::new(EntryMetrics::new().map_err(|source| EntryError::Metrics { source })?);
     let store = StoreClient::new(StoreConfig {
         address: settings.platform.clone(),
-        patience: STORE_PATIENCE,
+        timeout: STORE_PATIENCE,
         process: settings.name.clone(),
     });
     let (view_sender, view) = watch::channel(Arc::new(ConfigView::default()));
--- a/crates/entry/src/web/operator.rs
+++ b/crates/entry/src/web/operator.rs
@@ -4,7 +4,7 @@
 use hyper::body::Incoming;
 use serde::Serialize;
 use switchfold_kernel::http::{Answer, json, read_body};
-use switchfold_lang::MOST_TEXT;
+use switchfold_lang::MAX_STATEMENT_BYTES;
 
 use super::{WebContext, access, answer};
 use crate::{
@@ -45,7 +45,7 @@
             Err(_) => return refused(&CommandError::Stopping),
         },
     };
-    let text = match read_body(request.into_body(), MOST_TEXT).await {
+    let text = match read_body(request.into_body(), MAX_STATEMENT_BYTES).await {
         Ok(body) => String::from_utf8_lossy(&body).into_owned(),
         Err(error) => {
             return answer::refusal(StatusCode::PAYLOAD_TOO_LARGE, "body", &error.to_string());
--- a/crates/lang/src/ast.rs
+++ b/crates/lang/src/ast.rs
@@ -22,7 +22,7 @@
         /// The event.
         event: String,
         /// Its new state.
-        state: NewState,
+        state: TargetState,
     },
     /// Give a VM no new work, or work again.
     Drain {
@@ -78,7 +78,7 @@
 
 /// State that an event is put in.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum NewState {
+pub enum TargetState {
     /// Takes requests.
     Open,
     /// Refuses new requests for now.
@@ -219,7 +219,7 @@
 
 impl Condition {
     /// Tells whether a field's text satisfies the condition; numbers compare as numbers.
-    pub fn holds(&self, field: &str) -> bool {
+    pub fn matches(&self, field: &str) -> bool {
         let wanted = self.value.to_string();
         let order = match (field.parse::<f64>(), wanted.parse::<f64>()) {
             (Ok(left), Ok(right)) => left.total_cmp(&right),
--- a/crates/lang/src/lib.rs
+++ b/crates/lang/src/lib.rs
@@ -30,13 +30,13 @@
 //! # Guarantees
 //!
 //! A statement that is not understood changes nothing; the error names the line, the column and what
-//! was expected there. Parsing takes time linear in the text, of at most [`MOST_TEXT`] bytes.
+//! was expected there. Parsing takes time linear in the text, of at most [`MAX_STATEMENT_BYTES`] bytes.
 
 mod ast;
 mod error;
 mod parser;
 
-pub use ast::{ClassSetting, NewState};
+pub use ast::{ClassSetting, TargetState};
 pub use ast::{
     Command, Comparison, Condition, EventSetting, OrganisationSetting, Query, Statement, Table,
     Value,
@@ -45,4 +45,4 @@
 pub use parser::parse;
 
 /// Longest statement, in bytes.
-pub const MOST_TEXT: usize = 64 * 1_024;
+pub const MAX_STATEMENT_BYTES: usize = 64 * 1_024;
--- a/crates/lang/src/parser.rs
+++ b/crates/lang/src/parser.rs
@@ -7,8 +7,8 @@
 };
 
 use crate::{
-    ClassSetting, Command, Comparison, Condition, EventSetting, LangError, MOST_TEXT, NewState,
-    OrganisationSetting, Query, Statement, Table, Value,
+    ClassSetting, Command, Comparison, Condition, EventSetting, LangError, MAX_STATEMENT_BYTES,
+    OrganisationSetting, Query, Statement, Table, TargetState, Value,
 };
 
 #[allow(missing_docs)]
@@ -27,8 +27,9 @@
 ///
 /// Fails with the place of the mistake and what was expected there.
 pub fn parse(text: &str) -> Result<Statement, LangError> {
-    if text.len() > MOST_TEXT {
-        let detail = format!("statement of {} bytes, expected at most {MOST_TEXT}", text.len());
+    if text.len() > MAX_STATEMENT_BYTES {
+        let detail =
+            format!("statement of {} bytes, expected at most {MAX_STATEMENT_BYTES}", text.len());
         return Err(LangError { line: 1, column: 1, detail });
     }
     let mut pairs =
@@ -151,9 +152,9 @@
     };
     Ok(match rule {
         Rule::show => Command::Show(read_query(first, parts)?),
-        Rule::open => Command::Event { event: text_of(first), state: NewState::Open },
-        Rule::pause => Command::Event { event: text_of(first), state: NewState::Paused },
-        Rule::close => Command::Event { event: text_of(first), state: NewState::Closed },
+        Rule::open => Command::Event { event: text_of(first), state: TargetState::Open },
+        Rule::pause => Command::Event { event: text_of(first), state: TargetState::Paused },
+        Rule::close => Command::Event { event: text_of(first), state: TargetState::Closed },
         Rule::drain => Command::Drain { vm: text_of(first), draining: true },
         Rule::resume => Command::Drain { vm: text_of(first), draining: false },
         _ => return read_change(first),
--- a/crates/lang/tests/statements.rs
+++ b/crates/lang/tests/statements.rs
@@ -3,8 +3,8 @@
 use assert_matches::assert_matches;
 use proptest::prelude::*;
 use switchfold_lang::{
-    ClassSetting, Command, Comparison, EventSetting, MOST_TEXT, NewState, OrganisationSetting,
-    Table, Value, parse,
+    ClassSetting, Command, Comparison, EventSetting, MAX_STATEMENT_BYTES, OrganisationSetting,
+    Table, TargetState, Value, parse,
 };
 
 fn command(text: &str) -> Command {
@@ -30,20 +30,20 @@
     assert_eq!(query.conditions.len(), 2);
     assert_eq!(query.conditions[0].comparison, Comparison::GreaterOrEqual);
     assert_eq!(query.conditions[0].value, Value::Number(3));
-    assert!(query.conditions[0].holds("10") && !query.conditions[0].holds("2"));
-    assert!(query.conditions[1].holds("b") && !query.conditions[1].holds("a b"));
+    assert!(query.conditions[0].matches("10") && !query.conditions[0].matches("2"));
+    assert!(query.conditions[1].matches("b") && !query.conditions[1].matches("a b"));
 }
 
 #[test]
 fn changes_are_understood() {
-    assert_matches!(command(r#"open event "dawn""#), Command::Event { event, state: NewState::Open } if event == "dawn");
+    assert_matches!(command(r#"open event "dawn""#), Command::Event { event, state: TargetState::Open } if event == "dawn");
     assert_matches!(
         command(r#"pause event "dawn""#),
-        Command::Event { state: NewState::Paused, .. }
+        Command::Event { state: TargetState::Paused, .. }
     );
     assert_matches!(
         command(r#"close event "dawn""#),
-        Command::Event { state: NewState::Closed, .. }
+        Command::Event { state: TargetState::Closed, .. }
     );
     assert_matches!(command("drain vm 10.0.0.7:7000"), Command::Drain { vm, draining: true } if vm == "10.0.0.7:7000");
     assert_matches!(command("resume vm engine-3"), Command::Drain { vm, draining: false } if vm == "engine-3");
@@ -99,7 +99,7 @@
     }
     let second_line = parse("show events\n  wher state = 1").expect_err("a mistake");
     assert_eq!((second_line.line, second_line.column), (2, 3));
-    assert!(parse(&"x".repeat(MOST_TEXT + 1)).is_err());
+    assert!(parse(&"x".repeat(MAX_STATEMENT_BYTES + 1)).is_err());
 }
 
 proptest! {
--- a/crates/link/src/lib.rs
+++ b/crates/link/src/lib.rs
@@ -23,7 +23,7 @@
 pub const TOKEN_KEY: &str = "switchfold-cluster";
 
 /// Messages that may wait on one link.
-pub const QUEUE_LEN: usize = 8_192;
+pub const QUEUE_CAPACITY: usize = 8_192;
 
 /// Why a link was not made, or ended.
 #[derive(Clone, Debug, Display, Eq, Error, PartialEq)]
--- a/crates/link/src/queue.rs
+++ b/crates/link/src/queue.rs
@@ -5,7 +5,7 @@
 use tokio::sync::mpsc;
 use tokio_stream::wrappers::ReceiverStream;
 
-use crate::QUEUE_LEN;
+use crate::QUEUE_CAPACITY;
 
 /// Messages that travel in one frame at most.
 const FRAME_LEN: usize = 64;
@@ -46,6 +46,6 @@
 
 /// Makes both ends of a queue.
 pub fn link_queue() -> (LinkSender, LinkQueue) {
-    let (sender, receiver) = mpsc::channel(QUEUE_LEN);
+    let (sender, receiver) = mpsc::channel(QUEUE_CAPACITY);
     (LinkSender { queue: sender }, LinkQueue { queue: receiver })
 }
--- a/crates/local/src/measure.rs
+++ b/crates/local/src/measure.rs
@@ -197,8 +197,8 @@
     let address = listener.local_addr()?.to_string();
     let platform = PlatformStandin::default();
     tokio::spawn(platform.clone().serve(listener, ShutdownSignal::new()));
-    let patience = Duration::from_secs(2);
-    let store = StoreClient::new(StoreConfig { address, patience, process: "bench".to_owned() });
+    let timeout = Duration::from_secs(2);
+    let store = StoreClient::new(StoreConfig { address, timeout, process: "bench".to_owned() });
     let claims = xtra::spawn_tokio(ClaimService::new(store), Mailbox::unbounded());
     let total = offered_per_s * time.as_secs();
     let start = Instant::now();
@@ -215,7 +215,7 @@
                 replaces: None,
             };
             let asked = Instant::now();
-            let state = claim_here(&claims, MakeClaim { wish, patience }).await;
+            let state = claim_here(&claims, MakeClaim { wish, patience: timeout }).await;
             (state, asked.elapsed().as_micros() as u64)
         });
     }
--- a/crates/relay/benches/backoffs.rs
+++ b/crates/relay/benches/backoffs.rs
@@ -40,7 +40,7 @@
     engine::{ORDER_PATH, REPORT_PATH},
 };
 use switchfold_platform_standin::{
-    SeenRequest, StandinReplica, StandinStore, reject,
+    ReceivedRequest, StandinReplica, StandinStore, reject,
     samples::{KEY, LAYERS, config, desk_entry, model_entry},
     with_header,
 };
@@ -52,7 +52,7 @@
 const THINK: Duration = Duration::from_millis(20);
 const OBJECTIVE: Duration = Duration::from_millis(300);
 
-fn is_control(request: &SeenRequest) -> bool {
+fn is_control(request: &ReceivedRequest) -> bool {
     [REPORT_PATH, ORDER_PATH].contains(&request.target.as_str())
 }
 
@@ -95,7 +95,7 @@
     let reached: Vec<Reached> = (0..REPLICAS).map(|_| Reached::default()).collect();
     for (number, reached) in reached.iter().enumerate() {
         let (is_closed, reached) = (is_closed.clone(), reached.clone());
-        let replica = StandinReplica::start(move |request: &SeenRequest| {
+        let replica = StandinReplica::start(move |request: &ReceivedRequest| {
             let closed = number < asking && is_closed.load(Ordering::SeqCst);
             if is_control(request) || !closed {
                 return serve(request);
--- a/crates/relay/benches/copies.rs
+++ b/crates/relay/benches/copies.rs
@@ -23,7 +23,7 @@
 use http_body_util::Full;
 use switchfold_platform::{CONFIG_KIND, CONFIG_NAME, REPLICA_KIND};
 use switchfold_platform_standin::{
-    StandinStore, StoreMood,
+    StandinStore, StoreBehaviour,
     samples::{KEY, config, desk_entry, in_data_centre},
 };
 use tokio::time::{Instant, sleep};
@@ -77,14 +77,14 @@
     sleep(Duration::from_secs(3)).await;
     let (mut times, mut calls, mut fewest) = (Vec::new(), Vec::new(), u64::MAX);
     for number in 1..=RETURNS {
-        store.make_copy();
+        store.take_backup();
         sleep(AGE).await;
         write_replicas(&store, 6 + number);
         sleep(Duration::from_millis(300)).await;
-        store.set_mood(StoreMood::Busy);
+        store.set_behaviour(StoreBehaviour::Unavailable);
         sleep(AWAY).await;
-        store.come_back();
-        store.set_mood(StoreMood::Well);
+        store.restore_backup();
+        store.set_behaviour(StoreBehaviour::Healthy);
         let (begun, before) = (Instant::now(), store.calls().len());
         join(&store, number);
         let (mut waiting, mut is_written, mut in_second) = (0, false, None);
--- a/crates/relay/benches/limits.rs
+++ b/crates/relay/benches/limits.rs
@@ -37,7 +37,7 @@
     engine::{ORDER_PATH, REPORT_PATH},
 };
 use switchfold_platform_standin::{
-    SeenRequest, StandinReplica, StandinStore,
+    ReceivedRequest, StandinReplica, StandinStore,
     samples::{KEY, LAYERS, config, desk_entry, model_entry},
     with_header,
 };
@@ -78,7 +78,7 @@
     let is_counted = move || (COUNTED[0]..COUNTED[1]).contains(&begun.elapsed());
     for number in 0..REPLICAS {
         let served = served.clone();
-        let replica = StandinReplica::start(move |request: &SeenRequest| {
+        let replica = StandinReplica::start(move |request: &ReceivedRequest| {
             let is_control = [REPORT_PATH, ORDER_PATH].contains(&request.target.as_str());
             if !is_control && is_counted() {
                 served.lock().expect("no script panics").reached[number] += 1;
--- a/crates/relay/src/engines.rs
+++ b/crates/relay/src/engines.rs
@@ -15,10 +15,10 @@
 use switchfold_kernel::clock::now_millis;
 use switchfold_platform::{
     engine::{
-        EngineReport, ORDER_PATH, REPORT_PATH, decode_refusal, decode_report, engine_request,
-        place_order, repath_order,
+        EngineReport, ORDER_PATH, REPORT_PATH, decode_refusal, decode_report, encode_place_order,
+        encode_repath_order, engine_request,
     },
-    headers::read_answer,
+    headers::read_response_headers,
 };
 use switchfold_router::{
     Millis, chain::PathPart, cover::GiveUpRule, fleet::LayerRange, life::ReplicaLife,
@@ -141,7 +141,7 @@
         return None;
     }
     match decode_report(&body) {
-        Ok(report) => take_report_start(relay, address, report.born).then_some(report),
+        Ok(report) => take_report_start(relay, address, report.started_at).then_some(report),
         Err(error) => {
             tracing::warn!(event = "report-unreadable", %address, %error);
             None
@@ -158,13 +158,13 @@
     orders_taken: u64,
 ) -> OrderEnd {
     count(&relay.counts.orders);
-    order(relay, address, place_order(range, give_up, orders_taken)).await
+    order(relay, address, encode_place_order(range, give_up, orders_taken)).await
 }
 
 /// Orders the first engine of a request's path to go on over another path.
 pub async fn order_repath(relay: &Relay, attempt_id: &str, path: &[PathPart]) -> OrderEnd {
     count(&relay.counts.repaths);
-    order(relay, path[0].address, repath_order(attempt_id, path)).await
+    order(relay, path[0].address, encode_repath_order(attempt_id, path)).await
 }
 
 async fn order(relay: &Relay, address: SocketAddr, body: Vec<u8>) -> OrderEnd {
@@ -250,7 +250,7 @@
     let sent = now_millis();
     let (response, link) = relay.pool.send(address, request, fresh, || Ok(())).await?;
     let (parts, body) = response.into_parts();
-    let marks = read_answer(&parts.headers);
+    let marks = read_response_headers(&parts.headers);
     hear_notices_at(
         relay,
         address,
@@ -258,7 +258,7 @@
     );
     let body = Limited::new(body, MOST_ANSWER).collect().await;
     let body = body.map_err(|error| SendError::Broken { detail: error.to_string() })?;
-    if !marks.closes {
+    if !marks.closes_connection {
         link.give_back(&relay.pool, marks.keep_alive);
     }
     Ok((parts.status, body.to_bytes()))
--- a/crates/relay/src/flow.rs
+++ b/crates/relay/src/flow.rs
@@ -12,7 +12,7 @@
 use switchfold_kernel::clock::now_millis;
 use switchfold_platform::{
     events::EventFramer,
-    headers::{AnswerMarks, read_answer},
+    headers::{ResponseHeaders, read_response_headers},
 };
 use switchfold_router::{Millis, chain::PathPart};
 use tokio::time::{Instant, sleep_until};
@@ -58,7 +58,7 @@
     tried: TriedReplicas,
     body: Incoming,
     link: Option<BusyLink>,
-    marks: AnswerMarks,
+    marks: ResponseHeaders,
     path: Vec<PathPart>,
     room: RoomGuard,
     run: RunWatch,
@@ -89,8 +89,8 @@
 ) -> RelayBody {
     let flow = StreamFlow {
         alarms_seen: relay.alarms.get(),
-        framer: EventFramer::after(request.marks.last_event),
-        marks: read_answer(&opened.head.headers),
+        framer: EventFramer::after(request.marks.last_event_id),
+        marks: read_response_headers(&opened.head.headers),
         body: opened.body,
         link: Some(opened.link),
         path: opened.path,
@@ -218,7 +218,7 @@
             parts = self.path.len(),
             first = %self.path[0].life,
         );
-        if let Some(link) = self.link.take().filter(|_| !self.marks.closes) {
+        if let Some(link) = self.link.take().filter(|_| !self.marks.closes_connection) {
             link.give_back(&self.relay.pool, self.marks.keep_alive);
         }
     }
--- a/crates/relay/src/flow/recovery.rs
+++ b/crates/relay/src/flow/recovery.rs
@@ -7,7 +7,7 @@
 
 use rand::RngExt;
 use switchfold_kernel::clock::now_millis;
-use switchfold_platform::headers::read_answer;
+use switchfold_platform::headers::read_response_headers;
 use switchfold_router::{Millis, chain::PathPart, life::ReplicaLife};
 use tokio::time::sleep;
 
@@ -124,8 +124,8 @@
                 return;
             }
             let id = &self.request.marks.attempt_id;
-            if let Some(at_fault) = find_stall(&self.relay, first.address, id).await {
-                note_fault(&self.relay, at_fault, "stalled");
+            if let Some(faulty_replica) = find_stall(&self.relay, first.address, id).await {
+                note_fault(&self.relay, faulty_replica, "stalled");
             }
         }
         if self.relay.part_state(&first) == PartState::Lost {
@@ -155,10 +155,10 @@
         for _ in 0..MOST_REPATHS {
             match self.order_path(&avoid).await {
                 Some(OrderEnd::Taken) => return true,
-                Some(OrderEnd::Refused(_, Some(at_fault))) => {
-                    probe_replicas(&self.relay, std::iter::once(at_fault));
+                Some(OrderEnd::Refused(_, Some(faulty_replica))) => {
+                    probe_replicas(&self.relay, std::iter::once(faulty_replica));
                     let beliefs = self.relay.beliefs.borrow();
-                    let Some(replica) = beliefs.fleet.view.at(at_fault) else { return false };
+                    let Some(replica) = beliefs.fleet.view.at(faulty_replica) else { return false };
                     avoid.push(replica.life.clone());
                 }
                 _ => return false,
@@ -300,7 +300,7 @@
         self.longest_pause = self.longest_pause.max(quiet_ms);
         tracing::info!(event = "stream-resumed", request = self.request.marks.attempt_id, quiet_ms);
         self.framer.drop_partial();
-        self.marks = read_answer(&stream.head.headers);
+        self.marks = read_response_headers(&stream.head.headers);
         self.body = stream.body;
         self.link = Some(stream.link);
         self.path = stream.path;
--- a/crates/relay/src/heads.rs
+++ b/crates/relay/src/heads.rs
@@ -151,8 +151,8 @@
         }
         let first = self.path[0].address;
         let id = &self.request.marks.attempt_id;
-        if let Some(at_fault) = find_stall(self.relay, first, id).await {
-            let detail = note_fault(self.relay, at_fault, "stalled");
+        if let Some(faulty_replica) = find_stall(self.relay, first, id).await {
+            let detail = note_fault(self.relay, faulty_replica, "stalled");
             if self.is_repeatable() {
                 return Err(WaitEnd::Stalled(detail));
             }
--- a/crates/relay/src/notices.rs
+++ b/crates/relay/src/notices.rs
@@ -8,7 +8,7 @@
 use http::StatusCode;
 use rand::RngExt;
 use switchfold_kernel::clock::now_millis;
-use switchfold_platform::headers::{AnswerMarks, RetryAfter, ServerLimit};
+use switchfold_platform::headers::{ResponseHeaders, RetryAfter, ServerLimit};
 use switchfold_router::{Millis, fleet::ReplicaEntry, life::ReplicaLife, limits::LimitWord};
 
 use crate::{
@@ -25,7 +25,7 @@
     /// Its status.
     pub status: StatusCode,
     /// What it says beside.
-    pub marks: &'a AnswerMarks,
+    pub marks: &'a ResponseHeaders,
     /// When the request was sent.
     pub sent: Millis,
     /// Whether it answers that request: one to an earlier request may come in its place.
@@ -77,7 +77,7 @@
     }
 }
 
-fn hear_backoff(relay: &Relay, life: &ReplicaLife, marks: &AnswerMarks) {
+fn hear_backoff(relay: &Relay, life: &ReplicaLife, marks: &ResponseHeaders) {
     match &marks.retry_after {
         Some(RetryAfter::Millis(asked)) => {
             count(&relay.counts.backoffs_asked);
--- a/crates/relay/src/plain.rs
+++ b/crates/relay/src/plain.rs
@@ -10,7 +10,9 @@
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
 use switchfold_kernel::clock::now_millis;
-use switchfold_platform::headers::{AnswerMarks, ReplicaLoad, read_answer, strip_hop_headers};
+use switchfold_platform::headers::{
+    ReplicaLoad, ResponseHeaders, read_response_headers, strip_hop_headers,
+};
 use switchfold_router::{
     Millis,
     attempt::{AttemptEnd, AttemptState, NextStep, decide_next},
@@ -339,7 +341,8 @@
     let failed = !matches!(report.end, AttemptEnd::Answered(status) if status < 500);
     let wanted = permit.route.objective.max(1) as f64;
     let slowness = (took as f64 / wanted).min(SLOWEST);
-    let told = report.reply.as_ref().and_then(|reply| read_answer(reply.head.headers()).load);
+    let told =
+        report.reply.as_ref().and_then(|reply| read_response_headers(reply.head.headers()).load);
     relay.beliefs.borrow_mut().loads.note_end(&replica.life, failed, slowness, told);
     if matches!(report.end, AttemptEnd::NotSent) {
         relay.suspect(&replica.life, &report.detail);
@@ -405,7 +408,7 @@
         }
     };
     let (parts, body) = response.into_parts();
-    let marks = read_answer(&parts.headers);
+    let marks = read_response_headers(&parts.headers);
     let answer = request.heard(&marks, parts.status, begun);
     hear_notices(relay, &target.replica.life, answer);
     if let Some(end) = early_end(request, &marks, parts.status) {
@@ -414,7 +417,7 @@
     }
     match Limited::new(body, MOST_ANSWER).collect().await {
         Ok(whole) => {
-            if !marks.closes {
+            if !marks.closes_connection {
                 link.give_back(&relay.pool, marks.keep_alive);
             }
             let end = AttemptEnd::Answered(parts.status.as_u16());
@@ -432,7 +435,7 @@
 /// End of an attempt that its head alone decides: an answer to another request, or a rejection.
 pub fn early_end(
     request: &CallerRequest,
-    marks: &AnswerMarks,
+    marks: &ResponseHeaders,
     status: StatusCode,
 ) -> Option<AttemptEnd> {
     if !request.is_answered_by(marks) {
@@ -443,15 +446,20 @@
         return Some(AttemptEnd::Rejected);
     }
     // A success without a signature is not the replica's.
-    (status.is_success() && !marks.sealed).then_some(AttemptEnd::Broken)
+    (status.is_success() && !marks.is_signed).then_some(AttemptEnd::Broken)
 }
 
 /// Longest time spent on the body of a rejection, so that its connection can be kept.
 const REJECTION_TIME: Duration = Duration::from_millis(20);
 
 /// Reads a rejection's body to its end, so that the connection can be kept.
-pub async fn finish_quietly(relay: &Relay, link: BusyLink, body: Incoming, marks: &AnswerMarks) {
-    if marks.closes {
+pub async fn finish_quietly(
+    relay: &Relay,
+    link: BusyLink,
+    body: Incoming,
+    marks: &ResponseHeaders,
+) {
+    if marks.closes_connection {
         return;
     }
     let read = tokio::select! {
--- a/crates/relay/src/quarantine.rs
+++ b/crates/relay/src/quarantine.rs
@@ -264,14 +264,14 @@
         let list = store.list(CallKind::Quarantine, CallVerb::List, cause).await?;
         held.clear();
         take_objects(relay, &list.items, held);
-        return Ok(list.at);
+        return Ok(list.revision);
     };
     let wait = Duration::from_millis(WATCH_WAIT);
     let changes = store.watch(CallKind::Quarantine, after, wait).await?;
-    for change in &changes.events.read {
+    for change in &changes.events.decoded {
         take_object_change(relay, change, held);
     }
-    Ok(changes.at.max(after))
+    Ok(changes.revision.max(after))
 }
 
 fn take_object_change(relay: &Relay, change: &ObjectChange, held: &mut HeldObjects) {
--- a/crates/relay/src/replicas.rs
+++ b/crates/relay/src/replicas.rs
@@ -25,7 +25,7 @@
 /// Takes over a whole list of the store, sent for at `sent`.
 pub fn take_replica_list(relay: &Rc<Relay>, list: ObjectList, sent: Millis) {
     let listed = list.items.iter().filter_map(|item| read_news(relay, item)).collect();
-    let list = FleetList { listed, at: list.at };
+    let list = FleetList { listed, at: list.revision };
     let cleared = relay.beliefs.borrow().fleet.cleared_by(&list, now_millis());
     if !cleared.is_empty() {
         tell_fleet(relay, cleared);
--- a/crates/relay/src/request.rs
+++ b/crates/relay/src/request.rs
@@ -8,7 +8,8 @@
 use hyper::body::Incoming;
 use switchfold_kernel::clock::now_millis;
 use switchfold_platform::headers::{
-    AnswerMarks, ReplicaMarks, RequestMarks, mark_for_replica, path_value, read_marks,
+    ForwardHeaders, RequestHeaders, ResponseHeaders, path_value, read_request_headers,
+    set_forward_headers,
 };
 use switchfold_router::{
     Millis,
@@ -55,7 +56,7 @@
     /// What it is, whatever its id.
     pub fingerprint: RequestFingerprint,
     /// What its headers ask for.
-    pub marks: RequestMarks,
+    pub marks: RequestHeaders,
     /// Host, path and key.
     pub asked: Asked,
     /// When it arrived.
@@ -84,14 +85,14 @@
     }
 
     /// Whether an answer that says this beside its status is one to this request.
-    pub fn is_answered_by(&self, marks: &AnswerMarks) -> bool {
+    pub fn is_answered_by(&self, marks: &ResponseHeaders) -> bool {
         marks.attempt_id.as_ref().is_none_or(|id| *id == self.marks.attempt_id)
     }
 
     /// An answer to it that was sent for at `sent`.
     pub fn heard<'a>(
         &self,
-        marks: &'a AnswerMarks,
+        marks: &'a ResponseHeaders,
         status: StatusCode,
         sent: Millis,
     ) -> HeardAnswer<'a> {
@@ -101,7 +102,7 @@
     /// Tokens that it may hold: those of its prompt, and of its answer as far as they can be told.
     pub fn tokens(&self, usual: (u32, u32)) -> f64 {
         let (prompt, most) = self.marks.tokens.unwrap_or((usual.0, usual.1 * 2));
-        let answer = self.marks.expected_answer.unwrap_or(usual.1).min(most);
+        let answer = self.marks.length_hint.unwrap_or(usual.1).min(most);
         f64::from(prompt) + f64::from(answer)
     }
 
@@ -115,15 +116,15 @@
     /// Builds the request for a replica.
     pub fn to_replica(&self, permit: &Permit, target: &ReplicaTarget<'_>) -> Request<Full<Bytes>> {
         let mut headers = self.headers.clone();
-        let marks = ReplicaMarks {
+        let marks = ForwardHeaders {
             replica: target.replica.life.id(),
             time_left: self.time_left(now_millis()).max(1),
             organisation: permit.organisation.as_deref(),
             priority: target.path.is_some().then_some(self.priority(permit, target)),
             path: target.path,
-            last_event: target.last_event,
+            last_event_id: target.last_event,
         };
-        mark_for_replica(&mut headers, &marks);
+        set_forward_headers(&mut headers, &marks);
         headers.remove(header::CONTENT_LENGTH);
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.method.clone();
@@ -200,7 +201,7 @@
     count(&relay.counts.requests);
     let arrived = now_millis();
     let (parts, body) = request.into_parts();
-    let marks = read_marks(&parts.headers);
+    let marks = read_request_headers(&parts.headers);
     let id = marks.attempt_id.clone();
     let outcome = serve(&relay, parts, body, marks, arrived, in_flight).await;
     let mut answer = match outcome {
@@ -237,7 +238,7 @@
     relay: &Rc<Relay>,
     parts: Parts,
     body: Incoming,
-    marks: RequestMarks,
+    marks: RequestHeaders,
     arrived: Millis,
     in_flight: FlightGuard,
 ) -> Result<RelayAnswer, Refusal> {
@@ -288,7 +289,7 @@
     }
 }
 
-fn asked_for(parts: &Parts, marks: &RequestMarks) -> Asked {
+fn asked_for(parts: &Parts, marks: &RequestHeaders) -> Asked {
     let header = parts.headers.get(header::HOST).and_then(|value| value.to_str().ok());
     let host = parts.uri.host().or(header).unwrap_or_default();
     Asked { host: host.to_owned(), path: parts.uri.path().to_owned(), key: marks.key.clone() }
--- a/crates/relay/src/store_calls.rs
+++ b/crates/relay/src/store_calls.rs
@@ -136,11 +136,11 @@
     fn from(outcome: &Result<T, StoreError>) -> Self {
         match outcome {
             Ok(_) => CallEnd::Answered,
-            Err(StoreError::Gap) => CallEnd::Gap,
+            Err(StoreError::RevisionExpired) => CallEnd::Gap,
             Err(StoreError::Conflict { .. }) => CallEnd::Conflict,
-            Err(StoreError::Limited) => CallEnd::Limited,
+            Err(StoreError::RateLimited) => CallEnd::Limited,
             Err(StoreError::Unavailable { .. }) => CallEnd::Unavailable,
-            Err(StoreError::Unclear { .. }) => CallEnd::Unclear,
+            Err(StoreError::OutcomeUnknown { .. }) => CallEnd::Unclear,
             Err(_) => CallEnd::Malformed,
         }
     }
@@ -207,7 +207,7 @@
 impl CountedStore {
     /// Makes a client that waits `patience` for an answer.
     pub fn new(address: &str, patience: Duration, tally: &Rc<CallTally>) -> Self {
-        let store = ObjectStore::sharing(address, patience, &tally.era);
+        let store = ObjectStore::with_shared_era(address, patience, &tally.era);
         Self { store, tally: tally.clone() }
     }
 
--- a/crates/relay/src/stream.rs
+++ b/crates/relay/src/stream.rs
@@ -7,7 +7,7 @@
 use hyper::body::Incoming;
 use rand::RngExt;
 use switchfold_kernel::clock::now_millis;
-use switchfold_platform::headers::{AnswerMarks, read_answer, strip_hop_headers};
+use switchfold_platform::headers::{ResponseHeaders, read_response_headers, strip_hop_headers};
 use switchfold_router::{
     Millis,
     attempt::{AttemptEnd, AttemptState, NextStep, decide_next},
@@ -91,7 +91,7 @@
     }
     let mut tried = TriedReplicas::default();
     loop {
-        let last_event = request.marks.last_event;
+        let last_event = request.marks.last_event_id;
         let patience = room_patience(&request, &permit);
         let opened = open_stream(relay, &request, &permit, &mut tried, last_event, patience).await;
         let (end, detail) = match opened {
@@ -139,7 +139,7 @@
 async fn wait_in_turn(relay: &Relay, request: &CallerRequest) -> bool {
     let draw = relay.random.borrow_mut().random();
     let age = now_millis();
-    let delay = return_delay(age, request.marks.last_event.is_some(), draw);
+    let delay = return_delay(age, request.marks.last_event_id.is_some(), draw);
     if delay > 0 {
         sleep(Duration::from_millis(delay)).await;
     }
@@ -253,18 +253,19 @@
         ReportState::Answered(report) => report,
     };
     let own = report.stalled.iter().find(|stalled| stalled.attempt_id == attempt_id);
-    own.and_then(|stalled| stalled.at_fault)
+    own.and_then(|stalled| stalled.faulty_replica)
 }
 
 /// Keeps away from the replica at an address.
-pub fn note_fault(relay: &Relay, at_fault: SocketAddr, why: &str) -> String {
-    let life = relay.beliefs.borrow().fleet.view.at(at_fault).map(|replica| replica.life.clone());
+pub fn note_fault(relay: &Relay, faulty_replica: SocketAddr, why: &str) -> String {
+    let life =
+        relay.beliefs.borrow().fleet.view.at(faulty_replica).map(|replica| replica.life.clone());
     match life {
         Some(life) => {
             relay.suspect(&life, why);
-            format!("{why} at {at_fault} ({life})")
+            format!("{why} at {faulty_replica} ({life})")
         }
-        None => format!("{why} at {at_fault} (not listed)"),
+        None => format!("{why} at {faulty_replica} (not listed)"),
     }
 }
 
@@ -287,7 +288,7 @@
 ) -> OpenEnd {
     let SentRun { path, room, mut run, begun } = sent;
     let (head, body) = response.into_parts();
-    let marks = read_answer(&head.headers);
+    let marks = read_response_headers(&head.headers);
     hear_notices(relay, &first.life, request.heard(&marks, head.status, begun));
     if let Some(end) = early_end(request, &marks, head.status) {
         note_rejection(relay, tried, &marks, &first, head.status).await;
@@ -296,7 +297,7 @@
             _ => tried.sends += 1,
         }
         finish_quietly(relay, link, body, &marks).await;
-        let detail = format!("status {} at {:?}", head.status, marks.at_fault);
+        let detail = format!("status {} at {:?}", head.status, marks.faulty_replica);
         return OpenEnd::Failed(end, detail);
     }
     tried.sends += 1;
@@ -317,28 +318,29 @@
 async fn note_rejection(
     relay: &Relay,
     tried: &mut TriedReplicas,
-    marks: &AnswerMarks,
+    marks: &ResponseHeaders,
     first: &ReplicaEntry,
     status: StatusCode,
 ) {
-    let at_fault = marks.at_fault.unwrap_or(first.address);
-    let life = relay.beliefs.borrow().fleet.view.at(at_fault).map(|replica| replica.life.clone());
+    let faulty_replica = marks.faulty_replica.unwrap_or(first.address);
+    let life =
+        relay.beliefs.borrow().fleet.view.at(faulty_replica).map(|replica| replica.life.clone());
     let Some(life) = life else {
         // Whatever it names is not known here, so the first one is passed by.
         tried.avoid.push(first.life.clone());
         return;
     };
-    if marks.at_fault.is_none() && status == StatusCode::SERVICE_UNAVAILABLE {
+    if marks.faulty_replica.is_none() && status == StatusCode::SERVICE_UNAVAILABLE {
         relay.beliefs.borrow_mut().full_starts.note_rejection(&life, now_millis());
     }
-    if marks.at_fault.is_some() && status == StatusCode::SERVICE_UNAVAILABLE {
-        match recent_report(relay, at_fault).await {
+    if marks.faulty_replica.is_some() && status == StatusCode::SERVICE_UNAVAILABLE {
+        match recent_report(relay, faulty_replica).await {
             ReportState::Asking => {}
             ReportState::Silent => relay.suspect(&life, "rejected and silent"),
             ReportState::Answered(report) if report.layers.is_none() => {
                 relay.suspect(&life, "rejected and empty");
             }
-            ReportState::Answered(report) if report.room_used > report.room_total * FULL => {
+            ReportState::Answered(report) if report.kv_used > report.kv_total * FULL => {
                 relay.note_full(&life);
             }
             ReportState::Answered(_) => {}
@@ -355,14 +357,14 @@
     head: response::Parts,
     body: Incoming,
     link: BusyLink,
-    marks: &AnswerMarks,
+    marks: &ResponseHeaders,
 ) -> OpenEnd {
     /// Largest failure of an engine that is read, in bytes.
     const MOST_FAILURE: usize = 1 << 20;
     let status = head.status.as_u16();
     match Limited::new(body, MOST_FAILURE).collect().await {
         Ok(body) if status < 500 => {
-            if !marks.closes {
+            if !marks.closes_connection {
                 link.give_back(&relay.pool, marks.keep_alive);
             }
             let mut head = head;
--- a/crates/relay/src/survey.rs
+++ b/crates/relay/src/survey.rs
@@ -73,9 +73,9 @@
     let address = relay.beliefs.borrow().fleet.view.living(engine).map(|replica| replica.address);
     let Some(address) = address else { return };
     let Some(report) = ask_report(relay, address).await else { return };
-    let changed = relay.beliefs.borrow_mut().paces.note(engine, report.pace, now_millis());
+    let changed = relay.beliefs.borrow_mut().paces.note(engine, report.slowdown, now_millis());
     if changed {
-        tracing::info!(event = "engine-pace", replica = %engine, factor = report.pace);
+        tracing::info!(event = "engine-pace", replica = %engine, factor = report.slowdown);
         tell_state(relay, TellReach::All);
     }
 }
--- a/crates/relay/src/watch.rs
+++ b/crates/relay/src/watch.rs
@@ -55,11 +55,11 @@
         kind: CallKind::Config,
         times: CONFIG_TIMES,
         take_list: |relay, list, _| {
-            list.items.iter().for_each(|item| read_config(relay, item, list.at))
+            list.items.iter().for_each(|item| read_config(relay, item, list.revision))
         },
         take_changes: |relay, changes| {
-            let kept = changes.events.read.iter().filter(|change| !change.gone);
-            kept.for_each(|change| read_config(relay, &change.object, changes.at));
+            let kept = changes.events.decoded.iter().filter(|change| !change.gone);
+            kept.for_each(|change| read_config(relay, &change.object, changes.revision));
         },
         prove: |relay, sent, at| {
             let mut beliefs = relay.beliefs.borrow_mut();
@@ -103,7 +103,7 @@
         kind: CallKind::Replicas,
         times: REPLICA_TIMES,
         take_list: take_replica_list,
-        take_changes: |relay, changes| take_replica_changes(relay, changes.events.read),
+        take_changes: |relay, changes| take_replica_changes(relay, changes.events.decoded),
         prove: |relay, sent, at| {
             relay.beliefs.borrow_mut().fleet.note_read(sent, at, now_millis());
         },
@@ -185,7 +185,7 @@
                     false => tell_state(&relay, TellReach::Near),
                 }
             }
-            Err(StoreError::Gap) => {
+            Err(StoreError::RevisionExpired) => {
                 let after = follower.revision();
                 tracing::info!(event = "history-gone", kind = %followed.kind, after);
                 follower.note_gap();
@@ -220,7 +220,7 @@
     sent: Millis,
 ) -> Result<u64, StoreError> {
     let list = store.list(followed.kind, CallVerb::List, CallCause::Follow(cause)).await?;
-    let at = list.at;
+    let at = list.revision;
     tracing::debug!(event = "store-read", kind = %followed.kind, at, items = list.items.len());
     note_unreadable(relay, followed.kind, &list.unreadable, at);
     (followed.take_list)(relay, list, sent);
@@ -246,8 +246,8 @@
 ) -> Result<u64, StoreError> {
     let wait = Duration::from_millis(followed.times.wait);
     let changes = store.watch(followed.kind, after, wait).await?;
-    note_unreadable(relay, followed.kind, &changes.events.unreadable, changes.at);
-    let (at, changed) = (changes.at, changes.events.read.len());
+    note_unreadable(relay, followed.kind, &changes.events.unreadable, changes.revision);
+    let (at, changed) = (changes.revision, changes.events.decoded.len());
     tracing::debug!(event = "store-watched", kind = %followed.kind, after, at, changed);
     (followed.take_changes)(relay, changes);
     Ok(at.max(after))
--- a/crates/relay/tests/copies.rs
+++ b/crates/relay/tests/copies.rs
@@ -9,7 +9,7 @@
 use serde_json::Value;
 use switchfold_platform::{CONFIG_KIND, CONFIG_NAME, ENTRY_KIND, REPLICA_KIND};
 use switchfold_platform_standin::{
-    StandinReplica, StandinStore, StoreMood,
+    StandinReplica, StandinStore, StoreBehaviour,
     samples::{KEY, LAYERS, config, desk_entry, draining, in_data_centre, model_entry},
 };
 use tokio::time::sleep;
@@ -34,10 +34,10 @@
 }
 
 async fn comes_back(store: &StandinStore) {
-    store.set_mood(StoreMood::Busy);
+    store.set_behaviour(StoreBehaviour::Unavailable);
     sleep(AWAY).await;
-    store.come_back();
-    store.set_mood(StoreMood::Well);
+    store.restore_backup();
+    store.set_behaviour(StoreBehaviour::Healthy);
 }
 
 /// A key is taken away, one replica leaves and one joins; then the store comes back from a copy of before all that, where
@@ -55,7 +55,7 @@
             let store = StandinStore::start().await;
             store.put(CONFIG_KIND, CONFIG_NAME, config(1, &ROUTES, &[KEY, OLD_KEY]));
             store.put(REPLICA_KIND, "i-left", entry(left.address()));
-            store.make_copy();
+            store.take_backup();
             let relay = RunningRelay::start_beside(store, bounds()).await;
             relay.wait_ready(StatusCode::OK).await;
             let newer = config(2, &ROUTES, &[KEY]);
@@ -83,10 +83,10 @@
             };
             wait_until(async || {
                 relay.get(&format!("{path}first"), "first").await;
-                !joined.seen().is_empty()
+                !joined.requests().is_empty()
             })
             .await;
-            let reached = left.seen().len();
+            let reached = left.requests().len();
             let registered = registrations(&relay.store);
             comes_back(&relay.store).await;
             let begun = std::time::Instant::now();
@@ -102,18 +102,18 @@
                     relay.store.put(REPLICA_KIND, "i-joined", near.clone());
                 }
             }
-            assert_eq!(left.seen().len(), reached, "{path}");
+            assert_eq!(left.requests().len(), reached, "{path}");
             relay.store.remove(REPLICA_KIND, "i-left");
             // What the store tells of the new era is heard, whatever its revisions.
             relay.store.put(REPLICA_KIND, "i-last", in_data_centre(entry(last.address()), "far"));
             relay.store.put(REPLICA_KIND, "i-joined", draining(near));
             wait_until(async || {
                 serves("late").await;
-                let before = joined.seen().len();
+                let before = joined.requests().len();
                 for number in 0..5 {
                     serves(&format!("l{number}")).await;
                 }
-                !last.seen().is_empty() && joined.seen().len() == before
+                !last.requests().is_empty() && joined.requests().len() == before
             })
             .await;
             wait_until(async || registrations(&relay.store) > registered).await;
--- a/crates/relay/tests/crashes.rs
+++ b/crates/relay/tests/crashes.rs
@@ -34,8 +34,8 @@
     engine::{ORDER_PATH, REPORT_PATH},
 };
 use switchfold_platform_standin::{
-    Reply, SeenOrder, SeenRequest, StandinReplica, StandinStore, StreamEnd, answer, events,
-    read_order,
+    ReceivedOrder, ReceivedRequest, Reply, StandinReplica, StandinStore, StreamEnd, answer, events,
+    parse_order,
     samples::{KEY, LAYERS, config, desk_entry, model_entry, report},
 };
 use tokio::time::sleep;
@@ -55,21 +55,21 @@
 /// Replicas that a request may end at most.
 const MOST_ENDED: usize = 3;
 
-fn is_bad(request: &SeenRequest) -> bool {
+fn is_bad(request: &ReceivedRequest) -> bool {
     request.target.contains("/bad")
 }
 
 /// An engine that holds all layers, and ends when it begins to run the bad request.
-fn fragile(request: &SeenRequest) -> Reply {
+fn fragile(request: &ReceivedRequest) -> Reply {
     match request.target.as_str() {
         REPORT_PATH => answer(request, 200, &report(0, LAYERS, &[])),
         ORDER_PATH => answer(request, 200, ""),
         _ if is_bad(request) => Reply::Crash(stream_head(request), PAUSE),
-        _ => events(request, EVENTS, PAUSE, StreamEnd::Whole),
+        _ => events(request, EVENTS, PAUSE, StreamEnd::Complete),
     }
 }
 
-fn stream_head(request: &SeenRequest) -> Vec<u8> {
+fn stream_head(request: &ReceivedRequest) -> Vec<u8> {
     match events(request, 0, PAUSE, StreamEnd::Silence) {
         Reply::Stream { head, .. } => head.into_bytes(),
         other => panic!("a stream, and not {other:?}"),
@@ -82,7 +82,7 @@
 
 async fn start_engines(
     count: usize,
-    script: impl Fn(&SeenRequest) -> Reply + Clone + Send + Sync + 'static,
+    script: impl Fn(&ReceivedRequest) -> Reply + Clone + Send + Sync + 'static,
 ) -> Vec<StandinReplica> {
     let mut engines = Vec::new();
     for _ in 0..count {
@@ -92,7 +92,7 @@
 }
 
 fn ended(replicas: &[StandinReplica]) -> usize {
-    replicas.iter().filter(|replica| replica.is_gone()).count()
+    replicas.iter().filter(|replica| replica.has_crashed()).count()
 }
 
 /// A store with the configuration of the tests and these replicas.
@@ -161,13 +161,15 @@
         };
         let first = StandinReplica::start(move |request| match request.target.as_str() {
             REPORT_PATH => {
-                let at_fault = *at_work.lock().expect("no script panics");
-                let stalled: Vec<(&str, SocketAddr)> =
-                    at_fault.map(|at_fault| ("bad-0", at_fault)).into_iter().collect();
+                let faulty_replica = *at_work.lock().expect("no script panics");
+                let stalled: Vec<(&str, SocketAddr)> = faulty_replica
+                    .map(|faulty_replica| ("bad-0", faulty_replica))
+                    .into_iter()
+                    .collect();
                 answer(request, 200, &report(0, 4, &stalled))
             }
             ORDER_PATH => {
-                if let SeenOrder::Repath { path, .. } = read_order(&request.body) {
+                if let ReceivedOrder::Repath { path, .. } = parse_order(&request.body) {
                     crash_at(&path);
                 }
                 answer(request, 200, "")
@@ -188,7 +190,7 @@
 }
 
 /// A plain service's replica that ends when it begins to run the bad request.
-fn fragile_desk(request: &SeenRequest) -> Reply {
+fn fragile_desk(request: &ReceivedRequest) -> Reply {
     match is_bad(request) {
         true => Reply::Crash(Vec::new(), PAUSE),
         false => answer(request, 200, "confirmed"),
--- a/crates/relay/tests/harness/mod.rs
+++ b/crates/relay/tests/harness/mod.rs
@@ -16,7 +16,7 @@
     headers::{ATTEMPT_ID, DEADLINE, REPLICA_SEAL},
 };
 use switchfold_platform_standin::{
-    Reply, SeenRequest, StandinReplica, StandinStore, StreamEnd, answer, events,
+    ReceivedRequest, Reply, StandinReplica, StandinStore, StreamEnd, answer, events,
     samples::{self, HOST, KEY, RouteSample},
 };
 use switchfold_relay::{
@@ -39,13 +39,13 @@
     kind: "idempotent",
     service: "desk",
     timeout_ms: 10_000,
-    most_attempts: 2,
+    max_attempts: 2,
     resumable: false,
 };
 
 /// Route of calls that may not be repeated.
 pub(crate) const ONCE: RouteSample =
-    RouteSample { prefix: "/once/", kind: "non_idempotent", most_attempts: 2, ..SAFE };
+    RouteSample { prefix: "/once/", kind: "non_idempotent", max_attempts: 2, ..SAFE };
 
 /// Route of calls that are held briefly.
 pub(crate) const BRIEF: RouteSample = RouteSample { prefix: "/brief/", timeout_ms: 300, ..ONCE };
@@ -56,7 +56,7 @@
     kind: "streaming",
     service: "model",
     timeout_ms: 15_000,
-    most_attempts: 2,
+    max_attempts: 2,
     resumable: true,
 };
 
@@ -66,7 +66,7 @@
 
 /// Route of streams that may be taken up elsewhere, but go to one replica only.
 pub(crate) const STREAM_SINGLE: RouteSample =
-    RouteSample { prefix: "/stream-single/", most_attempts: 1, ..STREAM };
+    RouteSample { prefix: "/stream-single/", max_attempts: 1, ..STREAM };
 
 /// All routes of the tests.
 pub(crate) const ROUTES: [RouteSample; 6] = [SAFE, ONCE, BRIEF, STREAM, STREAM_ONCE, STREAM_SINGLE];
@@ -271,12 +271,12 @@
 }
 
 /// What a replica of either service answers while it is well; an engine holds all layers.
-pub(crate) fn serve(request: &SeenRequest) -> Reply {
+pub(crate) fn serve(request: &ReceivedRequest) -> Reply {
     match request.target.as_str() {
         REPORT_PATH => answer(request, 200, &samples::report(0, samples::LAYERS, &[])),
         ORDER_PATH => answer(request, 200, ""),
         path if path.starts_with("/stream") => {
-            events(request, 3, Duration::from_millis(5), StreamEnd::Whole)
+            events(request, 3, Duration::from_millis(5), StreamEnd::Complete)
         }
         _ => answer(request, 200, "confirmed"),
     }
--- a/crates/relay/tests/limits.rs
+++ b/crates/relay/tests/limits.rs
@@ -30,7 +30,7 @@
 use serde_json::Value;
 use switchfold_platform::engine::{ORDER_PATH, REPORT_PATH};
 use switchfold_platform_standin::{
-    Reply, SeenRequest, StandinReplica,
+    ReceivedRequest, Reply, StandinReplica,
     samples::{LAYERS, desk_entry, in_data_centre, model_entry},
     with_header,
 };
@@ -68,7 +68,7 @@
 }
 
 /// A replica that serves all, and names a limit in each answer.
-fn names_limit(seen: &SeenTimes) -> impl Fn(&SeenRequest) -> Reply + Send + Sync + 'static {
+fn names_limit(seen: &SeenTimes) -> impl Fn(&ReceivedRequest) -> Reply + Send + Sync + 'static {
     let seen = seen.clone();
     move |request| {
         if ![REPORT_PATH, ORDER_PATH].contains(&request.target.as_str()) {
--- a/crates/relay/tests/notices.rs
+++ b/crates/relay/tests/notices.rs
@@ -37,8 +37,8 @@
     engine::{ORDER_PATH, REPORT_PATH},
 };
 use switchfold_platform_standin::{
-    Reply, SeenRequest, StandinReplica, reject,
-    samples::{LAYERS, born_at, desk_entry, in_data_centre, model_entry},
+    ReceivedRequest, Reply, StandinReplica, reject,
+    samples::{LAYERS, desk_entry, in_data_centre, model_entry, started_at},
     with_header,
 };
 use switchfold_relay::settings::BoundSettings;
@@ -67,7 +67,7 @@
     move |address| in_data_centre(entry(address), "far")
 }
 
-fn is_control(request: &SeenRequest) -> bool {
+fn is_control(request: &ReceivedRequest) -> bool {
     [REPORT_PATH, ORDER_PATH].contains(&request.target.as_str())
 }
 
@@ -99,7 +99,7 @@
     is_closed: &Arc<AtomicBool>,
     asks: &'static str,
     seen: &SeenTimes,
-) -> impl Fn(&SeenRequest) -> Reply + Send + Sync + 'static {
+) -> impl Fn(&ReceivedRequest) -> Reply + Send + Sync + 'static {
     let (is_closed, seen) = (is_closed.clone(), seen.clone());
     move |request| {
         if is_control(request) {
@@ -224,7 +224,7 @@
 fn leaves(
     is_leaving: &Arc<AtomicBool>,
     seen: &SeenTimes,
-) -> impl Fn(&SeenRequest) -> Reply + Send + Sync + 'static {
+) -> impl Fn(&ReceivedRequest) -> Reply + Send + Sync + 'static {
     let (is_leaving, seen) = (is_leaving.clone(), seen.clone());
     move |request| {
         let leaving = is_leaving.load(Ordering::SeqCst);
@@ -249,7 +249,7 @@
             let (is_leaving, seen) = (Arc::new(AtomicBool::new(true)), SeenTimes::default());
             let near = StandinReplica::start(leaves(&is_leaving, &seen)).await;
             let other = StandinReplica::start(serve).await;
-            let own = born_at(entry(near.address()), 1_000);
+            let own = started_at(entry(near.address()), 1_000);
             let entries = [("i-1", own.clone()), listed("i-2", &other, far(entry))];
             let relay = RunningRelay::start(soon(), &entries).await;
             let mut count = 0;
@@ -273,7 +273,7 @@
             }
             assert_eq!(seen.len(), reached, "{path}");
             is_leaving.store(false, Ordering::SeqCst);
-            relay.store.put(REPLICA_KIND, "i-1", born_at(own, 2_000));
+            relay.store.put(REPLICA_KIND, "i-1", started_at(own, 2_000));
             wait_until(async || {
                 call().await;
                 seen.len() > reached
--- a/crates/relay/tests/plain.rs
+++ b/crates/relay/tests/plain.rs
@@ -21,20 +21,21 @@
     headers::{ATTEMPT_ID, DEADLINE, EXPECT_REPLICA, ORGANISATION as ORGANISATION_HEADER},
 };
 use switchfold_platform_standin::{
-    Reply, SeenRequest, StandinReplica, StandinStore, StoreMood, answer, reject,
+    ReceivedRequest, Reply, StandinReplica, StandinStore, StoreBehaviour, answer,
+    mismatched_response, reject,
     samples::{self, KEY, ORGANISATION, desk_entry, draining},
-    short_answer, surplus_answer,
+    truncated_response,
 };
 use switchfold_relay::settings::BoundSettings;
 use tokio::time::sleep;
 
-type Script = fn(&SeenRequest) -> Reply;
+type Script = fn(&ReceivedRequest) -> Reply;
 
-fn well(request: &SeenRequest) -> Reply {
+fn well(request: &ReceivedRequest) -> Reply {
     answer(request, 200, "confirmed")
 }
 
-fn garbage(_: &SeenRequest) -> Reply {
+fn garbage(_: &ReceivedRequest) -> Reply {
     Reply::BytesThenClose(b"\x00\x01 no answer at all\r\n\r\n".to_vec())
 }
 
@@ -65,7 +66,7 @@
     let first_done = Arc::new(AtomicUsize::new(0));
     let script = |fails: Script| {
         let done = first_done.clone();
-        move |request: &SeenRequest| match done.fetch_add(1, Ordering::SeqCst) {
+        move |request: &ReceivedRequest| match done.fetch_add(1, Ordering::SeqCst) {
             0 => fails(request),
             _ => well(request),
         }
@@ -81,7 +82,7 @@
     if row.sealed && row.status == 200 {
         assert_eq!(called.body, "confirmed", "{}", row.name);
     }
-    let sent = one.seen().len() + two.seen().len();
+    let sent = one.requests().len() + two.requests().len();
     assert_eq!(sent, 1 + row.second_runs, "{}", row.name);
     let promises = matches!(row.status, 408 | 421 | 429 | 503);
     assert_eq!(called.headers.contains_key("retry-after"), promises, "{}", row.name);
@@ -100,10 +101,10 @@
         row("503 without the promise", "/once/a", |r| answer(r, 503, "no"), 502, false, 0),
         row("closed", "/once/a", |_| Reply::Close, 502, false, 0),
         row("closed, repeatable", "/safe/a", |_| Reply::Close, 200, true, 1),
-        row("surplus answer", "/once/a", |_| surplus_answer(), 502, false, 0),
-        row("surplus answer, repeatable", "/safe/a", |_| surplus_answer(), 200, true, 1),
-        row("broken off", "/once/a", short_answer, 502, false, 0),
-        row("broken off, repeatable", "/safe/a", short_answer, 200, true, 1),
+        row("surplus answer", "/once/a", |_| mismatched_response(), 502, false, 0),
+        row("surplus answer, repeatable", "/safe/a", |_| mismatched_response(), 200, true, 1),
+        row("broken off", "/once/a", truncated_response, 502, false, 0),
+        row("broken off, repeatable", "/safe/a", truncated_response, 200, true, 1),
         row("garbage", "/once/a", garbage, 502, false, 0),
         row("garbage, repeatable", "/safe/a", garbage, 200, true, 1),
         row("silent until the route's time is up", "/brief/a", |_| Reply::Silence, 504, false, 0),
@@ -123,7 +124,7 @@
         for id in ["a", "b", "c", "d"] {
             assert_eq!(relay.get("/once/a", id).await.status, StatusCode::OK);
         }
-        assert_eq!(well_one.seen().len(), 4);
+        assert_eq!(well_one.requests().len(), 4);
     });
 }
 
@@ -151,7 +152,7 @@
         headers.insert("connection", "x-own-hop, keep-alive".parse().expect("a value"));
         headers.insert("x-own-hop", "1".parse().expect("a value"));
         call(relay.address, asked).await;
-        let seen = &replica.seen()[0];
+        let seen = &replica.requests()[0];
         assert_eq!((seen.method.as_str(), seen.target.as_str()), ("POST", "/safe/a%20b?x=1&y"));
         assert_eq!(seen.body, b"question");
         assert_eq!(seen.header(ATTEMPT_ID.as_str()), Some("attempt-7"));
@@ -183,7 +184,7 @@
         for (asked, status) in rows {
             assert_eq!(call(relay.address, asked).await.status, status);
         }
-        assert_eq!(replica.seen(), []);
+        assert_eq!(replica.requests(), []);
     });
 }
 
@@ -220,28 +221,30 @@
 /// nothing ran; it takes keys again once the store is back, with what changed meanwhile.
 #[test]
 fn keys_are_refused_while_nothing_proves_them() {
-    for mood in [StoreMood::Busy, StoreMood::Limited, StoreMood::Silent] {
+    for mood in
+        [StoreBehaviour::Unavailable, StoreBehaviour::RateLimited, StoreBehaviour::Unresponsive]
+    {
         run_test(async move {
             let replica = StandinReplica::start(well).await;
             // A lease of half a second.
             let bounds = BoundSettings { revoke_ms: 3_800.0, ..bounds() };
             let relay = RunningRelay::start(bounds, &[listed("i-1", &replica, desk_entry)]).await;
-            relay.store.set_mood(mood);
+            relay.store.set_behaviour(mood);
             wait_until(async || {
                 relay.get("/safe/a", "a").await.status == StatusCode::SERVICE_UNAVAILABLE
             })
             .await;
             relay.wait_ready(StatusCode::SERVICE_UNAVAILABLE).await;
-            let ran = replica.seen().len();
+            let ran = replica.requests().len();
             let denied = relay.get("/nowhere/", "b").await;
             assert_eq!(denied.status, StatusCode::SERVICE_UNAVAILABLE, "an old route is no proof");
-            assert_eq!(replica.seen().len(), ran);
+            assert_eq!(replica.requests().len(), ran);
             relay.store.put(
                 CONFIG_KIND,
                 CONFIG_NAME,
                 samples::config(2, &harness::ROUTES, &["new"]),
             );
-            relay.store.set_mood(StoreMood::Well);
+            relay.store.set_behaviour(StoreBehaviour::Healthy);
             wait_until(async || relay.get("/safe/a", "c").await.status == StatusCode::UNAUTHORIZED)
                 .await;
         });
@@ -255,13 +258,13 @@
     run_test(async {
         let asked = Arc::new(AtomicBool::new(false));
         let noted = asked.clone();
-        let script = move |request: &SeenRequest| {
+        let script = move |request: &ReceivedRequest| {
             noted.fetch_or(request.target == REPORT_PATH, Ordering::Relaxed);
             well(request)
         };
         let replica = StandinReplica::start(script).await;
         let relay = RunningRelay::start(bounds(), &[listed("i-1", &replica, desk_entry)]).await;
-        relay.store.set_mood(StoreMood::Busy);
+        relay.store.set_behaviour(StoreBehaviour::Unavailable);
         // The outage lasts for some tries to read the list: each comes half a second after the last.
         let reads = || {
             let calls = relay.store.calls().into_iter();
@@ -270,7 +273,7 @@
         let before = reads().len();
         wait_until(async || reads().len() > before + 5).await;
         relay.store.remove(REPLICA_KIND, "i-1");
-        relay.store.set_mood(StoreMood::Well);
+        relay.store.set_behaviour(StoreBehaviour::Healthy);
         // A watch follows only a list that was answered.
         wait_until(async || reads().last().is_some_and(|read| read.contains("watch="))).await;
         assert_eq!(relay.get("/safe/a", "a").await.status, StatusCode::OK);
@@ -288,10 +291,10 @@
     run_test(async {
         let replica = StandinReplica::start(well).await;
         let relay = RunningRelay::start(bounds(), &[listed("i-1", &replica, desk_entry)]).await;
-        relay.store.set_mood(StoreMood::Busy);
+        relay.store.set_behaviour(StoreBehaviour::Unavailable);
         relay.store.put(CONFIG_KIND, CONFIG_NAME, samples::config(2, &harness::ROUTES, &["new"]));
         relay.store.compact();
-        relay.store.set_mood(StoreMood::Well);
+        relay.store.set_behaviour(StoreBehaviour::Healthy);
         wait_until(async || relay.get("/safe/a", "b").await.status == StatusCode::UNAUTHORIZED)
             .await;
     });
@@ -318,19 +321,19 @@
     let mut number = 0;
     wait_until(async || {
         // Until the relay knows, either may be asked; then only the one that stays is.
-        let before = leaves.seen().len();
+        let before = leaves.requests().len();
         for _ in 0..6 {
             number += 1;
             relay.get("/safe/a", &format!("a{number}")).await;
         }
-        leaves.seen().len() == before
+        leaves.requests().len() == before
     })
     .await;
-    let before = leaves.seen().len();
+    let before = leaves.requests().len();
     for id in 0..20 {
         assert_eq!(relay.get("/safe/a", &format!("b{id}")).await.status, StatusCode::OK);
     }
-    assert_eq!(leaves.seen().len(), before);
+    assert_eq!(leaves.requests().len(), before);
 }
 
 /// A configuration that cannot be read may have taken a key away: the lease on keys ends, and begins
@@ -360,7 +363,7 @@
         let asked = call(relay.address, request("/once/a", "a"));
         let gone = tokio::time::timeout(Duration::from_millis(300), asked).await;
         assert!(gone.is_err(), "the replica never answers");
-        wait_until(async || replica.seen().len() == 1 && replica.open_connections() == 0).await;
+        wait_until(async || replica.requests().len() == 1 && replica.open_connections() == 0).await;
     });
 }
 
@@ -385,7 +388,7 @@
 #[test]
 fn a_stop_cuts_no_late_request() {
     run_test(async {
-        let slow = |request: &SeenRequest| match answer(request, 200, "confirmed") {
+        let slow = |request: &ReceivedRequest| match answer(request, 200, "confirmed") {
             Reply::Bytes(bytes) => Reply::BytesLater(Duration::from_millis(200), bytes),
             other => other,
         };
@@ -397,7 +400,7 @@
         let relay = RunningRelay::start(bounds, &entries).await;
         // A stream that does not end keeps the relay going to the end of its grace time.
         let held = tokio::task::spawn_local(call(relay.address, request("/stream-once/a", "held")));
-        wait_until(async || hung.seen().len() == 1).await;
+        wait_until(async || hung.requests().len() == 1).await;
         relay.shutdown.raise();
         let mut number = 0;
         loop {
--- a/crates/relay/tests/restarts.rs
+++ b/crates/relay/tests/restarts.rs
@@ -14,8 +14,8 @@
     engine::{ORDER_PATH, REPORT_PATH},
 };
 use switchfold_platform_standin::{
-    Reply, SeenRequest, StandinReplica, StreamEnd, answer, events, reject,
-    samples::{LAYERS, born_at, in_data_centre, model_entry, odd_entries, report},
+    ReceivedRequest, Reply, StandinReplica, StreamEnd, answer, events, reject,
+    samples::{LAYERS, in_data_centre, malformed_entries, model_entry, report, started_at},
 };
 
 use crate::harness::{RunningRelay, bounds, run_test, wait_until};
@@ -26,18 +26,18 @@
     [now - 60_000, now - 1_000]
 }
 
-fn whole_stream(request: &SeenRequest) -> Reply {
-    events(request, 4, Duration::ZERO, StreamEnd::Whole)
+fn whole_stream(request: &ReceivedRequest) -> Reply {
+    events(request, 4, Duration::ZERO, StreamEnd::Complete)
 }
 
 /// An engine whose reports tell a start, and that answers requests by a script.
 fn engine(
     born: u64,
-    script: impl Fn(&SeenRequest) -> Reply + Send + Sync + 'static,
-) -> impl Fn(&SeenRequest) -> Reply + Send + Sync + 'static {
+    script: impl Fn(&ReceivedRequest) -> Reply + Send + Sync + 'static,
+) -> impl Fn(&ReceivedRequest) -> Reply + Send + Sync + 'static {
     let report = report(0, LAYERS, &[]);
     let report: serde_json::Value = serde_json::from_str(&report).expect("reports are JSON");
-    let report = born_at(report, born).to_string();
+    let report = started_at(report, born).to_string();
     move |request| match request.target.as_str() {
         REPORT_PATH => answer(request, 200, &report),
         ORDER_PATH => answer(request, 200, ""),
@@ -54,35 +54,39 @@
         // Rejections name the replica itself.
         let own = Arc::new(Mutex::new(None));
         let named = own.clone();
-        let script = move |request: &SeenRequest| match request.target.as_str() {
+        let script = move |request: &ReceivedRequest| match request.target.as_str() {
             "/stream/again" => whole_stream(request),
             _ => reject(request, 503, *named.lock().expect("no script panics")),
         };
         let restarted = StandinReplica::start(engine(later, script)).await;
         *own.lock().expect("no script panics") = Some(restarted.address());
         let other = StandinReplica::start(engine(earlier, whole_stream)).await;
-        let entry = born_at(model_entry(restarted.address(), 0, LAYERS), earlier);
-        let far = born_at(model_entry(other.address(), 0, LAYERS), earlier);
+        let entry = started_at(model_entry(restarted.address(), 0, LAYERS), earlier);
+        let far = started_at(model_entry(other.address(), 0, LAYERS), earlier);
         let entries = [("i-1", entry.clone()), ("i-2", in_data_centre(far, "far"))];
         let relay = RunningRelay::start(bounds(), &entries).await;
         for number in 0..4 {
             let called = relay.get(&format!("/stream/{number}"), &format!("a{number}")).await;
             assert_eq!(called.status, StatusCode::OK);
         }
-        assert_eq!(restarted.seen().len(), 1, "its earlier life's layers are not asked for again");
+        assert_eq!(
+            restarted.requests().len(),
+            1,
+            "its earlier life's layers are not asked for again"
+        );
         // An entry that the earlier life wrote comes late, and changes nothing.
         let mut late = entry.clone();
         late["slots"] = 7.into();
         relay.store.put(REPLICA_KIND, "i-1", late);
         assert!(relay.get("/stream/5", "a5").await.whole);
-        assert_eq!(restarted.seen().len(), 1);
+        assert_eq!(restarted.requests().len(), 1);
         // Its own entry tells what the later life holds.
-        relay.store.put(REPLICA_KIND, "i-1", born_at(entry, later));
+        relay.store.put(REPLICA_KIND, "i-1", started_at(entry, later));
         let mut attempt = 0;
         wait_until(async || {
             attempt += 1;
             relay.get("/stream/again", &format!("b{attempt}")).await;
-            restarted.seen().len() > 1
+            restarted.requests().len() > 1
         })
         .await;
     });
@@ -94,8 +98,8 @@
     run_test(async {
         let [born, _] = lives();
         let replica = StandinReplica::start(engine(born, whole_stream)).await;
-        let own = born_at(model_entry(replica.address(), 0, LAYERS), born);
-        let odd = odd_entries(&own);
+        let own = started_at(model_entry(replica.address(), 0, LAYERS), born);
+        let odd = malformed_entries(&own);
         let names: Vec<String> = (0..odd.len()).map(|number| format!("i-{number:02}")).collect();
         let mut entries = vec![("i-05x", own.clone())];
         entries.extend(names.iter().map(String::as_str).zip(odd.iter().cloned()));
--- a/crates/relay/tests/snapshots.rs
+++ b/crates/relay/tests/snapshots.rs
@@ -11,7 +11,7 @@
 use serde_json::json;
 use switchfold_platform::{CONFIG_KIND, CONFIG_NAME, ENTRY_KIND, REPLICA_KIND};
 use switchfold_platform_standin::{
-    Reply, SeenRequest, StandinReplica, StandinStore, StoreMood, answer,
+    ReceivedRequest, Reply, StandinReplica, StandinStore, StoreBehaviour, answer,
     samples::{self, KEY, desk_entry},
 };
 use switchfold_relay::{
@@ -21,7 +21,7 @@
 };
 use tokio::net::UdpSocket;
 
-fn well(request: &SeenRequest) -> Reply {
+fn well(request: &ReceivedRequest) -> Reply {
     answer(request, 200, "well")
 }
 
@@ -77,7 +77,7 @@
         let first = BoundRelay::new("relay-1", store.clone(), lasting.clone()).await.run();
         first.wait_ready(StatusCode::OK).await;
         let second = BoundRelay::new("relay-2", store.clone(), lasting).await;
-        store.set_mood(StoreMood::Busy);
+        store.set_behaviour(StoreBehaviour::Unavailable);
         second.meet(&first).await;
         let second = second.run();
         second.wait_ready(StatusCode::OK).await;
@@ -106,9 +106,10 @@
             store.put(CONFIG_KIND, CONFIG_NAME, samples::config(1, &ROUTES, &[KEY]));
             store.put(REPLICA_KIND, "i-1", desk_entry(replica.address()));
             let text = bytes.clone();
-            let liar =
-                StandinReplica::start(move |request: &SeenRequest| bytes_answer(request, &text))
-                    .await;
+            let liar = StandinReplica::start(move |request: &ReceivedRequest| {
+                bytes_answer(request, &text)
+            })
+            .await;
             let relay = BoundRelay::new("relay-1", store.clone(), bounds()).await;
             let told = tell_as_reader(liar.address(), relay.peers());
             let relay = relay.run();
@@ -129,7 +130,7 @@
     value.and_then(|value| value.parse().ok()).unwrap_or(0)
 }
 
-fn bytes_answer(request: &SeenRequest, body: &[u8]) -> Reply {
+fn bytes_answer(request: &ReceivedRequest, body: &[u8]) -> Reply {
     let Reply::Bytes(whole) = answer(request, 200, &"x".repeat(body.len())) else {
         panic!("answers are bytes")
     };
--- a/crates/relay/tests/streams.rs
+++ b/crates/relay/tests/streams.rs
@@ -16,8 +16,8 @@
     headers::{EXPECT_REPLICA, LAST_EVENT_ID, PATH},
 };
 use switchfold_platform_standin::{
-    GateState, Reply, SeenOrder, SeenRequest, StandinReplica, StreamEnd, StreamGate, answer,
-    events, reject,
+    GateState, ReceivedOrder, ReceivedRequest, Reply, StandinReplica, StreamEnd, StreamGate,
+    answer, events, reject,
     samples::{LAYERS, draining, in_data_centre, model_entry, report},
 };
 use switchfold_relay::news::{LifeRecord, PeerMessage, StateNews};
@@ -29,16 +29,16 @@
 /// Pause between events.
 const PAUSE: Duration = Duration::from_millis(10);
 
-fn whole_stream(request: &SeenRequest) -> Reply {
-    events(request, EVENTS, PAUSE, StreamEnd::Whole)
+fn whole_stream(request: &ReceivedRequest) -> Reply {
+    events(request, EVENTS, PAUSE, StreamEnd::Complete)
 }
 
 /// An engine that holds all layers: its report and orders, and a script for requests.
 fn engine(
     from: u32,
     to: u32,
-    script: impl Fn(&SeenRequest) -> Reply + Send + Sync + 'static,
-) -> impl Fn(&SeenRequest) -> Reply + Send + Sync + 'static {
+    script: impl Fn(&ReceivedRequest) -> Reply + Send + Sync + 'static,
+) -> impl Fn(&ReceivedRequest) -> Reply + Send + Sync + 'static {
     move |request| match request.target.as_str() {
         REPORT_PATH => answer(request, 200, &report(from, to, &[])),
         ORDER_PATH => answer(request, 200, ""),
@@ -60,8 +60,8 @@
 /// A script that fails on the first request it gets, counted over several replicas, and is well after.
 fn fails_first(
     count: &Arc<Mutex<u32>>,
-    fails: impl Fn(&SeenRequest) -> Reply + Send + Sync + 'static,
-) -> impl Fn(&SeenRequest) -> Reply + Send + Sync + 'static {
+    fails: impl Fn(&ReceivedRequest) -> Reply + Send + Sync + 'static,
+) -> impl Fn(&ReceivedRequest) -> Reply + Send + Sync + 'static {
     let count = count.clone();
     engine(0, LAYERS, move |request| {
         let mut count = count.lock().expect("no script panics");
@@ -82,7 +82,7 @@
         assert_eq!(called.status, StatusCode::OK);
         assert!(called.whole && called.is_sealed());
         assert_eq!(event_ids(&called.body), (0..EVENTS).collect::<Vec<u64>>());
-        let seen = &replica.seen()[0];
+        let seen = &replica.requests()[0];
         assert_eq!(
             seen.header(PATH.as_str()),
             Some(format!("{}=0-{LAYERS}", replica.address()).as_str())
@@ -114,7 +114,7 @@
         ];
         let relay = RunningRelay::start(bounds(), &entries).await;
         assert!(relay.get("/stream/a", "a").await.whole);
-        let seen = &one.seen()[0];
+        let seen = &one.requests()[0];
         let path = seen.header(PATH.as_str()).expect("a path");
         let parts: Vec<(u32, u32)> = path
             .split(',')
@@ -124,7 +124,7 @@
         assert_eq!(parts.first().map(|part| part.0), Some(0));
         assert_eq!(parts.last().map(|part| part.1), Some(LAYERS));
         assert!(parts.windows(2).all(|pair| pair[0].1 == pair[1].0), "{path}");
-        assert_eq!(two.seen(), [], "the engines hand requests on themselves");
+        assert_eq!(two.requests(), [], "the engines hand requests on themselves");
     });
 }
 
@@ -145,7 +145,7 @@
                 let expected = if resumes { EVENTS } else { 5 };
                 assert_eq!(event_ids(&called.body), (0..expected).collect::<Vec<u64>>(), "{end:?}");
                 assert_eq!(called.whole, resumes, "{end:?}");
-                let sent = one.seen().len() + two.seen().len();
+                let sent = one.requests().len() + two.requests().len();
                 assert_eq!(sent, if resumes { 2 } else { 1 });
             });
         }
@@ -156,7 +156,7 @@
 /// repeated, status, requests sent).
 #[test]
 fn a_stream_that_does_not_open_is_tried_elsewhere() {
-    type Script = fn(&SeenRequest) -> Reply;
+    type Script = fn(&ReceivedRequest) -> Reply;
     let rows: [(&str, Script, &str, u16, usize); 6] = [
         ("rejected", |r| reject(r, 503, None), "/stream-once/a", 200, 2),
         ("other layers there", |r| reject(r, 421, None), "/stream-once/a", 200, 2),
@@ -174,7 +174,7 @@
             let relay = RunningRelay::start(bounds(), &entries).await;
             let called = relay.get(path, "a").await;
             assert_eq!(called.status.as_u16(), status, "{name}");
-            assert_eq!(one.seen().len() + two.seen().len(), sends, "{name}");
+            assert_eq!(one.requests().len() + two.requests().len(), sends, "{name}");
         });
     }
 }
@@ -186,9 +186,9 @@
     run_test(async {
         let lost = StandinReplica::start(engine(4, LAYERS, whole_stream)).await;
         let spare = StandinReplica::start(engine(4, LAYERS, whole_stream)).await;
-        let at_fault = lost.address();
+        let faulty_replica = lost.address();
         let first = StandinReplica::start(move |request| match request.target.as_str() {
-            REPORT_PATH => answer(request, 200, &report(0, 4, &[("a", at_fault)])),
+            REPORT_PATH => answer(request, 200, &report(0, 4, &[("a", faulty_replica)])),
             ORDER_PATH => answer(request, 200, ""),
             _ => events(request, 3, PAUSE, StreamEnd::Silence),
         })
@@ -201,11 +201,11 @@
         let asked = request("/stream/a", "a");
         let address = relay.address;
         let calling = tokio::task::spawn_local(async move { call(address, asked).await });
-        wait_until(async || first.seen().len() == 1).await;
+        wait_until(async || first.requests().len() == 1).await;
         relay.store.put(REPLICA_KIND, "i-3", model_entry(spare.address(), 4, LAYERS));
         wait_until(async || !first.orders().is_empty()).await;
         let path = format!("{}=0-4,{}=4-{LAYERS}", first.address(), spare.address());
-        assert_eq!(first.orders()[0], SeenOrder::Repath { attempt_id: "a".to_owned(), path });
+        assert_eq!(first.orders()[0], ReceivedOrder::Repath { attempt_id: "a".to_owned(), path });
         calling.abort();
     });
 }
@@ -215,9 +215,9 @@
 #[test]
 fn silence_alone_ends_no_stream() {
     run_test(async {
-        let script = |request: &SeenRequest| match request.header(LAST_EVENT_ID.as_str()) {
+        let script = |request: &ReceivedRequest| match request.header(LAST_EVENT_ID.as_str()) {
             None => events(request, 3, PAUSE, StreamEnd::Silence),
-            Some(_) => events(request, EVENTS, Duration::from_millis(400), StreamEnd::Whole),
+            Some(_) => events(request, EVENTS, Duration::from_millis(400), StreamEnd::Complete),
         };
         let one = StandinReplica::start(engine(0, LAYERS, script)).await;
         let two = StandinReplica::start(engine(0, LAYERS, script)).await;
@@ -227,7 +227,7 @@
         // The second engine pauses longer than any stream should; it is waited for all the same.
         assert!(called.whole, "{called:?}");
         assert_eq!(event_ids(&called.body), (0..EVENTS).collect::<Vec<u64>>());
-        assert_eq!(one.seen().len() + two.seen().len(), 2);
+        assert_eq!(one.requests().len() + two.requests().len(), 2);
     });
 }
 
@@ -235,8 +235,8 @@
 #[test]
 fn a_silent_engine_is_waited_for() {
     run_test(async {
-        let slow = |request: &SeenRequest| {
-            events(request, 3, Duration::from_millis(2_500), StreamEnd::Whole)
+        let slow = |request: &ReceivedRequest| {
+            events(request, 3, Duration::from_millis(2_500), StreamEnd::Complete)
         };
         let only = StandinReplica::start(engine(0, LAYERS, slow)).await;
         let relay = RunningRelay::start(bounds(), &[listed("i-1", &only, whole_model)]).await;
@@ -253,11 +253,11 @@
     for (path, abandoned) in [("/stream/a", true), ("/stream-once/a", false)] {
         run_test(async move {
             let lost = StandinReplica::start(|_| Reply::Silence).await;
-            let at_fault = lost.address();
+            let faulty_replica = lost.address();
             let first = StandinReplica::start(move |request| match request.target.as_str() {
-                REPORT_PATH => answer(request, 200, &report(0, LAYERS, &[("a", at_fault)])),
+                REPORT_PATH => answer(request, 200, &report(0, LAYERS, &[("a", faulty_replica)])),
                 _ => {
-                    let Reply::Bytes(bytes) = reject(request, 503, Some(at_fault)) else {
+                    let Reply::Bytes(bytes) = reject(request, 503, Some(faulty_replica)) else {
                         unreachable!("a rejection is bytes");
                     };
                     Reply::BytesLater(Duration::from_millis(1_500), bytes)
@@ -271,9 +271,9 @@
             let called = relay.get(path, "a").await;
             assert!(called.whole, "{called:?}");
             assert_eq!(called.status, StatusCode::OK);
-            assert_eq!((first.seen().len(), spare.seen().len()), (1, 1));
+            assert_eq!((first.requests().len(), spare.requests().len()), (1, 1));
             // Given up at once, its connection is closed; waited for, it is kept.
-            let sent_on = first.seen()[0].connection;
+            let sent_on = first.requests()[0].connection;
             assert!(sent_on > 0 && (abandoned || first.open_connections() > 0));
         });
     }
@@ -284,7 +284,7 @@
 fn a_full_engine_is_passed_by() {
     run_test(async {
         let full =
-            StandinReplica::start(move |request: &SeenRequest| match request.target.as_str() {
+            StandinReplica::start(move |request: &ReceivedRequest| match request.target.as_str() {
                 REPORT_PATH => answer(request, 200, &report(0, LAYERS, &[])),
                 _ => reject(request, 503, None),
             })
@@ -295,7 +295,7 @@
         for id in ["a", "b", "c"] {
             assert!(relay.get("/stream/a", id).await.whole);
         }
-        assert_eq!(well.seen().len(), 3);
+        assert_eq!(well.requests().len(), 3);
     });
 }
 
@@ -308,14 +308,14 @@
         let relay = RunningRelay::start(bounds(), &entries).await;
         relay.store.put(REPLICA_KIND, "i-1", draining(whole_model(leaves.address())));
         wait_until(async || {
-            let before = leaves.seen().len();
+            let before = leaves.requests().len();
             relay.get("/stream/a", "a").await;
-            leaves.seen().len() == before
+            leaves.requests().len() == before
         })
         .await;
-        let before = leaves.seen().len();
+        let before = leaves.requests().len();
         relay.get("/stream/a", "b").await;
-        assert_eq!(leaves.seen().len(), before);
+        assert_eq!(leaves.requests().len(), before);
     });
 }
 
@@ -330,7 +330,7 @@
         wait_until(async || !replica.orders().is_empty()).await;
         // Alone it cannot hold the model: nine tenths of its memory, so that some is left for requests.
         let to = u64::from(LAYERS) - 1;
-        assert_eq!(replica.orders()[0], SeenOrder::Place { from: 0, to, orders_taken: 3 });
+        assert_eq!(replica.orders()[0], ReceivedOrder::Place { from: 0, to, orders_taken: 3 });
         let called = relay.get("/stream/a", "a").await;
         assert_eq!(called.status, StatusCode::SERVICE_UNAVAILABLE);
         assert!(called.headers.contains_key("retry-after"));
@@ -342,14 +342,14 @@
 #[test]
 fn a_caller_that_leaves_ends_its_stream() {
     run_test(async {
-        let script = |r: &SeenRequest| events(r, 3, PAUSE, StreamEnd::Silence);
+        let script = |r: &ReceivedRequest| events(r, 3, PAUSE, StreamEnd::Silence);
         let replica = StandinReplica::start(engine(0, LAYERS, script)).await;
         let relay = RunningRelay::start(bounds(), &[listed("i-1", &replica, whole_model)]).await;
         let calling = call(relay.address, request("/stream/a", "a"));
         let gone = tokio::time::timeout(Duration::from_millis(300), calling).await;
         assert!(gone.is_err(), "the stream never ends");
         // Connections for reports may stay; the stream's own does not.
-        wait_until(async || replica.seen().len() == 1 && replica.open_connections() <= 1).await;
+        wait_until(async || replica.requests().len() == 1 && replica.open_connections() <= 1).await;
     });
 }
 
@@ -358,11 +358,11 @@
 #[test]
 fn a_dark_replica_in_the_middle_is_found_by_a_probe() {
     run_test(async {
-        let silent = |request: &SeenRequest| events(request, 3, PAUSE, StreamEnd::Silence);
+        let silent = |request: &ReceivedRequest| events(request, 3, PAUSE, StreamEnd::Silence);
         let first = StandinReplica::start(engine(0, 5, silent)).await;
         let probes = Arc::new(Mutex::new(0));
         let counted = probes.clone();
-        let dark = StandinReplica::start(move |request: &SeenRequest| {
+        let dark = StandinReplica::start(move |request: &ReceivedRequest| {
             let is_probe = request.target == REPORT_PATH;
             *counted.lock().expect("no script panics") += u32::from(is_probe);
             Reply::Silence
@@ -387,7 +387,7 @@
 #[test]
 fn a_heard_suspicion_ends_no_waiting_request() {
     run_test(async {
-        let late = |request: &SeenRequest| match answer(request, 200, "id: 0\ndata: a\n\n") {
+        let late = |request: &ReceivedRequest| match answer(request, 200, "id: 0\ndata: a\n\n") {
             Reply::Bytes(bytes) => Reply::BytesLater(Duration::from_millis(600), bytes),
             other => other,
         };
@@ -401,7 +401,7 @@
         };
         let datagram = PeerMessage::State(Box::new(news)).encode();
         let telling = async {
-            wait_until(async || !replica.seen().is_empty()).await;
+            wait_until(async || !replica.requests().is_empty()).await;
             let socket = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
             socket.send_to(&datagram, relay.peers).await.expect("it is sent");
         };
@@ -423,8 +423,8 @@
         let counted = probes.clone();
         // The stream goes on a while after each of the four others was asked twice: time enough to leave
         // it, if it were left.
-        let held = move |request: &SeenRequest| {
-            let mut reply = events(request, EVENTS, PAUSE, StreamEnd::Whole);
+        let held = move |request: &ReceivedRequest| {
+            let mut reply = events(request, EVENTS, PAUSE, StreamEnd::Complete);
             let counted = counted.clone();
             let asked = Mutex::new(None);
             if let Reply::Stream { gate, .. } = &mut reply {
@@ -444,7 +444,7 @@
         let mut others = Vec::new();
         for _ in 0..4 {
             let counted = probes.clone();
-            let silent = move |request: &SeenRequest| {
+            let silent = move |request: &ReceivedRequest| {
                 let is_probe = request.target == REPORT_PATH;
                 *counted.lock().expect("no script panics") += u32::from(is_probe);
                 Reply::Silence
@@ -465,7 +465,7 @@
         let called = relay.get("/stream/a", "a").await;
         assert!(called.whole);
         assert_eq!(event_ids(&called.body), (0..EVENTS).collect::<Vec<u64>>());
-        assert_eq!(first.seen().len(), 1);
-        assert_eq!(elsewhere_seen.seen().len(), 0);
+        assert_eq!(first.requests().len(), 1);
+        assert_eq!(elsewhere_seen.requests().len(), 0);
     });
 }
--- a/crates/soak/src/notices.rs
+++ b/crates/soak/src/notices.rs
@@ -9,7 +9,7 @@
 };
 
 use switchfold_kernel::clock::now_millis;
-use switchfold_platform_standin::{Reply, SeenRequest, reject, with_header};
+use switchfold_platform_standin::{ReceivedRequest, Reply, reject, with_header};
 use tokio::signal::unix::{SignalKind, signal};
 
 /// Time for which a replica turns requests away once it is made to.
@@ -82,7 +82,7 @@
     }
 
     /// The answer to a request that is turned away, with the milliseconds that it asks for where that can be read.
-    pub fn turn_away(&self, request: &SeenRequest) -> Option<(Option<u64>, Reply)> {
+    pub fn turn_away(&self, request: &ReceivedRequest) -> Option<(Option<u64>, Reply)> {
         if now_millis() >= self.turns_away_until.load(Ordering::Relaxed) {
             return None;
         }
--- a/crates/soak/src/replica.rs
+++ b/crates/soak/src/replica.rs
@@ -18,8 +18,8 @@
     objects::ObjectStore,
 };
 use switchfold_platform_standin::{
-    EngineEvent, Reply, SeenRequest, StandinEngine, StandinReplica, StreamEnd, answer,
-    samples::{born_at, desk_entry, draining, in_data_centre},
+    EngineEvent, ReceivedRequest, Reply, StandinEngine, StandinReplica, StreamEnd, answer,
+    samples::{desk_entry, draining, in_data_centre, started_at},
 };
 use tokio::{
     io::AsyncWriteExt,
@@ -104,7 +104,7 @@
     let notices = ReplicaNotices::default();
     notices.listen()?;
     let born = epoch_millis();
-    let engine = StandinEngine::born_at(born);
+    let engine = StandinEngine::started_at(born);
     let replica = match arguments.service {
         ServiceKind::Desk => start_desk(&arguments, notices).await?,
         ServiceKind::Engine => start_engine(&arguments, engine.clone(), notices).await?,
@@ -149,7 +149,7 @@
 
 fn entry(arguments: &ReplicaArguments, engine: &StandinEngine, born: u64, leaves: bool) -> Value {
     let entry = match arguments.service {
-        ServiceKind::Desk => born_at(desk_entry(arguments.advertise), born),
+        ServiceKind::Desk => started_at(desk_entry(arguments.advertise), born),
         ServiceKind::Engine => engine.entry(arguments.advertise),
     };
     let entry = in_data_centre(entry, &arguments.data_centre);
@@ -172,7 +172,7 @@
 pub const BAD_LATER: &str = "bad-later-";
 
 /// Name of a bad request, which is its body.
-fn bad_name(request: &SeenRequest) -> Option<String> {
+fn bad_name(request: &ReceivedRequest) -> Option<String> {
     let body = String::from_utf8_lossy(&request.body);
     body.starts_with(BAD).then(|| body.into_owned())
 }
@@ -186,7 +186,7 @@
 }
 
 /// Hands the second replica of a path its part of a bad request.
-fn pass_bad_part(request: &SeenRequest) {
+fn pass_bad_part(request: &ReceivedRequest) {
     let path = request.header("path").unwrap_or_default();
     let second = path.split(',').nth(1).and_then(|part| part.split_once('='));
     let Some(address) = second.map(|(address, _)| address.to_owned()) else { return };
@@ -210,7 +210,7 @@
 ) -> std::io::Result<StandinReplica> {
     let id = arguments.id.clone();
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    StandinReplica::start_at(any, move |request: &SeenRequest| {
+    StandinReplica::start_at(any, move |request: &ReceivedRequest| {
         if let Some(reply) = turn_away(&id, request, &notices) {
             return reply;
         }
@@ -238,7 +238,7 @@
 ) -> std::io::Result<StandinReplica> {
     let id = arguments.id.clone();
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    StandinReplica::start_at(any, move |request: &SeenRequest| {
+    StandinReplica::start_at(any, move |request: &ReceivedRequest| {
         let bad = bad_name(request);
         if request.target == BAD_PART {
             note(&id, request, RunNote { bad, ..RunNote::ran(&notices) });
@@ -250,7 +250,7 @@
         }
         let is_later = bad.as_ref().is_some_and(|name| name.starts_with(BAD_LATER));
         let reply = engine.answer(request, EVENTS, PAUSE, |event| {
-            let began = event == EngineEvent::Began;
+            let began = event == EngineEvent::Started;
             let ends_here = began && !is_later;
             let bad_here = bad.clone().filter(|_| ends_here);
             let noted = RunNote { ran: began, bad: bad_here, ..RunNote::ran(&notices) };
@@ -272,7 +272,7 @@
     .await
 }
 
-fn attempt_id(request: &SeenRequest) -> &str {
+fn attempt_id(request: &ReceivedRequest) -> &str {
     request.header(ATTEMPT_ID.as_str()).unwrap_or_default()
 }
 
@@ -286,12 +286,12 @@
     format!("{prefix}{id}?of={id}")
 }
 
-fn organisation(request: &SeenRequest) -> String {
+fn organisation(request: &ReceivedRequest) -> String {
     request.header(ORGANISATION.as_str()).unwrap_or_default().to_owned()
 }
 
 /// Turns a caller's request away, where the replica does so at the moment.
-fn turn_away(replica: &str, request: &SeenRequest, notices: &ReplicaNotices) -> Option<Reply> {
+fn turn_away(replica: &str, request: &ReceivedRequest, notices: &ReplicaNotices) -> Option<Reply> {
     if [REPORT_PATH, ORDER_PATH].contains(&request.target.as_str()) {
         return None;
     }
@@ -316,7 +316,7 @@
     }
 }
 
-fn note(replica: &str, request: &SeenRequest, noted: RunNote) {
+fn note(replica: &str, request: &ReceivedRequest, noted: RunNote) {
     let RunNote { ran, bad, asked: backoff, leaving, limit } = noted;
     let id = attempt_id(request);
     let asked = bad_name(request);
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -7,7 +7,7 @@
 use rand_chacha::ChaCha8Rng;
 use switchfold_kernel::clock::epoch_micros;
 use switchfold_platform::REPLICA_KIND;
-use switchfold_platform_standin::{StoreMood, samples::ORGANISATION};
+use switchfold_platform_standin::{StoreBehaviour, samples::ORGANISATION};
 use tokio::time::{Instant, sleep, sleep_until};
 
 use crate::{
@@ -211,8 +211,8 @@
             sleep(lasts).await;
             site.store_link(number).set_mood(LinkMood::Well);
         }
-        Fault::StoreBusy => disturb_store(&site, StoreMood::Busy, lasts).await,
-        Fault::StoreSilent => disturb_store(&site, StoreMood::Silent, lasts).await,
+        Fault::StoreBusy => disturb_store(&site, StoreBehaviour::Unavailable, lasts).await,
+        Fault::StoreSilent => disturb_store(&site, StoreBehaviour::Unresponsive, lasts).await,
         Fault::StoreForgets => {
             site.note_disruption(DisruptionKind::StoreFault, Duration::ZERO);
             site.store().compact();
@@ -273,7 +273,7 @@
 /// Lets the store come back from a copy that is `age` old, and the operator write again. Replicas write anew with each
 /// heartbeat.
 async fn copy_store(site: &SoakSite, age: Duration) {
-    site.store().make_copy();
+    site.store().take_backup();
     // What others write is lost as well, so that it takes long until revisions have caught up with those that entries had.
     for number in 0..OTHER_WRITES {
         site.store().put(OTHER_KIND, &number.to_string(), number.into());
@@ -281,17 +281,17 @@
     site.store().touch(REPLICA_KIND);
     sleep(age).await;
     site.note_disruption(DisruptionKind::StoreFault, COPY_AWAY + OPERATOR_TIME);
-    disturb_store(site, StoreMood::Busy, COPY_AWAY).await;
-    site.store().come_back();
+    disturb_store(site, StoreBehaviour::Unavailable, COPY_AWAY).await;
+    site.store().restore_backup();
     sleep(OPERATOR_TIME).await;
     site.write_config(0);
 }
 
-async fn disturb_store(site: &SoakSite, mood: StoreMood, lasts: Duration) {
+async fn disturb_store(site: &SoakSite, mood: StoreBehaviour, lasts: Duration) {
     site.note_disruption(DisruptionKind::StoreFault, lasts);
-    site.store().set_mood(mood);
+    site.store().set_behaviour(mood);
     sleep(lasts).await;
-    site.store().set_mood(StoreMood::Well);
+    site.store().set_behaviour(StoreBehaviour::Healthy);
 }
 
 /// Time after the drawn faults until all relays are in touch again, and the store is stable.
@@ -318,6 +318,6 @@
     sleep(UNHEARD_STEP).await;
     site.drain_replica(replica);
     sleep(UNHEARD_STEP).await;
-    disturb_store(site, StoreMood::Silent, UNHEARD_OUTAGE).await;
+    disturb_store(site, StoreBehaviour::Unresponsive, UNHEARD_OUTAGE).await;
     relays.iter().for_each(|relay| site.store_link(*relay).set_mood(LinkMood::Well));
 }
--- a/crates/soak/src/site.rs
+++ b/crates/soak/src/site.rs
@@ -359,7 +359,7 @@
             for number in 0..self.relays.len() {
                 self.revive_relay(number);
             }
-            self.store.lapse(REPLICA_KIND, HEARTBEAT * MOST_SILENT);
+            self.store.expire(REPLICA_KIND, HEARTBEAT * MOST_SILENT);
             if round.is_multiple_of(READY_ONE_IN) {
                 tokio::spawn(self.clone().ask_ready());
             }
@@ -558,7 +558,7 @@
         },
         service: if kind.is_stream() { "model" } else { "desk" },
         timeout_ms: 6_000,
-        most_attempts: 2,
+        max_attempts: 2,
         resumable: kind == CallKind::Stream,
     };
     CallKind::ALL.into_iter().map(route).collect()
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -24,7 +24,7 @@
     shutdown::ShutdownSignal,
 };
 use switchfold_store::{
-    ChangeBatch, IF_VERSION, MOST_VALUE_BYTES, OBJECT_VERSION, StoredChange, VmEntry, VmList,
+    ChangeBatch, IF_VERSION, MAX_VALUE_BYTES, OBJECT_VERSION, StoredChange, VmEntry, VmList,
     VmState,
 };
 use tokio::{
@@ -216,7 +216,7 @@
     }
 
     async fn answer_faults(&self, request: Request<Incoming>) -> Answer {
-        let body = read_body(request.into_body(), MOST_VALUE_BYTES).await.unwrap_or_default();
+        let body = read_body(request.into_body(), MAX_VALUE_BYTES).await.unwrap_or_default();
         match serde_json::from_slice(&body) {
             Ok(faults) => {
                 self.set_faults(faults);
@@ -227,7 +227,7 @@
     }
 
     async fn answer_set_vm(&self, request: Request<Incoming>) -> Answer {
-        let body = read_body(request.into_body(), MOST_VALUE_BYTES).await.unwrap_or_default();
+        let body = read_body(request.into_body(), MAX_VALUE_BYTES).await.unwrap_or_default();
         match serde_json::from_slice::<VmEntry>(&body) {
             Ok(vm) => {
                 self.set_vm(vm.clone());
@@ -264,7 +264,7 @@
         let Some(expected) = expected else {
             return Ok(whole(StatusCode::BAD_REQUEST, "text/plain", "no if-version header"));
         };
-        let value = match read_body(body, MOST_VALUE_BYTES).await {
+        let value = match read_body(body, MAX_VALUE_BYTES).await {
             Ok(value) => value,
             Err(BodyError::TooLarge { .. }) => {
                 return Ok(whole(StatusCode::PAYLOAD_TOO_LARGE, "text/plain", "value too large"));
--- a/crates/standin/tests/store_contract.rs
+++ b/crates/standin/tests/store_contract.rs
@@ -7,7 +7,7 @@
 use switchfold_kernel::shutdown::ShutdownSignal;
 use switchfold_standin::platform::{PlatformStandin, StoreFaults, StoreRates};
 use switchfold_store::{
-    MOST_VALUE_BYTES, StoreClient, StoreConfig, StoreError, VmEntry, VmRole, VmState,
+    MAX_VALUE_BYTES, StoreClient, StoreConfig, StoreError, VmEntry, VmRole, VmState,
 };
 use tokio::net::TcpListener;
 
@@ -19,7 +19,7 @@
     let platform = PlatformStandin::new(rates);
     tokio::spawn(platform.clone().serve(listener, ShutdownSignal::new()));
     let config =
-        StoreConfig { address, patience: Duration::from_secs(5), process: "test".to_owned() };
+        StoreConfig { address, timeout: Duration::from_secs(5), process: "test".to_owned() };
     (platform, StoreClient::new(config))
 }
 
@@ -49,7 +49,7 @@
 #[tokio::test]
 async fn values_above_the_limit_are_refused_and_not_sent() {
     let (platform, store) = start(StoreRates::default()).await;
-    let large = vec![b'x'; MOST_VALUE_BYTES + 1];
+    let large = vec![b'x'; MAX_VALUE_BYTES + 1];
     assert_matches!(store.write(&key("a"), 0, &large).await, Err(StoreError::TooLarge { .. }));
     assert_eq!(platform.calls().writes, 0);
     assert!(store.write(&key("a"), 0, &large[1..]).await.is_ok());
@@ -61,7 +61,7 @@
     let mut limited = 0;
     for number in 0..10 {
         limited += u32::from(
-            store.write(&key(&number.to_string()), 0, b"x").await == Err(StoreError::Limited),
+            store.write(&key(&number.to_string()), 0, b"x").await == Err(StoreError::RateLimited),
         );
     }
     assert!(limited >= 1);
@@ -87,7 +87,7 @@
     for _ in 0..5_000 {
         platform.put(&key("a"), b"again");
     }
-    assert_eq!(store.watch(&["event"], version, PATIENCE).await, Err(StoreError::Gap));
+    assert_eq!(store.watch(&["event"], version, PATIENCE).await, Err(StoreError::RevisionExpired));
     assert_eq!(store.list("event").await.expect("listed").changes.len(), 2);
     let empty = store
         .watch(&["event"], platform.get(&key("a")).expect("held").version, Duration::ZERO)
@@ -100,14 +100,18 @@
     let (platform, store) = start(StoreRates::default()).await;
     let own = |value: &[u8]| value == b"mine";
     platform.set_faults(StoreFaults { lose_answers: 1, ..StoreFaults::default() });
-    assert_matches!(store.write(&key("plain"), 0, b"mine").await, Err(StoreError::Unclear { .. }));
+    assert_matches!(
+        store.write(&key("plain"), 0, b"mine").await,
+        Err(StoreError::OutcomeUnknown { .. })
+    );
     platform.set_faults(StoreFaults { lose_answers: 1, ..StoreFaults::default() });
-    let version = store.write_settled(&key("a"), 0, b"mine", PATIENCE, own).await.expect("settled");
+    let version =
+        store.write_confirmed(&key("a"), 0, b"mine", PATIENCE, own).await.expect("settled");
     assert_eq!(platform.get(&key("a")).expect("written").version, version);
     // The answer is lost of a write that another one beat: the conflict is told, not success.
     let other = platform.put(&key("b"), b"theirs");
     platform.set_faults(StoreFaults { lose_answers: 1, ..StoreFaults::default() });
-    let beaten = store.write_settled(&key("b"), 0, b"mine", PATIENCE, own).await;
+    let beaten = store.write_confirmed(&key("b"), 0, b"mine", PATIENCE, own).await;
     assert_eq!(beaten, Err(StoreError::Conflict { version: other }));
 }
 
@@ -118,12 +122,12 @@
     assert_matches!(store.write(&key("a"), 0, b"x").await, Err(StoreError::Unavailable { .. }));
     assert_matches!(store.read(&key("a")).await, Err(StoreError::Unavailable { .. }));
     let short = Duration::from_millis(60);
-    let tried = store.write_settled(&key("a"), 0, b"x", short, |value| value == b"x").await;
+    let tried = store.write_confirmed(&key("a"), 0, b"x", short, |value| value == b"x").await;
     assert_matches!(tried, Err(StoreError::Unavailable { .. }));
     assert!(platform.get(&key("a")).is_none());
     let late = tokio::spawn({
         let store = store.clone();
-        async move { store.write_settled(&key("a"), 0, b"x", PATIENCE, |value| value == b"x").await }
+        async move { store.write_confirmed(&key("a"), 0, b"x", PATIENCE, |value| value == b"x").await }
     });
     tokio::task::yield_now().await;
     platform.set_faults(StoreFaults::default());
@@ -140,11 +144,11 @@
         role: VmRole::Endpoint,
         state: VmState::Live,
     });
-    let before = store.vms().await.expect("listed");
+    let before = store.list_vms().await.expect("listed");
     platform.set_leaving("engine-1");
-    let after = store.vms().await.expect("listed");
+    let after = store.list_vms().await.expect("listed");
     assert!(after.revision > before.revision);
     assert_eq!(after.vms[0].state, VmState::Leaving);
     platform.remove_vm("engine-1");
-    assert!(store.vms().await.expect("listed").vms.is_empty());
+    assert!(store.list_vms().await.expect("listed").vms.is_empty());
 }
--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -18,7 +18,7 @@
 use tokio::time::{Instant, sleep};
 
 use crate::{
-    ChangeBatch, IF_VERSION, MOST_VALUE_BYTES, OBJECT_VERSION, StoreError, StoredObject, VmList,
+    ChangeBatch, IF_VERSION, MAX_VALUE_BYTES, OBJECT_VERSION, StoreError, StoredObject, VmList,
 };
 
 /// Longest answer that is read: a list of a kind may hold many objects.
@@ -30,7 +30,7 @@
     /// Address of the platform's service.
     pub address: String,
     /// How long to wait for an answer.
-    pub patience: Duration,
+    pub timeout: Duration,
     /// Name of this process, so that back-off differs between processes.
     pub process: String,
 }
@@ -75,8 +75,8 @@
 impl StoreClient {
     /// Makes a client; connects on the first call.
     pub fn new(config: StoreConfig) -> Self {
-        let http = HttpClient::new(config.patience, MOST_ANSWER_BYTES);
-        let watch_http = HttpClient::new(WATCH_WAIT + config.patience, MOST_ANSWER_BYTES);
+        let http = HttpClient::new(config.timeout, MOST_ANSWER_BYTES);
+        let watch_http = HttpClient::new(WATCH_WAIT + config.timeout, MOST_ANSWER_BYTES);
         Self { http, watch_http, config, meter: Arc::default() }
     }
 
@@ -112,15 +112,15 @@
     ///
     /// # Errors
     ///
-    /// [`StoreError::Unclear`] where the write may have taken effect; otherwise it did not.
+    /// [`StoreError::OutcomeUnknown`] where the write may have taken effect; otherwise it did not.
     pub async fn write(
         &self,
         key: &ObjectKey,
         expected: u64,
         value: &[u8],
     ) -> Result<u64, StoreError> {
-        if value.len() > MOST_VALUE_BYTES {
-            return Err(StoreError::TooLarge { len: value.len(), most: MOST_VALUE_BYTES });
+        if value.len() > MAX_VALUE_BYTES {
+            return Err(StoreError::TooLarge { len: value.len(), most: MAX_VALUE_BYTES });
         }
         self.change(Method::PUT, key, expected, Bytes::copy_from_slice(value)).await
     }
@@ -150,7 +150,7 @@
     ///
     /// # Errors
     ///
-    /// As [`StoreClient::read`]; [`StoreError::Gap`] where the revision is too old.
+    /// As [`StoreClient::read`]; [`StoreError::RevisionExpired`] where the revision is too old.
     pub async fn watch(
         &self,
         kinds: &[&str],
@@ -170,30 +170,30 @@
     /// # Errors
     ///
     /// As [`StoreClient::read`].
-    pub async fn vms(&self) -> Result<VmList, StoreError> {
+    pub async fn list_vms(&self) -> Result<VmList, StoreError> {
         self.meter.reads.fetch_add(1, Ordering::Relaxed);
         let request = self.request(Method::GET, "/v1/vms", None, Bytes::new())?;
         parse(&read_call(self.http.call(request).await)?)
     }
 
-    /// Writes, and settles an unclear outcome by reading back, until `patience` is used up.
+    /// Writes, and settles an unclear outcome by reading back, until `timeout` is used up.
     ///
     /// `is_own` tells from the stored contents whether this very write took effect; contents that are
     /// unique to the write (a command's id) make that certain.
     ///
     /// # Errors
     ///
-    /// [`StoreError::Conflict`] where another write came first; [`StoreError::Unclear`] where the
+    /// [`StoreError::Conflict`] where another write came first; [`StoreError::OutcomeUnknown`] where the
     /// outcome could not be read back in time; otherwise nothing was written.
-    pub async fn write_settled(
+    pub async fn write_confirmed(
         &self,
         key: &ObjectKey,
         expected: u64,
         value: &[u8],
-        patience: Duration,
+        timeout: Duration,
         is_own: impl Fn(&[u8]) -> bool,
     ) -> Result<u64, StoreError> {
-        let deadline = Instant::now() + patience;
+        let deadline = Instant::now() + timeout;
         let mut backoff = self.backoff(key);
         let mut unclear = false;
         // Once an answer was lost, that write may still land: a conflict may then be with itself.
@@ -207,18 +207,18 @@
             match outcome {
                 Ok(WriteState::Written(version)) => return Ok(version),
                 Ok(WriteState::Unwritten) => unclear = false,
-                Err(StoreError::Unclear { .. }) => {
+                Err(StoreError::OutcomeUnknown { .. }) => {
                     unclear = true;
                     was_unclear = true;
                 }
                 Err(StoreError::Conflict { .. }) if was_unclear && !unclear => unclear = true,
-                Err(StoreError::Unavailable { .. } | StoreError::Limited) => {}
+                Err(StoreError::Unavailable { .. } | StoreError::RateLimited) => {}
                 Err(error) => return Err(error),
             }
             if !wait_within(deadline, backoff.next_wait()).await {
                 let detail = "no answer in time".to_owned();
                 return Err(match unclear {
-                    true => StoreError::Unclear { detail },
+                    true => StoreError::OutcomeUnknown { detail },
                     false => StoreError::Unavailable { detail },
                 });
             }
@@ -234,7 +234,7 @@
         let stored = match self.read(key).await {
             Ok(stored) => stored,
             Err(StoreError::Malformed { detail }) => return Err(StoreError::Malformed { detail }),
-            Err(error) => return Err(StoreError::Unclear { detail: error.to_string() }),
+            Err(error) => return Err(StoreError::OutcomeUnknown { detail: error.to_string() }),
         };
         let own = stored.value.as_deref().is_some_and(is_own);
         match stored.version {
@@ -264,7 +264,9 @@
             Err(CallError::NotConnected { detail }) => {
                 return Err(StoreError::Unavailable { detail });
             }
-            Err(CallError::NoAnswer { detail }) => return Err(StoreError::Unclear { detail }),
+            Err(CallError::NoAnswer { detail }) => {
+                return Err(StoreError::OutcomeUnknown { detail });
+            }
         };
         match answer.status {
             StatusCode::OK => version_of(&answer),
@@ -327,8 +329,8 @@
 
 fn refused(status: StatusCode) -> StoreError {
     match status {
-        StatusCode::TOO_MANY_REQUESTS => StoreError::Limited,
-        StatusCode::GONE => StoreError::Gap,
+        StatusCode::TOO_MANY_REQUESTS => StoreError::RateLimited,
+        StatusCode::GONE => StoreError::RevisionExpired,
         status if status.is_server_error() => {
             StoreError::Unavailable { detail: status.to_string() }
         }
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -14,7 +14,7 @@
     },
     /// The store's rate is used up; nothing changed.
     #[display("store's rate is used up")]
-    Limited,
+    RateLimited,
     /// The object has another version than the write expected; nothing changed.
     #[display("conflict: the object is at version {version}")]
     Conflict {
@@ -23,7 +23,7 @@
     },
     /// The answer was lost: the write may have taken effect.
     #[display("answer lost, the write may have taken effect: {detail}")]
-    Unclear {
+    OutcomeUnknown {
         /// What happened.
         detail: String,
     },
@@ -37,7 +37,7 @@
     },
     /// The watch asked for a revision that the store has forgotten: read everything again.
     #[display("revision is too old to watch from")]
-    Gap,
+    RevisionExpired,
     /// The answer is not what the interface says.
     #[display("malformed answer: {detail}")]
     Malformed {
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -24,7 +24,7 @@
 pub use types::{ChangeBatch, StoredChange, StoredObject, VmEntry, VmList, VmRole, VmState};
 
 /// Largest value that the store takes, in bytes.
-pub const MOST_VALUE_BYTES: usize = 1 << 20;
+pub const MAX_VALUE_BYTES: usize = 1 << 20;
 
 /// Header that carries the version that a write expects.
 pub const IF_VERSION: &str = "if-version";
