--- a/crates/relay/src/peers.rs
+++ b/crates/relay/src/peers.rs
@@ -109,7 +109,7 @@
         take_load(beliefs, news, kind, now);
         for (life, hundredfold) in &news.paces {
             let factor = f64::from(*hundredfold) / 100.0;
-            beliefs.paces.merge_heard(&life.into(), factor, origin, now);
+            beliefs.paces.merge_peer(&life.into(), factor, origin, now);
         }
         let mutes = news.mutes.iter().map(|(life, lasts)| (life.into(), Millis::from(*lasts)));
         beliefs.heads.hear_mutes(&news.name, origin, mutes, now);
--- a/crates/router/src/slowdown.rs
+++ b/crates/router/src/slowdown.rs
@@ -48,13 +48,7 @@
     }
 
     /// Takes over what another entry was told. What is known at first hand, and lately, counts for more.
-    pub fn merge_heard(
-        &mut self,
-        life: &ReplicaLife,
-        factor: f64,
-        origin: NewsOrigin,
-        now: Millis,
-    ) {
+    pub fn merge_peer(&mut self, life: &ReplicaLife, factor: f64, origin: NewsOrigin, now: Millis) {
         let known = self.paces.get(life).filter(|known| known.is_recent(now));
         if known.is_none_or(|known| known.origin <= origin) {
             self.insert(life, EnginePace { factor, heard: now, origin });
--- a/crates/router/tests/state.rs
+++ b/crates/router/tests/state.rs
@@ -235,7 +235,7 @@
     let mut paces = SlowdownTable::default();
     assert!(paces.record(&life("i-1"), 4.0, 0));
     assert!(!paces.record(&life("i-1"), 3.0, 100));
-    paces.merge_heard(&life("i-2"), 2.0, NewsOrigin::Told, 100);
+    paces.merge_peer(&life("i-2"), 2.0, NewsOrigin::Told, 100);
     assert_eq!(paces.factor(&life("i-1"), 200), 3.0);
     assert_eq!(paces.factor(&life("i-2"), 200), 2.0);
     let told = paces.shared_with(NewsReach::Speakers, 200);
