--- a/crates/relay/src/heads.rs
+++ b/crates/relay/src/heads.rs
@@ -9,7 +9,7 @@
 use http::Response;
 use hyper::body::Incoming;
 use switchfold_kernel::clock::now_millis;
-use switchfold_router::{Millis, chain::PathPart, life::ReplicaLife, mute::leave_after};
+use switchfold_router::{Millis, chain::PathPart, life::ReplicaLife, stall::reroute_after};
 use tokio::time::{Instant, sleep_until};
 
 use crate::{
@@ -49,7 +49,7 @@
     /// Notes that a request is sent.
     pub fn new(relay: &Rc<Relay>, life: &ReplicaLife) -> Self {
         let sent = now_millis();
-        relay.beliefs.borrow_mut().heads.note_sent(life, sent);
+        relay.beliefs.borrow_mut().heads.record_sent(life, sent);
         Self { relay: relay.clone(), life: life.clone(), sent, is_answered: false }
     }
 
@@ -58,7 +58,7 @@
         self.is_answered = true;
         let now = now_millis();
         let took = begins.then_some(now - self.sent);
-        if self.relay.beliefs.borrow_mut().heads.note_answer(&self.life, took, now) {
+        if self.relay.beliefs.borrow_mut().heads.record_response(&self.life, took, now) {
             tracing::info!(event = "mute-ended", replica = %self.life, took);
         }
     }
@@ -67,7 +67,7 @@
 impl Drop for HeadGuard {
     fn drop(&mut self) {
         if !self.is_answered {
-            self.relay.beliefs.borrow_mut().heads.note_left(&self.life);
+            self.relay.beliefs.borrow_mut().heads.record_abandoned(&self.life);
         }
     }
 }
@@ -157,7 +157,7 @@
                 return Err(WaitEnd::Stalled(detail));
             }
         }
-        let late = leave_after(self.permit.route.objective);
+        let late = reroute_after(self.permit.route.objective);
         match waited.as_millis() as Millis > late && self.has_another() {
             true => Err(WaitEnd::Stalled("no answer for long".to_owned())),
             false => Ok(()),
@@ -171,14 +171,14 @@
         let life = &self.path[0].life;
         let silent_after = {
             let beliefs = self.relay.beliefs.borrow();
-            beliefs.heads.silent_after(self.permit.route.objective)
+            beliefs.heads.stall_threshold(self.permit.route.objective)
         };
-        let found = self.relay.beliefs.borrow_mut().heads.find_mute(life, silent_after, now);
+        let found = self.relay.beliefs.borrow_mut().heads.detect_stall(life, silent_after, now);
         if let Some(for_ms) = found {
             tracing::warn!(event = "mute", replica = %life, silent_after, for_ms);
             tell_state(self.relay, TellReach::All);
         }
-        let is_mute = self.relay.beliefs.borrow().heads.is_mute(life, now);
+        let is_mute = self.relay.beliefs.borrow().heads.is_stalled(life, now);
         let has_waited = waited.as_millis() as Millis >= silent_after;
         match is_mute && has_waited && self.has_another() {
             true => Err(WaitEnd::Stalled("begins no answers".to_owned())),
@@ -194,7 +194,7 @@
         let Some(lost) = self.path.iter().find(is_lost) else { return Ok(()) };
         let beliefs = self.relay.beliefs.borrow();
         let is_listed = beliefs.fleet.view.living(&lost.life).is_some();
-        let own = !is_listed || beliefs.suspects.is_own(&lost.life, now);
+        let own = !is_listed || beliefs.suspects.is_local(&lost.life, now);
         drop(beliefs);
         if self.has_another() || (own && self.is_repeatable()) {
             let detail = format!("a replica of the path is lost ({})", lost.life);
--- a/crates/relay/src/limits.rs
+++ b/crates/relay/src/limits.rs
@@ -10,11 +10,13 @@
 use switchfold_kernel::clock::now_millis;
 use switchfold_router::{
     Millis,
+    coordinator::{
+        COORDINATES_AFTER, LimitCoordinator, LocalRelay, limit_coordinator, rate_fraction,
+    },
     fleet::ReplicaEntry,
-    grants::GrantNeed,
+    grants::GrantWaiter,
     issuer::IssuedGrants,
-    keeper::{KEEPS_AFTER, LimitKeeper, OwnKeeper, limit_keeper, rate_part},
-    limits::{LimitChange, LimitWord},
+    limits::{LimitChange, LimitReport},
     membership::PeerStamp,
 };
 use tokio::time::sleep;
@@ -43,34 +45,39 @@
     // One that stops leaves them to the others while it is there, so that nobody waits for its silence.
     // What a member hears of the others is too little to tell whether it is cut off.
     let speaks = !beliefs.peers.is_member();
-    speaks && now >= KEEPS_AFTER && !(relay.stop.is_raised() && has_others())
+    speaks && now >= COORDINATES_AFTER && !(relay.stop.is_raised() && has_others())
 }
 
 fn own_stamp(relay: &Relay, now: Millis) -> PeerStamp {
     PeerStamp { incarnation: relay.incarnation, time: now }
 }
 
-fn find_keeper<'a>(relay: &Relay, beliefs: &'a Beliefs, id: &str, now: Millis) -> LimitKeeper<'a> {
+fn find_keeper<'a>(
+    relay: &Relay,
+    beliefs: &'a Beliefs,
+    id: &str,
+    now: Millis,
+) -> LimitCoordinator<'a> {
     let RelaySettings { name, data_centre, .. } = &relay.settings;
-    let own = OwnKeeper { name, data_centre, keeps: keeps_limits(relay, beliefs, now) };
+    let own = LocalRelay { name, data_centre, is_eligible: keeps_limits(relay, beliefs, now) };
     let place = beliefs.fleet.view.get(id).map_or("", |entry| &entry.data_centre);
-    limit_keeper(&own, &beliefs.peers, id, place, now)
+    limit_coordinator(&own, &beliefs.peers, id, place, now)
 }
 
 /// Takes over what a replica said of its limit; `from` is the relay that told it, where it was not said to this one.
-pub fn take_word(relay: &Relay, id: &str, word: LimitWord, from: Option<&str>) {
+pub fn take_word(relay: &Relay, id: &str, word: LimitReport, from: Option<&str>) {
     let now = now_millis();
-    let changed = relay.beliefs.borrow_mut().limits.hear(id, word, now);
+    let changed = relay.beliefs.borrow_mut().limits.update(id, word, now);
     let Some(change) = changed else { return };
     count(&relay.counts.limits_changed);
     relay.limit_bell.notify_one();
     let age = now as i64 - word.sent;
     match change {
-        LimitChange::Named(limit) => {
-            relay.beliefs.borrow_mut().grants.note_limit(id, limit);
+        LimitChange::Set(limit) => {
+            relay.beliefs.borrow_mut().grants.record_limit(id, limit);
             tracing::info!(event = "limit-named", replica = id, limit, age, from);
         }
-        LimitChange::Ended => tracing::info!(event = "limit-ended", replica = id, age, from),
+        LimitChange::Removed => tracing::info!(event = "limit-ended", replica = id, age, from),
     }
 }
 
@@ -85,7 +92,7 @@
         return Vec::new();
     }
     let changed = beliefs.limits.changed_since(now.saturating_sub(TELL_TIME)).take(MOST_CHANGED);
-    let turn = near.then(|| beliefs.limits.in_turn(round, MOST_IN_TURN));
+    let turn = near.then(|| beliefs.limits.page(round, MOST_IN_TURN));
     let told = changed.chain(turn.into_iter().flatten());
     told.map(|(id, word)| LimitRecord::of(id, word, now)).collect()
 }
@@ -108,7 +115,7 @@
         let mut guard = relay.beliefs.borrow_mut();
         let beliefs = &mut *guard;
         let Some(id) = wanted_replica(beliefs, service, rank, begins, now) else { return };
-        beliefs.grants.note_miss(&id, now);
+        beliefs.grants.record_miss(&id, now);
     }
     ask_for_grants(relay);
 }
@@ -128,7 +135,7 @@
         replica.is_ready()
             && begins(replica)
             && !beliefs.suspects.is_suspect(&replica.life, now)
-            && beliefs.backoffs.left(&replica.life, now).is_none()
+            && beliefs.backoffs.remaining(&replica.life, now).is_none()
             && beliefs.limit_wait(&replica.life, rank, now).is_some()
     };
     let load = |replica: &ReplicaEntry| {
@@ -144,7 +151,7 @@
 pub struct GrantWait {
     relay: Rc<Relay>,
     id: String,
-    need: GrantNeed,
+    need: GrantWaiter,
 }
 
 impl GrantWait {
@@ -152,7 +159,7 @@
     pub fn begin(
         relay: &Rc<Relay>,
         service: &str,
-        need: GrantNeed,
+        need: GrantWaiter,
         begins: impl Fn(&ReplicaEntry) -> bool,
     ) -> Option<Self> {
         let now = now_millis();
@@ -187,23 +194,24 @@
     let mut is_own = false;
     {
         let mut beliefs = relay.beliefs.borrow_mut();
-        let due = beliefs.grants.due(now);
+        let due = beliefs.grants.due_requests(now);
         if !due.is_empty() {
             relay.limit_bell.notify_one();
         }
         for ask in due {
-            let (id, wanted) = (ask.id.clone(), ask.wanted);
-            let Some(word) = beliefs.limits.word(&id) else { continue };
+            let (id, wanted) = (ask.id.clone(), ask.count);
+            let Some(word) = beliefs.limits.report(&id) else { continue };
             add(&relay.counts.grants_asked, wanted as u64);
             match find_keeper(relay, &beliefs, &id, now) {
-                LimitKeeper::Nobody => {}
-                LimitKeeper::Own => {
+                LimitCoordinator::Unknown => {}
+                LimitCoordinator::Local => {
                     is_own = true;
-                    beliefs.issuer.ask(&ask, &relay.settings.name, stamp, now);
+                    beliefs.issuer.request(&ask, &relay.settings.name, stamp, now);
                 }
-                LimitKeeper::Peer(_, address) => {
+                LimitCoordinator::Peer(_, address) => {
                     let limit = LimitRecord::of(&id, word, now);
-                    let ask = AskRecord { limit, wanted: wanted as u32, lasts: ask.lasts as u32 };
+                    let ask =
+                        AskRecord { limit, wanted: wanted as u32, lasts: ask.valid_for as u32 };
                     match asks.iter_mut().find(|(to, _)| *to == address) {
                         Some((_, asks)) => asks.push(ask),
                         None => asks.push((address, vec![ask])),
@@ -242,7 +250,7 @@
     for ask in &news.asks {
         take_word(relay, &ask.limit.id, ask.limit.word(written), Some(&news.name));
         let mut beliefs = relay.beliefs.borrow_mut();
-        beliefs.issuer.ask(&ask.due(), &news.name, stamp, now);
+        beliefs.issuer.request(&ask.due(), &news.name, stamp, now);
     }
     relay.limit_bell.notify_one();
     issue_grants(relay);
@@ -259,21 +267,21 @@
         }
         let beliefs = &mut *guard;
         let RelaySettings { name, data_centre, .. } = &relay.settings;
-        let own = OwnKeeper { name, data_centre, keeps: true };
-        let part = rate_part(&own, &beliefs.peers, now);
-        let asked: Vec<String> = beliefs.issuer.asked().map(str::to_owned).collect();
+        let own = LocalRelay { name, data_centre, is_eligible: true };
+        let part = rate_fraction(&own, &beliefs.peers, now);
+        let asked: Vec<String> = beliefs.issuer.requested_replicas().map(str::to_owned).collect();
         for id in asked {
-            let Some(word) = beliefs.limits.word(&id) else { continue };
+            let Some(word) = beliefs.limits.report(&id) else { continue };
             // Whoever asks may not have heard the one that keeps the limit yet: two that give would give twice as much.
-            if find_keeper(relay, beliefs, &id, now) != LimitKeeper::Own {
+            if find_keeper(relay, beliefs, &id, now) != LimitCoordinator::Local {
                 continue;
             }
             let rate = word.per_second.map_or(f64::INFINITY, |limit| limit * part);
             for issued in beliefs.issuer.issue(&id, rate, word.sent, now) {
                 add(&relay.counts.grants_issued, issued.count as u64);
                 if issued.relay == relay.settings.name {
-                    let at = issued.stamp.time + issued.held;
-                    beliefs.grants.take(&id, issued.count, at as i64, issued.share, now);
+                    let at = issued.stamp.time + issued.held_for;
+                    beliefs.grants.add(&id, issued.count, at as i64, issued.share, now);
                 } else {
                     let limit = LimitRecord::of(&id, word, now);
                     told.push((issued.relay.clone(), GrantRecord::of(limit, &issued)));
@@ -304,11 +312,11 @@
     let (_, written) = read_stamp(relay, &news.name, news.stamp, now);
     for grant in &news.grants {
         take_word(relay, &grant.limit.id, grant.limit.word(written), Some(&news.name));
-        let IssuedGrants { stamp, held, count, share, .. } = grant.issued();
+        let IssuedGrants { stamp, held_for, count, share, .. } = grant.issued();
         if stamp.incarnation == relay.incarnation {
-            let issued = (stamp.time + held) as i64;
+            let issued = (stamp.time + held_for) as i64;
             let mut beliefs = relay.beliefs.borrow_mut();
-            beliefs.grants.take(&grant.limit.id, count, issued, share, now);
+            beliefs.grants.add(&grant.limit.id, count, issued, share, now);
         }
     }
 }
@@ -328,7 +336,7 @@
         let now = now_millis();
         let is_busy = {
             let beliefs = relay.beliefs.borrow();
-            beliefs.issuer.asked().next().is_some() || beliefs.grants.wants_any(now)
+            beliefs.issuer.requested_replicas().next().is_some() || beliefs.grants.has_requests(now)
         };
         if is_busy {
             issue_grants(&relay);
--- a/crates/relay/src/news.rs
+++ b/crates/relay/src/news.rs
@@ -10,12 +10,12 @@
     Millis,
     fingerprint::{FINGERPRINT_BYTES, RequestFingerprint},
     fleet::{EntryState, LayerRange, ReplicaEntry, ReplicaNews},
-    grants::DueAsk,
+    grants::GrantRequest,
     issuer::IssuedGrants,
     life::ReplicaLife,
-    limits::LimitWord,
+    limits::LimitReport,
     membership::{PeerStamp, ReportKind},
-    quarantine::{CrashRun, CrashSign, RequestNews},
+    quarantine::{CrashEvidence, CrashReport, CrashRun},
 };
 
 /// Version of the form.
@@ -164,16 +164,16 @@
 
 impl LimitRecord {
     /// Writes what is known at `now`.
-    pub fn of(id: &str, word: LimitWord, now: Millis) -> Self {
-        let LimitWord { per_second, sent } = word;
+    pub fn of(id: &str, word: LimitReport, now: Millis) -> Self {
+        let LimitReport { per_second, sent } = word;
         Self { id: id.to_owned(), per_second, age: now as i64 - sent }
     }
 
     /// Reads what was written at `written`.
-    pub fn word(&self, written: i64) -> LimitWord {
+    pub fn word(&self, written: i64) -> LimitReport {
         // Another form of the same program cannot write what is no number of requests; a damaged message can.
         let per_second = self.per_second.map(|limit| limit.max(0.0));
-        LimitWord { per_second, sent: written.saturating_sub(self.age) }
+        LimitReport { per_second, sent: written.saturating_sub(self.age) }
     }
 }
 
@@ -201,9 +201,9 @@
 
 impl AskRecord {
     /// What is asked for.
-    pub fn due(&self) -> DueAsk {
+    pub fn due(&self) -> GrantRequest {
         let (wanted, lasts) = (self.wanted as usize, Millis::from(self.lasts));
-        DueAsk { id: self.limit.id.clone(), wanted, lasts }
+        GrantRequest { id: self.limit.id.clone(), count: wanted, valid_for: lasts }
     }
 }
 
@@ -232,8 +232,8 @@
 impl GrantRecord {
     /// Writes grants of a replica.
     pub fn of(limit: LimitRecord, issued: &IssuedGrants) -> Self {
-        let IssuedGrants { stamp, held, count, share, .. } = issued;
-        let ask = (stamp.incarnation, stamp.time, *held);
+        let IssuedGrants { stamp, held_for, count, share, .. } = issued;
+        let ask = (stamp.incarnation, stamp.time, *held_for);
         Self { limit, ask, count: *count as u32, share: *share }
     }
 
@@ -243,7 +243,7 @@
         IssuedGrants {
             relay: String::new(),
             stamp: PeerStamp { incarnation, time },
-            held,
+            held_for: held,
             count: self.count as usize,
             share: self.share,
         }
@@ -276,19 +276,19 @@
 
 impl CrashRecord {
     /// Writes what is known at `now`.
-    pub fn of(news: &RequestNews, now: Millis) -> Self {
+    pub fn of(news: &CrashReport, now: Millis) -> Self {
         Self {
             fingerprint: news.fingerprint.bytes(),
-            left: news.left.map(|left| left as u32),
+            left: news.remaining.map(|left| left as u32),
             runs: news.runs.iter().map(|run| CrashRunRecord::of(run, now)).collect(),
         }
     }
 
     /// Reads what was told at `now`.
-    pub fn news(&self, now: Millis) -> RequestNews {
-        RequestNews {
+    pub fn news(&self, now: Millis) -> CrashReport {
+        CrashReport {
             fingerprint: RequestFingerprint::from_bytes(self.fingerprint),
-            left: self.left.map(Millis::from),
+            remaining: self.left.map(Millis::from),
             runs: self.runs.iter().map(|run| run.run(now)).collect(),
         }
     }
@@ -301,7 +301,7 @@
             life: (&run.life).into(),
             sent_age: age(run.sent),
             lost_age: age(run.lost),
-            is_strong: run.sign == CrashSign::Strong,
+            is_strong: run.evidence == CrashEvidence::Strong,
         }
     }
 
@@ -310,7 +310,7 @@
             life: (&self.life).into(),
             sent: now as i64 - i64::from(self.sent_age),
             lost: now as i64 - i64::from(self.lost_age),
-            sign: if self.is_strong { CrashSign::Strong } else { CrashSign::Weak },
+            evidence: if self.is_strong { CrashEvidence::Strong } else { CrashEvidence::Weak },
         }
     }
 }
--- a/crates/relay/src/notices.rs
+++ b/crates/relay/src/notices.rs
@@ -9,7 +9,7 @@
 use rand::RngExt;
 use switchfold_kernel::clock::now_millis;
 use switchfold_platform::headers::{AnswerMarks, RetryAfter, ServerLimit};
-use switchfold_router::{Millis, fleet::ReplicaEntry, life::ReplicaLife, limits::LimitWord};
+use switchfold_router::{Millis, fleet::ReplicaEntry, life::ReplicaLife, limits::LimitReport};
 
 use crate::{
     answers::Refusal,
@@ -36,13 +36,13 @@
 pub fn hear_notices(relay: &Relay, life: &ReplicaLife, answer: HeardAnswer<'_>) {
     let HeardAnswer { status, marks, .. } = answer;
     if status != StatusCode::SERVICE_UNAVAILABLE && !marks.not_executed {
-        relay.beliefs.borrow_mut().backoffs.note_served(life, now_millis());
+        relay.beliefs.borrow_mut().backoffs.record_success(life, now_millis());
     }
     hear_word(relay, life, answer);
     // Another replica may answer this way at the address of one that ended.
     let is_its_own = answer.is_own && status != StatusCode::MISDIRECTED_REQUEST;
     if is_its_own && marks.limit.is_none() {
-        let word = LimitWord { per_second: None, sent: answer.sent as i64 };
+        let word = LimitReport { per_second: None, sent: answer.sent as i64 };
         take_word(relay, life.id(), word, None);
     }
 }
@@ -67,7 +67,7 @@
     }
     match &marks.limit {
         Some(ServerLimit::PerSecond(limit)) => {
-            let word = LimitWord { per_second: Some(*limit), sent: sent as i64 };
+            let word = LimitReport { per_second: Some(*limit), sent: sent as i64 };
             take_word(relay, life.id(), word, None);
         }
         Some(ServerLimit::Unreadable(value)) => {
@@ -81,7 +81,7 @@
     match &marks.retry_after {
         Some(RetryAfter::Millis(asked)) => {
             count(&relay.counts.backoffs_asked);
-            relay.beliefs.borrow_mut().backoffs.note(life, *asked, now_millis());
+            relay.beliefs.borrow_mut().backoffs.record(life, *asked, now_millis());
             tracing::info!(event = "backoff-asked", replica = %life, asked);
         }
         Some(RetryAfter::Unreadable(value)) => {
@@ -166,7 +166,7 @@
     let draw = relay.random.borrow_mut().random();
     let mut beliefs = relay.beliefs.borrow_mut();
     let slots = beliefs.return_slots.entry(service.to_owned()).or_default();
-    Refusal::HeldBack(slots.take(left, per_second, draw, now))
+    Refusal::HeldBack(slots.next_delay(left, per_second, draw, now))
 }
 
 /// Time over which callers come back that were refused until the same end, in milliseconds.
--- a/crates/relay/src/paths.rs
+++ b/crates/relay/src/paths.rs
@@ -11,7 +11,7 @@
         ChainCosts, FULL_START_COST, PartOffer, PathPart, PathRequest, choose_path, start_cost,
     },
     fleet::{LayerRange, ReplicaEntry},
-    grants::GrantNeed,
+    grants::GrantWaiter,
     groups::{group_count, group_of},
     life::ReplicaLife,
 };
@@ -192,7 +192,7 @@
             };
             let begins = |replica: &ReplicaEntry| begins_for(replica, wish);
             let until = now_millis() + (end - Instant::now()).as_millis() as Millis;
-            let need = GrantNeed { rank: wish.rank, until };
+            let need = GrantWaiter { rank: wish.rank, deadline: until };
             let begin = || GrantWait::begin(relay, wish.service, need, begins);
             grant_wait = grant_wait.or_else(begin);
             sleep(LOOK_EVERY.min(left)).await;
@@ -352,7 +352,7 @@
 }
 
 fn mute_cost(beliefs: &Beliefs, life: &ReplicaLife, now: Millis) -> f64 {
-    match beliefs.heads.is_mute(life, now) {
+    match beliefs.heads.is_stalled(life, now) {
         true => MUTE_COST,
         false => 0.0,
     }
--- a/crates/relay/src/peers.rs
+++ b/crates/relay/src/peers.rs
@@ -96,7 +96,7 @@
         let (incarnation, time) = news.stamp;
         let stamp = PeerStamp { incarnation, time };
         if beliefs.peers.is_back(&news.name, stamp, now) {
-            beliefs.quarantine.tell_all(now);
+            beliefs.quarantine.announce_all(now);
         }
         if !beliefs.peers.hear(&news.name, state, stamp, now) {
             count(&relay.counts.older_states);
@@ -112,7 +112,7 @@
             beliefs.paces.take_over(&life.into(), factor, origin, now);
         }
         let mutes = news.mutes.iter().map(|(life, lasts)| (life.into(), Millis::from(*lasts)));
-        beliefs.heads.hear_mutes(&news.name, origin, mutes, now);
+        beliefs.heads.merge_stalls(&news.name, origin, mutes, now);
         lost = take_suspects(beliefs, news, origin, now);
     }
     hear_limits(relay, &news.limits, &news.name, written);
@@ -139,7 +139,7 @@
         let life = ReplicaLife::from(life);
         let lives = beliefs.fleet.view.living(&life).is_some();
         if lives && !beliefs.suspects.is_suspect(&life, now) {
-            beliefs.suspects.take_over(&life, now + Millis::from(*lasts), origin);
+            beliefs.suspects.merge(&life, now + Millis::from(*lasts), origin);
             tracing::info!(event = "suspect-heard", replica = %life, from = news.name, lasts);
             lost.push(life);
         }
--- a/crates/relay/src/placer.rs
+++ b/crates/relay/src/placer.rs
@@ -218,7 +218,7 @@
                 ReportState::Answered(report) => report.layers.is_some(),
             };
             if holds {
-                relay.beliefs.borrow_mut().quarantine.note_alive(&replica.life);
+                relay.beliefs.borrow_mut().quarantine.record_alive(&replica.life);
             }
             let probe = ProbeEnd { asked: now, holds };
             let known = self.probes.insert(replica.life.clone(), probe);
--- a/crates/relay/src/plain.rs
+++ b/crates/relay/src/plain.rs
@@ -15,7 +15,7 @@
     Millis,
     attempt::{AttemptEnd, AttemptState, NextStep, decide_next},
     fleet::ReplicaEntry,
-    grants::GrantNeed,
+    grants::GrantWaiter,
     life::ReplicaLife,
 };
 use tokio::{
@@ -194,7 +194,7 @@
         if now_millis() + left > end {
             return None;
         }
-        let need = GrantNeed { rank: *priority, until: end };
+        let need = GrantWaiter { rank: *priority, deadline: end };
         grant_wait = grant_wait.or_else(|| GrantWait::begin(relay, service, need, untried));
         sleep(LOOK_EVERY.min(Duration::from_millis(left))).await;
     }
--- a/crates/relay/src/quarantine.rs
+++ b/crates/relay/src/quarantine.rs
@@ -15,7 +15,7 @@
     follow::STORE_PATIENCE,
     life::ReplicaLife,
     origin::NewsOrigin,
-    quarantine::{CrashRun, CrashSign, QUARANTINE, QuarantineChange, RequestNews},
+    quarantine::{CrashEvidence, CrashReport, CrashRun, QUARANTINE_TIME, QuarantineChange},
 };
 use switchfold_store::StoreError;
 use tokio::time::sleep;
@@ -35,7 +35,7 @@
 
 /// Time for which a request still is sent nowhere; nothing where it may be.
 pub fn quarantine_left(relay: &Relay, request: &CallerRequest) -> Option<Millis> {
-    relay.beliefs.borrow().quarantine.left(&request.fingerprint, now_millis())
+    relay.beliefs.borrow().quarantine.remaining(&request.fingerprint, now_millis())
 }
 
 /// Refuses a request that ended the replicas that ran it.
@@ -57,14 +57,14 @@
 
 /// Notes that a replica is lost: found silent, refusing connections, or listed no more without having said that it leaves.
 pub fn note_ended(relay: &Relay, life: &ReplicaLife) {
-    let change = relay.beliefs.borrow_mut().quarantine.note_ended(life, now_millis());
+    let change = relay.beliefs.borrow_mut().quarantine.record_ended(life, now_millis());
     take_change(relay, &change);
 }
 
 /// Notes that a replica gave a result of a request, and lives.
 pub fn note_result(relay: &Relay, request: &CallerRequest) {
     let fingerprint = &request.fingerprint;
-    let was_known = relay.beliefs.borrow_mut().quarantine.note_result(fingerprint, now_millis());
+    let was_known = relay.beliefs.borrow_mut().quarantine.record_result(fingerprint, now_millis());
     if was_known {
         tracing::info!(event = "request-cleared", %fingerprint);
         relay.quarantine_bell.notify_one();
@@ -85,20 +85,20 @@
         let mut beliefs = relay.beliefs.borrow_mut();
         let is_member_news = origin == NewsOrigin::Member;
         let tells_on = is_member_news || beliefs.peers.has_members(now);
-        beliefs.quarantine.hear_cleared(&cleared.collect::<Vec<_>>(), tells_on, now);
-        beliefs.quarantine.hear(crashes, is_member_news, now)
+        beliefs.quarantine.merge_cleared(&cleared.collect::<Vec<_>>(), tells_on, now);
+        beliefs.quarantine.merge(crashes, is_member_news, now)
     };
     take_change(relay, &change);
-    if !change.stopped.is_empty() {
+    if !change.quarantined.is_empty() {
         pass_on(relay, origin, now);
     }
 }
 
 /// Writes lines of requests that are sent nowhere from now on, and tells others at once where that matters.
 pub fn take_change(relay: &Relay, change: &QuarantineChange) {
-    for (fingerprint, weight) in &change.stopped {
+    for (fingerprint, weight) in &change.quarantined {
         count(&relay.counts.stopped_requests);
-        tracing::warn!(event = "request-stopped", %fingerprint, weight, for_ms = QUARANTINE);
+        tracing::warn!(event = "request-stopped", %fingerprint, weight, for_ms = QUARANTINE_TIME);
     }
     if change.is_urgent {
         relay.quarantine_bell.notify_one();
@@ -125,28 +125,28 @@
 }
 
 impl StoredRequest {
-    fn of(news: &RequestNews, now: Millis, epoch: u64) -> Self {
+    fn of(news: &CrashReport, now: Millis, epoch: u64) -> Self {
         let at = |time: i64| epoch.saturating_add_signed(time - now as i64);
         let runs = news.runs.iter().map(|run| StoredRun {
             id: run.life.id().to_owned(),
             born: run.life.born(),
             sent: at(run.sent),
             lost: at(run.lost),
-            strong: run.sign == CrashSign::Strong,
+            strong: run.evidence == CrashEvidence::Strong,
         });
-        Self { until: news.left.map_or(0, |left| epoch + left), runs: runs.collect() }
+        Self { until: news.remaining.map_or(0, |left| epoch + left), runs: runs.collect() }
     }
 
-    fn news(&self, fingerprint: RequestFingerprint, now: Millis, epoch: u64) -> RequestNews {
+    fn news(&self, fingerprint: RequestFingerprint, now: Millis, epoch: u64) -> CrashReport {
         let at = |time: u64| now as i64 - (epoch as i64 - time as i64);
         let runs = self.runs.iter().map(|run| CrashRun {
             life: ReplicaLife::new(&run.id, run.born),
             sent: at(run.sent),
             lost: at(run.lost),
-            sign: if run.strong { CrashSign::Strong } else { CrashSign::Weak },
+            evidence: if run.strong { CrashEvidence::Strong } else { CrashEvidence::Weak },
         });
         let left = self.until.checked_sub(epoch).filter(|left| *left > 0);
-        RequestNews { fingerprint, left, runs: runs.collect() }
+        CrashReport { fingerprint, remaining: left, runs: runs.collect() }
     }
 }
 
@@ -181,7 +181,7 @@
     for news in unstored {
         let fingerprint = news.fingerprint;
         if let Err(error) = store_request(relay, &news, now).await {
-            relay.beliefs.borrow_mut().quarantine.note_not_stored(&fingerprint);
+            relay.beliefs.borrow_mut().quarantine.record_store_failure(&fingerprint);
             tracing::info!(event = "quarantine-not-stored", %fingerprint, %error);
             took_all = false;
         }
@@ -189,7 +189,7 @@
     took_all
 }
 
-async fn store_request(relay: &Relay, news: &RequestNews, now: Millis) -> Result<(), StoreError> {
+async fn store_request(relay: &Relay, news: &CrashReport, now: Millis) -> Result<(), StoreError> {
     let name = news.fingerprint.to_string();
     let stored = StoredRequest::of(news, now, epoch_millis());
     match relay.store.create(CallKind::Quarantine, &name, &stored).await {
@@ -240,7 +240,7 @@
 
 /// Tells the store again what this relay told it before it came back from a copy.
 pub fn write_again(relay: &Relay) {
-    relay.beliefs.borrow_mut().quarantine.forget_stored();
+    relay.beliefs.borrow_mut().quarantine.reset_stored();
     relay.quarantine_bell.notify_one();
 }
 
@@ -301,7 +301,7 @@
     if told.is_empty() {
         return;
     }
-    let change = relay.beliefs.borrow_mut().quarantine.hear(told, true, now);
+    let change = relay.beliefs.borrow_mut().quarantine.merge(told, true, now);
     take_change(relay, &change);
 }
 
@@ -309,7 +309,7 @@
     /// Unix time after which it is of no use.
     fn ends(&self) -> u64 {
         let last = self.runs.iter().map(|run| run.lost).max().unwrap_or_default();
-        self.until.max(last) + QUARANTINE
+        self.until.max(last) + QUARANTINE_TIME
     }
 }
 
--- a/crates/relay/src/request.rs
+++ b/crates/relay/src/request.rs
@@ -155,7 +155,7 @@
             entry_revision = beliefs.fleet.view.revision(first.id()),
             entry_age = beliefs.fleet.view.age(first.id(), now),
             entry_awaited = beliefs.fleet.is_awaited(first.id()),
-            backoff_left = beliefs.backoffs.left(first, now),
+            backoff_left = beliefs.backoffs.remaining(first, now),
             limit = beliefs.limits.limit(first.id()),
             waited_ms = now - self.arrived,
             objective = permit.route.objective,
--- a/crates/relay/src/runs.rs
+++ b/crates/relay/src/runs.rs
@@ -11,7 +11,7 @@
     Millis,
     chain::PathPart,
     life::ReplicaLife,
-    quarantine::{LostRun, PROVEN_AFTER, RunYield},
+    quarantine::{LostRun, RunProgress, SURVIVAL_TIME},
 };
 
 use crate::{
@@ -26,7 +26,7 @@
 pub struct RunWatch {
     lives: Vec<ReplicaLife>,
     sent: Millis,
-    yielded: RunYield,
+    progress: RunProgress,
     is_lost: bool,
     is_proven: bool,
 }
@@ -34,32 +34,32 @@
 impl RunWatch {
     /// Watches a run that is sent now to one replica, and whose answer comes as a whole.
     pub fn at_replica(life: &ReplicaLife) -> Self {
-        Self::new(vec![life.clone()], RunYield::Whole)
+        Self::new(vec![life.clone()], RunProgress::Unary)
     }
 
     /// Watches a stream that is sent now over a path.
     pub fn over_path(path: &[PathPart]) -> Self {
         let lives = path.iter().map(|part| part.life.clone()).collect();
-        Self::new(lives, RunYield::Stream { begun: None, events: 0 })
+        Self::new(lives, RunProgress::Stream { begun: None, events: 0 })
     }
 
-    fn new(lives: Vec<ReplicaLife>, yielded: RunYield) -> Self {
-        Self { lives, sent: now_millis(), yielded, is_lost: false, is_proven: false }
+    fn new(lives: Vec<ReplicaLife>, progress: RunProgress) -> Self {
+        Self { lives, sent: now_millis(), progress, is_lost: false, is_proven: false }
     }
 
     /// Notes that the first replica began to run it.
     pub fn note_begun(&mut self) {
-        if let RunYield::Stream { begun, .. } = &mut self.yielded {
+        if let RunProgress::Stream { begun, .. } = &mut self.progress {
             *begun = begun.or(Some(now_millis()));
         }
     }
 
     /// Notes that something came of it.
     pub fn note_events(&mut self, relay: &Rc<Relay>, request: &CallerRequest) {
-        let RunYield::Stream { begun, events } = &mut self.yielded else { return };
+        let RunProgress::Stream { begun, events } = &mut self.progress else { return };
         *events += 1;
         let ran_for = begun.map_or(0, |begun| now_millis().saturating_sub(begun));
-        if ran_for >= PROVEN_AFTER && !replace(&mut self.is_proven, true) {
+        if ran_for >= SURVIVAL_TIME && !replace(&mut self.is_proven, true) {
             note_result(relay, request);
         }
     }
@@ -71,9 +71,9 @@
         }
         let now = now_millis();
         count(&relay.counts.lost_runs);
-        let (begun, events) = match self.yielded {
-            RunYield::Whole => (None, None),
-            RunYield::Stream { begun, events } => (begun, Some(events)),
+        let (begun, events) = match self.progress {
+            RunProgress::Unary => (None, None),
+            RunProgress::Stream { begun, events } => (begun, Some(events)),
         };
         tracing::info!(
             event = "run-lost",
@@ -84,13 +84,13 @@
             sent_ms = now - self.sent,
             ran_ms = begun.map(|begun| now - begun),
             events,
-            sign = ?self.yielded.sign(now),
+            sign = ?self.progress.evidence(now),
             why,
         );
-        let run = LostRun { lives: &self.lives, sent: self.sent, yielded: self.yielded };
+        let run = LostRun { lives: &self.lives, sent: self.sent, progress: self.progress };
         let change = {
             let mut beliefs = relay.beliefs.borrow_mut();
-            beliefs.quarantine.note_lost(request.fingerprint, &run, now)
+            beliefs.quarantine.record_lost(request.fingerprint, &run, now)
         };
         take_change(relay, &change);
     }
--- a/crates/relay/src/state.rs
+++ b/crates/relay/src/state.rs
@@ -17,22 +17,22 @@
     Millis,
     access::{ConfigSlot, RoutingConfig},
     backoff::BackoffTable,
-    budget::{BudgetConfig, RepeatBudget},
+    budget::{BudgetConfig, RetryBudget},
     chain::PathPart,
     clocks::PeerClocks,
     fleet::EntryState,
     freshness::FreshnessLease,
-    grants::{HeldGrants, ReturnSlots},
+    grants::{HeldGrants, RetrySchedule},
     issuer::GrantIssuer,
     life::ReplicaLife,
     limits::LimitTable,
     membership::{PeerTable, TalkCircle},
-    mute::HeadWatch,
     pace::PaceTable,
     pipe::PipeShare,
     quarantine::QuarantineTable,
     replicas::{FleetBelief, OddEntries},
     room::{FullStarts, RoomLedger},
+    stall::StallDetector,
     suspect::SuspectList,
 };
 
@@ -85,7 +85,7 @@
     /// Grants that this relay hands out.
     pub issuer: GrantIssuer,
     /// Moments at which refused callers come back, by service.
-    pub return_slots: HashMap<String, ReturnSlots>,
+    pub return_slots: HashMap<String, RetrySchedule>,
     /// Clocks of the other relays.
     pub clocks: PeerClocks,
     /// Engines that are slow.
@@ -95,13 +95,13 @@
     /// Replicas to keep away from.
     pub suspects: SuspectList,
     /// Beginnings of answers, and first replicas that begin none.
-    pub heads: HeadWatch,
+    pub heads: StallDetector,
     /// Replicas that were short of memory a moment ago.
     pub full: SuspectList,
     /// Requests that end the replicas that run them.
     pub quarantine: QuarantineTable,
     /// Repeats, by service.
-    pub budgets: HashMap<String, RepeatBudget>,
+    pub budgets: HashMap<String, RetryBudget>,
     /// Loads of plain services' replicas.
     pub loads: ServiceLoads,
     /// The other relays.
@@ -117,7 +117,7 @@
     /// Time until a request of a rank may be sent to a replica, by what the replica asked for: time without requests of this
     /// relay, or few of all relays together. Nothing where it may be sent now.
     pub fn send_wait(&self, life: &ReplicaLife, rank: u8, now: Millis) -> Option<Millis> {
-        let left = self.backoffs.left(life, now);
+        let left = self.backoffs.remaining(life, now);
         left.max(self.limit_wait(life, rank, now))
     }
 
@@ -229,13 +229,13 @@
 
     /// Whether a service's budget has a repeat.
     pub fn has_repeat(&self, service: &str, now: Millis) -> bool {
-        self.with_budget(service, |budget, config, entries| budget.has_one(config, entries, now))
+        self.with_budget(service, |budget, config, entries| budget.can_retry(config, entries, now))
     }
 
     fn with_budget(
         &self,
         service: &str,
-        ask: impl FnOnce(&mut RepeatBudget, &BudgetConfig, usize) -> bool,
+        ask: impl FnOnce(&mut RetryBudget, &BudgetConfig, usize) -> bool,
     ) -> bool {
         let config = self.budget_config();
         let mut beliefs = self.beliefs.borrow_mut();
@@ -251,14 +251,14 @@
     /// Notes a request of a caller for a service.
     pub fn note_request(&self, service: &str, now: Millis) {
         let mut beliefs = self.beliefs.borrow_mut();
-        beliefs.budgets.entry(service.to_owned()).or_default().note_request(now);
+        beliefs.budgets.entry(service.to_owned()).or_default().record_request(now);
     }
 
     /// Keeps away from a replica for a while.
     pub fn suspect(&self, life: &ReplicaLife, why: &str) {
         let now = now_millis();
         note_ended(self, life);
-        let until = self.beliefs.borrow_mut().suspects.note_failure(life, now);
+        let until = self.beliefs.borrow_mut().suspects.record_failure(life, now);
         if let Some(until) = until {
             self.raise_alarm();
             tell_state(self, TellReach::All);
@@ -275,7 +275,7 @@
     /// Notes that a replica was short of memory.
     pub fn note_full(&self, life: &ReplicaLife) {
         let now = now_millis();
-        if self.beliefs.borrow_mut().full.note_failure(life, now).is_some() {
+        if self.beliefs.borrow_mut().full.record_failure(life, now).is_some() {
             tracing::info!(event = "replica-full", replica = %life);
         }
     }
--- a/crates/relay/src/tell.rs
+++ b/crates/relay/src/tell.rs
@@ -50,7 +50,7 @@
 
 /// Most replicas that one datagram tells of: an entry takes some 100 bytes, and small datagrams are lost
 /// less often.
-const MOST_RECORDS: usize = 64;
+const MAX_RECORDS: usize = 64;
 
 /// Whom something is told.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
@@ -275,10 +275,10 @@
     beliefs.room.forget(now);
     beliefs.places.forget(now);
     beliefs.quarantine.forget(now);
-    let suspects = beliefs.suspects.told_on(reach, now);
-    let mutes = beliefs.heads.told_on(reach, now);
+    let suspects = beliefs.suspects.shared_with(reach, now);
+    let mutes = beliefs.heads.shared_with(reach, now);
     let paces = beliefs.paces.told_on(reach, now);
-    let told = beliefs.quarantine.news(reach, now);
+    let told = beliefs.quarantine.updates(reach, now);
     let crashes = told.iter().map(|news| CrashRecord::of(news, now)).collect();
     let cleared = beliefs.quarantine.cleared(now);
     let cleared = cleared.into_iter().map(|(of, age)| (of.bytes(), age as u32)).collect();
@@ -316,7 +316,7 @@
         true => speakers.map(|peer| peer.address).collect(),
         false => near_addresses(relay),
     };
-    for part in records.chunks(MOST_RECORDS) {
+    for part in records.chunks(MAX_RECORDS) {
         send_fleet(relay, &FleetNews { changes: part.to_vec() }, &told);
     }
 }
--- a/crates/router/benches/crashes.rs
+++ b/crates/router/benches/crashes.rs
@@ -7,7 +7,7 @@
 use switchfold_router::{
     fingerprint::{RequestFingerprint, RequestParts},
     life::ReplicaLife,
-    quarantine::{CrashRun, CrashSign, QuarantineTable, RequestNews},
+    quarantine::{CrashEvidence, CrashReport, CrashRun, QuarantineTable},
 };
 
 #[path = "../tests/crash_model/mod.rs"]
@@ -97,20 +97,20 @@
     });
     let empty = QuarantineTable::default();
     criterion.bench_function("look, nothing known", |bencher| {
-        bencher.iter(|| black_box(&empty).left(&fingerprint(1), 1));
+        bencher.iter(|| black_box(&empty).remaining(&fingerprint(1), 1));
     });
     let mut full = QuarantineTable::default();
     for number in 0..1_000 {
         let life = ReplicaLife::new("i", number + 1);
-        let runs = vec![CrashRun { life, sent: 0, lost: 1, sign: CrashSign::Strong }];
-        full.hear(
-            vec![RequestNews { fingerprint: fingerprint(number), left: Some(500), runs }],
+        let runs = vec![CrashRun { life, sent: 0, lost: 1, evidence: CrashEvidence::Strong }];
+        full.merge(
+            vec![CrashReport { fingerprint: fingerprint(number), remaining: Some(500), runs }],
             false,
             1,
         );
     }
     criterion.bench_function("look, 1,000 stopped", |bencher| {
-        bencher.iter(|| black_box(&full).left(&fingerprint(500), 1));
+        bencher.iter(|| black_box(&full).remaining(&fingerprint(500), 1));
     });
     criterion.final_summary();
 }
--- a/crates/router/benches/plans.rs
+++ b/crates/router/benches/plans.rs
@@ -13,7 +13,7 @@
     fleet::{EntryState, LayerRange, ReplicaEntry, ReplicaNews},
     grants::HeldGrants,
     life::ReplicaLife,
-    limits::{LimitTable, LimitWord},
+    limits::{LimitReport, LimitTable},
     replicas::{FleetBelief, FleetList, NewsSource},
     room::RoomLedger,
 };
@@ -137,9 +137,11 @@
         (0..3_000).map(|number| ReplicaLife::new(&format!("i-{number:010x}"), 0)).collect();
     for asked in [0, 1, 1_000] {
         let mut table = BackoffTable::default();
-        lives.iter().step_by(3).take(asked).for_each(|life| table.note(life, 3_000, 0));
+        lives.iter().step_by(3).take(asked).for_each(|life| table.record(life, 3_000, 0));
         group.bench_function(BenchmarkId::new("3000 replicas", asked), |bencher| {
-            bencher.iter(|| lives.iter().filter_map(|life| table.left(black_box(life), 1)).count());
+            bencher.iter(|| {
+                lives.iter().filter_map(|life| table.remaining(black_box(life), 1)).count()
+            });
         });
     }
     group.finish();
@@ -152,8 +154,8 @@
     for limited in [0, 3_000] {
         let (mut table, mut grants) = (LimitTable::default(), HeldGrants::default());
         for id in &ids[..limited] {
-            table.hear(id, LimitWord { per_second: Some(3.1), sent: 0 }, 0);
-            grants.take(id, 1, 0, 1.0, 0);
+            table.update(id, LimitReport { per_second: Some(3.1), sent: 0 }, 0);
+            grants.add(id, 1, 0, 1.0, 0);
         }
         group.bench_function(BenchmarkId::new("3000 replicas", limited), |bencher| {
             let wait = |id: &&String| {
--- a/crates/router/src/backoff.rs
+++ b/crates/router/src/backoff.rs
@@ -14,7 +14,7 @@
 
 /// Time that one request has to find out whether a replica takes requests again, in milliseconds: four times what the
 /// beginning of an answer usually takes. Another one tries after that.
-pub const TRIAL_TIME: Millis = 250;
+pub const TRIAL_TIMEOUT: Millis = 250;
 
 /// Time after the end for which a replica that nothing was sent to is remembered, in milliseconds.
 const FORGET: Millis = 60_000;
@@ -28,7 +28,7 @@
 
 impl Backoff {
     fn left(&self, now: Millis) -> Option<Millis> {
-        let trial_end = self.tried.map_or(0, |tried| tried + TRIAL_TIME);
+        let trial_end = self.tried.map_or(0, |tried| tried + TRIAL_TIMEOUT);
         let end = self.until.max(trial_end);
         (now < end).then(|| end - now)
     }
@@ -42,7 +42,7 @@
 
 impl BackoffTable {
     /// Notes that a replica asked for `asked` milliseconds without requests. Of several times the latest end counts.
-    pub fn note(&mut self, life: &ReplicaLife, asked: Millis, now: Millis) {
+    pub fn record(&mut self, life: &ReplicaLife, asked: Millis, now: Millis) {
         self.backoffs.retain(|_, backoff| now < backoff.until.saturating_add(FORGET));
         let backoff = self.backoffs.entry(life.id().to_owned()).or_default();
         backoff.until = backoff.until.max(now.saturating_add(asked));
@@ -50,7 +50,7 @@
     }
 
     /// Notes that a replica answered, and did not turn the request away.
-    pub fn note_served(&mut self, life: &ReplicaLife, now: Millis) {
+    pub fn record_success(&mut self, life: &ReplicaLife, now: Millis) {
         // An answer to an earlier request says nothing of what was asked since.
         let is_over = |backoff: &Backoff| backoff.until <= now && backoff.tried.is_some();
         if self.backoffs.get(life.id()).is_some_and(is_over) {
@@ -59,7 +59,7 @@
     }
 
     /// Time for which nothing is sent to a replica; nothing where it may be sent to.
-    pub fn left(&self, life: &ReplicaLife, now: Millis) -> Option<Millis> {
+    pub fn remaining(&self, life: &ReplicaLife, now: Millis) -> Option<Millis> {
         self.backoffs.get(life.id())?.left(now)
     }
 
--- a/crates/router/src/budget.rs
+++ b/crates/router/src/budget.rs
@@ -42,24 +42,24 @@
 
 /// Repeats and requests of one service at one entry.
 #[derive(Clone, Debug, Default)]
-pub struct RepeatBudget {
+pub struct RetryBudget {
     buckets: VecDeque<Bucket>,
     begun: Millis,
 }
 
-impl RepeatBudget {
+impl RetryBudget {
     /// Makes the budget of an entry that began at that time and knows nothing from before.
-    pub fn begun_at(begun: Millis) -> Self {
+    pub fn starting_at(begun: Millis) -> Self {
         Self { buckets: VecDeque::new(), begun }
     }
 
     /// Notes a request of a caller.
-    pub fn note_request(&mut self, now: Millis) {
+    pub fn record_request(&mut self, now: Millis) {
         self.bucket(now).requests += 1;
     }
 
     /// Whether the budget has a repeat; `entries` share the allowance.
-    pub fn has_one(&mut self, config: &BudgetConfig, entries: usize, now: Millis) -> bool {
+    pub fn can_retry(&mut self, config: &BudgetConfig, entries: usize, now: Millis) -> bool {
         self.forget(config.window, now);
         let requests: u32 = self.buckets.iter().map(|bucket| bucket.requests).sum();
         let repeats: u32 = self.buckets.iter().map(|bucket| bucket.repeats).sum();
@@ -72,7 +72,7 @@
 
     /// Takes one repeat where the budget has one.
     pub fn spend(&mut self, config: &BudgetConfig, entries: usize, now: Millis) -> bool {
-        let enough = self.has_one(config, entries, now);
+        let enough = self.can_retry(config, entries, now);
         if enough {
             self.bucket(now).repeats += 1;
         }
--- a/crates/router/src/keeper.rs
+++ b/crates/router/src/coordinator.rs
@@ -16,58 +16,58 @@
 
 /// Time after its start from which a relay keeps limits, in milliseconds: two messages from another data centre have come by
 /// then, and the grants of an earlier start have lapsed.
-pub const KEEPS_AFTER: Millis = 800;
+pub const COORDINATES_AFTER: Millis = 800;
 
 /// Part of a limit that sides without most of the relays give together.
 const MINOR_PART: f64 = 0.2;
 
 /// A relay that may keep limits.
 #[derive(Clone, Copy, Debug)]
-pub struct OwnKeeper<'a> {
+pub struct LocalRelay<'a> {
     /// Its name.
     pub name: &'a str,
     /// Its data centre.
     pub data_centre: &'a str,
     /// Whether it keeps limits.
-    pub keeps: bool,
+    pub is_eligible: bool,
 }
 
 /// The relay that keeps a limit.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum LimitKeeper<'a> {
+pub enum LimitCoordinator<'a> {
     /// This one.
-    Own,
+    Local,
     /// Another one.
     Peer(&'a str, SocketAddr),
     /// None is known.
-    Nobody,
+    Unknown,
 }
 
 /// The relay that keeps the limit of a replica in a data centre.
-pub fn limit_keeper<'a>(
-    own: &OwnKeeper<'_>,
+pub fn limit_coordinator<'a>(
+    own: &LocalRelay<'_>,
     peers: &'a PeerTable,
     id: &str,
     data_centre: &str,
     now: Millis,
-) -> LimitKeeper<'a> {
+) -> LimitCoordinator<'a> {
     let seed = hash_bytes(0, id.as_bytes());
     // Those of the replica's data centre first, then by hash.
     let rank = |name: &str, place: &str| (place == data_centre, hash_bytes(seed, name.as_bytes()));
     let best = peers.keepers(now).max_by_key(|peer| rank(peer.name, peer.data_centre));
-    let own_rank = own.keeps.then(|| rank(own.name, own.data_centre));
+    let own_rank = own.is_eligible.then(|| rank(own.name, own.data_centre));
     match best {
         Some(peer) if own_rank < Some(rank(peer.name, peer.data_centre)) => {
-            LimitKeeper::Peer(peer.name, peer.address)
+            LimitCoordinator::Peer(peer.name, peer.address)
         }
-        _ if own.keeps => LimitKeeper::Own,
-        _ => LimitKeeper::Nobody,
+        _ if own.is_eligible => LimitCoordinator::Local,
+        _ => LimitCoordinator::Unknown,
     }
 }
 
 /// Part of a limit that a keeper gives: all of it where it hears most of the speakers that it knows, or half of them and the
 /// first by name.
-pub fn rate_part(own: &OwnKeeper<'_>, peers: &PeerTable, now: Millis) -> f64 {
+pub fn rate_fraction(own: &LocalRelay<'_>, peers: &PeerTable, now: Millis) -> f64 {
     let (known, heard) = peers.speaker_counts(own.data_centre, now);
     let hears_first = || {
         let first = peers.others("").map(|(name, _, _)| name).next();
--- a/crates/router/src/grants.rs
+++ b/crates/router/src/grants.rs
@@ -14,7 +14,7 @@
 
 /// Time for which a grant holds, in milliseconds. What a window of seconds gets beyond its own grants are those of this time
 /// before it, so it is small against the window; and it covers the way of the grant and the time until the next request.
-pub const GRANT_TIME: Millis = 300;
+pub const GRANT_TTL: Millis = 300;
 
 /// Time over which the sends to a replica are counted, in milliseconds.
 const RATE_TIME: Millis = 1_000;
@@ -31,7 +31,7 @@
 const FIRST_WAIT: Millis = 50;
 
 /// Longest time until a grant that is told, in milliseconds.
-pub const MOST_WAIT: Millis = 10_000;
+pub const MAX_WAIT: Millis = 10_000;
 
 /// Most grants of a replica that are asked for at once.
 const MOST_WANTED: usize = 256;
@@ -45,22 +45,22 @@
 
 /// A request that waits for a grant.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct GrantNeed {
+pub struct GrantWaiter {
     /// Rank of the request; 0 is the most urgent.
     pub rank: u8,
     /// Until when it waits.
-    pub until: Millis,
+    pub deadline: Millis,
 }
 
 /// Grants to ask for.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct DueAsk {
+pub struct GrantRequest {
     /// Id of the replica.
     pub id: String,
     /// Count of grants; 0 where none is wanted any more.
-    pub wanted: usize,
+    pub count: usize,
     /// Time for which they are wanted, in milliseconds.
-    pub lasts: Millis,
+    pub valid_for: Millis,
 }
 
 /// What a relay holds of one replica.
@@ -71,7 +71,7 @@
     /// When requests found no grant and went elsewhere.
     misses: VecDeque<Millis>,
     sends: VecDeque<Millis>,
-    waiting: Vec<GrantNeed>,
+    waiting: Vec<GrantWaiter>,
     /// Grants a second that this relay may expect, and when it was told.
     share: Option<(f64, Millis)>,
     /// Limit under which the grants were given.
@@ -90,7 +90,7 @@
 impl ReplicaGrants {
     fn forget(&mut self, now: Millis) {
         drop_before(&mut self.ends, now);
-        drop_before(&mut self.misses, now.saturating_sub(GRANT_TIME));
+        drop_before(&mut self.misses, now.saturating_sub(GRANT_TTL));
         drop_before(&mut self.sends, now.saturating_sub(RATE_TIME));
         self.share = self.share.filter(|(_, told)| now.saturating_sub(*told) < SHARE_TIME);
     }
@@ -109,7 +109,7 @@
     fn wanted(&self, now: Millis) -> usize {
         let held = self.held(now);
         let urgent = self.misses.len() + self.waiting.len();
-        let ahead = self.sends.len() * GRANT_TIME as usize / RATE_TIME as usize;
+        let ahead = self.sends.len() * GRANT_TTL as usize / RATE_TIME as usize;
         // Ahead of time they are asked for in parts, and not one by one.
         let ahead = if held * 2 <= ahead { ahead } else { 0 };
         urgent.max(ahead).saturating_sub(held).min(MOST_WANTED)
@@ -118,7 +118,7 @@
     /// Time for which grants are wanted: where only requests that wait want them, until the last of them gives up.
     fn lasts(&self, now: Millis) -> Millis {
         let is_steady = self.misses.len() + self.sends.len() > 0;
-        let last = self.waiting.iter().map(|need| need.until).max().filter(|_| !is_steady);
+        let last = self.waiting.iter().map(|need| need.deadline).max().filter(|_| !is_steady);
         last.map_or(ASK_TIME, |last| last.saturating_sub(now + TOO_LATE))
     }
 
@@ -129,7 +129,7 @@
             None => FIRST_WAIT,
             Some((share, _)) => {
                 let wait = before as f64 * 1_000.0 / share.max(f64::MIN_POSITIVE);
-                (wait.ceil() as Millis).clamp(1, MOST_WAIT)
+                (wait.ceil() as Millis).clamp(1, MAX_WAIT)
             }
         }
     }
@@ -172,7 +172,7 @@
     }
 
     /// Notes the limit that the replica names now: grants that were given under a higher one bind it no more.
-    pub fn note_limit(&mut self, id: &str, limit: f64) {
+    pub fn record_limit(&mut self, id: &str, limit: f64) {
         let replica = self.replica(id);
         if replica.limit.replace(limit).is_some_and(|before| limit < before) {
             replica.ends.clear();
@@ -187,7 +187,7 @@
     }
 
     /// Notes that a request would have gone to a replica, and went elsewhere.
-    pub fn note_miss(&mut self, id: &str, now: Millis) {
+    pub fn record_miss(&mut self, id: &str, now: Millis) {
         let replica = self.replica(id);
         replica.forget(now);
         if replica.misses.len() < MOST_WANTED {
@@ -196,12 +196,12 @@
     }
 
     /// Notes that a request waits for a grant.
-    pub fn begin_wait(&mut self, id: &str, need: GrantNeed) {
+    pub fn begin_wait(&mut self, id: &str, need: GrantWaiter) {
         self.replica(id).waiting.push(need);
     }
 
     /// Notes that a request waits no longer.
-    pub fn end_wait(&mut self, id: &str, need: GrantNeed) {
+    pub fn end_wait(&mut self, id: &str, need: GrantWaiter) {
         let waiting = &mut self.replica(id).waiting;
         if let Some(place) = waiting.iter().position(|held| *held == need) {
             waiting.swap_remove(place);
@@ -209,10 +209,10 @@
     }
 
     /// Takes over `count` grants that were issued at `issued` at the earliest, and the share that the keeper tells.
-    pub fn take(&mut self, id: &str, count: usize, issued: i64, share: f64, now: Millis) {
+    pub fn add(&mut self, id: &str, count: usize, issued: i64, share: f64, now: Millis) {
         let replica = self.replica(id);
         replica.share = Some((share, now));
-        let Ok(end) = Millis::try_from(issued + GRANT_TIME as i64) else { return };
+        let Ok(end) = Millis::try_from(issued + GRANT_TTL as i64) else { return };
         if count == 0 || end <= now {
             return;
         }
@@ -230,7 +230,7 @@
     }
 
     /// Grants to ask for now, by replica: again and again with longer pauses, as long as they are wanted, and then none.
-    pub fn due(&mut self, now: Millis) -> Vec<DueAsk> {
+    pub fn due_requests(&mut self, now: Millis) -> Vec<GrantRequest> {
         let mut due = Vec::new();
         for (id, replica) in &mut self.replicas {
             replica.forget(now);
@@ -239,7 +239,7 @@
                 replica.pause = LEAST_PAUSE;
                 // Grants for requests that wait no longer would lapse, and others wait.
                 if replica.asked.take().is_some() {
-                    due.push(DueAsk { id: id.clone(), wanted: 0, lasts: 0 });
+                    due.push(GrantRequest { id: id.clone(), count: 0, valid_for: 0 });
                 }
                 continue;
             }
@@ -248,13 +248,13 @@
             }
             replica.asked = Some(now);
             replica.pause = (replica.pause * 2).clamp(LEAST_PAUSE, MOST_PAUSE);
-            due.push(DueAsk { id: id.clone(), wanted, lasts: replica.lasts(now) });
+            due.push(GrantRequest { id: id.clone(), count: wanted, valid_for: replica.lasts(now) });
         }
         due
     }
 
     /// Whether any grant is wanted, or was asked for and is wanted no longer.
-    pub fn wants_any(&self, now: Millis) -> bool {
+    pub fn has_requests(&self, now: Millis) -> bool {
         self.replicas.values().any(|replica| replica.wanted(now) > 0 || replica.asked.is_some())
     }
 
@@ -267,16 +267,16 @@
 /// Moments at which refused callers are told to come back, one after the other at the rate that is left: all told the same
 /// moment, they would be refused again together.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct ReturnSlots {
+pub struct RetrySchedule {
     next: f64,
 }
 
-impl ReturnSlots {
+impl RetrySchedule {
     /// Time after which the next refused caller comes back: not before `left` milliseconds, and `per_second` in a row. Beyond
     /// the longest wait the moment is drawn, `draw` being uniform in 0..1.
-    pub fn take(&mut self, left: Millis, per_second: f64, draw: f64, now: Millis) -> Millis {
+    pub fn next_delay(&mut self, left: Millis, per_second: f64, draw: f64, now: Millis) -> Millis {
         let now = now as f64;
-        let most = MOST_WAIT as f64;
+        let most = MAX_WAIT as f64;
         let slot = self.next.max(now + left as f64) + 1_000.0 / per_second.max(0.1);
         if slot - now > most {
             return (most / 2.0 * (1.0 + draw)) as Millis;
--- a/crates/router/src/issuer.rs
+++ b/crates/router/src/issuer.rs
@@ -1,6 +1,6 @@
 //! Grants for replicas that named a limit, as the relay that keeps the limit hands them out.
 //!
-//! One relay keeps the limit of a replica ([`keeper`](crate::keeper)). Others ask it for grants; it hands them out one
+//! One relay keeps the limit of a replica ([`coordinator`](crate::coordinator)). Others ask it for grants; it hands them out one
 //! after the other at the rate that the replica named, to each asking relay in turn, so that those with much traffic get what
 //! the others leave, and nobody gets more by asking for more.
 //!
@@ -8,7 +8,7 @@
 
 use std::collections::{HashMap, VecDeque};
 
-use crate::{Millis, grants::DueAsk, membership::PeerStamp};
+use crate::{Millis, grants::GrantRequest, membership::PeerStamp};
 
 /// Time since its last ask for which a relay has a share of a limit, in milliseconds.
 const SHARE_TIME: Millis = 1_000;
@@ -26,7 +26,7 @@
 
 /// Least grants a second. A replica that takes none, or next to none, must be tried now and then, or nobody would hear that
 /// it takes requests again; one in five seconds is within what reaches it in flight.
-pub const LEAST_RATE: f64 = 0.2;
+pub const MIN_RATE: f64 = 0.2;
 
 /// Grants for one relay.
 #[derive(Clone, Debug, PartialEq)]
@@ -36,7 +36,7 @@
     /// Its stamp of the ask that they answer.
     pub stamp: PeerStamp,
     /// Time for which this relay held the ask, in milliseconds.
-    pub held: Millis,
+    pub held_for: Millis,
     /// Count of grants.
     pub count: usize,
     /// Grants a second that it may expect.
@@ -106,7 +106,7 @@
                 None => issued.push(IssuedGrants {
                     relay: ask.relay.clone(),
                     stamp: ask.stamp,
-                    held: now.saturating_sub(ask.heard),
+                    held_for: now.saturating_sub(ask.heard),
                     count: 1,
                     share,
                 }),
@@ -128,8 +128,8 @@
 
 impl GrantIssuer {
     /// Notes that a relay asks for grants, or for none any more.
-    pub fn ask(&mut self, asked: &DueAsk, relay: &str, stamp: PeerStamp, now: Millis) {
-        let DueAsk { id, wanted, lasts } = asked;
+    pub fn request(&mut self, asked: &GrantRequest, relay: &str, stamp: PeerStamp, now: Millis) {
+        let GrantRequest { id, count: wanted, valid_for: lasts } = asked;
         let (wanted, lasts) = (*wanted, *lasts);
         let ask = GrantAsk { relay: relay.to_owned(), stamp, heard: now, wanted, lasts };
         self.queues.entry(id.to_owned()).or_default().ask(ask);
@@ -145,11 +145,11 @@
         now: Millis,
     ) -> Vec<IssuedGrants> {
         let Some(queue) = self.queues.get_mut(id) else { return Vec::new() };
-        queue.issue(per_second.max(LEAST_RATE), said, now)
+        queue.issue(per_second.max(MIN_RATE), said, now)
     }
 
     /// Replicas that grants are asked for.
-    pub fn asked(&self) -> impl Iterator<Item = &str> {
+    pub fn requested_replicas(&self) -> impl Iterator<Item = &str> {
         let asked = self.queues.iter().filter(|(_, queue)| !queue.asks.is_empty());
         asked.map(|(id, _)| id.as_str())
     }
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -20,12 +20,12 @@
 //! | [`grants`] | which requests may go to replicas that named a limit |
 //! | [`groups`] | which replicas are planned together, and by which relays |
 //! | [`issuer`] | which relay gets the next grant of such a replica |
-//! | [`keeper`] | which relay hands these grants out |
+//! | [`coordinator`] | which relay hands these grants out |
 //! | [`lapse`] | which entries that are missing after an outage are waited for |
 //! | [`life`] | which life of a replica something is known of |
 //! | [`limits`] | how many requests a second each replica takes, by its own word |
 //! | [`membership`] | which relays tell each other, which gives orders, and which follows the store for others |
-//! | [`mute`] | which first replicas begin no answers, and when a request goes elsewhere |
+//! | [`stall`] | which first replicas begin no answers, and when a request goes elsewhere |
 //! | [`origin`] | to whom news of other relays are told on |
 //! | [`pace`] | how slow each engine is at the moment |
 //! | [`pipe`] | how many paths may cross from one data centre to another |
@@ -45,6 +45,7 @@
 pub mod budget;
 pub mod chain;
 pub mod clocks;
+pub mod coordinator;
 pub mod cover;
 pub mod fingerprint;
 pub mod fleet;
@@ -53,12 +54,10 @@
 pub mod grants;
 pub mod groups;
 pub mod issuer;
-pub mod keeper;
 pub mod lapse;
 pub mod life;
 pub mod limits;
 pub mod membership;
-pub mod mute;
 pub mod origin;
 pub mod pace;
 pub mod pipe;
@@ -67,6 +66,7 @@
 pub mod replicas;
 pub mod returns;
 pub mod room;
+pub mod stall;
 pub mod suspect;
 
 pub use switchfold_core::Millis;
--- a/crates/router/src/limits.rs
+++ b/crates/router/src/limits.rs
@@ -15,7 +15,7 @@
 
 /// What a replica said of its limit in an answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct LimitWord {
+pub struct LimitReport {
     /// Requests a second that it takes; nothing where it named no limit.
     pub per_second: Option<f64>,
     /// When the request was sent that it answered, by this relay's clock. Another relay may have sent it before this one
@@ -27,30 +27,30 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LimitChange {
     /// The replica has a limit, or another one.
-    Named(f64),
+    Set(f64),
     /// It has none any more.
-    Ended,
+    Removed,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct HeldWord {
-    word: LimitWord,
+struct LimitEntry {
+    word: LimitReport,
     changed: Millis,
 }
 
 /// Limits of replicas, by id.
 #[derive(Clone, Debug, Default)]
 pub struct LimitTable {
-    words: HashMap<String, HeldWord>,
+    words: HashMap<String, LimitEntry>,
 }
 
 impl LimitTable {
     /// Takes over a word; gives what it changed. One of an earlier request than what is held changes nothing.
-    pub fn hear(&mut self, id: &str, word: LimitWord, now: Millis) -> Option<LimitChange> {
+    pub fn update(&mut self, id: &str, word: LimitReport, now: Millis) -> Option<LimitChange> {
         let Some(held) = self.words.get_mut(id) else {
             let limit = word.per_second?;
-            self.words.insert(id.to_owned(), HeldWord { word, changed: now });
-            return Some(LimitChange::Named(limit));
+            self.words.insert(id.to_owned(), LimitEntry { word, changed: now });
+            return Some(LimitChange::Set(limit));
         };
         if word.sent < held.word.sent {
             return None;
@@ -61,7 +61,7 @@
             return None;
         }
         held.changed = now;
-        Some(word.per_second.map_or(LimitChange::Ended, LimitChange::Named))
+        Some(word.per_second.map_or(LimitChange::Removed, LimitChange::Set))
     }
 
     /// Limit of a replica; nothing where it has none.
@@ -70,7 +70,7 @@
     }
 
     /// What is held of a replica.
-    pub fn word(&self, id: &str) -> Option<LimitWord> {
+    pub fn report(&self, id: &str) -> Option<LimitReport> {
         self.words.get(id).map(|held| held.word)
     }
 
@@ -80,13 +80,13 @@
     }
 
     /// Words that changed since `since`, to tell others.
-    pub fn changed_since(&self, since: Millis) -> impl Iterator<Item = (&str, LimitWord)> {
+    pub fn changed_since(&self, since: Millis) -> impl Iterator<Item = (&str, LimitReport)> {
         let changed = self.words.iter().filter(move |(_, held)| held.changed >= since);
         changed.map(|(id, held)| (id.as_str(), held.word))
     }
 
     /// Up to `most` replicas with limits from the `round`th such part on, so that whoever missed a change hears in turn.
-    pub fn in_turn(&self, round: usize, most: usize) -> impl Iterator<Item = (&str, LimitWord)> {
+    pub fn page(&self, round: usize, most: usize) -> impl Iterator<Item = (&str, LimitReport)> {
         let limited = || self.words.iter().filter(|(_, held)| held.word.per_second.is_some());
         let parts = limited().count().div_ceil(most).max(1);
         let part = limited().skip(round % parts * most).take(most);
@@ -96,7 +96,7 @@
     /// Drops what says nothing any more: that a replica has no limit, and all of one that is listed no longer.
     pub fn forget(&mut self, is_listed: impl Fn(&str) -> bool, now: Millis) {
         let old = now as i64 - FORGET;
-        let binds = |id: &str, held: &HeldWord| held.word.per_second.is_some() && is_listed(id);
+        let binds = |id: &str, held: &LimitEntry| held.word.per_second.is_some() && is_listed(id);
         self.words.retain(|id, held| held.word.sent > old || binds(id, held));
     }
 }
--- a/crates/router/src/quarantine.rs
+++ b/crates/router/src/quarantine.rs
@@ -8,14 +8,14 @@
 //! | what harmless requests meet | why they are not taken for one |
 //! |---|---|
 //! | a rack, a data centre or all replicas end together | runs count only where each was sent after the one before had ended |
-//! | a crash in the middle of a long stream | a run that went on for [`PROVEN_AFTER`] with events is a result |
-//! | a crash while they wait for their turn | a run that had not begun, or that had given something, is a [`CrashSign::Weak`] sign |
-//! | crash after crash, beside the request that makes them | crashes that another request explains as well say less ([`DOUBTFUL_WEIGHT`]) |
+//! | a crash in the middle of a long stream | a run that went on for [`SURVIVAL_TIME`] with events is a result |
+//! | a crash while they wait for their turn | a run that had not begun, or that had given something, is a [`CrashEvidence::Weak`] sign |
+//! | crash after crash, beside the request that makes them | crashes that another request explains as well say less ([`AMBIGUOUS_WEIGHT`]) |
 //! | a request that everybody makes, at each replica that ends | one that had a result lately needs more, and is not stopped for what another explains |
 //!
 //! The trade-off is how many replicas a request may end: three before it is stopped, one or two more where several
 //! requests share its crashes, and what is sent at the same moment by entries that have not heard. Worst case in memory:
-//! [`MOST_RECORDS`] requests with [`MOST_RUNS`] runs each, some 600 kB; nothing in calm.
+//! [`MAX_RECORDS`] requests with [`MAX_RUNS`] runs each, some 600 kB; nothing in calm.
 
 use std::{
     cmp::Reverse,
@@ -28,24 +28,24 @@
 
 use self::{record::RequestRecord, results::ProvenSet, runs::chain_weight};
 pub use self::{
-    record::{MOST_RUNS, RequestNews, STOP_WEIGHT},
-    runs::{CrashRun, CrashSign, LostRun, PROVEN_AFTER, RunYield},
+    record::{CrashReport, MAX_RUNS, QUARANTINE_WEIGHT},
+    runs::{CrashEvidence, CrashRun, LostRun, RunProgress, SURVIVAL_TIME},
 };
 use crate::{Millis, fingerprint::RequestFingerprint, life::ReplicaLife, origin::NewsReach};
 
-/// [`STOP_WEIGHT`] of a request each of whose crashes another one explains as well, or that had a result lately: the one that ends
+/// [`QUARANTINE_WEIGHT`] of a request each of whose crashes another one explains as well, or that had a result lately: the one that ends
 /// replicas goes on to do so, the others get a result. Where both hold it is never stopped: otherwise calls of one kind
 /// that all callers make are refused for ten minutes after two power failures in a row.
-pub const DOUBTFUL_WEIGHT: u32 = 10;
+pub const AMBIGUOUS_WEIGHT: u32 = 10;
 
 /// Weight at which lost runs are told at once and kept in the platform's store: two strong signs.
-pub const NOTED_WEIGHT: u32 = 4;
+pub const REPORT_WEIGHT: u32 = 4;
 
 /// Time for which a request is sent nowhere, in milliseconds. Then one more crash stops it again.
-pub const QUARANTINE: Millis = 600_000;
+pub const QUARANTINE_TIME: Millis = 600_000;
 
 /// Time without news after which lost runs are forgotten, in milliseconds: callers come back within a minute.
-pub const FORGET_RUNS: Millis = 120_000;
+pub const RUN_RETENTION: Millis = 120_000;
 
 /// Time from a run's loss until its replica must be found to have ended, in milliseconds: the list of replicas drops one after
 /// three heartbeats, some 3.6 s.
@@ -55,7 +55,7 @@
 const END_KEPT: Millis = 2_000;
 
 /// Requests kept.
-pub const MOST_RECORDS: usize = 1_024;
+pub const MAX_RECORDS: usize = 1_024;
 
 /// Lost runs kept whose replicas may turn out to have ended.
 const MOST_OPEN: usize = 1_024;
@@ -69,7 +69,7 @@
     lives: Vec<ReplicaLife>,
     sent: Millis,
     lost: Millis,
-    sign: CrashSign,
+    evidence: CrashEvidence,
 }
 
 /// How often lost runs of one's own, and what became of them, are told: through eight messages to the farthest entries.
@@ -79,7 +79,7 @@
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct QuarantineChange {
     /// Requests that are sent nowhere from now on, with the weight of their runs.
-    pub stopped: Vec<(RequestFingerprint, u32)>,
+    pub quarantined: Vec<(RequestFingerprint, u32)>,
     /// Whether others are to be told at once.
     pub is_urgent: bool,
 }
@@ -101,7 +101,7 @@
 
 impl QuarantineTable {
     /// Time for which a request still is sent nowhere.
-    pub fn left(&self, fingerprint: &RequestFingerprint, now: Millis) -> Option<Millis> {
+    pub fn remaining(&self, fingerprint: &RequestFingerprint, now: Millis) -> Option<Millis> {
         if self.records.is_empty() {
             return None;
         }
@@ -115,12 +115,12 @@
     }
 
     /// Count of requests that are sent nowhere.
-    pub fn stopped(&self, now: Millis) -> usize {
+    pub fn quarantined_count(&self, now: Millis) -> usize {
         self.records.values().filter(|record| record.is_stopped(now)).count()
     }
 
     /// Count of requests of which lost runs are known.
-    pub fn known(&self) -> usize {
+    pub fn tracked_count(&self) -> usize {
         self.records.len()
     }
 
@@ -131,15 +131,15 @@
 
     /// Notes a run that was lost. Where a replica of its path is known to have ended since it was sent, the run counts at
     /// once; otherwise it does when one is found to have.
-    pub fn note_lost(
+    pub fn record_lost(
         &mut self,
         fingerprint: RequestFingerprint,
         run: &LostRun<'_>,
         now: Millis,
     ) -> QuarantineChange {
-        let Some(sign) = run.yielded.sign(now) else { return QuarantineChange::default() };
+        let Some(evidence) = run.progress.evidence(now) else { return QuarantineChange::default() };
         let open =
-            OpenRun { fingerprint, lives: run.lives.to_vec(), sent: run.sent, lost: now, sign };
+            OpenRun { fingerprint, lives: run.lives.to_vec(), sent: run.sent, lost: now, evidence };
         let is_recent = |at: Millis| now.saturating_sub(at) <= END_KEPT && open.sent <= at;
         let mut ends = self.ends.iter().filter(|(_, at)| is_recent(*at));
         if let Some((life, _)) = ends.find(|(life, _)| open.lives.contains(life)) {
@@ -155,7 +155,7 @@
     }
 
     /// Notes that a replica was found to have ended, not as planned.
-    pub fn note_ended(&mut self, life: &ReplicaLife, now: Millis) -> QuarantineChange {
+    pub fn record_ended(&mut self, life: &ReplicaLife, now: Millis) -> QuarantineChange {
         if !self.ends.iter().any(|(ended, _)| ended == life) {
             if self.ends.len() == MOST_ENDS {
                 self.ends.pop_front();
@@ -174,7 +174,7 @@
     }
 
     /// Notes that a replica that was taken to have ended answers: what was lost there says nothing.
-    pub fn note_alive(&mut self, life: &ReplicaLife) {
+    pub fn record_alive(&mut self, life: &ReplicaLife) {
         self.ends.retain(|(ended, _)| ended != life);
         for record in self.records.values_mut().filter(|record| record.until.is_none()) {
             record.runs.retain(|run| run.life != *life);
@@ -183,7 +183,7 @@
     }
 
     /// Notes that a request had a result: a replica ran it, and lives. Tells whether anything had been known of it.
-    pub fn note_result(&mut self, fingerprint: &RequestFingerprint, now: Millis) -> bool {
+    pub fn record_result(&mut self, fingerprint: &RequestFingerprint, now: Millis) -> bool {
         self.proven.add(fingerprint, now);
         if self.is_empty() {
             return false;
@@ -191,7 +191,7 @@
         self.open.retain(|run| run.fingerprint != *fingerprint);
         let Some(record) = self.records.remove(fingerprint) else { return false };
         self.tell_cleared(fingerprint, now);
-        if record.weight(now) >= NOTED_WEIGHT {
+        if record.weight(now) >= REPORT_WEIGHT {
             self.removable.push(*fingerprint);
         }
         true
@@ -206,14 +206,14 @@
     }
 
     /// Takes over what another entry, or the platform's store, tells. `tells_on` asks to tell it on for a while.
-    pub fn hear(
+    pub fn merge(
         &mut self,
-        news: Vec<RequestNews>,
+        news: Vec<CrashReport>,
         tells_on: bool,
         now: Millis,
     ) -> QuarantineChange {
         let mut is_any_new = false;
-        for RequestNews { fingerprint, left, runs } in news {
+        for CrashReport { fingerprint, remaining: left, runs } in news {
             let cleared = self.cleared.iter().rev().find(|(known, _)| *known == fingerprint);
             let cleared_at = cleared.map_or(i64::MIN, |(_, at)| *at as i64);
             let is_overruled = left.is_some() && self.overrules(&fingerprint, &runs, now);
@@ -227,7 +227,7 @@
                 is_new |= record.add(run);
             }
             if let Some(left) = left {
-                let until = now + left.min(QUARANTINE);
+                let until = now + left.min(QUARANTINE_TIME);
                 is_new |= record.until.is_none_or(|known| known <= now);
                 record.until = Some(record.until.unwrap_or_default().max(until));
             }
@@ -244,12 +244,12 @@
             return QuarantineChange::default();
         }
         self.bound_records(now);
-        QuarantineChange { stopped: self.settle(now), is_urgent: is_any_new && tells_on }
+        QuarantineChange { quarantined: self.settle(now), is_urgent: is_any_new && tells_on }
     }
 
     /// Takes over that requests had a result somewhere, `age` milliseconds ago. `tells_on` asks to tell that on: it ends by its
     /// age, however often it is repeated.
-    pub fn hear_cleared(
+    pub fn merge_cleared(
         &mut self,
         cleared: &[(RequestFingerprint, Millis)],
         tells_on: bool,
@@ -271,12 +271,12 @@
     }
 
     /// Tells all stopped requests for a while: an entry has just started, or is heard again after a silence.
-    pub fn tell_all(&mut self, now: Millis) {
+    pub fn announce_all(&mut self, now: Millis) {
         self.all_told_until = now + TELL_FOR;
     }
 
     /// What others are to be told now.
-    pub fn news(&self, reach: NewsReach, now: Millis) -> Vec<RequestNews> {
+    pub fn updates(&self, reach: NewsReach, now: Millis) -> Vec<CrashReport> {
         let tells_all = now < self.all_told_until;
         let is_heard = |record: &RequestRecord| {
             reach == NewsReach::Members && now.saturating_sub(record.touched) < TELL_FOR
@@ -286,10 +286,10 @@
         });
         let weighed = told.map(|(fingerprint, record)| (record.weight(now), fingerprint, record));
         let mut noted: Vec<_> =
-            weighed.filter(|(weight, ..)| *weight >= CrashSign::Strong.weight()).collect();
+            weighed.filter(|(weight, ..)| *weight >= CrashEvidence::Strong.weight()).collect();
         noted.sort_unstable_by_key(|(weight, ..)| Reverse(*weight));
         noted.truncate(MOST_TOLD);
-        noted.into_iter().map(|(_, fingerprint, record)| record.news(*fingerprint, now)).collect()
+        noted.into_iter().map(|(_, fingerprint, record)| record.report(*fingerprint, now)).collect()
     }
 
     /// Requests that had a result lately, with the milliseconds since, as others are to be told.
@@ -299,27 +299,27 @@
     }
 
     /// What the platform's store is to hold and does not yet, of what this entry saw itself; it counts as held from now on.
-    pub fn unstored(&mut self, now: Millis) -> Vec<RequestNews> {
+    pub fn unstored(&mut self, now: Millis) -> Vec<CrashReport> {
         let mut unstored = Vec::new();
         for (fingerprint, record) in &mut self.records {
             let weight = record.weight(now);
-            if record.is_own && weight >= NOTED_WEIGHT && weight > record.stored {
+            if record.is_own && weight >= REPORT_WEIGHT && weight > record.stored {
                 record.stored = weight;
-                unstored.push(record.news(*fingerprint, now));
+                unstored.push(record.report(*fingerprint, now));
             }
         }
         unstored
     }
 
     /// Notes that the platform's store could not be told of a request.
-    pub fn note_not_stored(&mut self, fingerprint: &RequestFingerprint) {
+    pub fn record_store_failure(&mut self, fingerprint: &RequestFingerprint) {
         if let Some(record) = self.records.get_mut(fingerprint) {
             record.stored = 0;
         }
     }
 
     /// Notes that the platform's store may have lost all that it was told.
-    pub fn forget_stored(&mut self) {
+    pub fn reset_stored(&mut self) {
         self.records.values_mut().for_each(|record| record.stored = 0);
     }
 
@@ -341,7 +341,7 @@
                 record.stored = 0;
                 record.forgive();
             }
-            record.until.is_some() || now.saturating_sub(record.touched) < FORGET_RUNS
+            record.until.is_some() || now.saturating_sub(record.touched) < RUN_RETENTION
         });
     }
 
@@ -359,7 +359,7 @@
             self.tell_cleared(fingerprint, now);
             return true;
         }
-        chain_weight(runs) < DOUBTFUL_WEIGHT
+        chain_weight(runs) < AMBIGUOUS_WEIGHT
     }
 
     fn tell_cleared(&mut self, fingerprint: &RequestFingerprint, now: Millis) {
@@ -375,14 +375,14 @@
         record.touched = now;
         record.told_until = now + TELL_FOR;
         record.is_own = true;
-        let OpenRun { sent, lost, sign, .. } = *run;
-        record.add(CrashRun { life, sent: sent as i64, lost: lost as i64, sign });
+        let OpenRun { sent, lost, evidence, .. } = *run;
+        record.add(CrashRun { life, sent: sent as i64, lost: lost as i64, evidence });
         self.bound_records(now);
     }
 
     /// Makes room where there are too many: what says least goes first, and the oldest of that.
     fn bound_records(&mut self, now: Millis) {
-        while self.records.len() > MOST_RECORDS {
+        while self.records.len() > MAX_RECORDS {
             let least =
                 self.records.iter().min_by_key(|(_, record)| (record.weight(now), record.touched));
             let Some(least) = least.map(|(fingerprint, _)| *fingerprint) else { return };
@@ -402,17 +402,17 @@
                 self.proven.last(fingerprint).is_some(),
                 self.is_explained(fingerprint, &weights),
             ) {
-                (false, false) => STOP_WEIGHT,
-                (true, false) | (false, true) => DOUBTFUL_WEIGHT,
+                (false, false) => QUARANTINE_WEIGHT,
+                (true, false) | (false, true) => AMBIGUOUS_WEIGHT,
                 (true, true) => u32::MAX,
             };
-            **weight >= STOP_WEIGHT && **weight < u32::MAX && **weight >= needed()
+            **weight >= QUARANTINE_WEIGHT && **weight < u32::MAX && **weight >= needed()
         };
         let stopped = weights.iter().filter(says_enough);
         let stopped: Vec<_> = stopped.map(|(of, weight)| (*of, *weight)).collect();
         for (fingerprint, _) in &stopped {
             if let Some(record) = self.records.get_mut(fingerprint) {
-                record.until = Some(now + QUARANTINE);
+                record.until = Some(now + QUARANTINE_TIME);
                 record.told_until = now + TELL_FOR;
             }
         }
@@ -424,10 +424,10 @@
     fn settle_own(&mut self, now: Millis) -> QuarantineChange {
         let stopped = self.settle(now);
         let is_noted = |record: &RequestRecord| {
-            record.is_own && record.touched == now && record.weight(now) >= NOTED_WEIGHT
+            record.is_own && record.touched == now && record.weight(now) >= REPORT_WEIGHT
         };
         let is_urgent = self.records.values().any(is_noted);
-        QuarantineChange { stopped, is_urgent }
+        QuarantineChange { quarantined: stopped, is_urgent }
     }
 
     /// Whether each crash of a request is as well explained by another one.
--- a/crates/router/src/quarantine/record.rs
+++ b/crates/router/src/quarantine/record.rs
@@ -5,18 +5,18 @@
 
 /// Weight of the lost runs, one after the other, at which a request is sent nowhere: three strong signs. One crash
 /// happens beside any request, and two stop requests that only met crashes of others.
-pub const STOP_WEIGHT: u32 = 6;
+pub const QUARANTINE_WEIGHT: u32 = 6;
 
 /// Runs kept of one request.
-pub const MOST_RUNS: usize = 8;
+pub const MAX_RUNS: usize = 8;
 
 /// What is told of one request.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct RequestNews {
+pub struct CrashReport {
     /// The request.
     pub fingerprint: RequestFingerprint,
     /// Time for which it still is sent nowhere; nothing where it is not stopped.
-    pub left: Option<Millis>,
+    pub remaining: Option<Millis>,
     /// Its lost runs.
     pub runs: Vec<CrashRun>,
 }
@@ -57,20 +57,20 @@
         }
         self.runs.push(run);
         self.runs.sort_by_key(|run| run.lost);
-        if self.runs.len() > MOST_RUNS {
+        if self.runs.len() > MAX_RUNS {
             self.runs.remove(0);
         }
         true
     }
 
     pub(super) fn forgive(&mut self) {
-        while chain_weight(&self.runs) >= STOP_WEIGHT {
+        while chain_weight(&self.runs) >= QUARANTINE_WEIGHT {
             self.runs.remove(0);
         }
     }
 
-    pub(super) fn news(&self, fingerprint: RequestFingerprint, now: Millis) -> RequestNews {
+    pub(super) fn report(&self, fingerprint: RequestFingerprint, now: Millis) -> CrashReport {
         let left = self.until.and_then(|until| until.checked_sub(now)).filter(|left| *left > 0);
-        RequestNews { fingerprint, left, runs: self.runs.clone() }
+        CrashReport { fingerprint, remaining: left, runs: self.runs.clone() }
     }
 }
--- a/crates/router/src/quarantine/runs.rs
+++ b/crates/router/src/quarantine/runs.rs
@@ -4,21 +4,21 @@
 
 /// Time that a run must go on with events to count as a result, in milliseconds: ten times what a replica took to end
 /// after it had begun the request that ended it.
-pub const PROVEN_AFTER: Millis = 1_000;
+pub const SURVIVAL_TIME: Millis = 1_000;
 
-/// Time from its beginning up to which a run that gave something is still a sign, in milliseconds.
+/// Time from its beginning up to which a run that gave something is still a evidence, in milliseconds.
 const YOUNG: Millis = 400;
 
 /// How much a lost run says of its request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum CrashSign {
+pub enum CrashEvidence {
     /// It had not begun, or had begun and given something.
     Weak,
     /// It had begun and given nothing.
     Strong,
 }
 
-impl CrashSign {
+impl CrashEvidence {
     pub(super) fn weight(self) -> u32 {
         match self {
             Self::Weak => 1,
@@ -29,9 +29,9 @@
 
 /// What had come of a run when it was lost.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum RunYield {
+pub enum RunProgress {
     /// Its answer comes as a whole, and had not come.
-    Whole,
+    Unary,
     /// Its answer is a stream, which began at that time and had given so many events.
     Stream {
         /// When its first replica began to run it; nothing where it had not.
@@ -41,14 +41,14 @@
     },
 }
 
-impl RunYield {
+impl RunProgress {
     /// What a run lost at `now` says of its request; nothing where it had gone on for long.
-    pub fn sign(self, now: Millis) -> Option<CrashSign> {
+    pub fn evidence(self, now: Millis) -> Option<CrashEvidence> {
         match self {
-            Self::Whole | Self::Stream { begun: Some(_), events: 0 } => Some(CrashSign::Strong),
-            Self::Stream { begun: None, .. } => Some(CrashSign::Weak),
+            Self::Unary | Self::Stream { begun: Some(_), events: 0 } => Some(CrashEvidence::Strong),
+            Self::Stream { begun: None, .. } => Some(CrashEvidence::Weak),
             Self::Stream { begun: Some(begun), .. } => {
-                (now.saturating_sub(begun) < YOUNG).then_some(CrashSign::Weak)
+                (now.saturating_sub(begun) < YOUNG).then_some(CrashEvidence::Weak)
             }
         }
     }
@@ -65,7 +65,7 @@
     /// When the run was lost.
     pub lost: i64,
     /// What it says of the request.
-    pub sign: CrashSign,
+    pub evidence: CrashEvidence,
 }
 
 /// A run that was lost, whose replicas may turn out to have ended.
@@ -76,7 +76,7 @@
     /// When it was sent.
     pub sent: Millis,
     /// What had come of it.
-    pub yielded: RunYield,
+    pub progress: RunProgress,
 }
 
 /// Weight of the heaviest series of runs in which each was sent after the one before was lost. Runs are in order of their
@@ -86,7 +86,7 @@
     for run in runs {
         let before = runs.iter().zip(&best).filter(|(earlier, _)| earlier.lost <= run.sent);
         let heaviest = before.map(|(_, weight)| *weight).max().unwrap_or_default();
-        best.push(heaviest + run.sign.weight());
+        best.push(heaviest + run.evidence.weight());
     }
     best.into_iter().max().unwrap_or_default()
 }
--- a/crates/router/src/mute.rs
+++ b/crates/router/src/stall.rs
@@ -10,7 +10,7 @@
 //! after the other and waited 700 ms for each, with 500 ms for the first event.
 //!
 //! A mute replica comes back by one request of the relay that found it, once its time out is over; others keep away
-//! for [`TRIAL_TIME`] longer, so that they hear how it ended. The time out doubles each time, as other suspicions do.
+//! for [`TRIAL_GRACE`] longer, so that they hear how it ended. The time out doubles each time, as other suspicions do.
 //!
 //! Worst case: answers take longer than usual everywhere at once, as in an overload. Then most first replicas that
 //! requests wait at are silent together, and silence proves nothing of any.
@@ -54,7 +54,7 @@
 
 /// Time that other relays keep away after the time out, in milliseconds: until the one request that tries has its
 /// answer, or has left, and that was told.
-pub const TRIAL_TIME: Millis = 600;
+pub const TRIAL_GRACE: Millis = 600;
 
 /// What a relay sees of one first replica.
 #[derive(Clone, Copy, Debug, Default)]
@@ -67,7 +67,7 @@
 
 /// Beginnings of answers, by first replica.
 #[derive(Clone, Debug, Default)]
-pub struct HeadWatch {
+pub struct StallDetector {
     firsts: HashMap<ReplicaLife, FirstState>,
     times: VecDeque<Millis>,
     mutes: SuspectList,
@@ -75,9 +75,9 @@
     heard: HashMap<String, (NewsOrigin, Vec<(ReplicaLife, Millis)>)>,
 }
 
-impl HeadWatch {
+impl StallDetector {
     /// Notes that a request was sent.
-    pub fn note_sent(&mut self, life: &ReplicaLife, now: Millis) {
+    pub fn record_sent(&mut self, life: &ReplicaLife, now: Millis) {
         let first = self.firsts.entry(life.clone()).or_default();
         if first.waiting == 0 {
             first.since = now;
@@ -87,17 +87,22 @@
 
     /// Notes that a replica answered a request: after `took`, where its answer began, and nothing where it was
     /// refused. Tells whether that ends what was thought of it.
-    pub fn note_answer(&mut self, life: &ReplicaLife, took: Option<Millis>, now: Millis) -> bool {
+    pub fn record_response(
+        &mut self,
+        life: &ReplicaLife,
+        took: Option<Millis>,
+        now: Millis,
+    ) -> bool {
         if let Some(first) = self.firsts.get_mut(life) {
             first.since = now;
         }
-        self.note_left(life);
+        self.record_abandoned(life);
         let Some(took) = took else { return false };
         if self.times.len() >= KEPT_TIMES {
             self.times.pop_front();
         }
         self.times.push_back(took);
-        let returns = self.mutes.is_own(life, now) || self.is_trial_due(life, now);
+        let returns = self.mutes.is_local(life, now) || self.is_trial_due(life, now);
         if returns {
             self.mutes.clear(life);
         }
@@ -105,7 +110,7 @@
     }
 
     /// Notes that a request is waited for no more.
-    pub fn note_left(&mut self, life: &ReplicaLife) {
+    pub fn record_abandoned(&mut self, life: &ReplicaLife) {
         let Some(first) = self.firsts.get_mut(life) else { return };
         first.waiting = first.waiting.saturating_sub(1);
         if first.waiting == 0 {
@@ -114,7 +119,7 @@
     }
 
     /// Time in which all but a few answers begin, in milliseconds; nothing where too few were seen.
-    pub fn usual(&self) -> Option<Millis> {
+    pub fn typical_delay(&self) -> Option<Millis> {
         const LEAST_SEEN: usize = 8;
         if self.times.len() < LEAST_SEEN {
             return None;
@@ -125,15 +130,15 @@
     }
 
     /// Silence from which a first replica may be mute, for requests with this objective.
-    pub fn silent_after(&self, objective: Millis) -> Millis {
+    pub fn stall_threshold(&self, objective: Millis) -> Millis {
         let objective = known_objective(objective);
-        let usual = self.usual().unwrap_or(objective / 2);
+        let usual = self.typical_delay().unwrap_or(objective / 2);
         (objective * LEAST_HUNDREDTHS / 100).max(usual * SILENT_TIMES)
     }
 
     /// Decides whether a first replica is mute, by a silence of `silent_after`; gives the time for which it is kept
     /// away from, where that is news.
-    pub fn find_mute(
+    pub fn detect_stall(
         &mut self,
         life: &ReplicaLife,
         silent_after: Millis,
@@ -148,11 +153,11 @@
         if silent > (self.firsts.len() / SILENT_ONE_IN).max(1) {
             return None;
         }
-        self.mutes.note_failure(life, now).map(|until| until - now)
+        self.mutes.record_failure(life, now).map(|until| until - now)
     }
 
     /// Whether new requests are to begin elsewhere.
-    pub fn is_mute(&self, life: &ReplicaLife, now: Millis) -> bool {
+    pub fn is_stalled(&self, life: &ReplicaLife, now: Millis) -> bool {
         if self.mutes.is_suspect(life, now) {
             return true;
         }
@@ -165,7 +170,7 @@
 
     /// Whether a replica that this relay found mute is to be tried again.
     fn is_trial_due(&self, life: &ReplicaLife, now: Millis) -> bool {
-        self.mutes.ended_lately(life, TRIAL_TIME, now)
+        self.mutes.ended_recently(life, TRIAL_GRACE, now)
     }
 
     fn is_heard(&self, life: &ReplicaLife, now: Millis) -> bool {
@@ -175,7 +180,7 @@
 
     /// Takes over all that another relay found, each with the milliseconds for which it counts; what it no longer
     /// tells has ended.
-    pub fn hear_mutes(
+    pub fn merge_stalls(
         &mut self,
         relay: &str,
         origin: NewsOrigin,
@@ -192,12 +197,12 @@
 
     /// Replicas that this relay found mute itself, and those that reach others by nobody else, with the milliseconds for which
     /// they are to keep away.
-    pub fn told_on(
+    pub fn shared_with(
         &self,
         reach: NewsReach,
         now: Millis,
     ) -> impl Iterator<Item = (&ReplicaLife, Millis)> {
-        let own = self.mutes.own(now).map(|(life, lasts)| (life, lasts + TRIAL_TIME));
+        let own = self.mutes.local(now).map(|(life, lasts)| (life, lasts + TRIAL_GRACE));
         let heard = self.heard.values().filter(move |(origin, _)| reach.takes(*origin));
         let heard = heard.flat_map(|(_, mutes)| mutes);
         let lasts = heard.map(move |(life, until)| (life, until.saturating_sub(now)));
@@ -217,6 +222,6 @@
 const LATE_HUNDREDTHS: Millis = 140;
 
 /// Time after which a request goes to another replica although the first one seems well.
-pub fn leave_after(objective: Millis) -> Millis {
+pub fn reroute_after(objective: Millis) -> Millis {
     known_objective(objective) * LATE_HUNDREDTHS / 100
 }
--- a/crates/router/src/suspect.rs
+++ b/crates/router/src/suspect.rs
@@ -12,10 +12,10 @@
 };
 
 /// First time out in milliseconds: about a heartbeat of the replicas' list.
-pub const FIRST_TIME_OUT: Millis = 1_000;
+pub const BASE_SUSPICION_TIME: Millis = 1_000;
 
 /// Longest time out in milliseconds: the list drops a dead replica well before.
-pub const LONGEST_TIME_OUT: Millis = 8_000;
+pub const MAX_SUSPICION_TIME: Millis = 8_000;
 
 /// Time left of a suspicion from which it is no longer told, in milliseconds: others heard of it before, and would take it for
 /// a new one where it has just ended for them.
@@ -41,7 +41,7 @@
 impl SuspectList {
     /// Notes a failure of a replica; returns the time until which it is kept away from, where that is
     /// news.
-    pub fn note_failure(&mut self, life: &ReplicaLife, now: Millis) -> Option<Millis> {
+    pub fn record_failure(&mut self, life: &ReplicaLife, now: Millis) -> Option<Millis> {
         let known = self.suspicions.get(life).copied();
         let time_out = match known {
             Some(known) if now < known.until => {
@@ -49,8 +49,10 @@
                     .insert(life.clone(), Suspicion { origin: NewsOrigin::Own, ..known });
                 return None;
             }
-            Some(known) if now < known.until + FORGET => (known.time_out * 2).min(LONGEST_TIME_OUT),
-            _ => FIRST_TIME_OUT,
+            Some(known) if now < known.until + FORGET => {
+                (known.time_out * 2).min(MAX_SUSPICION_TIME)
+            }
+            _ => BASE_SUSPICION_TIME,
         };
         let until = now + time_out;
         self.suspicions
@@ -59,9 +61,9 @@
     }
 
     /// Takes over a suspicion from another entry.
-    pub fn take_over(&mut self, life: &ReplicaLife, until: Millis, origin: NewsOrigin) {
+    pub fn merge(&mut self, life: &ReplicaLife, until: Millis, origin: NewsOrigin) {
         let entry = self.suspicions.entry(life.clone());
-        let suspicion = entry.or_insert(Suspicion { until, time_out: FIRST_TIME_OUT, origin });
+        let suspicion = entry.or_insert(Suspicion { until, time_out: BASE_SUSPICION_TIME, origin });
         if suspicion.until < until {
             *suspicion = Suspicion { until, origin: suspicion.origin.max(origin), ..*suspicion };
         }
@@ -78,14 +80,14 @@
     }
 
     /// Whether a replica is kept away from for a failure that this entry saw itself.
-    pub fn is_own(&self, life: &ReplicaLife, now: Millis) -> bool {
+    pub fn is_local(&self, life: &ReplicaLife, now: Millis) -> bool {
         self.suspicions
             .get(life)
             .is_some_and(|suspicion| suspicion.origin == NewsOrigin::Own && now < suspicion.until)
     }
 
     /// Whether a suspicion for a failure that this entry saw itself ended no longer than `since` ago.
-    pub fn ended_lately(&self, life: &ReplicaLife, since: Millis, now: Millis) -> bool {
+    pub fn ended_recently(&self, life: &ReplicaLife, since: Millis, now: Millis) -> bool {
         let known = self.suspicions.get(life).filter(|known| known.origin == NewsOrigin::Own);
         known.is_some_and(|known| known.until <= now && now < known.until + since)
     }
@@ -93,12 +95,12 @@
     /// Suspicions in force for failures that this entry saw itself, as [`SuspectList::current`]: what it only
     /// heard is not its to repeat. Each way takes its time, so entries that repeat each other's would keep
     /// a suspicion for longer than any of them meant.
-    pub fn own(&self, now: Millis) -> impl Iterator<Item = (&ReplicaLife, Millis)> {
-        self.current(now).filter(move |(life, _)| self.is_own(life, now))
+    pub fn local(&self, now: Millis) -> impl Iterator<Item = (&ReplicaLife, Millis)> {
+        self.current(now).filter(move |(life, _)| self.is_local(life, now))
     }
 
     /// Suspicions in force that others are told: all that reach them by nobody else.
-    pub fn told_on(
+    pub fn shared_with(
         &self,
         reach: NewsReach,
         now: Millis,
--- a/crates/router/tests/backoffs.rs
+++ b/crates/router/tests/backoffs.rs
@@ -10,7 +10,7 @@
     let mut table = BackoffTable::default();
     let early = table.begin_send(&life, false, 0).expect("nothing was asked");
     assert!(!early, "it finds nothing out");
-    table.note(&life, 100, 0);
+    table.record(&life, 100, 0);
     assert_eq!(table.begin_send(&life, early, 50), Err(50));
     let trial = table.begin_send(&life, false, 100).expect("the time is over");
     assert!(trial);
--- a/crates/router/tests/circle_model/mod.rs
+++ b/crates/router/tests/circle_model/mod.rs
@@ -13,7 +13,7 @@
 use rand_chacha::ChaCha8Rng;
 use switchfold_router::{
     Millis,
-    keeper::{LimitKeeper, OwnKeeper, limit_keeper},
+    coordinator::{LimitCoordinator, LocalRelay, limit_coordinator},
     life::ReplicaLife,
     membership::{
         PeerStamp, PeerState, PeerTable, ReportKind, TalkCircle, TalkLeg, TalkPeer, name_hash,
@@ -224,7 +224,7 @@
             }
             Trouble::Cut { lasts } => self.cut_until = now + lasts,
             Trouble::Suspects { relay } => {
-                self.relays[relay].suspects.note_failure(&life(0), now);
+                self.relays[relay].suspects.record_failure(&life(0), now);
                 self.note_away(relay, now);
                 self.tell(relay, now, |_, _| true);
             }
@@ -292,7 +292,7 @@
                 Load::Gathered(gathered.map(|(life, amount)| (life.clone(), amount)).collect())
             }
         };
-        let suspects = own.suspects.told_on(reach, now);
+        let suspects = own.suspects.shared_with(reach, now);
         let mut keepers = Vec::new();
         if reach == NewsReach::Members {
             keepers = own.peers.keeper_hashes(now);
@@ -348,7 +348,7 @@
         let mut is_news = false;
         for (life, left) in &message.suspects {
             if !own.suspects.is_suspect(life, now) {
-                own.suspects.take_over(life, now + left, origin);
+                own.suspects.merge(life, now + left, origin);
                 is_news = true;
             }
         }
@@ -374,11 +374,12 @@
             });
             self.seen.misjudged.push(off.sum::<f64>() / true_sum.max(1.0));
             let keeps = !relay.circle.is_member;
-            let own = OwnKeeper { name: &relay.name, data_centre: &relay.place, keeps };
-            let keeper = match limit_keeper(&own, &relay.peers, "i-0", "d0", now) {
-                LimitKeeper::Own => Some(relay.name.clone()),
-                LimitKeeper::Peer(name, _) => Some(name.to_owned()),
-                LimitKeeper::Nobody => None,
+            let own =
+                LocalRelay { name: &relay.name, data_centre: &relay.place, is_eligible: keeps };
+            let keeper = match limit_coordinator(&own, &relay.peers, "i-0", "d0", now) {
+                LimitCoordinator::Local => Some(relay.name.clone()),
+                LimitCoordinator::Peer(name, _) => Some(name.to_owned()),
+                LimitCoordinator::Unknown => None,
             };
             self.seen.keepers.push(keeper);
         }
--- a/crates/router/tests/circles.rs
+++ b/crates/router/tests/circles.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeSet;
 
 use circle_model::{Day, Seen, Trouble, play};
-use switchfold_router::suspect::FIRST_TIME_OUT;
+use switchfold_router::suspect::BASE_SUSPICION_TIME;
 
 /// Most messages a second that a member sends and hears.
 const MEMBER_TALK: f64 = 60.0;
@@ -56,7 +56,7 @@
             let last = seen.first_away.values().max().expect("one found it");
             assert!(*last <= FOUND + LOSS_KNOWN, "{relays} relays: known after {}", last - FOUND);
             let end = seen.last_away.values().max().expect("one found it");
-            let most = FOUND + FIRST_TIME_OUT + LOSS_KNOWN;
+            let most = FOUND + BASE_SUSPICION_TIME + LOSS_KNOWN;
             assert!(*end <= most, "{relays} relays: away until {}", end - FOUND);
         }
     }
--- a/crates/router/tests/crash_model/mod.rs
+++ b/crates/router/tests/crash_model/mod.rs
@@ -17,7 +17,7 @@
     fingerprint::RequestFingerprint,
     life::ReplicaLife,
     origin::NewsReach,
-    quarantine::{LostRun, QuarantineChange, QuarantineTable, RequestNews, RunYield},
+    quarantine::{CrashReport, LostRun, QuarantineChange, QuarantineTable, RunProgress},
 };
 
 /// Time without trouble after which a relay counts as in touch, in milliseconds.
@@ -111,7 +111,7 @@
     replicas: Vec<Option<ReplicaLife>>,
     runs: Vec<Run>,
     messages: BTreeMap<(u64, u64), (usize, Message)>,
-    stored: HashMap<RequestFingerprint, RequestNews>,
+    stored: HashMap<RequestFingerprint, CrashReport>,
     cut_until: u64,
     next_request: u64,
     seen: Seen,
@@ -119,7 +119,7 @@
 
 #[derive(Clone, Debug)]
 struct Message {
-    news: Vec<RequestNews>,
+    news: Vec<CrashReport>,
     cleared: Vec<(RequestFingerprint, u64)>,
     is_back: bool,
     from_store: bool,
@@ -229,7 +229,7 @@
     }
 
     fn send(&mut self, request: u64, relay: usize, sends: u32, tries: u32, now: u64) {
-        if self.tables[relay].left(&fingerprint(request), now).is_some() {
+        if self.tables[relay].remaining(&fingerprint(request), now).is_some() {
             self.seen.refused += usize::from(request != BAD);
             return;
         }
@@ -299,16 +299,16 @@
             BAD => 0,
             _ => now.saturating_sub(sent + BEGINS_AFTER + 20) / 50,
         };
-        let yielded = match request {
-            POPULAR => RunYield::Whole,
-            _ => RunYield::Stream { begun, events },
+        let progress = match request {
+            POPULAR => RunProgress::Unary,
+            _ => RunProgress::Stream { begun, events },
         };
         let lives = [life.clone()];
-        let run = LostRun { lives: &lives, sent, yielded };
-        let mut change = self.tables[relay].note_lost(fingerprint(request), &run, now);
-        let found = self.tables[relay].note_ended(&lives[0], now);
+        let run = LostRun { lives: &lives, sent, progress };
+        let mut change = self.tables[relay].record_lost(fingerprint(request), &run, now);
+        let found = self.tables[relay].record_ended(&lives[0], now);
         change.is_urgent |= found.is_urgent;
-        change.stopped.extend(found.stopped);
+        change.quarantined.extend(found.quarantined);
         self.take(relay, &change, now);
         let pause = self.random.random_range(5..150);
         match (sends, tries) {
@@ -322,7 +322,7 @@
         let Run { request, relay, is_open, sent, .. } = self.runs[number];
         if is_open && request != BAD && self.starts[relay] <= sent {
             self.runs[number].is_open = false;
-            self.tables[relay].note_result(&fingerprint(request), now);
+            self.tables[relay].record_result(&fingerprint(request), now);
         }
     }
 
@@ -346,7 +346,7 @@
     }
 
     fn tell(&mut self, relay: usize, far: bool, now: u64) {
-        let news = self.tables[relay].news(NewsReach::Speakers, now);
+        let news = self.tables[relay].updates(NewsReach::Speakers, now);
         let cleared = self.tables[relay].cleared(now);
         let is_back = now < self.starts[relay] + TELL_EVERY * 2 && self.starts[relay] > 0;
         if news.is_empty() && cleared.is_empty() && !is_back {
@@ -382,10 +382,10 @@
             }
             let (to, message) = entry.remove();
             if message.is_back {
-                self.tables[to].tell_all(at);
+                self.tables[to].announce_all(at);
             }
-            self.tables[to].hear_cleared(&message.cleared, false, at);
-            let change = self.tables[to].hear(message.news, message.from_store, at);
+            self.tables[to].merge_cleared(&message.cleared, false, at);
+            let change = self.tables[to].merge(message.news, message.from_store, at);
             self.take(to, &change, at);
         }
     }
@@ -412,7 +412,7 @@
             Trouble::KillRelays => {
                 self.starts = vec![now; self.day.relays];
                 self.tables = vec![QuarantineTable::default(); self.day.relays];
-                let stored: Vec<RequestNews> = self.stored.values().cloned().collect();
+                let stored: Vec<CrashReport> = self.stored.values().cloned().collect();
                 for relay in 0..DATA_CENTRES.min(self.day.relays) {
                     let message = Message {
                         news: stored.clone(),
--- a/crates/router/tests/crashes.rs
+++ b/crates/router/tests/crashes.rs
@@ -8,8 +8,8 @@
     life::ReplicaLife,
     origin::NewsReach,
     quarantine::{
-        CrashRun, CrashSign, DOUBTFUL_WEIGHT, FORGET_RUNS, LostRun, MOST_RECORDS, QUARANTINE,
-        QuarantineTable, RequestNews, RunYield, STOP_WEIGHT,
+        AMBIGUOUS_WEIGHT, CrashEvidence, CrashReport, CrashRun, LostRun, MAX_RECORDS,
+        QUARANTINE_TIME, QUARANTINE_WEIGHT, QuarantineTable, RUN_RETENTION, RunProgress,
     },
 };
 
@@ -26,7 +26,7 @@
 
 /// A request is sent at `sent` to a replica that ends at `lost`.
 fn crash(table: &mut QuarantineTable, of: u8, replica: u64, (sent, lost): (u64, u64)) -> bool {
-    crash_with(table, of, replica, (sent, lost), RunYield::Whole)
+    crash_with(table, of, replica, (sent, lost), RunProgress::Unary)
 }
 
 fn crash_with(
@@ -34,12 +34,12 @@
     of: u8,
     replica: u64,
     (sent, lost): (u64, u64),
-    yielded: RunYield,
+    progress: RunProgress,
 ) -> bool {
     let lives = [life(replica)];
-    table.note_lost(request(of), &LostRun { lives: &lives, sent, yielded }, lost);
-    table.note_ended(&lives[0], lost);
-    table.left(&request(of), lost).is_some()
+    table.record_lost(request(of), &LostRun { lives: &lives, sent, progress }, lost);
+    table.record_ended(&lives[0], lost);
+    table.remaining(&request(of), lost).is_some()
 }
 
 /// Runs of one request, each with its replica and its times, and whether they stop it.
@@ -70,24 +70,24 @@
             crash(&mut table, 1, *replica, (*sent, *lost));
         }
         let (_, _, last) = runs[runs.len() - 1];
-        assert_eq!(table.left(&request(1), last).is_some(), stops, "{name}");
+        assert_eq!(table.remaining(&request(1), last).is_some(), stops, "{name}");
     }
 }
 
 /// What had come of each of three runs when it was lost, and whether that is enough.
 #[test]
 fn what_came_of_a_run_counts() {
-    let stream = |begun, events| RunYield::Stream { begun, events };
+    let stream = |begun, events| RunProgress::Stream { begun, events };
     let rows = [
-        ("begun, and gave nothing", stream(Some(50), 0), CrashSign::Strong.into()),
-        ("not begun", stream(None, 0), Some(CrashSign::Weak)),
-        ("gave something, young", stream(Some(50), 3), Some(CrashSign::Weak)),
+        ("begun, and gave nothing", stream(Some(50), 0), CrashEvidence::Strong.into()),
+        ("not begun", stream(None, 0), Some(CrashEvidence::Weak)),
+        ("gave something, young", stream(Some(50), 3), Some(CrashEvidence::Weak)),
         ("gave something, and went on", stream(Some(50), 30), None),
-        ("a whole answer due", RunYield::Whole, Some(CrashSign::Strong)),
+        ("a whole answer due", RunProgress::Unary, Some(CrashEvidence::Strong)),
     ];
-    for (name, yielded, sign) in rows {
+    for (name, progress, sign) in rows {
         let now = if name.ends_with("went on") { 2_000 } else { 300 };
-        assert_eq!(yielded.sign(now), sign, "{name}");
+        assert_eq!(progress.evidence(now), sign, "{name}");
     }
 }
 
@@ -97,7 +97,7 @@
     for replica in 0..2 {
         crash(&mut table, 1, replica, (replica * 1_000, replica * 1_000 + 100));
     }
-    assert!(table.note_result(&request(1), 3_000));
+    assert!(table.record_result(&request(1), 3_000));
     assert_eq!(table.take_removable(), [request(1)], "the store may hold it");
     for (replica, stops) in [(5, false), (6, false), (7, false), (8, false), (9, true)] {
         let times = (replica * 1_000, replica * 1_000 + 100);
@@ -109,13 +109,13 @@
     // Others that had heard of the crashes forget them as well.
     let mut other = QuarantineTable::default();
     let runs = vec![run(1, 0, 100), run(2, 1_000, 1_100)];
-    other.hear(vec![RequestNews { fingerprint: request(1), left: None, runs }], false, 2_000);
-    other.hear_cleared(&table.cleared(3_000), false, 3_005);
+    other.merge(vec![CrashReport { fingerprint: request(1), remaining: None, runs }], false, 2_000);
+    other.merge_cleared(&table.cleared(3_000), false, 3_005);
     assert_eq!(other.weight(&request(1)), 0);
 }
 
 fn run(replica: u64, sent: i64, lost: i64) -> CrashRun {
-    CrashRun { life: life(replica), sent, lost, sign: CrashSign::Strong }
+    CrashRun { life: life(replica), sent, lost, evidence: CrashEvidence::Strong }
 }
 
 /// Two requests under the same three crashes: neither is stopped until one of them makes the next crash alone, or until both
@@ -127,21 +127,21 @@
         let (sent, lost) = (replica * 1_000, replica * 1_000 + 100);
         let lives = [life(replica)];
         for of in [1, 2] {
-            let run = LostRun { lives: &lives, sent, yielded: RunYield::Whole };
-            table.note_lost(request(of), &run, lost);
+            let run = LostRun { lives: &lives, sent, progress: RunProgress::Unary };
+            table.record_lost(request(of), &run, lost);
         }
-        table.note_ended(&lives[0], lost);
-        [1, 2].map(|of| table.left(&request(of), lost).is_some())
+        table.record_ended(&lives[0], lost);
+        [1, 2].map(|of| table.remaining(&request(of), lost).is_some())
     };
     for replica in 0..3 {
         assert_eq!(both(&mut table, replica), [false, false], "crash {replica}");
     }
     let mut apart = table.clone();
     assert!(crash(&mut apart, 1, 9, (9_000, 9_100)));
-    assert_eq!(apart.left(&request(2), 9_100), None);
+    assert_eq!(apart.remaining(&request(2), 9_100), None);
     assert_eq!(both(&mut table, 3), [false, false]);
     assert_eq!(both(&mut table, 4), [true, true]);
-    assert!(table.weight(&request(1)) >= DOUBTFUL_WEIGHT);
+    assert!(table.weight(&request(1)) >= AMBIGUOUS_WEIGHT);
 }
 
 /// After its quarantine a request may be tried once; the next crash stops it again.
@@ -151,39 +151,39 @@
     for replica in 0..3 {
         crash(&mut table, 1, replica, (replica * 1_000, replica * 1_000 + 100));
     }
-    let end = 2_100 + QUARANTINE;
-    assert_eq!(table.left(&request(1), end - 1), Some(1));
+    let end = 2_100 + QUARANTINE_TIME;
+    assert_eq!(table.remaining(&request(1), end - 1), Some(1));
     table.forget(end);
-    assert_eq!(table.left(&request(1), end), None);
+    assert_eq!(table.remaining(&request(1), end), None);
     let mut left_alone = table.clone();
     assert!(crash(&mut table, 1, 8, (end + 10, end + 100)));
-    left_alone.forget(end + FORGET_RUNS);
-    assert_eq!(left_alone.known(), 0);
+    left_alone.forget(end + RUN_RETENTION);
+    assert_eq!(left_alone.tracked_count(), 0);
 }
 
 /// What is told of two crashes and a third one seen here add up, whatever the clocks; a relay that has just started hears of runs
 /// from before its clock began.
 #[test]
 fn what_others_saw_adds_up() {
-    let told = RequestNews {
+    let told = CrashReport {
         fingerprint: request(1),
-        left: None,
+        remaining: None,
         runs: vec![run(1, -900, -800), run(2, -300, -200)],
     };
     let mut table = QuarantineTable::default();
-    assert_eq!(table.hear(vec![told.clone()], false, 5).stopped, []);
-    assert_eq!(table.hear(vec![told], false, 205).stopped, [], "told again");
+    assert_eq!(table.merge(vec![told.clone()], false, 5).quarantined, []);
+    assert_eq!(table.merge(vec![told], false, 205).quarantined, [], "told again");
     assert!(crash(&mut table, 1, 3, (300, 400)));
     assert_eq!(table.unstored(400).len(), 1, "the store is told");
     assert_eq!(table.unstored(400), [], "once");
-    let news = table.news(NewsReach::Speakers, 400);
+    let news = table.updates(NewsReach::Speakers, 400);
     let mut other = QuarantineTable::default();
-    other.hear(news, false, 10);
-    assert!(other.left(&request(1), 10).is_some());
+    other.merge(news, false, 10);
+    assert!(other.remaining(&request(1), 10).is_some());
     assert_eq!(other.unstored(10), [], "whoever saw it tells the store");
-    assert_eq!(other.news(NewsReach::Speakers, 10), [], "and what was heard is not told on");
-    other.tell_all(10);
-    assert_eq!(other.news(NewsReach::Speakers, 10).len(), 1, "but to whoever starts or returns");
+    assert_eq!(other.updates(NewsReach::Speakers, 10), [], "and what was heard is not told on");
+    other.announce_all(10);
+    assert_eq!(other.updates(NewsReach::Speakers, 10).len(), 1, "but to whoever starts or returns");
 }
 
 /// A replica that was taken for lost and answers was not ended by what ran there.
@@ -192,7 +192,7 @@
     let mut table = QuarantineTable::default();
     crash(&mut table, 1, 1, (0, 100));
     crash(&mut table, 1, 2, (200, 300));
-    table.note_alive(&life(1));
+    table.record_alive(&life(1));
     assert!(!crash(&mut table, 1, 3, (400, 500)));
 }
 
@@ -202,21 +202,22 @@
     for replica in 0..3 {
         crash(&mut table, 1, replica, (replica * 1_000, replica * 1_000 + 100));
     }
-    for number in 0..2 * MOST_RECORDS as u64 {
+    for number in 0..2 * MAX_RECORDS as u64 {
         let mut bytes = [9; 16];
         bytes[..8].copy_from_slice(&number.to_le_bytes());
         let fingerprint = RequestFingerprint::from_bytes(bytes);
-        let news = RequestNews { fingerprint, left: None, runs: vec![run(number + 50, 0, 100)] };
-        table.hear(vec![news], false, 4_000 + number);
+        let news =
+            CrashReport { fingerprint, remaining: None, runs: vec![run(number + 50, 0, 100)] };
+        table.merge(vec![news], false, 4_000 + number);
     }
-    let news = table.news(NewsReach::Speakers, 4_000);
+    let news = table.updates(NewsReach::Speakers, 4_000);
     assert!(
         news.iter().any(|news| news.fingerprint == request(1)),
         "what is stopped is told first"
     );
-    assert_eq!(table.known(), MOST_RECORDS);
-    assert!(table.left(&request(1), 10_000).is_some());
-    assert!(table.weight(&request(1)) >= STOP_WEIGHT);
+    assert_eq!(table.tracked_count(), MAX_RECORDS);
+    assert!(table.remaining(&request(1), 10_000).is_some());
+    assert!(table.weight(&request(1)) >= QUARANTINE_WEIGHT);
 }
 
 const CALM: Day = Day {
--- a/crates/router/tests/limit_model/mod.rs
+++ b/crates/router/tests/limit_model/mod.rs
@@ -14,10 +14,12 @@
 use rand_chacha::ChaCha8Rng;
 use switchfold_router::{
     clocks::PeerClocks,
-    grants::{DueAsk, GrantNeed, HeldGrants},
+    coordinator::{
+        COORDINATES_AFTER, LimitCoordinator, LocalRelay, limit_coordinator, rate_fraction,
+    },
+    grants::{GrantRequest, GrantWaiter, HeldGrants},
     issuer::{GrantIssuer, IssuedGrants},
-    keeper::{KEEPS_AFTER, LimitKeeper, OwnKeeper, limit_keeper, rate_part},
-    limits::{LimitChange, LimitTable, LimitWord},
+    limits::{LimitChange, LimitReport, LimitTable},
     membership::{PeerStamp, PeerState, PeerTable},
 };
 
@@ -106,9 +108,9 @@
 }
 
 enum Body {
-    Ask { replica: usize, word: Option<f64>, age: i64, stamp: PeerStamp, asked: DueAsk },
+    Ask { replica: usize, word: Option<f64>, age: i64, stamp: PeerStamp, asked: GrantRequest },
     Grants { replica: usize, word: Option<f64>, age: i64, stamp: PeerStamp, issued: IssuedGrants },
-    Limits { words: Vec<(usize, LimitWord)>, stamp: PeerStamp },
+    Limits { words: Vec<(usize, LimitReport)>, stamp: PeerStamp },
 }
 
 enum Step {
@@ -288,7 +290,7 @@
             Step::Answer { relay, replica, sent, named } if !self.day.is_still(relay, now) => {
                 let Some(sent) = sent.checked_sub(self.relays[relay].born) else { return };
                 let clock = now - self.relays[relay].born;
-                let word = LimitWord { per_second: named, sent: sent as i64 };
+                let word = LimitReport { per_second: named, sent: sent as i64 };
                 self.relays[relay].take_word(replica, word, clock);
                 if named.is_some() {
                     self.relays[relay].told.entry(replica).or_insert(now);
@@ -311,7 +313,7 @@
         let clock = now - self.relays[relay].born.min(now);
         let own = &mut self.relays[relay];
         let limit = own.limits.limit(&id(replica));
-        let need = GrantNeed { rank: 5, until: until - own.born.min(until) };
+        let need = GrantWaiter { rank: 5, deadline: until - own.born.min(until) };
         let goes = match (limit, self.day.way) {
             (None, _) => true,
             (Some(_), Way::Grants) => {
@@ -352,21 +354,25 @@
         }
     }
 
-    fn own<'a>(&self, relay: &'a Relay, place: &'a str, clock: u64) -> OwnKeeper<'a> {
-        OwnKeeper { name: &relay.name, data_centre: place, keeps: clock >= KEEPS_AFTER }
+    fn own<'a>(&self, relay: &'a Relay, place: &'a str, clock: u64) -> LocalRelay<'a> {
+        LocalRelay {
+            name: &relay.name,
+            data_centre: place,
+            is_eligible: clock >= COORDINATES_AFTER,
+        }
     }
 
     fn ask(&mut self, relay: usize, now: u64) {
         let clock = now - self.relays[relay].born;
         let stamp = PeerStamp { incarnation: self.relays[relay].born as u32, time: clock };
-        let due = self.relays[relay].grants.due(clock);
+        let due = self.relays[relay].grants.due_requests(clock);
         for asked in due {
             let name = asked.id.clone();
             let replica: usize = name[2..].parse().expect("a number");
             let own = &self.relays[relay];
-            let Some(word) = own.limits.word(&name) else { continue };
+            let Some(word) = own.limits.report(&name) else { continue };
             let home = place(relay);
-            let keeper = limit_keeper(
+            let keeper = limit_coordinator(
                 &self.own(own, &home, clock),
                 &own.peers,
                 &name,
@@ -374,13 +380,13 @@
                 clock,
             );
             match keeper {
-                LimitKeeper::Nobody => {}
-                LimitKeeper::Own => {
+                LimitCoordinator::Unknown => {}
+                LimitCoordinator::Local => {
                     let asker = own.name.clone();
-                    self.relays[relay].issuer.ask(&asked, &asker, stamp, clock);
+                    self.relays[relay].issuer.request(&asked, &asker, stamp, clock);
                     self.issue(relay, now);
                 }
-                LimitKeeper::Peer(peer, _) => {
+                LimitCoordinator::Peer(peer, _) => {
                     let to = peer[1..].parse().expect("a number");
                     let age = clock as i64 - word.sent;
                     let body = Body::Ask { replica, word: word.per_second, age, stamp, asked };
@@ -393,7 +399,7 @@
 
     fn issue(&mut self, relay: usize, now: u64) {
         let clock = now - self.relays[relay].born;
-        if clock < KEEPS_AFTER {
+        if clock < COORDINATES_AFTER {
             return;
         }
         let home = place(relay);
@@ -401,22 +407,24 @@
         let keeps = |name: &String| {
             let replica = name[2..].parse().expect("a number");
             let view = self.own(own, &home, clock);
-            limit_keeper(&view, &own.peers, name, &place(replica), clock) == LimitKeeper::Own
+            limit_coordinator(&view, &own.peers, name, &place(replica), clock)
+                == LimitCoordinator::Local
         };
-        let asked: Vec<String> = own.issuer.asked().map(str::to_owned).filter(keeps).collect();
+        let asked: Vec<String> =
+            own.issuer.requested_replicas().map(str::to_owned).filter(keeps).collect();
         let own = &mut self.relays[relay];
-        let view = OwnKeeper { name: &own.name, data_centre: &home, keeps: true };
-        let part = rate_part(&view, &own.peers, clock);
+        let view = LocalRelay { name: &own.name, data_centre: &home, is_eligible: true };
+        let part = rate_fraction(&view, &own.peers, clock);
         let stamp = PeerStamp { incarnation: own.born as u32, time: clock };
         let mut sent = Vec::new();
         for name in asked {
-            let Some(word) = own.limits.word(&name) else { continue };
+            let Some(word) = own.limits.report(&name) else { continue };
             let rate = word.per_second.map_or(f64::INFINITY, |limit| limit * part);
             for issued in own.issuer.issue(&name, rate, word.sent, clock) {
                 let replica = name[2..].parse().expect("a number");
                 if issued.relay == own.name {
-                    let at = (issued.stamp.time + issued.held) as i64;
-                    own.grants.take(&name, issued.count, at, issued.share, clock);
+                    let at = (issued.stamp.time + issued.held_for) as i64;
+                    own.grants.add(&name, issued.count, at, issued.share, clock);
                     continue;
                 }
                 let to: usize = issued.relay[1..].parse().expect("a number");
@@ -439,12 +447,12 @@
             own.peers.forget(&gone);
         }
         let changed: Vec<_> = own.limits.changed_since(clock.saturating_sub(1_300)).collect();
-        let turn: Vec<_> = own.limits.in_turn(round as usize, 8).collect();
-        let read = |rows: &[(&str, LimitWord)]| -> Vec<(usize, LimitWord)> {
+        let turn: Vec<_> = own.limits.page(round as usize, 8).collect();
+        let read = |rows: &[(&str, LimitReport)]| -> Vec<(usize, LimitReport)> {
             rows.iter().map(|(id, word)| (id[2..].parse().expect("a number"), *word)).collect()
         };
         let (changed, turn) = (read(&changed), read(&turn));
-        let state = PeerState { keeps_limits: clock >= KEEPS_AFTER, ..PeerState::default() };
+        let state = PeerState { keeps_limits: clock >= COORDINATES_AFTER, ..PeerState::default() };
         let stamp = PeerStamp { incarnation: own.born as u32, time: clock };
         let recent: Vec<(usize, usize)> =
             own.recent.iter().map(|(replica, times)| (*replica, times.len())).collect();
@@ -507,21 +515,21 @@
                 let written = own.clocks.written(&sender, stamp, clock);
                 for (replica, word) in words {
                     let sent = written - (stamp.time as i64 - word.sent);
-                    own.take_word(replica, LimitWord { sent, ..word }, clock);
+                    own.take_word(replica, LimitReport { sent, ..word }, clock);
                 }
             }
             Body::Ask { replica, word, age, stamp, asked } => {
                 let sent = own.clocks.written(&sender, stamp, clock) - age;
-                own.take_word(replica, LimitWord { per_second: word, sent }, clock);
-                own.issuer.ask(&asked, &sender, stamp, clock);
+                own.take_word(replica, LimitReport { per_second: word, sent }, clock);
+                own.issuer.request(&asked, &sender, stamp, clock);
                 self.issue(to, now);
             }
             Body::Grants { replica, word, age, stamp, issued } => {
                 let sent = own.clocks.written(&sender, stamp, clock) - age;
-                own.take_word(replica, LimitWord { per_second: word, sent }, clock);
+                own.take_word(replica, LimitReport { per_second: word, sent }, clock);
                 if issued.stamp.incarnation == own.born as u32 {
-                    let at = (issued.stamp.time + issued.held) as i64;
-                    own.grants.take(&id(replica), issued.count, at, issued.share, clock);
+                    let at = (issued.stamp.time + issued.held_for) as i64;
+                    own.grants.add(&id(replica), issued.count, at, issued.share, clock);
                 }
             }
         }
@@ -529,10 +537,10 @@
 }
 
 impl Relay {
-    fn take_word(&mut self, replica: usize, word: LimitWord, clock: u64) {
-        let change = self.limits.hear(&id(replica), word, clock);
-        if let Some(LimitChange::Named(limit)) = change {
-            self.grants.note_limit(&id(replica), limit);
+    fn take_word(&mut self, replica: usize, word: LimitReport, clock: u64) {
+        let change = self.limits.update(&id(replica), word, clock);
+        if let Some(LimitChange::Set(limit)) = change {
+            self.grants.record_limit(&id(replica), limit);
         }
     }
 
--- a/crates/router/tests/limits.rs
+++ b/crates/router/tests/limits.rs
@@ -5,8 +5,8 @@
 use limit_model::{Day, Demand, Seen, Trouble, Way, least_use, play, worst_excess};
 use proptest::prelude::*;
 use switchfold_router::{
-    grants::{GRANT_TIME, GrantNeed, HeldGrants, ReturnSlots},
-    limits::{LimitChange, LimitTable, LimitWord},
+    grants::{GRANT_TTL, GrantWaiter, HeldGrants, RetrySchedule},
+    limits::{LimitChange, LimitReport, LimitTable},
 };
 
 /// What the users allow of relays that know, and what is allowed here of all: times the limit, and requests beside.
@@ -158,8 +158,8 @@
 
 #[test]
 fn words_count_by_when_their_requests_were_sent() {
-    let word = |per_second, sent| LimitWord { per_second, sent };
-    let named = |limit| Some(LimitChange::Named(limit));
+    let word = |per_second, sent| LimitReport { per_second, sent };
+    let named = |limit| Some(LimitChange::Set(limit));
     let rows = [
         (word(None, 5), None, None),
         (word(Some(6.2), 10), named(6.2), Some(6.2)),
@@ -167,13 +167,13 @@
         (word(Some(6.2), 20), None, Some(6.2)),
         (word(Some(3.1), 15), None, Some(6.2)),
         (word(Some(3.1), 30), named(3.1), Some(3.1)),
-        (word(None, 40), Some(LimitChange::Ended), None),
+        (word(None, 40), Some(LimitChange::Removed), None),
         (word(Some(3.1), 39), None, None),
         (word(Some(0.0), 50), named(0.0), Some(0.0)),
     ];
     let mut table = LimitTable::default();
     for (word, change, limit) in rows {
-        assert_eq!(table.hear("i-1", word, 100), change, "{word:?}");
+        assert_eq!(table.update("i-1", word, 100), change, "{word:?}");
         assert_eq!(table.limit("i-1"), limit, "{word:?}");
     }
 }
@@ -181,23 +181,23 @@
 #[test]
 fn grants_go_to_the_most_urgent_that_wait() {
     let mut grants = HeldGrants::default();
-    grants.take("i-1", 1, 1_000, 2.0, 1_000);
-    let urgent = GrantNeed { rank: 0, until: 2_000 };
+    grants.add("i-1", 1, 1_000, 2.0, 1_000);
+    let urgent = GrantWaiter { rank: 0, deadline: 2_000 };
     grants.begin_wait("i-1", urgent);
     assert_eq!(grants.spend("i-1", 1, 1_001), Err(500));
     let end = grants.spend("i-1", 0, 1_001).expect("one is held");
     grants.give_back("i-1", end);
     grants.end_wait("i-1", urgent);
-    assert_eq!(grants.spend("i-1", 1, 1_000 + GRANT_TIME), Err(500), "it lapsed");
+    assert_eq!(grants.spend("i-1", 1, 1_000 + GRANT_TTL), Err(500), "it lapsed");
 }
 
 /// Refused callers come back one after the other, at the rate that is left, and not all at the end of the longest wait.
 #[test]
 fn refused_callers_come_back_in_turn() {
-    let mut slots = ReturnSlots::default();
-    let after = |slots: &mut ReturnSlots| slots.take(400, 2.0, 0.5, 1_000);
+    let mut slots = RetrySchedule::default();
+    let after = |slots: &mut RetrySchedule| slots.next_delay(400, 2.0, 0.5, 1_000);
     assert_eq!([after(&mut slots), after(&mut slots), after(&mut slots)], [900, 1_400, 1_900]);
     let late = (0..40).map(|_| after(&mut slots)).max();
     assert_eq!(late, Some(9_900));
-    assert_eq!(slots.take(400, 2.0, 0.1, 1_000), 5_500);
+    assert_eq!(slots.next_delay(400, 2.0, 0.1, 1_000), 5_500);
 }
--- a/crates/router/tests/mutes.rs
+++ b/crates/router/tests/stalls.rs
@@ -5,8 +5,8 @@
 
 use switchfold_router::{
     life::ReplicaLife,
-    mute::{HeadWatch, TRIAL_TIME, leave_after},
     origin::{NewsOrigin, NewsReach},
+    stall::{StallDetector, TRIAL_GRACE, reroute_after},
 };
 
 /// Objective of the requests, and the time in which an engine usually begins an answer, in milliseconds.
@@ -46,19 +46,20 @@
 fn play(load: &Load, watches: bool) -> Outcome {
     let lives: Vec<ReplicaLife> =
         (0..load.replicas).map(|number| ReplicaLife::new(&format!("i-{number}"), 0)).collect();
-    let mut watch = HeadWatch::default();
+    let mut watch = StallDetector::default();
     let mut waiting: VecDeque<Waiting> = VecDeque::new();
     let mut outcome = Outcome::default();
     let mut sent_to = vec![0_u32; load.replicas];
     let takes = (USUAL as f64 * load.slow) as u64;
     let mut send =
-        |watch: &mut HeadWatch, arrived: u64, avoid: Option<usize>, tries: u32, now: u64| {
-            let cost =
-                |number: &usize| (watches && watch.is_mute(&lives[*number], now), sent_to[*number]);
+        |watch: &mut StallDetector, arrived: u64, avoid: Option<usize>, tries: u32, now: u64| {
+            let cost = |number: &usize| {
+                (watches && watch.is_stalled(&lives[*number], now), sent_to[*number])
+            };
             let others = (0..load.replicas).filter(|number| Some(*number) != avoid);
             let replica = others.min_by_key(cost).expect("there are others");
             sent_to[replica] += 1;
-            watch.note_sent(&lives[replica], now);
+            watch.record_sent(&lives[replica], now);
             let hangs = replica < load.hanging && load.hangs.contains(&now);
             Waiting { arrived, sent: now, begins: (!hangs).then_some(now + takes), replica, tries }
         };
@@ -72,7 +73,7 @@
         waiting.retain(|request| {
             let life = &lives[request.replica];
             if request.begins == Some(now) {
-                watch.note_answer(life, Some(now - request.sent), now);
+                watch.record_response(life, Some(now - request.sent), now);
                 outcome.late += u32::from(now - request.arrived > OBJECTIVE);
                 return false;
             }
@@ -80,11 +81,11 @@
             if waited == 0 || !waited.is_multiple_of(LOOK) || request.tries > 1 {
                 return true;
             }
-            let silent_after = watch.silent_after(OBJECTIVE);
-            watch.find_mute(life, silent_after, now);
-            let is_mute = watches && watch.is_mute(life, now) && waited >= silent_after;
-            if is_mute || waited > leave_after(OBJECTIVE) {
-                watch.note_left(life);
+            let silent_after = watch.stall_threshold(OBJECTIVE);
+            watch.detect_stall(life, silent_after, now);
+            let is_mute = watches && watch.is_stalled(life, now) && waited >= silent_after;
+            if is_mute || waited > reroute_after(OBJECTIVE) {
+                watch.record_abandoned(life);
                 left.push((request.arrived, request.replica));
                 return false;
             }
@@ -126,7 +127,7 @@
 #[test]
 fn the_time_to_leave_follows_the_objective() {
     for (objective, expected) in [(0, 700), (150, 210), (500, 700), (2_000, 2_800)] {
-        assert_eq!(leave_after(objective), expected, "{objective}");
+        assert_eq!(reroute_after(objective), expected, "{objective}");
     }
 }
 
@@ -134,43 +135,45 @@
 #[test]
 fn a_mute_replica_is_tried_by_one_request() {
     let life = ReplicaLife::new("i-1", 0);
-    let (mut own, mut other) = (HeadWatch::default(), HeadWatch::default());
-    own.note_sent(&life, 0);
-    let lasts = own.find_mute(&life, 150, 200).expect("it is silent");
-    let told: Vec<_> =
-        own.told_on(NewsReach::Speakers, 200).map(|(life, lasts)| (life.clone(), lasts)).collect();
-    assert_eq!(told, [(life.clone(), lasts + TRIAL_TIME)]);
-    other.hear_mutes("own", NewsOrigin::Told, told.clone().into_iter(), 200);
+    let (mut own, mut other) = (StallDetector::default(), StallDetector::default());
+    own.record_sent(&life, 0);
+    let lasts = own.detect_stall(&life, 150, 200).expect("it is silent");
+    let told: Vec<_> = own
+        .shared_with(NewsReach::Speakers, 200)
+        .map(|(life, lasts)| (life.clone(), lasts))
+        .collect();
+    assert_eq!(told, [(life.clone(), lasts + TRIAL_GRACE)]);
+    other.merge_stalls("own", NewsOrigin::Told, told.clone().into_iter(), 200);
     assert_eq!(
-        other.told_on(NewsReach::Speakers, 200).count(),
+        other.shared_with(NewsReach::Speakers, 200).count(),
         0,
         "what was only heard is not repeated"
     );
-    own.note_left(&life);
+    own.record_abandoned(&life);
     let over = 200 + lasts;
-    assert!(own.is_mute(&life, over - 1) && !own.is_mute(&life, over));
-    own.note_sent(&life, over);
-    assert!(own.is_mute(&life, over + 1), "one tries, the next one keeps away");
-    assert!(other.is_mute(&life, over + 1));
-    assert!(own.note_answer(&life, Some(70), over + 70), "it is back");
-    assert!(!own.is_mute(&life, over + 71));
-    assert!(!other.is_mute(&life, over + TRIAL_TIME));
+    assert!(own.is_stalled(&life, over - 1) && !own.is_stalled(&life, over));
+    own.record_sent(&life, over);
+    assert!(own.is_stalled(&life, over + 1), "one tries, the next one keeps away");
+    assert!(other.is_stalled(&life, over + 1));
+    assert!(own.record_response(&life, Some(70), over + 70), "it is back");
+    assert!(!own.is_stalled(&life, over + 71));
+    assert!(!other.is_stalled(&life, over + TRIAL_GRACE));
     // What the one that found it tells no more has ended.
-    other.hear_mutes("own", NewsOrigin::Told, told.into_iter(), over);
-    assert!(other.is_mute(&life, over + 1));
-    other.hear_mutes("own", NewsOrigin::Told, std::iter::empty(), over + 2);
-    assert!(!other.is_mute(&life, over + 3));
+    other.merge_stalls("own", NewsOrigin::Told, told.into_iter(), over);
+    assert!(other.is_stalled(&life, over + 1));
+    other.merge_stalls("own", NewsOrigin::Told, std::iter::empty(), over + 2);
+    assert!(!other.is_stalled(&life, over + 3));
 }
 
 /// A queue goes on beginning answers, or refuses: neither is silence.
 #[test]
 fn a_replica_that_answers_others_is_not_mute() {
     let life = ReplicaLife::new("i-1", 0);
-    let mut watch = HeadWatch::default();
-    (0..3).for_each(|_| watch.note_sent(&life, 0));
-    watch.note_answer(&life, Some(140), 140);
-    assert_eq!(watch.find_mute(&life, 150, 200), None);
-    watch.note_answer(&life, None, 280);
-    assert_eq!(watch.find_mute(&life, 150, 400), None);
-    assert!(watch.find_mute(&life, 150, 440).is_some());
+    let mut watch = StallDetector::default();
+    (0..3).for_each(|_| watch.record_sent(&life, 0));
+    watch.record_response(&life, Some(140), 140);
+    assert_eq!(watch.detect_stall(&life, 150, 200), None);
+    watch.record_response(&life, None, 280);
+    assert_eq!(watch.detect_stall(&life, 150, 400), None);
+    assert!(watch.detect_stall(&life, 150, 440).is_some());
 }
--- a/crates/router/tests/state.rs
+++ b/crates/router/tests/state.rs
@@ -5,7 +5,7 @@
 use proptest::prelude::*;
 use switchfold_router::{
     access::ConfigSlot,
-    budget::{BudgetConfig, RepeatBudget},
+    budget::{BudgetConfig, RetryBudget},
     freshness::{FreshnessLease, LEASE_MARGIN},
     lapse::{LAPSE_GRACE, LONGEST_KEPT, LapseGrace},
     life::ReplicaLife,
@@ -13,7 +13,7 @@
     pace::{PACE_AGE, PaceTable},
     pipe::PipeShare,
     room::{FULL_TIME, FullStarts, PEER_AGE, RoomLedger},
-    suspect::{FIRST_TIME_OUT, SuspectList},
+    suspect::{BASE_SUSPICION_TIME, SuspectList},
 };
 
 fn life(id: &str) -> ReplicaLife {
@@ -40,14 +40,14 @@
     fn repeats_stay_within_the_window(
         steps in prop::collection::vec((0usize..4, 0u64..400, 0u32..6, 0u32..30), 1..200)
     ) {
-        let mut budgets: Vec<RepeatBudget> = vec![RepeatBudget::default(); 4];
+        let mut budgets: Vec<RetryBudget> = vec![RetryBudget::default(); 4];
         let mut now = 0;
         let mut requests: Vec<u64> = Vec::new();
         let mut repeats: Vec<u64> = Vec::new();
         for (entry, wait, arrivals, wanted) in steps {
             now += wait;
             for _ in 0..arrivals {
-                budgets[entry].note_request(now);
+                budgets[entry].record_request(now);
                 requests.push(now);
             }
             for _ in 0..wanted {
@@ -66,7 +66,7 @@
         steps in prop::collection::vec((0usize..4, 0u64..400, 0u32..4, 0u32..60, 0u8..12), 1..200)
     ) {
         let begun_long_ago = 0;
-        let mut budgets: Vec<RepeatBudget> = vec![RepeatBudget::begun_at(begun_long_ago); 4];
+        let mut budgets: Vec<RetryBudget> = vec![RetryBudget::starting_at(begun_long_ago); 4];
         let mut restarts: Vec<Vec<u64>> = vec![Vec::new(); 4];
         let mut now = BUDGET.window;
         let (mut requests, mut repeats): (Vec<u64>, Vec<u64>) = (Vec::new(), Vec::new());
@@ -74,11 +74,11 @@
             now += wait;
             let lately = restarts[entry].iter().filter(|at| **at + BUDGET.window > now).count();
             if draw == 0 && lately < 2 {
-                budgets[entry] = RepeatBudget::begun_at(now);
+                budgets[entry] = RetryBudget::starting_at(now);
                 restarts[entry].push(now);
             }
             for _ in 0..arrivals {
-                budgets[entry].note_request(now);
+                budgets[entry].record_request(now);
                 requests.push(now);
             }
             for _ in 0..wanted {
@@ -187,14 +187,14 @@
 #[test]
 fn suspicion_ends_and_grows() {
     let mut suspects = SuspectList::default();
-    assert_eq!(suspects.note_failure(&life("a"), 0), Some(FIRST_TIME_OUT));
-    assert_eq!(suspects.note_failure(&life("a"), 10), None);
-    assert!(suspects.is_suspect(&life("a"), FIRST_TIME_OUT - 1));
-    assert!(!suspects.is_suspect(&life("a"), FIRST_TIME_OUT));
-    let again = suspects.note_failure(&life("a"), FIRST_TIME_OUT);
-    assert_eq!(again, Some(FIRST_TIME_OUT + 2 * FIRST_TIME_OUT));
+    assert_eq!(suspects.record_failure(&life("a"), 0), Some(BASE_SUSPICION_TIME));
+    assert_eq!(suspects.record_failure(&life("a"), 10), None);
+    assert!(suspects.is_suspect(&life("a"), BASE_SUSPICION_TIME - 1));
+    assert!(!suspects.is_suspect(&life("a"), BASE_SUSPICION_TIME));
+    let again = suspects.record_failure(&life("a"), BASE_SUSPICION_TIME);
+    assert_eq!(again, Some(BASE_SUSPICION_TIME + 2 * BASE_SUSPICION_TIME));
     suspects.clear(&life("a"));
-    assert!(!suspects.is_suspect(&life("a"), FIRST_TIME_OUT));
+    assert!(!suspects.is_suspect(&life("a"), BASE_SUSPICION_TIME));
 }
 
 proptest! {
@@ -289,25 +289,25 @@
         const TELL_EVERY: u64 = 200;
         const LONGEST_WAY: u64 = 900;
         let mut entries = vec![SuspectList::default(); 3];
-        entries[0].note_failure(&life("x"), 0);
+        entries[0].record_failure(&life("x"), 0);
         let mut on_the_way: Vec<(u64, usize, u64)> = Vec::new();
         for (round, delay) in (0u64..).zip(&delays) {
             let now = round * TELL_EVERY;
             for (_, to, lasts) in on_the_way.extract_if(.., |(arrives, ..)| *arrives <= now) {
                 if !entries[to].is_suspect(&life("x"), now) {
-                    entries[to].take_over(&life("x"), now + lasts, NewsOrigin::Told);
+                    entries[to].merge(&life("x"), now + lasts, NewsOrigin::Told);
                 }
             }
             for from in 0..entries.len() {
                 let told: Vec<u64> = entries[from]
-                    .told_on(NewsReach::Speakers, now)
+                    .shared_with(NewsReach::Speakers, now)
                     .map(|(_, lasts)| lasts)
                     .collect();
                 let others = (0..entries.len()).filter(|to| *to != from);
                 let sent = others.flat_map(|to| told.iter().map(move |lasts| (now + delay, to, *lasts)));
                 on_the_way.extend(sent);
             }
-            let over = now > FIRST_TIME_OUT + LONGEST_WAY + TELL_EVERY;
+            let over = now > BASE_SUSPICION_TIME + LONGEST_WAY + TELL_EVERY;
             let kept = entries.iter().any(|entry| entry.is_suspect(&life("x"), now));
             prop_assert!(!(over && kept), "still suspected at {}", now);
         }
