--- a/crates/local/src/measure.rs
+++ b/crates/local/src/measure.rs
@@ -8,7 +8,7 @@
 
 use serde::Serialize;
 use switchfold_core::{
-    claim::{ClaimKey, ClaimWish},
+    claim::{ClaimKey, ClaimProposal},
     id::RequestId,
 };
 use switchfold_entry::claims::{ClaimService, ClaimState, MakeClaim, claim_here};
@@ -197,8 +197,8 @@
     let address = listener.local_addr()?.to_string();
     let platform = PlatformStandin::default();
     tokio::spawn(platform.clone().serve(listener, ShutdownSignal::new()));
-    let patience = Duration::from_secs(2);
-    let store = StoreClient::new(StoreConfig { address, patience, process: "bench".to_owned() });
+    let timeout = Duration::from_secs(2);
+    let store = StoreClient::new(StoreConfig { address, timeout, process: "bench".to_owned() });
     let claims = xtra::spawn_tokio(ClaimService::new(store), Mailbox::unbounded());
     let total = offered_per_s * time.as_secs();
     let start = Instant::now();
@@ -208,14 +208,14 @@
         sleep_until(start + Duration::from_micros(number * 1_000_000 / offered_per_s)).await;
         let claims = claims.clone();
         calls.spawn(async move {
-            let wish = ClaimWish {
+            let wish = ClaimProposal {
                 key: ClaimKey::new("org", &number.to_string()),
                 request: RequestId { incarnation: 1, counter: number },
                 entry: "entry-0".to_owned(),
                 replaces: None,
             };
             let asked = Instant::now();
-            let state = claim_here(&claims, MakeClaim { wish, patience }).await;
+            let state = claim_here(&claims, MakeClaim { wish, patience: timeout }).await;
             (state, asked.elapsed().as_micros() as u64)
         });
     }
