--- a/crates/relay/src/paths.rs
+++ b/crates/relay/src/paths.rs
@@ -7,7 +7,7 @@
 use switchfold_router::{
     Millis,
     fleet::{LayerRange, ReplicaEntry},
-    grants::GrantNeed,
+    grants::GrantWaiter,
     groups::{group_count, group_of},
     life::ReplicaLife,
     path::{
@@ -192,7 +192,7 @@
             };
             let begins = |replica: &ReplicaEntry| begins_for(replica, wish);
             let until = now_millis() + (end - Instant::now()).as_millis() as Millis;
-            let need = GrantNeed { rank: wish.rank, until };
+            let need = GrantWaiter { rank: wish.rank, deadline: until };
             let begin = || GrantWait::begin(relay, wish.service, need, begins);
             grant_wait = grant_wait.or_else(begin);
             sleep(LOOK_EVERY.min(left)).await;
@@ -355,7 +355,7 @@
 }
 
 fn mute_cost(beliefs: &Beliefs, life: &ReplicaLife, now: Millis) -> f64 {
-    match beliefs.heads.is_mute(life, now) {
+    match beliefs.heads.is_stalled(life, now) {
         true => MUTE_COST,
         false => 0.0,
     }
