--- a/crates/relay/src/heads.rs
+++ b/crates/relay/src/heads.rs
@@ -9,7 +9,7 @@
 use http::Response;
 use hyper::body::Incoming;
 use switchfold_kernel::clock::now_millis;
-use switchfold_router::{Millis, chain::PathPart, life::ReplicaLife, stall::reroute_after};
+use switchfold_router::{Millis, life::ReplicaLife, path::PathStage, stall::reroute_after};
 use tokio::time::{Instant, sleep_until};
 
 use crate::{
--- a/crates/relay/src/tell.rs
+++ b/crates/relay/src/tell.rs
@@ -277,7 +277,7 @@
     beliefs.quarantine.forget(now);
     let suspects = beliefs.suspects.shared_with(reach, now);
     let mutes = beliefs.heads.shared_with(reach, now);
-    let paces = beliefs.paces.told_on(reach, now);
+    let paces = beliefs.paces.shared_with(reach, now);
     let told = beliefs.quarantine.updates(reach, now);
     let crashes = told.iter().map(|news| CrashRecord::of(news, now)).collect();
     let cleared = beliefs.quarantine.cleared(now);
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -7,13 +7,13 @@
 //!
 //! | module | decides |
 //! |---|---|
-//! | [`access`] | which route, service and organisation a request has, by the configuration in force |
+//! | [`routing`] | which route, service and organisation a request has, by the configuration in force |
 //! | [`attempt`] | what follows from the outcome of one attempt |
 //! | [`backoff`] | which replicas asked this VM to stay away for a time |
 //! | [`budget`] | how many repeats a service may still get |
-//! | [`chain`] | the path of a request over the layers |
+//! | [`path`] | the path of a request over the layers |
 //! | [`clocks`] | as of when a message tells what it tells |
-//! | [`cover`] | which layers each replica should hold |
+//! | [`placement`] | which layers each replica should hold |
 //! | [`fingerprint`] | which requests are one and the same, whatever their ids |
 //! | [`follow`] | what a relay reads next from the store |
 //! | [`freshness`] | whether the configuration is recent enough to let keys in |
@@ -27,17 +27,17 @@
 //! | [`membership`] | which relays tell each other, which gives orders, and which follows the store for others |
 //! | [`stall`] | which first replicas begin no answers, and when a request goes elsewhere |
 //! | [`origin`] | to whom news of other relays are told on |
-//! | [`pace`] | how slow each engine is at the moment |
-//! | [`pipe`] | how many paths may cross from one data centre to another |
+//! | [`slowdown`] | how slow each engine is at the moment |
+//! | [`bandwidth`] | how many paths may cross from one data centre to another |
 //! | [`place`] | which of two states of the store is the newer one, also where it came back from a copy |
 //! | [`quarantine`] | which requests end the replicas that run them, and are sent nowhere |
 //! | [`replicas`] | what a relay believes of the replicas, by whose word |
-//! | [`returns`] | in which order callers come back to an entry that has just started |
-//! | [`room`] | how much memory for requests is promised at each replica |
+//! | [`reconnects`] | in which order callers come back to an entry that has just started |
+//! | [`reservations`] | how much memory for requests is promised at each replica |
 //! | [`suspect`] | which replicas to keep away from for a while |
 //!
 //! The trade-off: an entry chooses alone, from what it last heard. Two entries may choose the same
-//! replica at once; the reserve in [`room`] is what absorbs that.
+//! replica at once; the reserve in [`reservations`] is what absorbs that.
 
 pub mod attempt;
 pub mod backoff;
@@ -45,7 +45,6 @@
 pub mod budget;
 pub mod clocks;
 pub mod coordinator;
-pub mod cover;
 pub mod fingerprint;
 pub mod fleet;
 pub mod follow;
@@ -64,8 +63,9 @@
 pub mod quarantine;
 pub mod reconnects;
 pub mod replicas;
-pub mod returns;
-pub mod room;
+pub mod reservations;
+pub mod routing;
+pub mod slowdown;
 pub mod stall;
 pub mod suspect;
 
--- a/crates/router/tests/state.rs
+++ b/crates/router/tests/state.rs
@@ -4,15 +4,15 @@
 
 use proptest::prelude::*;
 use switchfold_router::{
-    access::ConfigSlot,
+    bandwidth::BandwidthShare,
     budget::{BudgetConfig, RetryBudget},
     freshness::{FreshnessLease, LEASE_MARGIN},
     lapse::{LAPSE_GRACE, LONGEST_KEPT, LapseGrace},
     life::ReplicaLife,
     origin::{NewsOrigin, NewsReach},
-    pace::{PACE_AGE, PaceTable},
-    pipe::PipeShare,
-    room::{FULL_TIME, FullStarts, PEER_AGE, RoomLedger},
+    reservations::{FULL_DURATION, FullReplicas, PEER_MAX_AGE, ReservationLedger},
+    routing::ConfigSlot,
+    slowdown::{SLOWDOWN_MAX_AGE, SlowdownTable},
     suspect::{BASE_SUSPICION_TIME, SuspectList},
 };
 
