--- a/crates/relay/src/runs.rs
+++ b/crates/relay/src/runs.rs
@@ -10,6 +10,7 @@
 use switchfold_router::{
     Millis,
     life::ReplicaLife,
+    path::PathStage,
     quarantine::{LostRun, RunProgress, SURVIVAL_TIME},
 };
 
--- a/crates/relay/src/state.rs
+++ b/crates/relay/src/state.rs
@@ -30,6 +30,7 @@
     quarantine::QuarantineTable,
     replicas::{FleetBelief, OddEntries},
     reservations::{FullReplicas, ReservationLedger},
+    routing::{ConfigSlot, RoutingConfig},
     slowdown::SlowdownTable,
     stall::StallDetector,
     suspect::SuspectList,
--- a/crates/router/benches/plans.rs
+++ b/crates/router/benches/plans.rs
@@ -12,6 +12,8 @@
     grants::HeldGrants,
     life::ReplicaLife,
     limits::{LimitReport, LimitTable},
+    path::{PathCosts, PathRequest, StageOffer, choose_path},
+    placement::{LayerHolder, ModelShape, PlacementConfig, improve_group, plan_group},
     replicas::{FleetBelief, FleetList, NewsSource},
     reservations::ReservationLedger,
 };
