--- a/crates/router/src/attempt.rs
+++ b/crates/router/src/attempt.rs
@@ -1,26 +1,26 @@
-//! What follows from the outcome of one attempt at a replica.
+//! Decides what to do after one attempt to run a request at a replica.
 //!
-//! The whole rule against running a request twice is this one table: a request that may not be
-//! repeated goes elsewhere only while it is certain that no replica ran it, and a caller is told
-//! "not run" only on the same certainty.
+//! This table is the only place that guards against running a request twice: a request that may not be
+//! repeated is sent to another replica only while it is certain that no replica ran it, and the caller
+//! is told "not run" only under the same condition.
 
 /// How an attempt at a replica ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum AttemptEnd {
-    /// No byte of the request left: the connection did not open, or was closed before the write.
+    /// No byte of the request was sent: connecting failed, or the connection closed before the write.
     NotSent,
-    /// The replica said that it did not run the request.
+    /// The replica stated that it did not run the request.
     Rejected,
-    /// The replica answered with this status and gave no such promise.
+    /// The replica responded with this status, without stating that the request did not run.
     Answered(u16),
-    /// The request was sent, at least in part, and no valid answer came.
+    /// At least part of the request was sent, and no valid response was received.
     Broken,
 }
 
-/// What to do next.
+/// What to do after an attempt.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum NextStep {
-    /// Give the caller the replica's answer, unchanged.
+    /// Forward the replica's response to the caller unchanged.
     PassOn,
     /// Send the request to another replica.
     TryElsewhere,
@@ -30,18 +30,18 @@
     AnswerUnknown,
 }
 
-/// What is known of a request before its attempt ended.
+/// What was known about a request before the attempt ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct AttemptState {
     /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// Whether an earlier attempt may have run.
+    /// Whether an earlier attempt may have run the request.
     pub may_have_run: bool,
-    /// Whether attempts, budget and time allow another one.
+    /// Whether the attempt limit, the retry budget and the deadline allow another attempt.
     pub can_repeat: bool,
 }
 
-/// Decides what follows from the end of an attempt.
+/// Decides what to do after an attempt ended with `end`.
 pub fn decide_next(state: AttemptState, end: AttemptEnd) -> NextStep {
     match end {
         AttemptEnd::NotSent | AttemptEnd::Rejected => after_no_run(state),
@@ -54,7 +54,7 @@
     }
 }
 
-/// Whether a status promises the caller that the request did not run.
+/// Returns whether a response with this status promises the caller that the request did not run.
 pub fn promises_not_run(status: u16) -> bool {
     matches!(status, 408 | 421 | 429 | 503)
 }
@@ -68,7 +68,7 @@
     }
 }
 
-/// A failure that the replica's engine or service made itself: it counts as run.
+/// Decides after a failure response of the replica's engine or service, which counts as a run.
 fn after_failure(state: AttemptState, status: u16) -> NextStep {
     if state.repeatable && state.can_repeat {
         return NextStep::TryElsewhere;
--- a/crates/router/src/bandwidth.rs
+++ b/crates/router/src/bandwidth.rs
@@ -1,35 +1,36 @@
-//! How much of the pipe between data centres an entry may fill.
+//! Limits how much of the link between data centres one entry may use.
 //!
-//! All requests whose path crosses from one data centre to another share one pipe, and a prompt's
-//! activations take tens of milliseconds of it. Beyond what the pipe carries, every crossing request is
-//! late. So each entry lets through an even share of it, and refuses the others at once: those that are
-//! let through are served in time. The trade-off: a share that one entry does not use is lost.
+//! All requests whose path crosses from one data centre to another share one link, and transferring the
+//! activations of one prompt occupies it for tens of milliseconds. Beyond the capacity of the link every
+//! crossing request would be late. Each entry therefore admits crossing requests up to an equal share of
+//! the link and refuses the rest at once, so that admitted requests are served in time. The trade-off:
+//! a share that an entry does not use is lost.
 
 use crate::Millis;
 
-/// Part of the pipe that crossing prompts may fill; the rest carries their tokens.
-const FILLED_PART: f64 = 0.8;
+/// Fraction of the link that prompts may use; the rest carries the tokens of crossing requests.
+const PROMPT_FRACTION: f64 = 0.8;
 
-/// Time for which an entry may fill its share ahead, in milliseconds: several requests that come at once
-/// wait for each other no longer than half of a usual objective.
-const MOST_AHEAD: f64 = 250.0;
+/// How far ahead an entry may reserve its share, in milliseconds: concurrent requests queue for each other
+/// for at most half of a usual latency objective.
+const MAX_QUEUE_MS: f64 = 250.0;
 
-/// An entry's share of the pipe.
+/// One entry's share of the link.
 #[derive(Clone, Debug, Default)]
 pub struct BandwidthShare {
-    filled_until: f64,
+    reserved_until: f64,
 }
 
 impl BandwidthShare {
-    /// Takes `pipe_time` milliseconds of the pipe, of which `entries` have an even share each; tells
-    /// whether they were left.
-    pub fn try_reserve(&mut self, pipe_time: f64, entries: usize, now: Millis) -> bool {
+    /// Reserves `link_ms` milliseconds of the link, which `entries` entries share equally. Returns whether
+    /// the share had room for it; otherwise nothing is reserved.
+    pub fn try_reserve(&mut self, link_ms: f64, entries: usize, now: Millis) -> bool {
         let now = now as f64;
-        let start = self.filled_until.max(now);
-        let left = start - now <= MOST_AHEAD;
-        if left {
-            self.filled_until = start + pipe_time * entries.max(1) as f64 / FILLED_PART;
+        let start = self.reserved_until.max(now);
+        let is_available = start - now <= MAX_QUEUE_MS;
+        if is_available {
+            self.reserved_until = start + link_ms * entries.max(1) as f64 / PROMPT_FRACTION;
         }
-        left
+        is_available
     }
 }
--- a/crates/router/src/placement/capacity.rs
+++ b/crates/router/src/placement/capacity.rs
@@ -1,99 +1,104 @@
-//! How many requests a layout carries at once, for their time at the engines.
+//! Estimates how many concurrent requests a layout can serve, and scores layouts by it.
 //!
-//! A request holds memory at every replica of its path for as long as it runs, so what a layout carries
-//! is memory over time: a path that is twice as fast carries twice as many requests with the same memory.
-//! Requests take the fastest path first; when one of its replicas is full, the rest goes round it. So the
-//! capacity is the sum over these paths of their width over their time, widths counted in MB for one
-//! layer, times in milliseconds of a token step. The relations of layouts matter, not the unit.
+//! A request holds memory at every replica of its path for as long as it runs, so the capacity of a layout
+//! is memory over time: a path that is twice as fast serves twice as many requests with the same memory.
+//! Requests are assigned to the fastest path first; once one of its replicas is full, the rest take the
+//! next fastest. The capacity is the sum over these paths of their width divided by their time, with widths
+//! in MB for one layer and times in milliseconds of a token step. Only the ratios between layouts matter,
+//! not the unit.
 //!
-//! A replica takes only so many requests as the first of their path, whatever memory it has. Without counting that,
-//! the fastest accelerators are given the first layers alone, and have places for hardly more requests than run on a calm
-//! day.
+//! A replica accepts only a limited number of requests as the first of their path, whatever its memory.
+//! If that limit were ignored, the fastest accelerators alone would get the first layers, and would have
+//! slots for hardly more requests than run under low load.
 //!
-//! Trade-off: batches, prompts and waiting for passes under way are left out, since they grow with the
-//! load of an engine and all layouts share it alike. The worst case is replicas × boundaries for one
-//! capacity, once for the whole layout and once for each replica that may be lost.
+//! Trade-off: batching, prompts and the wait for passes under way are ignored, since they grow with the
+//! load of an engine and affect all layouts alike. The worst case is replicas × boundaries for one
+//! capacity, computed once for the whole layout and once for each replica that may be lost.
 
 use crate::{
     fleet::LayerRange,
     placement::{LayerHolder, ModelShape},
 };
 
-/// Time that a token step takes for one more part of its path, in milliseconds: half of a usual pass is
-/// waited for at each (measured: 15.6 ms a token over ten parts whose steps sum up to 8.1 ms).
+/// Time that a token step takes for one more stage of its path, in milliseconds: on average half of a usual
+/// pass is waited for at each (measured: 15.6 ms a token over ten stages whose steps sum up to 8.1 ms).
 const HOP_MS: f64 = 0.6;
 
-/// Least room that a path needs, in MB for one layer; below it a replica counts as full.
-const LEAST_WIDTH: f64 = 1.0;
+/// Least width of a path, in MB for one layer; a replica with less free memory counts as full.
+const MIN_WIDTH_MB: f64 = 1.0;
 
-/// Part of the worth of a layout that lies in what it carries once a replica is lost.
-const LOSS_PART: f64 = 0.4;
+/// Weight, in the score of a layout, of its capacity after the loss of one replica.
+const LOSS_WEIGHT: f64 = 0.4;
 
-/// A layout, ready to be weighed.
-pub(super) struct LayoutMeter {
+/// Scores layouts of one group of replicas; keeps its buffers between calls.
+pub(super) struct LayoutScorer {
     model: ModelShape,
     spans: Vec<LayerSpan>,
-    room: Vec<f64>,
+    /// Free memory that is left at each replica, in MB.
+    free_mb: Vec<f64>,
     /// Width that is left for paths that begin at each replica, in MB for one layer.
-    starts: Vec<f64>,
-    used: Vec<u32>,
-    touched: Vec<usize>,
+    start_mb: Vec<f64>,
+    /// Layers that the current path runs at each replica.
+    path_layers: Vec<u32>,
+    /// Replicas of the current path, in order.
+    path: Vec<usize>,
 }
 
-/// Layers that the same replicas hold, fastest first.
+/// Consecutive layers that the same replicas hold.
 struct LayerSpan {
     layers: u32,
+    /// Indices of the replicas, fastest first.
     holders: Vec<usize>,
 }
 
-impl LayoutMeter {
-    /// Makes a meter for layouts of these replicas.
+impl LayoutScorer {
+    /// Creates a scorer for layouts of these replicas.
     pub(super) fn new(holders: &[LayerHolder], model: ModelShape) -> Self {
         Self {
             model,
             spans: Vec::new(),
-            room: Vec::new(),
-            starts: Vec::new(),
-            used: vec![0; holders.len()],
-            touched: Vec::new(),
+            free_mb: Vec::new(),
+            start_mb: Vec::new(),
+            path_layers: vec![0; holders.len()],
+            path: Vec::new(),
         }
     }
 
-    /// Worth of a layout: what it carries now, and on average once one replica is lost. The root lets
-    /// capacity that callers may not need count less.
-    pub(super) fn worth(&mut self, holders: &[LayerHolder]) -> f64 {
-        self.worth_above(holders, 0.0).unwrap_or(0.0)
+    /// Returns the score of a layout: its capacity now, and on average after the loss of one replica. The
+    /// square root of the capacity is taken, so that capacity that callers may not need counts less.
+    pub(super) fn score(&mut self, holders: &[LayerHolder]) -> f64 {
+        self.score_above(holders, 0.0).unwrap_or(0.0)
     }
 
-    /// The same; nothing where it is not above `least`. Most changes that a search tries are that bad, so
-    /// the weighing ends as soon as that is certain: what a layout carries bounds what it carries after a
-    /// loss, and the loss of an only holder leaves nothing.
-    pub(super) fn worth_above(&mut self, holders: &[LayerHolder], least: f64) -> Option<f64> {
+    /// Returns the score of a layout if it is above `min_score`. Most changes that a search tries are not,
+    /// so the computation ends as soon as that is certain: the capacity of the whole layout bounds its
+    /// capacity after a loss, and the loss of the only holder of a layer leaves none.
+    pub(super) fn score_above(&mut self, holders: &[LayerHolder], min_score: f64) -> Option<f64> {
         self.split(holders);
         let whole = self.capacity(holders, None).sqrt();
-        let spared: Vec<usize> = self.spared(holders);
+        let redundant: Vec<usize> = self.redundant(holders);
         let in_use = holders.iter().filter(|holder| held(holder).is_some()).count();
-        let share = LOSS_PART / in_use.max(1) as f64;
-        let mut worth = whole * (1.0 - LOSS_PART) + whole * share * spared.len() as f64;
-        for lost in spared {
-            if worth <= least {
+        let weight = LOSS_WEIGHT / in_use.max(1) as f64;
+        let mut score = whole * (1.0 - LOSS_WEIGHT) + whole * weight * redundant.len() as f64;
+        for lost in redundant {
+            if score <= min_score {
                 return None;
             }
-            worth -= (whole - self.capacity(holders, Some(lost)).sqrt()) * share;
+            score -= (whole - self.capacity(holders, Some(lost)).sqrt()) * weight;
         }
-        (worth > least).then_some(worth)
+        (score > min_score).then_some(score)
     }
 
-    /// Replicas all of whose layers others hold too.
-    fn spared(&self, holders: &[LayerHolder]) -> Vec<usize> {
+    /// Returns the replicas all of whose layers others hold too.
+    fn redundant(&self, holders: &[LayerHolder]) -> Vec<usize> {
         let mut is_only = vec![false; holders.len()];
-        let alone = self.spans.iter().filter(|span| span.holders.len() == 1);
-        alone.for_each(|span| is_only[span.holders[0]] = true);
-        let is_spared = |index: &usize| held(&holders[*index]).is_some() && !is_only[*index];
-        (0..holders.len()).filter(is_spared).collect()
+        let single = self.spans.iter().filter(|span| span.holders.len() == 1);
+        single.for_each(|span| is_only[span.holders[0]] = true);
+        let is_redundant = |index: &usize| held(&holders[*index]).is_some() && !is_only[*index];
+        (0..holders.len()).filter(is_redundant).collect()
     }
 
-    /// Cuts the layers where a replica's range begins or ends.
+    /// Splits the layers into spans, at each layer where a replica's range begins or ends.
     fn split(&mut self, holders: &[LayerHolder]) {
         let mut bounds = vec![0, self.model.layers];
         for range in holders.iter().filter_map(held) {
@@ -105,80 +110,84 @@
         let span = |pair: &[u32]| {
             let covers =
                 |index: &usize| held(&holders[*index]).is_some_and(|range| range.contains(pair[0]));
-            let mut over: Vec<usize> = (0..holders.len()).filter(covers).collect();
-            over.sort_by(|left, right| {
+            let mut span_holders: Vec<usize> = (0..holders.len()).filter(covers).collect();
+            span_holders.sort_by(|left, right| {
                 holders[*left].layer_ms.total_cmp(&holders[*right].layer_ms)
             });
-            LayerSpan { layers: pair[1] - pair[0], holders: over }
+            LayerSpan { layers: pair[1] - pair[0], holders: span_holders }
         };
         self.spans = bounds.windows(2).map(span).collect();
     }
 
-    /// Sum over paths, the fastest first, of width over time; without the lost replica, if any.
+    /// Returns the sum of width over time for all paths, the fastest first, without the lost replica if
+    /// there is one.
     fn capacity(&mut self, holders: &[LayerHolder], lost: Option<usize>) -> f64 {
-        self.room.clear();
-        self.room.extend(holders.iter().map(|holder| free_mb(holder, self.model)));
-        self.starts.clear();
-        self.starts.extend(holders.iter().map(|holder| start_mb(holder, self.model)));
+        self.free_mb.clear();
+        self.free_mb.extend(holders.iter().map(|holder| free_mb(holder, self.model)));
+        self.start_mb.clear();
+        self.start_mb.extend(holders.iter().map(|holder| start_mb(holder, self.model)));
         if let Some(lost) = lost {
-            self.room[lost] = 0.0;
+            self.free_mb[lost] = 0.0;
         }
         let mut total = 0.0;
         if self.spans.is_empty() {
             return total;
         }
-        // Each path fills a replica at least, or its places.
+        // Each path uses up the memory or the slots of at least one replica.
         for _ in 0..holders.len() * 2 {
             let Some(path_ms) = self.fastest_path(holders) else { break };
             let width = self.width();
             total += width / path_ms;
-            self.starts[self.touched[0]] -= width;
-            for index in self.touched.drain(..) {
-                self.room[index] -= width * f64::from(self.used[index]);
-                self.used[index] = 0;
+            self.start_mb[self.path[0]] -= width;
+            for index in self.path.drain(..) {
+                self.free_mb[index] -= width * f64::from(self.path_layers[index]);
+                self.path_layers[index] = 0;
             }
         }
         total
     }
 
-    /// Finds the fastest path with room, and notes the layers that it runs at each replica; gives its
-    /// time.
+    /// Finds the fastest path with free memory, stores it in `path` and `path_layers`, and returns the
+    /// time of its token step in milliseconds.
     fn fastest_path(&mut self, holders: &[LayerHolder]) -> Option<f64> {
-        self.touched.iter().for_each(|index| self.used[*index] = 0);
-        self.touched.clear();
+        self.path.iter().for_each(|index| self.path_layers[*index] = 0);
+        self.path.clear();
         let mut path_ms = 0.0;
         for span in &self.spans {
-            let begins = self.touched.is_empty();
+            let is_first = self.path.is_empty();
             let has_room = |index: &&usize| {
-                self.room[**index] >= LEAST_WIDTH * f64::from(span.layers)
-                    && (!begins || self.starts[**index] >= LEAST_WIDTH)
+                self.free_mb[**index] >= MIN_WIDTH_MB * f64::from(span.layers)
+                    && (!is_first || self.start_mb[**index] >= MIN_WIDTH_MB)
             };
             let index = *span.holders.iter().find(has_room)?;
-            if self.used[index] == 0 {
-                self.touched.push(index);
+            if self.path_layers[index] == 0 {
+                self.path.push(index);
                 path_ms += HOP_MS;
             }
-            self.used[index] += span.layers;
+            self.path_layers[index] += span.layers;
             path_ms += holders[index].layer_ms * f64::from(span.layers);
         }
         Some(path_ms.max(HOP_MS))
     }
 
+    /// Returns the width of the current path, in MB for one layer.
     fn width(&self) -> f64 {
-        let widths =
-            self.touched.iter().map(|index| self.room[*index] / f64::from(self.used[*index]));
-        let begins = self.starts[self.touched[0]];
-        widths.fold(begins, f64::min).max(LEAST_WIDTH)
+        let widths = self
+            .path
+            .iter()
+            .map(|index| self.free_mb[*index] / f64::from(self.path_layers[*index]));
+        let start = self.start_mb[self.path[0]];
+        widths.fold(start, f64::min).max(MIN_WIDTH_MB)
     }
 }
 
-/// Memory beside the weights, in MB.
+/// Returns the memory of a replica that its weights leave free, in MB.
 fn free_mb(holder: &LayerHolder, model: ModelShape) -> f64 {
     let layers = held(holder).map_or(0, |range| range.len());
     (holder.memory_mb - f64::from(layers) * model.layer_mb).max(0.0)
 }
 
-/// Width of paths that may begin at a replica, in MB for one layer.
+/// Returns the total width of paths that may begin at a replica, in MB for one layer.
 fn start_mb(holder: &LayerHolder, model: ModelShape) -> f64 {
     match holder.slots == 0 || model.request_mb <= 0.0 {
         true => f64::INFINITY,
--- a/crates/router/src/placement/mod.rs
+++ b/crates/router/src/placement/mod.rs
@@ -1,23 +1,23 @@
-//! Which layers each replica should hold.
+//! Decides which layers each replica should hold.
 //!
-//! The plan is computed from what is observed, so it needs no memory of its own: whoever computes it
-//! from the same list gets the same answer. It works one group of replicas at a time, a group being
-//! the replicas of one data centre, because activations between data centres share a slow pipe.
+//! The plan is a function of the observed replicas and keeps no state: every relay that computes it from
+//! the same list gets the same plan. It covers one group of replicas at a time. A group never spans data
+//! centres, because activations between data centres share a slow link.
 //!
-//! Four steps, each on its own:
+//! The plan has four independent steps:
 //!
-//! 1. **A new group**, in which nobody holds anything, is laid out greedily at once. While it serves nobody,
-//!    [`improve_group`] searches the layout that carries most requests, now and after the loss of any one
-//!    replica; that takes seconds at a small VM, and the group works without it.
-//! 2. **Empty replicas** of an old group are placed where such a layout gains most.
-//! 3. **Gaps** that remain are closed. Wide ones are given to a replica all of whose layers others hold
-//!    as well; for the rest, all replicas in the order of their layers take over from each other with
+//! 1. **A new group**, in which no replica holds any layer, is laid out greedily at once. While it serves no
+//!    request, [`improve_group`] searches for the layout with the highest capacity, now and after the loss
+//!    of any one replica. The search takes seconds at a small VM, and the group works without it.
+//! 2. **Empty replicas** of an existing group get the layers with which the layout scores highest.
+//! 3. **Gaps** that remain are closed. Wide ones are given to a replica all of whose layers others hold as
+//!    well; for the rest, all replicas in the order of their layers take over layers from each other with
 //!    the fewest loads, up to [`PlacementConfig::max_fill`] of their memory.
-//! 4. **Balance**: where nothing else is to do, the one replica moves, grows or shrinks by which the layout
-//!    gains most, if that is worth a load. A replica that was stretched into a gap so gives back what
-//!    others came to hold.
+//! 4. **Rebalancing**: if nothing else is to do, one replica moves, grows or shrinks: the one with which the
+//!    score rises most, if that is worth a load. A replica that was extended into a gap thereby unloads
+//!    layers that others hold by then.
 //!
-//! Trade-off: a lost replica costs a load of a few layers (a second or two), not a new layout of the
+//! Trade-off: the loss of a replica costs loads of a few layers (a second or two), not a new layout of the
 //! whole group, which would move the memory of every running request.
 
 mod capacity;
@@ -31,20 +31,20 @@
     fleet::LayerRange,
     life::ReplicaLife,
     placement::{
-        capacity::LayoutMeter,
-        scarcity::room_by_layer,
-        search::{BestPlace, PlaceWish, best_place, improve_layout, search_steps},
+        capacity::LayoutScorer,
+        scarcity::free_mb_by_layer,
+        search::{BestRange, RangeQuery, best_range, improve_layout, search_steps},
     },
 };
 
-/// Fractions of a replica's memory that weights may take.
+/// Bounds on the fraction of a replica's memory that weights may take.
 #[derive(Clone, Copy, Debug)]
 pub struct PlacementConfig {
-    /// In the usual layout: what is left holds the requests, and is what binds first.
+    /// Fraction in the usual layout. The rest is memory for requests, which runs out first under load.
     pub usual_fill: f64,
-    /// Where the group cannot cover the model otherwise.
+    /// Maximum fraction, used only where the group cannot cover the model otherwise.
     pub max_fill: f64,
-    /// Times that a group's usual layout should cover the model.
+    /// Layers held by the group in its usual layout, relative to the layers of the model.
     pub target_coverage: f64,
 }
 
@@ -54,45 +54,45 @@
     }
 }
 
-/// A replica as the plan sees it.
+/// A replica, as input of the plan.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LayerHolder {
     /// The replica.
     pub life: ReplicaLife,
     /// Memory of its accelerator in MB.
     pub memory_mb: f64,
-    /// Requests that it takes as the first of their path; 0 stands for no limit.
+    /// Number of requests that it accepts as the first of their path; 0 means no limit.
     pub slots: u32,
     /// Time of a token step over one of its layers, in milliseconds.
     pub layer_ms: f64,
-    /// Layers that it holds, or will once its order is carried out; nothing where it is empty.
+    /// Layers that it holds, or will hold once its order is carried out; `None` if it is empty.
     pub range: Option<LayerRange>,
     /// Layers that it holds now.
     pub held: Option<LayerRange>,
-    /// Whether an order may be given now: it is well, and no order of ours is under way.
+    /// Whether it can be given an order now: it is healthy, and no order of ours is under way.
     pub can_order: bool,
 }
 
-/// The model, as the plan sees it.
+/// Sizes of the model.
 #[derive(Clone, Copy, Debug)]
 pub struct ModelShape {
-    /// Layers.
+    /// Number of layers.
     pub layers: u32,
     /// Memory of one layer's weights in MB.
     pub layer_mb: f64,
-    /// Memory that a usual request takes for one layer in MB; 0 where it is not known, and places for requests are
-    /// not counted.
+    /// Memory that a usual request takes for one layer, in MB; 0 if it is not known, in which case slots
+    /// are ignored.
     pub request_mb: f64,
 }
 
-/// An order to hold these layers and no others.
+/// An order to hold exactly these layers.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct PlacementOrder {
     /// The replica.
     pub life: ReplicaLife,
     /// Layers that it is to hold.
     pub range: LayerRange,
-    /// Why, for the logs.
+    /// Why the order is given, for the logs and for [`PlacementReason::unload_mode`].
     pub reason: PlacementReason,
 }
 
@@ -101,28 +101,28 @@
 pub enum PlacementReason {
     /// It holds nothing.
     Empty,
-    /// Layers beside its own are held by nobody.
+    /// No replica holds layers next to its own.
     Gap,
-    /// Others hold its layers, and nobody holds these.
+    /// Others hold its layers, and no replica holds the ordered ones.
     Move,
-    /// The group carries more requests so.
+    /// The layout scores higher with the ordered layers.
     Balance,
-    /// A search found a layout that carries more, and nobody is served yet.
+    /// A search found a better layout while the group serves no request.
     Search,
 }
 
-/// What becomes of running requests that use layers given up.
+/// What happens to running requests that use layers to be unloaded.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum UnloadMode {
-    /// They are waited for; nothing new is loaded until they have ended.
+    /// The replica waits until they have ended, and loads nothing before that.
     Wait,
-    /// They are cut at once, and go on elsewhere where their route allows it.
+    /// They are cut at once, and continue elsewhere if their route allows it.
     Cut,
 }
 
 impl PlacementOrder {
-    /// The same order for a group whose missing layers others of the data centre hold meanwhile: requests that use
-    /// the layers given up are waited for, since none are lost to the gap.
+    /// Returns the order for a group whose missing layers other groups of the data centre hold meanwhile:
+    /// the replica waits for requests that use the unloaded layers, since the gap fails no request.
     pub fn without_cut(self) -> Self {
         match self.reason.unload_mode() {
             UnloadMode::Cut => Self { reason: PlacementReason::Balance, ..self },
@@ -132,9 +132,9 @@
 }
 
 impl PlacementReason {
-    /// Where a gap is open, the whole group serves nobody, and the requests that an order waits for
-    /// cannot move within the group either: a replica once waited 14 s for them before it began a load
-    /// of a second and a half.
+    /// Returns what happens to requests that use layers to be unloaded. While there is a gap, the whole group
+    /// serves no request, and the requests that an order would wait for cannot move within the group either:
+    /// a replica once waited 14 s for them before it began a load of a second and a half.
     pub fn unload_mode(self) -> UnloadMode {
         match self {
             Self::Gap | Self::Move => UnloadMode::Cut,
@@ -152,32 +152,32 @@
     if model.layers == 0 {
         return Vec::new();
     }
-    let mut group = Group::new(holders, model, config);
+    let mut plan = GroupPlan::new(holders, model, config);
     let is_new = holders.iter().all(|holder| holder.range.is_none() && holder.can_order);
     match is_new {
-        true => group.lay_out(),
-        false => group.place_empty(),
+        true => plan.lay_out(),
+        false => plan.place_empty(),
     }
-    group.close_gaps();
-    let settled = group.orders.is_empty() && holders.iter().all(LayerHolder::is_settled);
+    plan.close_gaps();
+    let settled = plan.orders.is_empty() && holders.iter().all(LayerHolder::is_settled);
     if settled {
-        group.balance();
+        plan.rebalance();
     }
-    group.orders
+    plan.orders
 }
 
-/// Searches a better layout for a group that serves nobody yet, and gives the orders that lead to it. It
-/// takes half a second at a small VM for 15 replicas; [`plan_group`] lays the group out at once before.
+/// Searches for a better layout of a group that serves no request yet, and returns the orders that lead to it.
+/// The search takes half a second at a small VM for 15 replicas; [`plan_group`] lays out the group before.
 pub fn improve_group(
     holders: &[LayerHolder],
     model: ModelShape,
     config: &PlacementConfig,
 ) -> Vec<PlacementOrder> {
-    let group = Group::new(holders, model, config);
-    let most = group.most();
-    let mut improved = group.holders.clone();
-    improve_layout(&mut improved, model, &most);
-    let changed = group.holders.iter().zip(improved).filter(|(before, after)| {
+    let plan = GroupPlan::new(holders, model, config);
+    let max_layers = plan.max_layers_by_holder();
+    let mut improved = plan.holders.clone();
+    improve_layout(&mut improved, model, &max_layers);
+    let changed = plan.holders.iter().zip(improved).filter(|(before, after)| {
         after.range.is_some_and(|range| !range.is_empty()) && after.range != before.range
     });
     let order = |after: LayerHolder| {
@@ -187,25 +187,26 @@
     changed.map(|(_, after)| order(after)).collect()
 }
 
-/// What a layout carries, now and on average after the loss of one replica: the measure by which the plan
-/// compares layouts of one group.
+/// Returns the score by which layouts of one group are compared: the capacity for requests, now and on average
+/// after the loss of one replica. Its unit is arbitrary; a layout with a gap scores 0.
 pub fn layout_score(holders: &[LayerHolder], model: ModelShape) -> f64 {
-    LayoutMeter::new(holders, model).worth(holders)
+    LayoutScorer::new(holders, model).score(holders)
 }
 
 impl LayerHolder {
-    /// Whether it holds what it is meant to.
+    /// Returns whether it holds what was ordered.
     fn is_settled(&self) -> bool {
         self.can_order && self.range == self.held
     }
 }
 
-/// Worth of a layout, against the present one, from which a replica is given other layers: that costs a
-/// load, and requests that use the layers must end or move first.
-const LEAST_GAIN: f64 = 1.08;
+/// Score, relative to the present layout, from which a replica is given other layers: that costs a load, and
+/// requests that use its layers must end or move first.
+const MIN_GAIN: f64 = 1.08;
 
+/// A plan for one group while it is computed: the holders as the orders so far leave them.
 #[derive(Clone)]
-struct Group<'a> {
+struct GroupPlan<'a> {
     holders: Vec<LayerHolder>,
     model: ModelShape,
     config: &'a PlacementConfig,
@@ -213,27 +214,26 @@
     orders: Vec<PlacementOrder>,
 }
 
-impl<'a> Group<'a> {
+impl<'a> GroupPlan<'a> {
     fn new(holders: &[LayerHolder], model: ModelShape, config: &'a PlacementConfig) -> Self {
         let mut holders = holders.to_vec();
         // Largest first, so that small replicas fill what large ones leave.
         holders.sort_by(|left, right| {
             right.memory_mb.total_cmp(&left.memory_mb).then_with(|| left.life.cmp(&right.life))
         });
-        let mut group =
-            Self { holders, model, config, fill: config.usual_fill, orders: Vec::new() };
-        group.fill = group.choose_fill();
-        group
+        let mut plan = Self { holders, model, config, fill: config.usual_fill, orders: Vec::new() };
+        plan.fill = plan.choose_fill();
+        plan
     }
 
-    /// Smallest fill, from the usual one up, at which the group covers the model as often as wanted.
+    /// Returns the smallest fill, from the usual one up, at which the group reaches the target coverage.
     fn choose_fill(&self) -> f64 {
         const STEP: f64 = 0.02;
-        let wanted = f64::from(self.model.layers) * self.config.target_coverage;
+        let target = f64::from(self.model.layers) * self.config.target_coverage;
         let mut fill = self.config.usual_fill;
         while fill + STEP <= self.config.max_fill {
             let held: u32 = self.holders.iter().map(|holder| self.layers_at(holder, fill)).sum();
-            if f64::from(held) >= wanted {
+            if f64::from(held) >= target {
                 break;
             }
             fill += STEP;
@@ -246,16 +246,16 @@
         (layers as u32).min(self.model.layers)
     }
 
-    fn most_layers(&self, holder: &LayerHolder) -> u32 {
+    fn max_layers(&self, holder: &LayerHolder) -> u32 {
         self.layers_at(holder, self.config.max_fill)
     }
 
-    /// How many replicas hold each layer, or will.
-    fn counts(&self) -> Vec<u32> {
+    /// Returns how many replicas hold each layer, or will once their orders are carried out.
+    fn planned_counts(&self) -> Vec<u32> {
         self.count(self.holders.iter().filter_map(|holder| holder.range))
     }
 
-    /// How many replicas hold each layer now and are not to give it up.
+    /// Returns how many replicas hold each layer now and are not to unload it.
     fn held_counts(&self) -> Vec<u32> {
         self.count(self.holders.iter().filter_map(|holder| {
             let (held, range) = (holder.held?, holder.range?);
@@ -274,9 +274,8 @@
         counts
     }
 
-    /// Memory for requests that the holders of each layer have for one layer, in MB.
-    fn room_by_layer(&self) -> Vec<f64> {
-        room_by_layer(&self.holders, self.model)
+    fn free_mb_by_layer(&self) -> Vec<f64> {
+        free_mb_by_layer(&self.holders, self.model)
     }
 
     /// Lays out a group that holds nothing yet, one replica after the other.
@@ -290,34 +289,34 @@
         }
     }
 
-    /// Places empty replicas, each where the layout gains most.
+    /// Gives each empty replica the layers with which the layout scores highest.
     fn place_empty(&mut self) {
         for index in 0..self.holders.len() {
             let holder = &self.holders[index];
             if holder.range.is_some() || !holder.can_order {
                 continue;
             }
-            let usual = self.layers_at(holder, self.fill);
-            if usual == 0 {
+            let len = self.layers_at(holder, self.fill);
+            if len == 0 {
                 continue;
             }
-            let wish = PlaceWish {
-                most: self.most_layers(holder),
-                least: 0.0,
+            let query = RangeQuery {
+                max_layers: self.max_layers(holder),
+                min_score: 0.0,
                 steps: search_steps(self.holders.len()),
             };
-            let mut meter = LayoutMeter::new(&self.holders, self.model);
-            let place = best_place(&mut self.holders, &mut meter, self.model, index, wish);
-            // While a gap stays open whatever it holds, no layout is worth anything.
-            let range = place.map_or_else(
-                || LayerRange { from: self.best_start(usual), to: self.best_start(usual) + usual },
-                |place| place.range,
+            let mut scorer = LayoutScorer::new(&self.holders, self.model);
+            let best = best_range(&mut self.holders, &mut scorer, self.model, index, query);
+            // If a gap remains whatever the replica holds, every layout scores 0.
+            let range = best.map_or_else(
+                || LayerRange { from: self.best_start(len), to: self.best_start(len) + len },
+                |best| best.range,
             );
             self.order(index, range, PlacementReason::Empty);
         }
     }
 
-    /// Where `len` layers help most; the lowest of equal places.
+    /// Returns the first layer of the range of `len` layers with the largest gain; the lowest of equal ones.
     fn best_start(&self, len: u32) -> u32 {
         let gains = self.gains();
         let mut best = (0, f64::MIN);
@@ -330,20 +329,20 @@
         best.0
     }
 
-    /// What holding each layer once more brings. First comes a layer that nobody holds; then one that a
-    /// single replica holds, the more the fewer it holds, so that as many replicas as possible can be
-    /// lost without a gap; then scarce room.
+    /// Returns the gain of one more holder, for each layer. A layer that no replica holds gains most. Next comes
+    /// a layer with a single holder, the more the fewer layers that one holds, so that as many replicas as
+    /// possible can be lost without a gap. Last counts the scarcity of memory for requests.
     fn gains(&self) -> Vec<f64> {
         const UNHELD_GAIN: f64 = 1_000.0;
-        const SCARCE_GAIN: f64 = 0.02;
+        const SCARCITY_GAIN: f64 = 0.02;
         let mut gains = vec![UNHELD_GAIN; self.model.layers as usize];
-        let room = self.room_by_layer();
-        let counts = self.counts();
+        let free_mb = self.free_mb_by_layer();
+        let counts = self.planned_counts();
         for range in self.holders.iter().filter_map(|holder| holder.range) {
-            let alone = 1.0 / f64::from(range.len().max(1));
+            let single_holder = 1.0 / f64::from(range.len().max(1));
             for layer in range.from as usize..range.to.min(self.model.layers) as usize {
-                let scarce = SCARCE_GAIN * self.model.layer_mb / room[layer].max(1.0);
-                gains[layer] = if counts[layer] == 1 { alone } else { 0.0 } + scarce;
+                let scarcity = SCARCITY_GAIN * self.model.layer_mb / free_mb[layer].max(1.0);
+                gains[layer] = if counts[layer] == 1 { single_holder } else { 0.0 } + scarcity;
             }
         }
         gains
@@ -357,31 +356,32 @@
         self.orders.push(PlacementOrder { life, range, reason });
     }
 
-    /// Gives one replica other layers, where that is worth a load.
-    fn balance(&mut self) {
-        let mut meter = LayoutMeter::new(&self.holders, self.model);
-        let now = meter.worth(&self.holders);
-        let mut least = now * LEAST_GAIN;
-        let mut best: Option<(usize, BestPlace)> = None;
-        // Of a large group only some replicas are looked at, so that a round stays short.
+    /// Gives one replica other layers if the gain is worth a load.
+    fn rebalance(&mut self) {
+        let mut scorer = LayoutScorer::new(&self.holders, self.model);
+        let present = scorer.score(&self.holders);
+        let mut min_score = present * MIN_GAIN;
+        let mut best: Option<(usize, BestRange)> = None;
+        // In a large group only every nth replica is tried, so that the time of a round stays bounded.
         let steps = search_steps(self.holders.len());
-        let every = self.holders.len().div_ceil(steps.max(1)).max(1);
-        let steps = (steps * every / self.holders.len().max(1)).max(1);
-        for index in (0..self.holders.len()).step_by(every) {
-            let wish = PlaceWish { most: self.most_layers(&self.holders[index]), least, steps };
-            let place = best_place(&mut self.holders, &mut meter, self.model, index, wish);
-            if let Some(place) = place {
-                least = place.worth;
-                best = Some((index, place));
+        let stride = self.holders.len().div_ceil(steps.max(1)).max(1);
+        let steps = (steps * stride / self.holders.len().max(1)).max(1);
+        for index in (0..self.holders.len()).step_by(stride) {
+            let max_layers = self.max_layers(&self.holders[index]);
+            let query = RangeQuery { max_layers, min_score, steps };
+            let found = best_range(&mut self.holders, &mut scorer, self.model, index, query);
+            if let Some(found) = found {
+                min_score = found.score;
+                best = Some((index, found));
             }
         }
-        if let Some((index, place)) = best {
-            self.order(index, place.range, PlacementReason::Balance);
+        if let Some((index, found)) = best {
+            self.order(index, found.range, PlacementReason::Balance);
         }
     }
 }
 
-/// Whether others hold all these layers too, and no request begins there.
-fn is_spare(range: LayerRange, counts: &[u32]) -> bool {
+/// Returns whether other replicas hold all of these layers too, and no request begins there.
+fn is_redundant(range: LayerRange, counts: &[u32]) -> bool {
     range.from > 0 && (range.from..range.to).all(|layer| counts[layer as usize] > 1)
 }
