--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -41,7 +41,7 @@
 };
 
 /// How long the store's client waits for an answer.
-const STORE_PATIENCE: Duration = Duration::from_secs(2);
+const STORE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Time between looks at deadlines and stalls.
 const TICK: Duration = Duration::from_millis(50);
@@ -79,7 +79,7 @@
     let metrics = Arc::new(EntryMetrics::new().map_err(|source| EntryError::Metrics { source })?);
     let store = StoreClient::new(StoreConfig {
         address: settings.platform.clone(),
-        patience: STORE_PATIENCE,
+        patience: STORE_TIMEOUT,
         process: settings.name.clone(),
     });
     let (view_sender, view) = watch::channel(Arc::new(ConfigView::default()));
--- a/crates/relay/src/engines.rs
+++ b/crates/relay/src/engines.rs
@@ -21,7 +21,7 @@
     headers::read_answer,
 };
 use switchfold_router::{
-    Millis, chain::PathPart, cover::GiveUpRule, fleet::LayerRange, life::ReplicaLife,
+    Millis, chain::PathPart, cover::GiveUpRule, fleet::LayerRange, instance::ReplicaInstance,
 };
 use tokio::{task::spawn_local, time::timeout};
 
@@ -206,11 +206,12 @@
         ProbeEnd::Silent if silence_counts => Some("no answer to a probe"),
         ProbeEnd::Silent | ProbeEnd::Unclear => None,
     };
-    let life = relay.beliefs.borrow().fleet.view.at(address).map(|replica| replica.life.clone());
-    let replica = life.as_ref().map(ReplicaLife::to_string);
+    let instance =
+        relay.beliefs.borrow().fleet.view.at(address).map(|replica| replica.instance.clone());
+    let replica = instance.as_ref().map(ReplicaInstance::to_string);
     tracing::info!(event = "probe-failed", %address, replica, ?end, silence_counts);
-    if let (Some(life), Some(why)) = (life, lost) {
-        relay.suspect(&life, why);
+    if let (Some(instance), Some(why)) = (instance, lost) {
+        relay.suspect(&instance, why);
     }
 }
 
--- a/crates/relay/src/flow.rs
+++ b/crates/relay/src/flow.rs
@@ -216,7 +216,7 @@
             longest_pause_ms = self.longest_pause,
             events = self.framer.events(),
             parts = self.path.len(),
-            first = %self.path[0].life,
+            first = %self.path[0].instance,
         );
         if let Some(link) = self.link.take().filter(|_| !self.marks.closes) {
             link.give_back(&self.relay.pool, self.marks.keep_alive);
--- a/crates/relay/src/flow/recovery.rs
+++ b/crates/relay/src/flow/recovery.rs
@@ -8,7 +8,7 @@
 use rand::RngExt;
 use switchfold_kernel::clock::now_millis;
 use switchfold_platform::headers::read_answer;
-use switchfold_router::{Millis, chain::PathPart, life::ReplicaLife};
+use switchfold_router::{Millis, chain::PathPart, instance::ReplicaInstance};
 use tokio::time::sleep;
 
 use super::StreamFlow;
@@ -159,7 +159,7 @@
                     probe_replicas(&self.relay, std::iter::once(at_fault));
                     let beliefs = self.relay.beliefs.borrow();
                     let Some(replica) = beliefs.fleet.view.at(at_fault) else { return false };
-                    avoid.push(replica.life.clone());
+                    avoid.push(replica.instance.clone());
                 }
                 _ => return false,
             }
@@ -169,16 +169,16 @@
 
     /// Replicas that started again since the request came to them: the first engine takes them for what they
     /// were, with memory of it.
-    fn restarted_parts(&self) -> Vec<ReplicaLife> {
+    fn restarted_parts(&self) -> Vec<ReplicaInstance> {
         let beliefs = self.relay.beliefs.borrow();
-        let ended = |part: &&PathPart| beliefs.fleet.view.living(&part.life).is_none();
+        let ended = |part: &&PathPart| beliefs.fleet.view.living(&part.instance).is_none();
         let present = self.path.iter().filter(ended);
         let present = present.filter_map(|part| beliefs.fleet.view.at(part.address));
-        present.map(|replica| replica.life.clone()).collect()
+        present.map(|replica| replica.instance.clone()).collect()
     }
 
     /// Orders the best path without some replicas; nothing where there is none.
-    async fn order_path(&mut self, avoid: &[ReplicaLife]) -> Option<OrderEnd> {
+    async fn order_path(&mut self, avoid: &[ReplicaInstance]) -> Option<OrderEnd> {
         let service = self.permit.config.services.get(&self.permit.service);
         let engine = service.and_then(|service| service.engine.as_ref())?;
         let tokens = self.request.tokens((engine.usual_prompt, engine.usual_answer));
@@ -189,12 +189,12 @@
             tokens,
             rank: self.permit.priority,
             avoid,
-            first: Some((&first.life, first.range)),
+            first: Some((&first.instance, first.range)),
         };
         let path = find_path(&self.relay, &wish, RoomRule::Wanted, CrossingRule::Never);
         let id = &self.request.marks.attempt_id;
         let Some(path) = path else {
-            tracing::info!(event = "repath-impossible", request = id, first = %first.life);
+            tracing::info!(event = "repath-impossible", request = id, first = %first.instance);
             return None;
         };
         let end = order_repath(&self.relay, id, &path).await;
@@ -222,7 +222,7 @@
             why,
             ?loss,
             sends = self.tried.sends,
-            first = %self.path[0].life,
+            first = %self.path[0].instance,
             last_event = self.framer.last_id(),
         );
         if loss == StreamLoss::Broken || self.is_path_lost() {
--- a/crates/relay/src/heads.rs
+++ b/crates/relay/src/heads.rs
@@ -9,7 +9,7 @@
 use http::Response;
 use hyper::body::Incoming;
 use switchfold_kernel::clock::now_millis;
-use switchfold_router::{Millis, chain::PathPart, life::ReplicaLife, mute::leave_after};
+use switchfold_router::{Millis, chain::PathPart, instance::ReplicaInstance, mute::leave_after};
 use tokio::time::{Instant, sleep_until};
 
 use crate::{
@@ -40,17 +40,17 @@
 #[derive(Debug)]
 pub struct HeadGuard {
     relay: Rc<Relay>,
-    life: ReplicaLife,
+    instance: ReplicaInstance,
     sent: Millis,
     is_answered: bool,
 }
 
 impl HeadGuard {
     /// Notes that a request is sent.
-    pub fn new(relay: &Rc<Relay>, life: &ReplicaLife) -> Self {
+    pub fn new(relay: &Rc<Relay>, instance: &ReplicaInstance) -> Self {
         let sent = now_millis();
-        relay.beliefs.borrow_mut().heads.note_sent(life, sent);
-        Self { relay: relay.clone(), life: life.clone(), sent, is_answered: false }
+        relay.beliefs.borrow_mut().heads.note_sent(instance, sent);
+        Self { relay: relay.clone(), instance: instance.clone(), sent, is_answered: false }
     }
 
     /// Notes that the replica answered, with the head of a stream or with something else.
@@ -58,8 +58,8 @@
         self.is_answered = true;
         let now = now_millis();
         let took = begins.then_some(now - self.sent);
-        if self.relay.beliefs.borrow_mut().heads.note_answer(&self.life, took, now) {
-            tracing::info!(event = "mute-ended", replica = %self.life, took);
+        if self.relay.beliefs.borrow_mut().heads.note_answer(&self.instance, took, now) {
+            tracing::info!(event = "mute-ended", replica = %self.instance, took);
         }
     }
 }
@@ -67,7 +67,7 @@
 impl Drop for HeadGuard {
     fn drop(&mut self) {
         if !self.is_answered {
-            self.relay.beliefs.borrow_mut().heads.note_left(&self.life);
+            self.relay.beliefs.borrow_mut().heads.note_left(&self.instance);
         }
     }
 }
@@ -168,17 +168,17 @@
     /// as well, where another try is possible.
     fn leave_mute(&self, waited: Duration) -> Result<(), WaitEnd> {
         let now = now_millis();
-        let life = &self.path[0].life;
+        let instance = &self.path[0].instance;
         let silent_after = {
             let beliefs = self.relay.beliefs.borrow();
             beliefs.heads.silent_after(self.permit.route.objective)
         };
-        let found = self.relay.beliefs.borrow_mut().heads.find_mute(life, silent_after, now);
+        let found = self.relay.beliefs.borrow_mut().heads.find_mute(instance, silent_after, now);
         if let Some(for_ms) = found {
-            tracing::warn!(event = "mute", replica = %life, silent_after, for_ms);
+            tracing::warn!(event = "mute", replica = %instance, silent_after, for_ms);
             tell_state(self.relay, TellReach::All);
         }
-        let is_mute = self.relay.beliefs.borrow().heads.is_mute(life, now);
+        let is_mute = self.relay.beliefs.borrow().heads.is_mute(instance, now);
         let has_waited = waited.as_millis() as Millis >= silent_after;
         match is_mute && has_waited && self.has_another() {
             true => Err(WaitEnd::Stalled("begins no answers".to_owned())),
@@ -193,11 +193,11 @@
         let is_lost = |part: &&PathPart| self.relay.part_state(part) == PartState::Lost;
         let Some(lost) = self.path.iter().find(is_lost) else { return Ok(()) };
         let beliefs = self.relay.beliefs.borrow();
-        let is_listed = beliefs.fleet.view.living(&lost.life).is_some();
-        let own = !is_listed || beliefs.suspects.is_own(&lost.life, now);
+        let is_listed = beliefs.fleet.view.living(&lost.instance).is_some();
+        let own = !is_listed || beliefs.suspects.is_own(&lost.instance, now);
         drop(beliefs);
         if self.has_another() || (own && self.is_repeatable()) {
-            let detail = format!("a replica of the path is lost ({})", lost.life);
+            let detail = format!("a replica of the path is lost ({})", lost.instance);
             return Err(WaitEnd::Stalled(detail));
         }
         Ok(())
--- a/crates/relay/src/limits.rs
+++ b/crates/relay/src/limits.rs
@@ -127,16 +127,16 @@
     let lacks = |replica: &&ReplicaEntry| {
         replica.is_ready()
             && begins(replica)
-            && !beliefs.suspects.is_suspect(&replica.life, now)
-            && beliefs.backoffs.left(&replica.life, now).is_none()
-            && beliefs.limit_wait(&replica.life, rank, now).is_some()
+            && !beliefs.suspects.is_suspect(&replica.instance, now)
+            && beliefs.backoffs.left(&replica.instance, now).is_none()
+            && beliefs.limit_wait(&replica.instance, rank, now).is_some()
     };
     let load = |replica: &ReplicaEntry| {
-        beliefs.places.promised(&replica.life) / f64::from(replica.slots.max(1))
+        beliefs.places.promised(&replica.instance) / f64::from(replica.slots.max(1))
     };
     let replicas = beliefs.fleet.view.of_service(service).filter(lacks);
     let least = replicas.min_by(|left, right| load(left).total_cmp(&load(right)));
-    least.map(|replica| replica.life.id().to_owned())
+    least.map(|replica| replica.instance.id().to_owned())
 }
 
 /// A request that waits for a grant; dropping it ends that.
@@ -160,10 +160,11 @@
             let mut beliefs = relay.beliefs.borrow_mut();
             let wait = |replica: &&ReplicaEntry| {
                 let is_usable = replica.is_ready() && begins(replica);
-                is_usable.then(|| beliefs.limit_wait(&replica.life, need.rank, now)).flatten()
+                is_usable.then(|| beliefs.limit_wait(&replica.instance, need.rank, now)).flatten()
             };
             let replicas = beliefs.fleet.view.of_service(service);
-            let waits = replicas.filter_map(|replica| Some((wait(&replica)?, replica.life.id())));
+            let waits =
+                replicas.filter_map(|replica| Some((wait(&replica)?, replica.instance.id())));
             let id = waits.min()?.1.to_owned();
             beliefs.grants.begin_wait(&id, need);
             id
--- a/crates/relay/src/news.rs
+++ b/crates/relay/src/news.rs
@@ -9,10 +9,10 @@
 use switchfold_router::{
     Millis,
     fingerprint::{FINGERPRINT_BYTES, RequestFingerprint},
-    fleet::{EntryState, LayerRange, ReplicaEntry, ReplicaNews},
+    fleet::{EntryState, LayerRange, ReplicaEntry, ReplicaUpdate},
     grants::DueAsk,
+    instance::ReplicaInstance,
     issuer::IssuedGrants,
-    life::ReplicaLife,
     limits::LimitWord,
     membership::{PeerStamp, ReportKind},
     quarantine::{CrashRun, CrashSign, RequestNews},
@@ -82,11 +82,11 @@
     /// What is promised at replicas.
     pub load: LoadNews,
     /// Replicas kept away from, with the milliseconds that it still lasts.
-    pub suspects: Vec<(LifeRecord, u32)>,
+    pub suspects: Vec<(InstanceRecord, u32)>,
     /// First replicas that begin no answers, with the milliseconds that others are to keep away.
-    pub mutes: Vec<(LifeRecord, u32)>,
+    pub mutes: Vec<(InstanceRecord, u32)>,
     /// Engines that are slow, with the hundredfold of their factor.
-    pub paces: Vec<(LifeRecord, u32)>,
+    pub paces: Vec<(InstanceRecord, u32)>,
     /// Requests under which replicas ended.
     pub crashes: Vec<CrashRecord>,
     /// Requests of that sort that had a result, with the milliseconds since.
@@ -146,9 +146,9 @@
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct LoadRecord {
     /// Room, by replica, in tokens times layers.
-    pub room: Vec<(LifeRecord, u32)>,
+    pub room: Vec<(InstanceRecord, u32)>,
     /// Requests that run, by the first replica of their path.
-    pub places: Vec<(LifeRecord, u32)>,
+    pub places: Vec<(InstanceRecord, u32)>,
 }
 
 /// What a replica said of its limit.
@@ -265,7 +265,8 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct CrashRunRecord {
     /// The replica.
-    pub life: LifeRecord,
+    #[serde(rename = "life")]
+    pub instance: InstanceRecord,
     /// Milliseconds since it was sent there.
     pub sent_age: u32,
     /// Milliseconds since it was lost.
@@ -298,7 +299,7 @@
     fn of(run: &CrashRun, now: Millis) -> Self {
         let age = |at: i64| u32::try_from(now as i64 - at).unwrap_or_default();
         Self {
-            life: (&run.life).into(),
+            instance: (&run.instance).into(),
             sent_age: age(run.sent),
             lost_age: age(run.lost),
             is_strong: run.sign == CrashSign::Strong,
@@ -307,7 +308,7 @@
 
     fn run(&self, now: Millis) -> CrashRun {
         CrashRun {
-            life: (&self.life).into(),
+            instance: (&self.instance).into(),
             sent: now as i64 - i64::from(self.sent_age),
             lost: now as i64 - i64::from(self.lost_age),
             sign: if self.is_strong { CrashSign::Strong } else { CrashSign::Weak },
@@ -317,16 +318,16 @@
 
 /// One life of a replica: its id and when it started.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct LifeRecord(pub String, pub Millis);
+pub struct InstanceRecord(pub String, pub Millis);
 
-impl From<&ReplicaLife> for LifeRecord {
-    fn from(life: &ReplicaLife) -> Self {
-        Self(life.id().to_owned(), life.born())
+impl From<&ReplicaInstance> for InstanceRecord {
+    fn from(instance: &ReplicaInstance) -> Self {
+        Self(instance.id().to_owned(), instance.born())
     }
 }
 
-impl From<&LifeRecord> for ReplicaLife {
-    fn from(record: &LifeRecord) -> Self {
+impl From<&InstanceRecord> for ReplicaInstance {
+    fn from(record: &InstanceRecord) -> Self {
         Self::new(&record.0, record.1)
     }
 }
@@ -388,14 +389,14 @@
     }
 }
 
-impl From<ReplicaNews> for ReplicaRecord {
-    fn from(news: ReplicaNews) -> Self {
-        let ReplicaNews { id, revision, entry } = news;
+impl From<ReplicaUpdate> for ReplicaRecord {
+    fn from(news: ReplicaUpdate) -> Self {
+        let ReplicaUpdate { id, revision, entry } = news;
         Self { id, revision, entry: entry.map(EntryRecord::from) }
     }
 }
 
-impl From<ReplicaRecord> for ReplicaNews {
+impl From<ReplicaRecord> for ReplicaUpdate {
     fn from(record: ReplicaRecord) -> Self {
         let ReplicaRecord { id, revision, entry } = record;
         let entry = entry.map(|entry| entry.into_entry(&id));
@@ -406,7 +407,7 @@
 impl From<ReplicaEntry> for EntryRecord {
     fn from(entry: ReplicaEntry) -> Self {
         Self {
-            born: entry.life.born(),
+            born: entry.instance.born(),
             service: entry.service,
             address: entry.address,
             data_centre: entry.data_centre,
@@ -421,7 +422,7 @@
 impl EntryRecord {
     fn into_entry(self, id: &str) -> ReplicaEntry {
         ReplicaEntry {
-            life: ReplicaLife::new(id, self.born),
+            instance: ReplicaInstance::new(id, self.born),
             service: self.service,
             address: self.address,
             data_centre: self.data_centre,
--- a/crates/relay/src/notices.rs
+++ b/crates/relay/src/notices.rs
@@ -9,13 +9,15 @@
 use rand::RngExt;
 use switchfold_kernel::clock::now_millis;
 use switchfold_platform::headers::{AnswerMarks, RetryAfter, ServerLimit};
-use switchfold_router::{Millis, fleet::ReplicaEntry, life::ReplicaLife, limits::LimitWord};
+use switchfold_router::{
+    Millis, fleet::ReplicaEntry, instance::ReplicaInstance, limits::LimitWord,
+};
 
 use crate::{
     answers::Refusal,
     counts::count,
     limits::take_word,
-    replicas::take_leaving,
+    replicas::apply_draining,
     state::{Beliefs, Relay},
 };
 
@@ -33,59 +35,60 @@
 }
 
 /// Hears what an answer to a request says of the replica that it was sent to.
-pub fn hear_notices(relay: &Relay, life: &ReplicaLife, answer: HeardAnswer<'_>) {
+pub fn hear_notices(relay: &Relay, instance: &ReplicaInstance, answer: HeardAnswer<'_>) {
     let HeardAnswer { status, marks, .. } = answer;
     if status != StatusCode::SERVICE_UNAVAILABLE && !marks.not_executed {
-        relay.beliefs.borrow_mut().backoffs.note_served(life, now_millis());
+        relay.beliefs.borrow_mut().backoffs.note_served(instance, now_millis());
     }
-    hear_word(relay, life, answer);
+    hear_word(relay, instance, answer);
     // Another replica may answer this way at the address of one that ended.
     let is_its_own = answer.is_own && status != StatusCode::MISDIRECTED_REQUEST;
     if is_its_own && marks.limit.is_none() {
         let word = LimitWord { per_second: None, sent: answer.sent as i64 };
-        take_word(relay, life.id(), word, None);
+        take_word(relay, instance.id(), word, None);
     }
 }
 
 /// Hears what an answer to a call of an engine's own interface says of the replica that is listed at an address.
 pub fn hear_notices_at(relay: &Relay, address: SocketAddr, answer: HeardAnswer<'_>) {
-    let life = relay.beliefs.borrow().fleet.view.at(address).map(|replica| replica.life.clone());
-    if let Some(life) = life {
-        hear_word(relay, &life, answer);
+    let instance =
+        relay.beliefs.borrow().fleet.view.at(address).map(|replica| replica.instance.clone());
+    if let Some(instance) = instance {
+        hear_word(relay, &instance, answer);
     }
 }
 
 /// Hears what an answer says of its replica, whatever it answers. That it names no limit says something only where the
 /// replica names them in such answers, and nothing tells that it does so in those to calls of its own interface.
-fn hear_word(relay: &Relay, life: &ReplicaLife, answer: HeardAnswer<'_>) {
+fn hear_word(relay: &Relay, instance: &ReplicaInstance, answer: HeardAnswer<'_>) {
     let HeardAnswer { status, marks, sent, .. } = answer;
     if status == StatusCode::SERVICE_UNAVAILABLE {
-        hear_backoff(relay, life, marks);
+        hear_backoff(relay, instance, marks);
     }
     if marks.is_leaving {
-        take_leaving(relay, life);
+        apply_draining(relay, instance);
     }
     match &marks.limit {
         Some(ServerLimit::PerSecond(limit)) => {
             let word = LimitWord { per_second: Some(*limit), sent: sent as i64 };
-            take_word(relay, life.id(), word, None);
+            take_word(relay, instance.id(), word, None);
         }
         Some(ServerLimit::Unreadable(value)) => {
-            tracing::warn!(event = "limit-unreadable", replica = %life, value);
+            tracing::warn!(event = "limit-unreadable", replica = %instance, value);
         }
         None => {}
     }
 }
 
-fn hear_backoff(relay: &Relay, life: &ReplicaLife, marks: &AnswerMarks) {
+fn hear_backoff(relay: &Relay, instance: &ReplicaInstance, marks: &AnswerMarks) {
     match &marks.retry_after {
         Some(RetryAfter::Millis(asked)) => {
             count(&relay.counts.backoffs_asked);
-            relay.beliefs.borrow_mut().backoffs.note(life, *asked, now_millis());
-            tracing::info!(event = "backoff-asked", replica = %life, asked);
+            relay.beliefs.borrow_mut().backoffs.note(instance, *asked, now_millis());
+            tracing::info!(event = "backoff-asked", replica = %instance, asked);
         }
         Some(RetryAfter::Unreadable(value)) => {
-            tracing::warn!(event = "backoff-unreadable", replica = %life, value);
+            tracing::warn!(event = "backoff-unreadable", replica = %instance, value);
         }
         None => {}
     }
@@ -96,7 +99,7 @@
 #[derive(Debug)]
 pub struct SendGate<'a> {
     relay: &'a Rc<Relay>,
-    life: &'a ReplicaLife,
+    instance: &'a ReplicaInstance,
     rank: u8,
     passed: Cell<bool>,
     is_trial: Cell<bool>,
@@ -105,9 +108,9 @@
 
 impl<'a> SendGate<'a> {
     /// Makes the gate of one request of a rank to a replica.
-    pub fn new(relay: &'a Rc<Relay>, life: &'a ReplicaLife, rank: u8) -> Self {
+    pub fn new(relay: &'a Rc<Relay>, instance: &'a ReplicaInstance, rank: u8) -> Self {
         let (passed, is_trial, grant) = Default::default();
-        Self { relay, life, rank, passed, is_trial, grant }
+        Self { relay, instance, rank, passed, is_trial, grant }
     }
 
     /// Lets the request go.
@@ -125,12 +128,12 @@
 
     fn decide(&self, now: Millis) -> Result<(), Millis> {
         let mut beliefs = self.relay.beliefs.borrow_mut();
-        let is_trial = beliefs.backoffs.begin_send(self.life, self.is_trial.get(), now)?;
+        let is_trial = beliefs.backoffs.begin_send(self.instance, self.is_trial.get(), now)?;
         self.is_trial.set(is_trial);
-        let is_limited = beliefs.limits.limit(self.life.id()).is_some();
+        let is_limited = beliefs.limits.limit(self.instance.id()).is_some();
         // One that passed before is on its way: its connection opened meanwhile.
         if is_limited && !self.passed.get() {
-            let grant = beliefs.grants.spend(self.life.id(), self.rank, now)?;
+            let grant = beliefs.grants.spend(self.instance.id(), self.rank, now)?;
             self.grant.set(Some(grant));
             count(&self.relay.counts.grants_spent);
         }
@@ -141,7 +144,7 @@
     /// Notes that no byte of the request left: its grant serves another one.
     pub fn note_unsent(&self) {
         if let Some(end) = self.grant.take() {
-            self.relay.beliefs.borrow_mut().grants.give_back(self.life.id(), end);
+            self.relay.beliefs.borrow_mut().grants.give_back(self.instance.id(), end);
         }
     }
 }
@@ -180,10 +183,10 @@
     now: Millis,
 ) -> f64 {
     let limited = |replica: &&ReplicaEntry| {
-        begins(replica) && beliefs.limits.limit(replica.life.id()).is_some()
+        begins(replica) && beliefs.limits.limit(replica.instance.id()).is_some()
     };
     let replicas = beliefs.fleet.view.of_service(service).filter(limited);
-    replicas.filter_map(|replica| beliefs.grants.share(replica.life.id(), now)).sum()
+    replicas.filter_map(|replica| beliefs.grants.share(replica.instance.id(), now)).sum()
 }
 
 /// Time until the first of the replicas that could begin a request of a rank takes it; nothing where one does now, or there
@@ -196,10 +199,12 @@
 ) -> Option<Millis> {
     let now = now_millis();
     let usable = |replica: &&ReplicaEntry| {
-        replica.is_ready() && !beliefs.suspects.is_suspect(&replica.life, now) && begins(replica)
+        replica.is_ready()
+            && !beliefs.suspects.is_suspect(&replica.instance, now)
+            && begins(replica)
     };
     let replicas = beliefs.fleet.view.of_service(service).filter(usable);
-    let mut lefts = replicas.map(|replica| beliefs.send_wait(&replica.life, rank, now));
+    let mut lefts = replicas.map(|replica| beliefs.send_wait(&replica.instance, rank, now));
     let first = lefts.next()??;
     lefts.try_fold(first, |soonest, left| Some(soonest.min(left?)))
 }
--- a/crates/relay/src/paths.rs
+++ b/crates/relay/src/paths.rs
@@ -13,7 +13,7 @@
     fleet::{LayerRange, ReplicaEntry},
     grants::GrantNeed,
     groups::{group_count, group_of},
-    life::ReplicaLife,
+    instance::ReplicaInstance,
 };
 
 use tokio::time::{Instant, sleep};
@@ -36,9 +36,9 @@
     /// Rank of the request; more urgent ones that wait go first where replicas take few.
     pub rank: u8,
     /// Replicas not to use.
-    pub avoid: &'a [ReplicaLife],
+    pub avoid: &'a [ReplicaInstance],
     /// First part to keep, for a request that runs.
-    pub first: Option<(&'a ReplicaLife, LayerRange)>,
+    pub first: Option<(&'a ReplicaInstance, LayerRange)>,
 }
 
 /// Cost of a layer at a replica that is half full, against one more hop at 0.5: memory binds long before speed.
@@ -127,7 +127,7 @@
         match self {
             Self::Whole => true,
             Self::Groups { count, drawn } => {
-                replica.data_centre == home && drawn.contains(&group_of(&replica.life, count))
+                replica.data_centre == home && drawn.contains(&group_of(&replica.instance, count))
             }
         }
     }
@@ -218,7 +218,7 @@
         if beliefs.limits.is_empty() {
             return;
         }
-        beliefs.fleet.view.living(&path[0].life).is_some_and(|first| first.data_centre == *home)
+        beliefs.fleet.view.living(&path[0].instance).is_some_and(|first| first.data_centre == *home)
     };
     let begins = |replica: &ReplicaEntry| {
         begins_for(replica, wish) && (!begins_at_home || replica.data_centre == *home)
@@ -227,7 +227,7 @@
 }
 
 fn begins_for(replica: &ReplicaEntry, wish: &PathWish<'_>) -> bool {
-    can_begin(replica) && !wish.avoid.contains(&replica.life)
+    can_begin(replica) && !wish.avoid.contains(&replica.instance)
 }
 
 /// Whether a path may begin at a replica, as far as its layers tell.
@@ -246,10 +246,10 @@
 fn log_crowded(relay: &Relay, wish: &PathWish<'_>, path: &[PathPart]) {
     let beliefs = relay.beliefs.borrow();
     let fill = |part: &PathPart| {
-        let replica = beliefs.fleet.view.living(&part.life)?;
+        let replica = beliefs.fleet.view.living(&part.instance)?;
         let memory = wish.engine.kind(&replica.kind)?.memory_mb;
         let total = wish.engine.room(memory, replica.layers?.len());
-        Some((beliefs.room.promised(&part.life) / total.max(1.0), &replica.life))
+        Some((beliefs.room.promised(&part.instance) / total.max(1.0), &replica.instance))
     };
     let fullest = path.iter().filter_map(fill).max_by(|left, right| left.0.total_cmp(&right.0));
     if let Some((fill, replica)) = fullest {
@@ -275,8 +275,9 @@
 /// How often a path passes from one data centre to another.
 fn count_crossings(relay: &Relay, path: &[PathPart]) -> u32 {
     let beliefs = relay.beliefs.borrow();
-    let place =
-        |part: &PathPart| beliefs.fleet.view.living(&part.life).map(|replica| &replica.data_centre);
+    let place = |part: &PathPart| {
+        beliefs.fleet.view.living(&part.instance).map(|replica| &replica.data_centre)
+    };
     let passes = path.windows(2).filter(|pair| place(&pair[0]) != place(&pair[1]));
     passes.count() as u32
 }
@@ -308,8 +309,8 @@
     let usable = |replica: &&ReplicaEntry| {
         in_scope(replica)
             && replica.is_ready()
-            && !beliefs.suspects.is_suspect(&replica.life, now)
-            && !wish.avoid.contains(&replica.life)
+            && !beliefs.suspects.is_suspect(&replica.instance, now)
+            && !wish.avoid.contains(&replica.instance)
     };
     let replicas = beliefs.fleet.view.of_service(wish.service).filter(usable);
     let mut offers: Vec<PartOffer> = kept_part(beliefs, wish, data_centres).into_iter().collect();
@@ -317,15 +318,17 @@
         let Some(range) = replica.layers else { continue };
         let kind = wish.engine.kind(&replica.kind);
         let total = kind.map_or(0.0, |kind| wish.engine.room(kind.memory_mb, range.len()));
-        let promised = beliefs.room.promised(&replica.life);
+        let promised = beliefs.room.promised(&replica.instance);
         // A replica that was short of memory a moment ago counts as full.
-        let promised = if beliefs.full.is_suspect(&replica.life, now) { total } else { promised };
-        let pace = kind.map_or(1.0, |kind| kind.pace) * beliefs.paces.factor(&replica.life, now);
+        let promised =
+            if beliefs.full.is_suspect(&replica.instance, now) { total } else { promised };
+        let pace =
+            kind.map_or(1.0, |kind| kind.pace) * beliefs.paces.factor(&replica.instance, now);
         let layer_cost = layer_cost(wish.engine, pace, promised, total);
         let data_centre = data_centres.number(&replica.data_centre);
-        let is_held_back = beliefs.send_wait(&replica.life, wish.rank, now).is_some();
+        let is_held_back = beliefs.send_wait(&replica.instance, wish.rank, now).is_some();
         offers.push(PartOffer {
-            life: replica.life.clone(),
+            instance: replica.instance.clone(),
             address: replica.address,
             data_centre,
             range,
@@ -344,15 +347,15 @@
 
 /// Cost of beginning at a replica; nothing where it has no place.
 fn begin_cost(beliefs: &Beliefs, replica: &ReplicaEntry, now: Millis) -> Option<f64> {
-    if beliefs.full_starts.is_full(&replica.life, now) {
+    if beliefs.full_starts.is_full(&replica.instance, now) {
         return None;
     }
-    let cost = start_cost(beliefs.places.promised(&replica.life), replica.slots)?;
-    Some(cost + mute_cost(beliefs, &replica.life, now))
+    let cost = start_cost(beliefs.places.promised(&replica.instance), replica.slots)?;
+    Some(cost + mute_cost(beliefs, &replica.instance, now))
 }
 
-fn mute_cost(beliefs: &Beliefs, life: &ReplicaLife, now: Millis) -> f64 {
-    match beliefs.heads.is_mute(life, now) {
+fn mute_cost(beliefs: &Beliefs, instance: &ReplicaInstance, now: Millis) -> f64 {
+    match beliefs.heads.is_mute(instance, now) {
         true => MUTE_COST,
         false => 0.0,
     }
@@ -364,10 +367,10 @@
     wish: &PathWish<'_>,
     data_centres: &mut DataCentres,
 ) -> Option<PartOffer> {
-    let (life, range) = wish.first?;
-    let replica = beliefs.fleet.view.living(life)?;
+    let (instance, range) = wish.first?;
+    let replica = beliefs.fleet.view.living(instance)?;
     Some(PartOffer {
-        life: life.clone(),
+        instance: instance.clone(),
         address: replica.address,
         data_centre: data_centres.number(&replica.data_centre),
         range,
@@ -390,20 +393,20 @@
 #[derive(Debug)]
 pub struct RoomGuard {
     relay: Rc<Relay>,
-    parts: Vec<(ReplicaLife, f64)>,
-    first: Option<ReplicaLife>,
+    parts: Vec<(ReplicaInstance, f64)>,
+    first: Option<ReplicaInstance>,
 }
 
 impl RoomGuard {
     /// Promises room for `tokens` along a path.
     pub fn new(relay: &Rc<Relay>, path: &[PathPart], tokens: f64) -> Self {
         let amount = |part: &PathPart| tokens * f64::from(part.range.len());
-        let parts: Vec<(ReplicaLife, f64)> =
-            path.iter().map(|part| (part.life.clone(), amount(part))).collect();
+        let parts: Vec<(ReplicaInstance, f64)> =
+            path.iter().map(|part| (part.instance.clone(), amount(part))).collect();
         let mut beliefs = relay.beliefs.borrow_mut();
-        parts.iter().for_each(|(life, amount)| beliefs.room.promise(life, *amount));
-        let first = path.first().map(|part| part.life.clone());
-        first.iter().for_each(|life| beliefs.places.promise(life, 1.0));
+        parts.iter().for_each(|(instance, amount)| beliefs.room.promise(instance, *amount));
+        let first = path.first().map(|part| part.instance.clone());
+        first.iter().for_each(|instance| beliefs.places.promise(instance, 1.0));
         Self { relay: relay.clone(), parts, first }
     }
 }
@@ -411,7 +414,7 @@
 impl Drop for RoomGuard {
     fn drop(&mut self) {
         let mut beliefs = self.relay.beliefs.borrow_mut();
-        self.parts.iter().for_each(|(life, amount)| beliefs.room.release(life, *amount));
-        self.first.iter().for_each(|life| beliefs.places.release(life, 1.0));
+        self.parts.iter().for_each(|(instance, amount)| beliefs.room.release(instance, *amount));
+        self.first.iter().for_each(|instance| beliefs.places.release(instance, 1.0));
     }
 }
--- a/crates/relay/src/peers.rs
+++ b/crates/relay/src/peers.rs
@@ -9,11 +9,11 @@
 use switchfold_kernel::clock::now_millis;
 use switchfold_router::{
     Millis,
-    fleet::ReplicaNews,
-    life::ReplicaLife,
+    fleet::ReplicaUpdate,
+    instance::ReplicaInstance,
     membership::{OwnState, PeerStamp, PeerState, ReportKind},
-    origin::NewsOrigin,
-    replicas::NewsSource,
+    origin::UpdateOrigin,
+    replicas::UpdateSource,
     room::{RoomLedger, SumPart},
 };
 use tokio::time::sleep;
@@ -21,7 +21,7 @@
 use crate::{
     counts::count,
     limits::{hear_asks, hear_grants, hear_limits},
-    news::{FleetNews, LifeRecord, LoadNews, LoadRecord, PeerMessage, StateNews},
+    news::{FleetNews, InstanceRecord, LoadNews, LoadRecord, PeerMessage, StateNews},
     quarantine::{hear_crashes, note_ended},
     registry::find_peers,
     replicas::take_news,
@@ -85,8 +85,8 @@
     let state = peer_state(news);
     let kind = ReportKind::from(news.report);
     let origin = match kind {
-        ReportKind::None => NewsOrigin::Told,
-        ReportKind::Spare | ReportKind::Counted => NewsOrigin::Member,
+        ReportKind::None => UpdateOrigin::Told,
+        ReportKind::Spare | ReportKind::Counted => UpdateOrigin::Member,
     };
     let (written, lost);
     {
@@ -107,16 +107,17 @@
         beliefs.peers.note_members(&news.members, now);
         written = beliefs.clocks.written(&news.name, stamp, now);
         take_load(beliefs, news, kind, now);
-        for (life, hundredfold) in &news.paces {
+        for (instance, hundredfold) in &news.paces {
             let factor = f64::from(*hundredfold) / 100.0;
-            beliefs.paces.take_over(&life.into(), factor, origin, now);
+            beliefs.paces.take_over(&instance.into(), factor, origin, now);
         }
-        let mutes = news.mutes.iter().map(|(life, lasts)| (life.into(), Millis::from(*lasts)));
+        let mutes =
+            news.mutes.iter().map(|(instance, lasts)| (instance.into(), Millis::from(*lasts)));
         beliefs.heads.hear_mutes(&news.name, origin, mutes, now);
         lost = take_suspects(beliefs, news, origin, now);
     }
     hear_limits(relay, &news.limits, &news.name, written);
-    lost.iter().for_each(|life| note_ended(relay, life));
+    lost.iter().for_each(|instance| note_ended(relay, instance));
     hear_crashes(relay, news, origin, now);
     if news.data_centre == relay.settings.data_centre {
         take_proofs(relay, news, &state, now);
@@ -131,30 +132,30 @@
 fn take_suspects(
     beliefs: &mut Beliefs,
     news: &StateNews,
-    origin: NewsOrigin,
+    origin: UpdateOrigin,
     now: Millis,
-) -> Vec<ReplicaLife> {
+) -> Vec<ReplicaInstance> {
     let mut lost = Vec::new();
-    for (life, lasts) in &news.suspects {
-        let life = ReplicaLife::from(life);
-        let lives = beliefs.fleet.view.living(&life).is_some();
-        if lives && !beliefs.suspects.is_suspect(&life, now) {
-            beliefs.suspects.take_over(&life, now + Millis::from(*lasts), origin);
-            tracing::info!(event = "suspect-heard", replica = %life, from = news.name, lasts);
-            lost.push(life);
+    for (instance, lasts) in &news.suspects {
+        let instance = ReplicaInstance::from(instance);
+        let is_current = beliefs.fleet.view.living(&instance).is_some();
+        if is_current && !beliefs.suspects.is_suspect(&instance, now) {
+            beliefs.suspects.take_over(&instance, now + Millis::from(*lasts), origin);
+            tracing::info!(event = "suspect-heard", replica = %instance, from = news.name, lasts);
+            lost.push(instance);
         }
     }
     lost
 }
 
 /// Tells on at once what another relay told, to those that hear it from this one alone.
-pub fn pass_on(relay: &Relay, origin: NewsOrigin, now: Millis) {
+pub fn pass_on(relay: &Relay, origin: UpdateOrigin, now: Millis) {
     if !relay.beliefs.borrow().peers.has_members(now) {
         return;
     }
     match origin {
-        NewsOrigin::Told => tell_soon(relay, TellReach::Near),
-        NewsOrigin::Member | NewsOrigin::Own => tell_soon(relay, TellReach::All),
+        UpdateOrigin::Told => tell_soon(relay, TellReach::Near),
+        UpdateOrigin::Member | UpdateOrigin::Own => tell_soon(relay, TellReach::All),
     }
 }
 
@@ -186,8 +187,8 @@
     places.hear_sum(part, amounts(&load.places), now);
 }
 
-fn amounts(records: &[(LifeRecord, u32)]) -> HashMap<ReplicaLife, f64> {
-    records.iter().map(|(life, amount)| (life.into(), f64::from(*amount))).collect()
+fn amounts(records: &[(InstanceRecord, u32)]) -> HashMap<ReplicaInstance, f64> {
+    records.iter().map(|(instance, amount)| (instance.into(), f64::from(*amount))).collect()
 }
 
 fn peer_state(news: &StateNews) -> PeerState {
@@ -235,7 +236,7 @@
     beliefs.fleet.note_proof(proofs.fleet);
     drop(guard);
     if passes_on {
-        pass_on(relay, NewsOrigin::Told, now);
+        pass_on(relay, UpdateOrigin::Told, now);
     }
 }
 
@@ -245,6 +246,6 @@
 
 fn take_fleet(relay: &Relay, news: FleetNews, from: SocketAddr) {
     pass_fleet_on(relay, &news, from);
-    let news = news.changes.into_iter().map(ReplicaNews::from).collect();
-    take_news(relay, news, NewsSource::Relay(from));
+    let news = news.changes.into_iter().map(ReplicaUpdate::from).collect();
+    take_news(relay, news, UpdateSource::Relay(from));
 }
--- a/crates/relay/src/placer.rs
+++ b/crates/relay/src/placer.rs
@@ -20,7 +20,7 @@
     cover::{CoverConfig, LayerHolder, ModelShape, PlaceOrder, layout_worth, plan_group},
     fleet::{EntryState, LayerRange, ReplicaEntry},
     groups::planner_count,
-    life::ReplicaLife,
+    instance::ReplicaInstance,
 };
 use tokio::{
     sync::Semaphore,
@@ -94,9 +94,9 @@
 /// Orders under way, by replica, and what suspected replicas answered.
 #[derive(Debug)]
 struct Placer {
-    pending: HashMap<ReplicaLife, PendingOrder>,
-    probes: HashMap<ReplicaLife, ProbeEnd>,
-    refused: Rc<RefCell<Vec<ReplicaLife>>>,
+    pending: HashMap<ReplicaInstance, PendingOrder>,
+    probes: HashMap<ReplicaInstance, ProbeEnd>,
+    refused: Rc<RefCell<Vec<ReplicaInstance>>>,
     /// Places for orders that are being given.
     ordering: Rc<Semaphore>,
     /// Groups that needed no orders when last planned.
@@ -167,8 +167,8 @@
 
     /// Notes joined and left replicas, and orders that took effect.
     fn observe(&mut self, relay: &Relay, now: Millis) {
-        for life in self.refused.borrow_mut().drain(..) {
-            if let Some(order) = self.pending.get_mut(&life) {
+        for instance in self.refused.borrow_mut().drain(..) {
+            if let Some(order) = self.pending.get_mut(&instance) {
                 order.until = order.until.min(now + REFUSED_PAUSE);
             }
         }
@@ -178,8 +178,8 @@
             self.fleet_seen = count;
             self.fleet_changed = now;
         }
-        self.pending.retain(|life, order| {
-            let Some(replica) = beliefs.fleet.view.living(life) else { return false };
+        self.pending.retain(|instance, order| {
+            let Some(replica) = beliefs.fleet.view.living(instance) else { return false };
             let done = replica.layers == Some(order.range);
             !done && now < order.until
         });
@@ -218,38 +218,40 @@
                 ReportState::Answered(report) => report.layers.is_some(),
             };
             if holds {
-                relay.beliefs.borrow_mut().quarantine.note_alive(&replica.life);
+                relay.beliefs.borrow_mut().quarantine.note_alive(&replica.instance);
             }
             let probe = ProbeEnd { asked: now, holds };
-            let known = self.probes.insert(replica.life.clone(), probe);
+            let known = self.probes.insert(replica.instance.clone(), probe);
             if known.is_none_or(|known| known.holds != holds) {
-                tracing::info!(event = "suspect-probed", replica = %replica.life, holds);
+                tracing::info!(event = "suspect-probed", replica = %replica.instance, holds);
             }
             if !holds {
-                relay.suspect(&replica.life, "holds no layers, or is silent");
+                relay.suspect(&replica.instance, "holds no layers, or is silent");
             }
         }
         let beliefs = relay.beliefs.borrow();
-        self.probes.retain(|life, _| beliefs.fleet.view.living(life).is_some());
+        self.probes.retain(|instance, _| beliefs.fleet.view.living(instance).is_some());
     }
 
     fn due_probes(&self, relay: &Relay, now: Millis) -> Vec<ReplicaEntry> {
         let beliefs = relay.beliefs.borrow();
-        let suspects = beliefs.suspects.current(now).map(|(life, _)| life);
+        let suspects = beliefs.suspects.current(now).map(|(instance, _)| instance);
         let lost = self.probes.iter().filter(|(_, probe)| !probe.holds);
-        let lives: BTreeSet<&ReplicaLife> = suspects.chain(lost.map(|(life, _)| life)).collect();
+        let instances: BTreeSet<&ReplicaInstance> =
+            suspects.chain(lost.map(|(instance, _)| instance)).collect();
         let is_due = |replica: &&ReplicaEntry| {
-            let probe = self.probes.get(&replica.life);
+            let probe = self.probes.get(&replica.instance);
             let due = probe.is_none_or(|probe| now - probe.asked >= PROBE_AGE);
             // One that loads what it was ordered to hold holds nothing meanwhile, and is well.
-            due && replica.layers.is_some() && !self.pending.contains_key(&replica.life)
+            due && replica.layers.is_some() && !self.pending.contains_key(&replica.instance)
         };
-        let replicas = lives.into_iter().filter_map(|life| beliefs.fleet.view.living(life));
+        let replicas =
+            instances.into_iter().filter_map(|instance| beliefs.fleet.view.living(instance));
         replicas.filter(is_due).cloned().collect()
     }
 
-    fn is_lost(&self, life: &ReplicaLife) -> bool {
-        self.probes.get(life).is_some_and(|probe| !probe.holds)
+    fn is_lost(&self, instance: &ReplicaInstance) -> bool {
+        self.probes.get(instance).is_some_and(|probe| !probe.holds)
     }
 
     /// Plans each group of replicas that changed since it needed no orders. The search takes some
@@ -340,13 +342,14 @@
             EntryState::Ready => true,
             EntryState::Draining => false,
             EntryState::Overwritten => {
-                let age = beliefs.fleet.view.age(replica.life.id(), now);
+                let age = beliefs.fleet.view.age(replica.instance.id(), now);
                 age.is_some_and(|age| age < KEEP_OVERWRITTEN)
             }
         };
         for replica in beliefs.fleet.view.of_service(service).filter(stays) {
-            let suspect = !replica.is_ready() || beliefs.suspects.is_suspect(&replica.life, now);
-            let lost = self.is_lost(&replica.life);
+            let suspect =
+                !replica.is_ready() || beliefs.suspects.is_suspect(&replica.instance, now);
+            let lost = self.is_lost(&replica.instance);
             let Some(holder) = self.holder(replica, engine, suspect, lost) else { continue };
             places.entry(&replica.data_centre).or_default().push(holder);
         }
@@ -361,10 +364,10 @@
         lost: bool,
     ) -> Option<LayerHolder> {
         let kind = engine.kind(&replica.kind)?;
-        let pending = self.pending.get(&replica.life);
+        let pending = self.pending.get(&replica.instance);
         let held = replica.layers.filter(|_| !lost);
         Some(LayerHolder {
-            life: replica.life.clone(),
+            instance: replica.instance.clone(),
             memory_mb: kind.memory_mb,
             slots: replica.slots,
             layer_ms: kind.pace * engine.step_ms / f64::from(engine.layers.max(1)),
@@ -381,17 +384,17 @@
         order: PlaceOrder,
         now: Millis,
     ) {
-        let replica = relay.beliefs.borrow().fleet.view.living(&order.life).cloned();
+        let replica = relay.beliefs.borrow().fleet.view.living(&order.instance).cloned();
         let Some(replica) = replica else { return };
         let share = u64::from(order.range.len()) * engine.load / u64::from(engine.layers.max(1));
         let until = now + share * 2 + LIST_LAG;
-        self.pending.insert(order.life.clone(), PendingOrder { range: order.range, until });
+        self.pending.insert(order.instance.clone(), PendingOrder { range: order.range, until });
         let (relay, refused) = (relay.clone(), self.refused.clone());
         let ordering = self.ordering.clone();
         spawn_local(async move {
             let _place = ordering.acquire().await;
             if !carry_out(&relay, &replica, &order).await {
-                refused.borrow_mut().push(order.life);
+                refused.borrow_mut().push(order.instance);
             }
         });
     }
@@ -416,7 +419,7 @@
 fn carried_out(holders: &[LayerHolder], orders: &[PlaceOrder]) -> Vec<LayerHolder> {
     let mut planned = holders.to_vec();
     for order in orders {
-        let holder = planned.iter_mut().find(|holder| holder.life == order.life);
+        let holder = planned.iter_mut().find(|holder| holder.instance == order.instance);
         if let Some(holder) = holder {
             holder.range = Some(order.range);
             holder.held = holder.range;
@@ -442,23 +445,23 @@
     let range = order.range;
     let (from, to) = (range.from, range.to);
     let Some(report) = ask_report(relay, replica.address).await else {
-        tracing::warn!(event = "order-unsent", replica = %replica.life, from, to, why = "no report");
+        tracing::warn!(event = "order-unsent", replica = %replica.instance, from, to, why = "no report");
         return false;
     };
-    if relay.beliefs.borrow().fleet.view.living(&replica.life).is_none() {
+    if relay.beliefs.borrow().fleet.view.living(&replica.instance).is_none() {
         // The order was planned for what an earlier life held.
-        tracing::info!(event = "order-unsent", replica = %replica.life, from, to, why = "restarted");
+        tracing::info!(event = "order-unsent", replica = %replica.instance, from, to, why = "restarted");
         return false;
     }
     if report.busy {
-        tracing::info!(event = "order-waits", replica = %replica.life, from, to, why = "busy");
+        tracing::info!(event = "order-waits", replica = %replica.instance, from, to, why = "busy");
         return false;
     }
     let give_up = order.reason.give_up_rule();
     let end = order_layers(relay, replica.address, range, give_up, report.orders_taken).await;
     tracing::info!(
         event = "order",
-        replica = %replica.life,
+        replica = %replica.instance,
         kind = replica.kind,
         data_centre = replica.data_centre,
         from,
@@ -469,7 +472,7 @@
         ?end,
     );
     if end == OrderEnd::NotSent {
-        relay.suspect(&replica.life, "order not sent");
+        relay.suspect(&replica.instance, "order not sent");
     }
     matches!(end, OrderEnd::Taken | OrderEnd::Unknown)
 }
--- a/crates/relay/src/placer/groups.rs
+++ b/crates/relay/src/placer/groups.rs
@@ -69,7 +69,7 @@
             part,
         };
         for holder in holders {
-            let part = group_of(&holder.life, count);
+            let part = group_of(&holder.instance, count);
             groups.entry(name(part)).or_default().push(holder);
         }
     }
--- a/crates/relay/src/plain.rs
+++ b/crates/relay/src/plain.rs
@@ -16,7 +16,7 @@
     attempt::{AttemptEnd, AttemptState, NextStep, decide_next},
     fleet::ReplicaEntry,
     grants::GrantNeed,
-    life::ReplicaLife,
+    instance::ReplicaInstance,
 };
 use tokio::{
     task::spawn_local,
@@ -84,26 +84,26 @@
 /// What a relay knows of the replicas of plain services.
 #[derive(Clone, Debug, Default)]
 pub struct ServiceLoads {
-    loads: HashMap<ReplicaLife, ServiceLoad>,
+    loads: HashMap<ReplicaInstance, ServiceLoad>,
 }
 
 impl ServiceLoads {
     /// Drops a replica.
-    pub fn forget(&mut self, life: &ReplicaLife) {
-        self.loads.remove(life);
+    pub fn forget(&mut self, instance: &ReplicaInstance) {
+        self.loads.remove(instance);
     }
 
     /// Notes the end of an attempt: whether the replica failed, and how long it took against what was
     /// wanted.
     fn note_end(
         &mut self,
-        life: &ReplicaLife,
+        instance: &ReplicaInstance,
         failed: bool,
         slowness: f64,
         told: Option<ReplicaLoad>,
     ) {
         let now = now_millis();
-        let load = self.loads.entry(life.clone()).or_default();
+        let load = self.loads.entry(instance.clone()).or_default();
         load.decay(now);
         load.failures += (f64::from(u8::from(failed)) - load.failures) * NEWEST;
         load.slowness += (slowness - load.slowness) * NEWEST;
@@ -111,27 +111,27 @@
     }
 
     fn cost(&self, replica: &ReplicaEntry, now: Millis) -> f64 {
-        self.loads.get(&replica.life).map_or(1.0, |load| load.cost(replica, now))
+        self.loads.get(&replica.instance).map_or(1.0, |load| load.cost(replica, now))
     }
 }
 
 /// A request in flight at a replica; dropping it ends it.
 struct LoadGuard {
     relay: Rc<Relay>,
-    life: ReplicaLife,
+    instance: ReplicaInstance,
 }
 
 impl LoadGuard {
-    fn new(relay: &Rc<Relay>, life: &ReplicaLife) -> Self {
+    fn new(relay: &Rc<Relay>, instance: &ReplicaInstance) -> Self {
         let mut beliefs = relay.beliefs.borrow_mut();
-        beliefs.loads.loads.entry(life.clone()).or_default().in_flight += 1;
-        Self { relay: relay.clone(), life: life.clone() }
+        beliefs.loads.loads.entry(instance.clone()).or_default().in_flight += 1;
+        Self { relay: relay.clone(), instance: instance.clone() }
     }
 }
 
 impl Drop for LoadGuard {
     fn drop(&mut self) {
-        if let Some(load) = self.relay.beliefs.borrow_mut().loads.loads.get_mut(&self.life) {
+        if let Some(load) = self.relay.beliefs.borrow_mut().loads.loads.get_mut(&self.instance) {
             load.in_flight = load.in_flight.saturating_sub(1);
         }
     }
@@ -144,18 +144,18 @@
 pub fn choose_replica(
     relay: &Relay,
     permit: &Permit,
-    tried: &[ReplicaLife],
+    tried: &[ReplicaInstance],
 ) -> Option<ReplicaEntry> {
     let now = now_millis();
     let beliefs = relay.beliefs.borrow();
     let usable = |replica: &&ReplicaEntry| {
         replica.is_ready()
-            && !tried.contains(&replica.life)
-            && beliefs.send_wait(&replica.life, permit.priority, now).is_none()
+            && !tried.contains(&replica.instance)
+            && beliefs.send_wait(&replica.instance, permit.priority, now).is_none()
     };
     let cost = |replica: &ReplicaEntry| {
         let remote = replica.data_centre != relay.settings.data_centre;
-        let suspect = beliefs.suspects.is_suspect(&replica.life, now);
+        let suspect = beliefs.suspects.is_suspect(&replica.instance, now);
         let extra = if suspect { 100.0 } else { 0.0 } + if remote { REMOTE_COST } else { 0.0 };
         beliefs.loads.cost(replica, now) + extra
     };
@@ -176,11 +176,11 @@
     relay: &Rc<Relay>,
     request: &CallerRequest,
     permit: &Permit,
-    tried: &[ReplicaLife],
+    tried: &[ReplicaInstance],
 ) -> Option<ReplicaEntry> {
     let patience = permit.route.objective * WAIT_HUNDREDTHS / 100;
     let end = request.arrived + patience.min(request.deadline - request.arrived);
-    let untried = |replica: &ReplicaEntry| !tried.contains(&replica.life);
+    let untried = |replica: &ReplicaEntry| !tried.contains(&replica.instance);
     let Permit { service, priority, .. } = permit;
     let mut grant_wait = None;
     loop {
@@ -242,7 +242,7 @@
             return Err(if may_have_run { Refusal::Unknown } else { refusal });
         }
         let report = attempt(relay, request, &permit, &replica).await;
-        tried.push(replica.life.clone());
+        tried.push(replica.instance.clone());
         match report.end {
             AttemptEnd::NotSent => unsent += 1,
             _ => sends += 1,
@@ -264,7 +264,14 @@
                 && paid(sends),
         };
         let next = decide_next(state, report.end);
-        request.log_attempt(relay, Some(&replica.life), &permit, report.end, next, &report.detail);
+        request.log_attempt(
+            relay,
+            Some(&replica.instance),
+            &permit,
+            report.end,
+            next,
+            &report.detail,
+        );
         match (next, report.reply) {
             (NextStep::PassOn, Some(reply)) => {
                 let took = now - request.arrived;
@@ -310,9 +317,9 @@
     replica: &ReplicaEntry,
 ) -> AttemptReport {
     let begun = now_millis();
-    request.log_dispatch(relay, permit, &replica.life, None, None);
-    let _in_flight = LoadGuard::new(relay, &replica.life);
-    let mut run = RunWatch::at_replica(&replica.life);
+    request.log_dispatch(relay, permit, &replica.instance, None, None);
+    let _in_flight = LoadGuard::new(relay, &replica.instance);
+    let mut run = RunWatch::at_replica(&replica.instance);
     let target = ReplicaTarget { replica, path: None, last_event: None };
     let patience = attempt_patience(request, permit, begun);
     // A request that must not run twice gets a connection of its own: nothing that an earlier answer
@@ -340,9 +347,9 @@
     let wanted = permit.route.objective.max(1) as f64;
     let slowness = (took as f64 / wanted).min(SLOWEST);
     let told = report.reply.as_ref().and_then(|reply| read_answer(reply.head.headers()).load);
-    relay.beliefs.borrow_mut().loads.note_end(&replica.life, failed, slowness, told);
+    relay.beliefs.borrow_mut().loads.note_end(&replica.instance, failed, slowness, told);
     if matches!(report.end, AttemptEnd::NotSent) {
-        relay.suspect(&replica.life, &report.detail);
+        relay.suspect(&replica.instance, &report.detail);
     }
     report
 }
@@ -353,10 +360,10 @@
 /// Looks whether a replica that broke a request off is still there, before the request is sent on: without that, a request
 /// that ends replicas is sent to a fourth one before the end of the third is known.
 async fn look_whether_there(relay: &Rc<Relay>, replica: &ReplicaEntry) {
-    let (relay, life, address) = (relay.clone(), replica.life.clone(), replica.address);
+    let (relay, instance, address) = (relay.clone(), replica.instance.clone(), replica.address);
     let look = spawn_local(async move {
         if let Err(error) = relay.pool.reach(address).await {
-            relay.suspect(&life, &error.to_string());
+            relay.suspect(&instance, &error.to_string());
         }
     });
     // Where it takes longer, it goes on by itself.
@@ -385,7 +392,7 @@
 ) -> AttemptReport {
     let outgoing = request.to_replica(permit, target);
     request.attempt_count.set(request.attempt_count.get() + 1);
-    let gate = SendGate::new(relay, &target.replica.life, permit.priority);
+    let gate = SendGate::new(relay, &target.replica.instance, permit.priority);
     let begun = now_millis();
     let sent = relay.pool.send(target.replica.address, outgoing, fresh, || gate.pass()).await;
     if sent.as_ref().is_err_and(SendError::is_unsent) {
@@ -407,7 +414,7 @@
     let (parts, body) = response.into_parts();
     let marks = read_answer(&parts.headers);
     let answer = request.heard(&marks, parts.status, begun);
-    hear_notices(relay, &target.replica.life, answer);
+    hear_notices(relay, &target.replica.instance, answer);
     if let Some(end) = early_end(request, &marks, parts.status) {
         finish_quietly(relay, link, body, &marks).await;
         return AttemptReport::without_reply(end, format!("status {}", parts.status));
--- a/crates/relay/src/quarantine.rs
+++ b/crates/relay/src/quarantine.rs
@@ -12,9 +12,9 @@
 use switchfold_router::{
     Millis,
     fingerprint::RequestFingerprint,
-    follow::STORE_PATIENCE,
-    life::ReplicaLife,
-    origin::NewsOrigin,
+    follow::STORE_TIMEOUT,
+    instance::ReplicaInstance,
+    origin::UpdateOrigin,
     quarantine::{CrashRun, CrashSign, QUARANTINE, QuarantineChange, RequestNews},
 };
 use switchfold_store::StoreError;
@@ -56,8 +56,8 @@
 }
 
 /// Notes that a replica is lost: found silent, refusing connections, or listed no more without having said that it leaves.
-pub fn note_ended(relay: &Relay, life: &ReplicaLife) {
-    let change = relay.beliefs.borrow_mut().quarantine.note_ended(life, now_millis());
+pub fn note_ended(relay: &Relay, instance: &ReplicaInstance) {
+    let change = relay.beliefs.borrow_mut().quarantine.note_ended(instance, now_millis());
     take_change(relay, &change);
 }
 
@@ -72,7 +72,7 @@
 }
 
 /// Takes over what another relay tells of requests.
-pub fn hear_crashes(relay: &Relay, news: &StateNews, origin: NewsOrigin, now: Millis) {
+pub fn hear_crashes(relay: &Relay, news: &StateNews, origin: UpdateOrigin, now: Millis) {
     if news.crashes.is_empty() && news.cleared.is_empty() {
         return;
     }
@@ -83,7 +83,7 @@
         .map(|(of, age)| (RequestFingerprint::from_bytes(*of), Millis::from(*age)));
     let change = {
         let mut beliefs = relay.beliefs.borrow_mut();
-        let is_member_news = origin == NewsOrigin::Member;
+        let is_member_news = origin == UpdateOrigin::Member;
         let tells_on = is_member_news || beliefs.peers.has_members(now);
         beliefs.quarantine.hear_cleared(&cleared.collect::<Vec<_>>(), tells_on, now);
         beliefs.quarantine.hear(crashes, is_member_news, now)
@@ -128,8 +128,8 @@
     fn of(news: &RequestNews, now: Millis, epoch: u64) -> Self {
         let at = |time: i64| epoch.saturating_add_signed(time - now as i64);
         let runs = news.runs.iter().map(|run| StoredRun {
-            id: run.life.id().to_owned(),
-            born: run.life.born(),
+            id: run.instance.id().to_owned(),
+            born: run.instance.born(),
             sent: at(run.sent),
             lost: at(run.lost),
             strong: run.sign == CrashSign::Strong,
@@ -140,7 +140,7 @@
     fn news(&self, fingerprint: RequestFingerprint, now: Millis, epoch: u64) -> RequestNews {
         let at = |time: u64| now as i64 - (epoch as i64 - time as i64);
         let runs = self.runs.iter().map(|run| CrashRun {
-            life: ReplicaLife::new(&run.id, run.born),
+            instance: ReplicaInstance::new(&run.id, run.born),
             sent: at(run.sent),
             lost: at(run.lost),
             sign: if run.strong { CrashSign::Strong } else { CrashSign::Weak },
@@ -210,18 +210,18 @@
 /// Follows what other relays left in the store, for good. One relay of each data centre does; it tells the others.
 pub async fn follow_quarantine(relay: Rc<Relay>) {
     let platform = relay.settings.platform.to_string();
-    let patience = Duration::from_millis(WATCH_WAIT + STORE_PATIENCE);
+    let patience = Duration::from_millis(WATCH_WAIT + STORE_TIMEOUT);
     let store = CountedStore::new(&platform, patience, &relay.calls);
     let mut held = BTreeMap::new();
     let mut revision = None;
     wait_at_start(&relay, |beliefs, now| is_read_by_other(&relay.settings, beliefs, now)).await;
     loop {
-        let (is_covered, is_lost) = {
+        let (is_read_by_peer, is_lost) = {
             let beliefs = relay.beliefs.borrow();
-            let is_covered = is_read_by_other(&relay.settings, &beliefs, now_millis());
-            (is_covered, beliefs.config_lease.is_lost())
+            let is_read_by_peer = is_read_by_other(&relay.settings, &beliefs, now_millis());
+            (is_read_by_peer, beliefs.config_lease.is_lost())
         };
-        if is_covered || is_lost {
+        if is_read_by_peer || is_lost {
             revision = None;
             sleep(if is_lost { CALL_AGAIN } else { COVER_LOOK }).await;
             continue;
@@ -317,7 +317,7 @@
 async fn remove_ended(relay: &Relay, held: &mut HeldObjects) {
     let (now, epoch) = (now_millis(), epoch_millis());
     let fresh = relay.is_fleet_fresh(now);
-    if !relay.beliefs.borrow().peers.is_first(&relay.settings.name, fresh, now) {
+    if !relay.beliefs.borrow().peers.is_leader(&relay.settings.name, fresh, now) {
         return;
     }
     let ended: Vec<RequestFingerprint> =
--- a/crates/relay/src/registry.rs
+++ b/crates/relay/src/registry.rs
@@ -17,7 +17,7 @@
 use switchfold_platform::objects::ListedObject;
 use switchfold_router::{
     Millis,
-    follow::{FIRST_PATIENCE, START_PATIENCE, start_patience},
+    follow::{FIRST_START_DELAY, START_DELAY, start_delay},
 };
 use switchfold_store::StoreError;
 use tokio::time::sleep;
@@ -28,7 +28,7 @@
     snapshot::take::ask_relays,
     state::{Beliefs, Relay},
     store_calls::{CallCause, CallKind, CallVerb},
-    tell::{TellReach, greet, settle_circle, tell_state},
+    tell::{TellReach, greet, plan_gossip, tell_state},
 };
 
 /// Time between two readings of the peers' objects; stale reads do, at a tenth of the price.
@@ -89,8 +89,8 @@
 /// together, the first to list the relays tells the others of itself.
 async fn hear_any(relay: &Relay) {
     let RelaySettings { data_centre, first_start, .. } = &relay.settings;
-    let longest = if *first_start { FIRST_PATIENCE / 2 } else { START_PATIENCE * 3 };
-    let patience = relay.random.borrow_mut().random_range(START_PATIENCE / 2..=longest);
+    let longest = if *first_start { FIRST_START_DELAY / 2 } else { START_DELAY * 3 };
+    let patience = relay.random.borrow_mut().random_range(START_DELAY / 2..=longest);
     let until = now_millis() + patience;
     while now_millis() < until {
         if relay.beliefs.borrow().peers.live_near(data_centre, now_millis()) > 0 {
@@ -112,7 +112,7 @@
         {
             let beliefs = relay.beliefs.borrow();
             let before = beliefs.peers.before(name, data_centre, now).live;
-            if can_be_told(&beliefs, now) || now - begun >= start_patience(*first_start, before) {
+            if can_be_told(&beliefs, now) || now - begun >= start_delay(*first_start, before) {
                 return;
             }
         }
@@ -174,7 +174,7 @@
         }
     }
     if is_any_new {
-        settle_circle(relay);
+        plan_gossip(relay);
         tell_state(relay, TellReach::All);
         if !relay.circle.borrow().is_member {
             greet(relay, &new_near);
--- a/crates/relay/src/replicas.rs
+++ b/crates/relay/src/replicas.rs
@@ -12,9 +12,9 @@
 };
 use switchfold_router::{
     Millis,
-    fleet::{FleetChange, ReplicaEntry, ReplicaNews},
-    life::ReplicaLife,
-    replicas::{EraStart, FleetList, NewsSource, TakenList, TakenNews},
+    fleet::{FleetChange, ReplicaEntry, ReplicaUpdate},
+    instance::ReplicaInstance,
+    replicas::{AppliedList, AppliedUpdate, EraStart, FleetList, UpdateSource},
 };
 use tokio::task::spawn_local;
 
@@ -26,22 +26,22 @@
 pub fn take_replica_list(relay: &Rc<Relay>, list: ObjectList, sent: Millis) {
     let listed = list.items.iter().filter_map(|item| read_news(relay, item)).collect();
     let list = FleetList { listed, at: list.at };
-    let cleared = relay.beliefs.borrow().fleet.cleared_by(&list, now_millis());
+    let cleared = relay.beliefs.borrow().fleet.confirmed_by(&list, now_millis());
     if !cleared.is_empty() {
         tell_fleet(relay, cleared);
     }
-    take_list(relay, list, NewsSource::List, sent);
+    apply_list(relay, list, UpdateSource::List, sent);
 }
 
 /// Takes over a whole list, proved at `sent`; `source` tells how it came.
-pub fn take_list(relay: &Rc<Relay>, list: FleetList, source: NewsSource, sent: Millis) {
+pub fn apply_list(relay: &Rc<Relay>, list: FleetList, source: UpdateSource, sent: Millis) {
     let at = list.at;
     let is_first = relay.beliefs.borrow().fleet.view.is_empty();
     if is_first {
         tracing::info!(event = "replicas-listed", count = list.listed.len(), at, %source);
     }
-    let TakenList { taken, awaited, passed, began } =
-        relay.beliefs.borrow_mut().fleet.take_list(list, source, sent, now_millis());
+    let AppliedList { taken, awaited, passed, began } =
+        relay.beliefs.borrow_mut().fleet.apply_list(list, source, sent, now_millis());
     if let Some(EraStart { era, doubted }) = began {
         count(&relay.counts.store_copies);
         let (listed, awaited) = (taken.len(), awaited.len());
@@ -73,13 +73,13 @@
         let answers = answers(&relay, address).await;
         let still_missing = relay.beliefs.borrow().fleet.is_awaited(&id);
         if !answers && still_missing {
-            tell_and_take(&relay, vec![gone(id, at)], NewsSource::Lapse);
+            tell_and_take(&relay, vec![gone(id, at)], UpdateSource::Lapse);
         }
     });
 }
 
-fn gone(id: String, revision: u64) -> ReplicaNews {
-    ReplicaNews { id, revision, entry: None }
+fn gone(id: String, revision: u64) -> ReplicaUpdate {
+    ReplicaUpdate { id, revision, entry: None }
 }
 
 /// Address of a replica that is an engine.
@@ -94,7 +94,7 @@
 /// Drops replicas that were waited for and did not come back.
 pub fn drop_lapsed(relay: &Relay) {
     let lapsed = relay.beliefs.borrow_mut().fleet.lapsed(now_millis());
-    tell_and_take(relay, lapsed, NewsSource::Lapse);
+    tell_and_take(relay, lapsed, UpdateSource::Lapse);
 }
 
 /// Takes over what a watch of the store told, and tells the relays of the data centre.
@@ -104,33 +104,33 @@
     for change in changes {
         let Some(news) = change_news(relay, change) else { continue };
         told.push(news.clone());
-        take_news(relay, vec![news], NewsSource::Watch);
+        take_news(relay, vec![news], UpdateSource::Watch);
     }
     if !told.is_empty() {
         tell_fleet(relay, told);
     }
 }
 
-fn tell_and_take(relay: &Relay, news: Vec<ReplicaNews>, source: NewsSource) {
+fn tell_and_take(relay: &Relay, news: Vec<ReplicaUpdate>, source: UpdateSource) {
     if !news.is_empty() {
         tell_fleet(relay, news.clone());
         take_news(relay, news, source);
     }
 }
 
-fn change_news(relay: &Relay, change: ObjectChange) -> Option<ReplicaNews> {
+fn change_news(relay: &Relay, change: ObjectChange) -> Option<ReplicaUpdate> {
     match change.gone {
         true => Some(gone(change.object.metadata.name, change.object.metadata.revision)),
         false => read_news(relay, &change.object),
     }
 }
 
-fn read_news(relay: &Relay, object: &ListedObject) -> Option<ReplicaNews> {
+fn read_news(relay: &Relay, object: &ListedObject) -> Option<ReplicaUpdate> {
     let ObjectMetadata { name, revision } = &object.metadata;
     let entry = decode_replica(name, &object.spec).map_err(|error| error.to_string());
     match entry.and_then(check_start) {
         Ok(entry) => {
-            Some(ReplicaNews { id: name.clone(), revision: *revision, entry: Some(entry) })
+            Some(ReplicaUpdate { id: name.clone(), revision: *revision, entry: Some(entry) })
         }
         Err(why) => {
             let mut beliefs = relay.beliefs.borrow_mut();
@@ -145,47 +145,49 @@
 
 /// A replica cannot have started long after now: whoever wrote that is none.
 fn check_start(entry: ReplicaEntry) -> Result<ReplicaEntry, String> {
-    match entry.life.is_plausible(epoch_millis()) {
+    match entry.instance.is_plausible(epoch_millis()) {
         true => Ok(entry),
-        false => Err(format!("a start at {}, far ahead of now", entry.life.born())),
+        false => Err(format!("a start at {}, far ahead of now", entry.instance.born())),
     }
 }
 
 /// Whether a report counts that the replica at an address gave. One of an earlier life than its entry's does not;
 /// one of a later life ends what is known of the earlier one at once, before the list tells.
 pub fn take_report_start(relay: &Relay, address: SocketAddr, born: Millis) -> bool {
-    let known = relay.beliefs.borrow().fleet.view.at(address).map(|entry| entry.life.clone());
-    let Some(life) = known.filter(|life| born > 0 && life.born() > 0) else { return true };
-    if born <= life.born() {
-        return born == life.born();
+    let known = relay.beliefs.borrow().fleet.view.at(address).map(|entry| entry.instance.clone());
+    let Some(instance) = known.filter(|instance| born > 0 && instance.born() > 0) else {
+        return true;
+    };
+    if born <= instance.born() {
+        return born == instance.born();
     }
-    if !life.at(born).is_plausible(epoch_millis()) {
+    if !instance.at(born).is_plausible(epoch_millis()) {
         tracing::warn!(event = "report-unreadable", %address, born, why = "far ahead of now");
         return false;
     }
-    let taken = relay.beliefs.borrow_mut().fleet.take_start(life.id(), born, now_millis());
+    let taken = relay.beliefs.borrow_mut().fleet.apply_start(instance.id(), born, now_millis());
     if let Some(taken) = taken {
         note_taken(relay, &taken);
-        tell_fleet(relay, held_news(relay, life.id()));
+        tell_fleet(relay, held_news(relay, instance.id()));
     }
     true
 }
 
 /// Takes a replica's own word that it is leaving, and tells the relays of the data centre.
-pub fn take_leaving(relay: &Relay, life: &ReplicaLife) {
-    let taken = relay.beliefs.borrow_mut().fleet.take_leaving(life);
+pub fn apply_draining(relay: &Relay, instance: &ReplicaInstance) {
+    let taken = relay.beliefs.borrow_mut().fleet.apply_draining(instance);
     let Some(taken) = taken else { return };
     count(&relay.counts.leaving_told);
     note_taken(relay, &taken);
-    tell_fleet(relay, held_news(relay, life.id()));
+    tell_fleet(relay, held_news(relay, instance.id()));
 }
 
 /// What is held of a replica, as news for others.
-fn held_news(relay: &Relay, id: &str) -> Vec<ReplicaNews> {
+fn held_news(relay: &Relay, id: &str) -> Vec<ReplicaUpdate> {
     let beliefs = relay.beliefs.borrow();
     let (entry, revision) = (beliefs.fleet.view.get(id), beliefs.fleet.view.revision(id));
     let held = entry.zip(revision);
-    held.map(|(entry, revision)| ReplicaNews {
+    held.map(|(entry, revision)| ReplicaUpdate {
         id: id.to_owned(),
         revision,
         entry: Some(entry.clone()),
@@ -195,15 +197,17 @@
 }
 
 /// Takes over news of replicas, from the store or from another relay.
-pub fn take_news(relay: &Relay, news: Vec<ReplicaNews>, source: NewsSource) {
+pub fn take_news(relay: &Relay, news: Vec<ReplicaUpdate>, source: UpdateSource) {
     let taken = relay.beliefs.borrow_mut().fleet.take_all(news, source, now_millis());
     taken.iter().for_each(|taken| note_taken(relay, taken));
 }
 
 /// Writes a line where news changed something: with its revision, what was held before, and where it
 /// came from. Running streams then look at their paths.
-fn note_taken(relay: &Relay, taken: &TakenNews) {
-    let TakenNews { id, life, ended, address, layers, change, revision, held, source, .. } = taken;
+fn note_taken(relay: &Relay, taken: &AppliedUpdate) {
+    let AppliedUpdate {
+        id, instance, ended, address, layers, change, revision, held, source, ..
+    } = taken;
     if *change == FleetChange::Older {
         count(&relay.counts.older_news);
         tracing::debug!(event = "older-news", replica = id, revision, held, %source);
@@ -227,7 +231,7 @@
         }
         FleetChange::Restarted => {
             count(&relay.counts.restarted);
-            let born = life.as_ref().map(ReplicaLife::born);
+            let born = instance.as_ref().map(ReplicaInstance::born);
             tracing::info!(event = "replica-restarted", replica = id, born, %address, ?layers, revision, held, %source);
         }
         FleetChange::Gone => {
@@ -245,14 +249,14 @@
 }
 
 /// Forgets what was learnt of a life of a replica that ended.
-fn forget_life(relay: &Relay, life: &ReplicaLife, address: SocketAddr) {
+fn forget_life(relay: &Relay, instance: &ReplicaInstance, address: SocketAddr) {
     {
         let mut beliefs = relay.beliefs.borrow_mut();
-        beliefs.suspects.clear(life);
-        beliefs.full.clear(life);
-        beliefs.heads.forget(life);
-        beliefs.loads.forget(life);
-        beliefs.paces.forget(life);
+        beliefs.suspects.clear(instance);
+        beliefs.full.clear(instance);
+        beliefs.heads.forget(instance);
+        beliefs.loads.forget(instance);
+        beliefs.paces.forget(instance);
     }
     relay.pool.forget(address);
     relay.reports.forget(address);
--- a/crates/relay/src/request.rs
+++ b/crates/relay/src/request.rs
@@ -16,7 +16,7 @@
     chain::PathPart,
     fingerprint::{RequestFingerprint, RequestParts},
     fleet::ReplicaEntry,
-    life::ReplicaLife,
+    instance::ReplicaInstance,
     returns::awaits_config,
 };
 use tokio::time::sleep;
@@ -116,7 +116,7 @@
     pub fn to_replica(&self, permit: &Permit, target: &ReplicaTarget<'_>) -> Request<Full<Bytes>> {
         let mut headers = self.headers.clone();
         let marks = ReplicaMarks {
-            replica: target.replica.life.id(),
+            replica: target.replica.instance.id(),
             time_left: self.time_left(now_millis()).max(1),
             organisation: permit.organisation.as_deref(),
             priority: target.path.is_some().then_some(self.priority(permit, target)),
@@ -137,7 +137,7 @@
         &self,
         relay: &Relay,
         permit: &Permit,
-        first: &ReplicaLife,
+        first: &ReplicaInstance,
         last_event: Option<u64>,
         path: Option<&[PathPart]>,
     ) {
@@ -170,7 +170,7 @@
     pub fn log_attempt(
         &self,
         relay: &Relay,
-        replica: Option<&ReplicaLife>,
+        replica: Option<&ReplicaInstance>,
         permit: &Permit,
         end: AttemptEnd,
         next: NextStep,
@@ -184,7 +184,7 @@
         tracing::warn!(
             event = "attempt-failed",
             request = self.marks.attempt_id,
-            replica = replica.map(ReplicaLife::to_string),
+            replica = replica.map(ReplicaInstance::to_string),
             route = permit.route.name,
             config = permit.config.version,
             ?end,
--- a/crates/relay/src/run.rs
+++ b/crates/relay/src/run.rs
@@ -14,7 +14,7 @@
 use rand_chacha::ChaCha8Rng;
 use switchfold_core::hash::hash_bytes;
 use switchfold_kernel::{clock::epoch_micros, metrics::MetricsError, shutdown::ShutdownSignal};
-use switchfold_router::follow::STORE_PATIENCE;
+use switchfold_router::follow::STORE_TIMEOUT;
 use tokio::{
     net::{TcpListener, UdpSocket},
     signal::unix::{SignalKind, signal},
@@ -187,7 +187,7 @@
 
 fn new_relay(settings: RelaySettings, peer_socket: UdpSocket, metrics: RelayMetrics) -> Relay {
     let calls = Rc::default();
-    let patience = Duration::from_millis(STORE_PATIENCE);
+    let patience = Duration::from_millis(STORE_TIMEOUT);
     let store = CountedStore::new(&settings.platform.to_string(), patience, &calls);
     let seed = hash_bytes(epoch_micros(), settings.name.as_bytes());
     let mut random = ChaCha8Rng::seed_from_u64(seed);
--- a/crates/relay/src/runs.rs
+++ b/crates/relay/src/runs.rs
@@ -10,7 +10,7 @@
 use switchfold_router::{
     Millis,
     chain::PathPart,
-    life::ReplicaLife,
+    instance::ReplicaInstance,
     quarantine::{LostRun, PROVEN_AFTER, RunYield},
 };
 
@@ -24,7 +24,7 @@
 /// A run of a request at the replicas of its path.
 #[derive(Clone, Debug)]
 pub struct RunWatch {
-    lives: Vec<ReplicaLife>,
+    instances: Vec<ReplicaInstance>,
     sent: Millis,
     yielded: RunYield,
     is_lost: bool,
@@ -33,18 +33,18 @@
 
 impl RunWatch {
     /// Watches a run that is sent now to one replica, and whose answer comes as a whole.
-    pub fn at_replica(life: &ReplicaLife) -> Self {
-        Self::new(vec![life.clone()], RunYield::Whole)
+    pub fn at_replica(instance: &ReplicaInstance) -> Self {
+        Self::new(vec![instance.clone()], RunYield::Whole)
     }
 
     /// Watches a stream that is sent now over a path.
     pub fn over_path(path: &[PathPart]) -> Self {
-        let lives = path.iter().map(|part| part.life.clone()).collect();
-        Self::new(lives, RunYield::Stream { begun: None, events: 0 })
+        let instances = path.iter().map(|part| part.instance.clone()).collect();
+        Self::new(instances, RunYield::Stream { begun: None, events: 0 })
     }
 
-    fn new(lives: Vec<ReplicaLife>, yielded: RunYield) -> Self {
-        Self { lives, sent: now_millis(), yielded, is_lost: false, is_proven: false }
+    fn new(instances: Vec<ReplicaInstance>, yielded: RunYield) -> Self {
+        Self { instances, sent: now_millis(), yielded, is_lost: false, is_proven: false }
     }
 
     /// Notes that the first replica began to run it.
@@ -79,15 +79,15 @@
             event = "run-lost",
             request = request.marks.attempt_id,
             fingerprint = %request.fingerprint,
-            first = self.lives.first().map(ReplicaLife::to_string),
-            parts = self.lives.len(),
+            first = self.instances.first().map(ReplicaInstance::to_string),
+            parts = self.instances.len(),
             sent_ms = now - self.sent,
             ran_ms = begun.map(|begun| now - begun),
             events,
             sign = ?self.yielded.sign(now),
             why,
         );
-        let run = LostRun { lives: &self.lives, sent: self.sent, yielded: self.yielded };
+        let run = LostRun { instances: &self.instances, sent: self.sent, yielded: self.yielded };
         let change = {
             let mut beliefs = relay.beliefs.borrow_mut();
             beliefs.quarantine.note_lost(request.fingerprint, &run, now)
--- a/crates/relay/src/snapshot/serve.rs
+++ b/crates/relay/src/snapshot/serve.rs
@@ -124,9 +124,9 @@
 fn tell_replicas(beliefs: &Beliefs, held: u64, now: Millis) -> Option<Snapshot> {
     let read_age = beliefs.fleet.read_age(now).filter(|_| !beliefs.fleet.is_lost());
     // One that holds nothing is told whatever is held, with its age: it may start in an outage.
-    let held_age = beliefs.fleet.held_answer_age(now).filter(|_| held == EMPTY_DIGEST);
+    let held_age = beliefs.fleet.known_answer_age(now).filter(|_| held == EMPTY_DIGEST);
     let answered_age = read_age.or(held_age)?;
-    let list = beliefs.fleet.told_list();
+    let list = beliefs.fleet.shareable_list();
     // A list without some that are awaited is another one than the digest stands for.
     let is_same =
         list.listed.len() == beliefs.fleet.view.len() && held == beliefs.fleet.view.digest();
--- a/crates/relay/src/snapshot/take.rs
+++ b/crates/relay/src/snapshot/take.rs
@@ -5,9 +5,9 @@
 use switchfold_kernel::clock::now_millis;
 use switchfold_router::{
     Millis,
-    fleet::ReplicaNews,
-    follow::TellerPlace,
-    replicas::{FleetList, NewsSource},
+    fleet::ReplicaUpdate,
+    follow::SourceOrder,
+    replicas::{FleetList, UpdateSource},
 };
 
 use super::{
@@ -17,7 +17,7 @@
 use crate::{
     counts::count,
     registry::{PeerAddress, relays_digest},
-    replicas::take_list,
+    replicas::apply_list,
     settings::RelaySettings,
     state::Relay,
     store_calls::CallKind,
@@ -27,7 +27,7 @@
 /// Asks a neighbour for the configuration; gives the revision up to which it read.
 pub async fn ask_config(relay: &Rc<Relay>) -> Option<u64> {
     let held = relay.beliefs.borrow().config_version();
-    let (teller, address) = config_teller(relay, held)?;
+    let (teller, address) = config_source(relay, held)?;
     let told = fetch_snapshot(relay, CallKind::Config, &teller, address, held).await?;
     let ToldSnapshot { at, proof, body } = told;
     if let SnapshotBody::Config { revision, spec } = body {
@@ -54,10 +54,10 @@
     Some(at)
 }
 
-fn config_teller(relay: &Relay, held: u64) -> Option<(String, SocketAddr)> {
+fn config_source(relay: &Relay, held: u64) -> Option<(String, SocketAddr)> {
     let RelaySettings { name, data_centre, .. } = &relay.settings;
     let beliefs = relay.beliefs.borrow();
-    let teller = beliefs.peers.config_teller(name, data_centre, held, now_millis())?;
+    let teller = beliefs.peers.config_source(name, data_centre, held, now_millis())?;
     Some((teller.name.to_owned(), teller.address))
 }
 
@@ -67,16 +67,16 @@
         let fleet = &relay.beliefs.borrow().fleet;
         (fleet.holds_none(), fleet.view.digest())
     };
-    let (teller, address) = fleet_teller(relay, holds_none)?;
+    let (teller, address) = fleet_source(relay, holds_none)?;
     let told = fetch_snapshot(relay, CallKind::Replicas, &teller, address, held).await?;
     if relay.beliefs.borrow().fleet.is_of_earlier_era(told.at) {
         tracing::info!(event = "snapshot-untold", kind = %CallKind::Replicas, teller, reason = "of an earlier era");
         return None;
     }
     if let SnapshotBody::Replicas(records) = told.body {
-        let listed = records.into_iter().map(ReplicaNews::from).collect();
+        let listed = records.into_iter().map(ReplicaUpdate::from).collect();
         let sent = told.proof.proved.map_or(0, |proved| proved.max(0) as Millis);
-        take_list(relay, FleetList { listed, at: told.at }, NewsSource::Told, sent);
+        apply_list(relay, FleetList { listed, at: told.at }, UpdateSource::Told, sent);
     }
     let mut beliefs = relay.beliefs.borrow_mut();
     beliefs.fleet.note_told(told.proof, told.at);
@@ -84,10 +84,10 @@
     Some(told.at)
 }
 
-fn fleet_teller(relay: &Relay, holds_none: bool) -> Option<(String, SocketAddr)> {
+fn fleet_source(relay: &Relay, holds_none: bool) -> Option<(String, SocketAddr)> {
     let RelaySettings { name, data_centre, .. } = &relay.settings;
     let beliefs = relay.beliefs.borrow();
-    let teller = beliefs.peers.fleet_teller(name, data_centre, holds_none, now_millis())?;
+    let teller = beliefs.peers.fleet_source(name, data_centre, holds_none, now_millis())?;
     Some((teller.name.to_owned(), teller.address))
 }
 
@@ -98,7 +98,7 @@
         let RelaySettings { name, data_centre, .. } = &relay.settings;
         let beliefs = relay.beliefs.borrow();
         let first = beliefs.peers.first_near(name, data_centre, now_millis())?;
-        let lists_itself = beliefs.listed_relays.is_some() && first.place == TellerPlace::Behind;
+        let lists_itself = beliefs.listed_relays.is_some() && first.place == SourceOrder::Behind;
         (!lists_itself).then(|| (first.name.to_owned(), first.address))
     };
     let (teller, address) = first?;
--- a/crates/relay/src/state.rs
+++ b/crates/relay/src/state.rs
@@ -23,15 +23,15 @@
     fleet::EntryState,
     freshness::FreshnessLease,
     grants::{HeldGrants, ReturnSlots},
+    instance::ReplicaInstance,
     issuer::GrantIssuer,
-    life::ReplicaLife,
     limits::LimitTable,
-    membership::{PeerTable, TalkCircle},
+    membership::{GossipPlan, PeerTable},
     mute::HeadWatch,
     pace::PaceTable,
     pipe::PipeShare,
     quarantine::QuarantineTable,
-    replicas::{FleetBelief, OddEntries},
+    replicas::{FleetTracker, ForeignEntries},
     room::{FullStarts, RoomLedger},
     suspect::SuspectList,
 };
@@ -67,9 +67,9 @@
     /// Relays whose addresses stand in the store, as last listed by this one or a neighbour.
     pub listed_relays: Option<BTreeMap<String, PeerAddress>>,
     /// The replicas.
-    pub fleet: FleetBelief,
+    pub fleet: FleetTracker,
     /// Entries that are no replica's own.
-    pub odd_entries: OddEntries,
+    pub odd_entries: ForeignEntries,
     /// Memory for requests promised at each replica.
     pub room: RoomLedger,
     /// Requests that run, by the first replica of their path.
@@ -116,18 +116,18 @@
 
     /// Time until a request of a rank may be sent to a replica, by what the replica asked for: time without requests of this
     /// relay, or few of all relays together. Nothing where it may be sent now.
-    pub fn send_wait(&self, life: &ReplicaLife, rank: u8, now: Millis) -> Option<Millis> {
-        let left = self.backoffs.left(life, now);
-        left.max(self.limit_wait(life, rank, now))
+    pub fn send_wait(&self, instance: &ReplicaInstance, rank: u8, now: Millis) -> Option<Millis> {
+        let left = self.backoffs.left(instance, now);
+        left.max(self.limit_wait(instance, rank, now))
     }
 
     /// Time until a grant for a request of a rank; nothing where the replica has no limit, or there is a grant.
-    pub fn limit_wait(&self, life: &ReplicaLife, rank: u8, now: Millis) -> Option<Millis> {
+    pub fn limit_wait(&self, instance: &ReplicaInstance, rank: u8, now: Millis) -> Option<Millis> {
         if self.limits.is_empty() {
             return None;
         }
-        self.limits.limit(life.id())?;
-        self.grants.wait(life.id(), rank, now)
+        self.limits.limit(instance.id())?;
+        self.grants.wait(instance.id(), rank, now)
     }
 }
 
@@ -203,7 +203,7 @@
     /// When a line on dropped datagrams was last written.
     pub drop_logged: Cell<Option<Millis>>,
     /// Relays that are told.
-    pub circle: RefCell<TalkCircle>,
+    pub circle: RefCell<GossipPlan>,
 }
 
 impl Relay {
@@ -255,14 +255,14 @@
     }
 
     /// Keeps away from a replica for a while.
-    pub fn suspect(&self, life: &ReplicaLife, why: &str) {
+    pub fn suspect(&self, instance: &ReplicaInstance, why: &str) {
         let now = now_millis();
-        note_ended(self, life);
-        let until = self.beliefs.borrow_mut().suspects.note_failure(life, now);
+        note_ended(self, instance);
+        let until = self.beliefs.borrow_mut().suspects.note_failure(instance, now);
         if let Some(until) = until {
             self.raise_alarm();
             tell_state(self, TellReach::All);
-            tracing::warn!(event = "suspect", replica = %life, why, for_ms = until - now);
+            tracing::warn!(event = "suspect", replica = %instance, why, for_ms = until - now);
         }
     }
 
@@ -273,18 +273,20 @@
     }
 
     /// Notes that a replica was short of memory.
-    pub fn note_full(&self, life: &ReplicaLife) {
+    pub fn note_full(&self, instance: &ReplicaInstance) {
         let now = now_millis();
-        if self.beliefs.borrow_mut().full.note_failure(life, now).is_some() {
-            tracing::info!(event = "replica-full", replica = %life);
+        if self.beliefs.borrow_mut().full.note_failure(instance, now).is_some() {
+            tracing::info!(event = "replica-full", replica = %instance);
         }
     }
 
     /// State of a part of a running request's path.
     pub fn part_state(&self, part: &PathPart) -> PartState {
         let beliefs = self.beliefs.borrow();
-        let Some(replica) = beliefs.fleet.view.living(&part.life) else { return PartState::Lost };
-        if beliefs.suspects.is_suspect(&part.life, now_millis()) {
+        let Some(replica) = beliefs.fleet.view.living(&part.instance) else {
+            return PartState::Lost;
+        };
+        if beliefs.suspects.is_suspect(&part.instance, now_millis()) {
             return PartState::Lost;
         }
         let holds = replica
@@ -301,7 +303,7 @@
         let beliefs = self.beliefs.borrow();
         let age = beliefs.config_lease.age(now);
         age.is_some_and(|age| {
-            beliefs.peers.should_step_aside(age, beliefs.config_lease.is_lost(), now)
+            beliefs.peers.should_redirect(age, beliefs.config_lease.is_lost(), now)
         })
     }
 
--- a/crates/relay/src/stream.rs
+++ b/crates/relay/src/stream.rs
@@ -13,7 +13,7 @@
     attempt::{AttemptEnd, AttemptState, NextStep, decide_next},
     chain::PathPart,
     fleet::ReplicaEntry,
-    life::ReplicaLife,
+    instance::ReplicaInstance,
     returns::return_delay,
 };
 use tokio::time::sleep;
@@ -71,7 +71,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct TriedReplicas {
     /// Replicas not to use again.
-    pub avoid: Vec<ReplicaLife>,
+    pub avoid: Vec<ReplicaInstance>,
     /// Sends that a replica may have run.
     pub sends: u32,
     /// Sends that none ran.
@@ -187,20 +187,20 @@
         first: None,
     };
     let path = wait_for_path(relay, &wish, patience).await?;
-    let first = relay.beliefs.borrow().fleet.view.living(&path[0].life).cloned()?;
+    let first = relay.beliefs.borrow().fleet.view.living(&path[0].instance).cloned()?;
     if let Err(refusal) = check_quarantine(relay, request) {
         return Some(OpenEnd::Barred(refusal));
     }
     let room = RoomGuard::new(relay, &path, tokens);
-    request.log_dispatch(relay, permit, &first.life, last_event, Some(&path));
+    request.log_dispatch(relay, permit, &first.instance, last_event, Some(&path));
     let target = ReplicaTarget { replica: &first, path: Some(&path), last_event };
     let outgoing = request.to_replica(permit, &target);
     let fresh = !permit.route.is_repeatable();
     let mut run = RunWatch::over_path(&path);
-    let head = HeadGuard::new(relay, &first.life);
+    let head = HeadGuard::new(relay, &first.instance);
     let begun = now_millis();
     let sent = {
-        let gate = SendGate::new(relay, &first.life, permit.priority);
+        let gate = SendGate::new(relay, &first.instance, permit.priority);
         let sending = relay.pool.send(first.address, outgoing, fresh, || gate.pass());
         let wait = HeadWait { relay, request, permit, earlier_sends: tried.sends, path: &path };
         let sent = wait.run(sending).await;
@@ -212,12 +212,12 @@
     let sent = match sent {
         Ok(sent) => sent,
         Err(WaitEnd::Send(SendError::NotSent { detail })) => {
-            relay.suspect(&first.life, &detail);
-            tried.avoid.push(first.life);
+            relay.suspect(&first.instance, &detail);
+            tried.avoid.push(first.instance);
             return Some(OpenEnd::Failed(AttemptEnd::NotSent, detail));
         }
         Err(WaitEnd::Send(error @ SendError::HeldBack { .. })) => {
-            tried.avoid.push(first.life);
+            tried.avoid.push(first.instance);
             return Some(OpenEnd::Failed(AttemptEnd::NotSent, error.to_string()));
         }
         Err(WaitEnd::Send(SendError::Broken { detail })) => {
@@ -226,13 +226,13 @@
             probe_replicas(relay, std::iter::once(first.address));
             run.note_lost(relay, request, &detail);
             tried.sends += 1;
-            tried.avoid.push(first.life);
+            tried.avoid.push(first.instance);
             return Some(OpenEnd::Failed(AttemptEnd::Broken, detail));
         }
         Err(WaitEnd::Stalled(detail)) => {
             run.note_lost(relay, request, &detail);
             tried.sends += 1;
-            tried.avoid.push(first.life);
+            tried.avoid.push(first.instance);
             return Some(OpenEnd::Failed(AttemptEnd::Broken, detail));
         }
         Err(WaitEnd::TimeUp) => {
@@ -258,11 +258,12 @@
 
 /// Keeps away from the replica at an address.
 pub fn note_fault(relay: &Relay, at_fault: SocketAddr, why: &str) -> String {
-    let life = relay.beliefs.borrow().fleet.view.at(at_fault).map(|replica| replica.life.clone());
-    match life {
-        Some(life) => {
-            relay.suspect(&life, why);
-            format!("{why} at {at_fault} ({life})")
+    let instance =
+        relay.beliefs.borrow().fleet.view.at(at_fault).map(|replica| replica.instance.clone());
+    match instance {
+        Some(instance) => {
+            relay.suspect(&instance, why);
+            format!("{why} at {at_fault} ({instance})")
         }
         None => format!("{why} at {at_fault} (not listed)"),
     }
@@ -288,7 +289,7 @@
     let SentRun { path, room, mut run, begun } = sent;
     let (head, body) = response.into_parts();
     let marks = read_answer(&head.headers);
-    hear_notices(relay, &first.life, request.heard(&marks, head.status, begun));
+    hear_notices(relay, &first.instance, request.heard(&marks, head.status, begun));
     if let Some(end) = early_end(request, &marks, head.status) {
         note_rejection(relay, tried, &marks, &first, head.status).await;
         match end {
@@ -300,7 +301,7 @@
         return OpenEnd::Failed(end, detail);
     }
     tried.sends += 1;
-    tried.avoid.push(first.life);
+    tried.avoid.push(first.instance);
     if head.status == StatusCode::OK {
         run.note_begun();
         return OpenEnd::Open(Box::new(OpenStream { head, body, link, path, room, run }));
@@ -322,29 +323,30 @@
     status: StatusCode,
 ) {
     let at_fault = marks.at_fault.unwrap_or(first.address);
-    let life = relay.beliefs.borrow().fleet.view.at(at_fault).map(|replica| replica.life.clone());
-    let Some(life) = life else {
+    let instance =
+        relay.beliefs.borrow().fleet.view.at(at_fault).map(|replica| replica.instance.clone());
+    let Some(instance) = instance else {
         // Whatever it names is not known here, so the first one is passed by.
-        tried.avoid.push(first.life.clone());
+        tried.avoid.push(first.instance.clone());
         return;
     };
     if marks.at_fault.is_none() && status == StatusCode::SERVICE_UNAVAILABLE {
-        relay.beliefs.borrow_mut().full_starts.note_rejection(&life, now_millis());
+        relay.beliefs.borrow_mut().full_starts.note_rejection(&instance, now_millis());
     }
     if marks.at_fault.is_some() && status == StatusCode::SERVICE_UNAVAILABLE {
         match recent_report(relay, at_fault).await {
             ReportState::Asking => {}
-            ReportState::Silent => relay.suspect(&life, "rejected and silent"),
+            ReportState::Silent => relay.suspect(&instance, "rejected and silent"),
             ReportState::Answered(report) if report.layers.is_none() => {
-                relay.suspect(&life, "rejected and empty");
+                relay.suspect(&instance, "rejected and empty");
             }
             ReportState::Answered(report) if report.room_used > report.room_total * FULL => {
-                relay.note_full(&life);
+                relay.note_full(&instance);
             }
             ReportState::Answered(_) => {}
         }
     }
-    tried.avoid.push(life);
+    tried.avoid.push(instance);
 }
 
 /// Part of an engine's memory for requests above which a rejection is put down to it.
--- a/crates/relay/src/survey.rs
+++ b/crates/relay/src/survey.rs
@@ -7,7 +7,7 @@
 use std::{rc::Rc, time::Duration};
 
 use switchfold_kernel::clock::now_millis;
-use switchfold_router::{Millis, life::ReplicaLife};
+use switchfold_router::{Millis, instance::ReplicaInstance};
 use tokio::time::sleep;
 
 use crate::{
@@ -49,7 +49,7 @@
 
 fn is_surveyor(relay: &Relay) -> bool {
     let RelaySettings { name, data_centre, .. } = &relay.settings;
-    relay.beliefs.borrow().peers.is_first_near(name, data_centre, now_millis())
+    relay.beliefs.borrow().peers.is_data_centre_leader(name, data_centre, now_millis())
 }
 
 /// Whether a request was quiet lately.
@@ -59,17 +59,17 @@
 }
 
 /// Engines of the data centre that hold layers.
-fn own_engines(relay: &Relay) -> Vec<ReplicaLife> {
+fn own_engines(relay: &Relay) -> Vec<ReplicaInstance> {
     let Some(config) = relay.config() else { return Vec::new() };
     let beliefs = relay.beliefs.borrow();
     let services = config.engines().flat_map(|(service, _)| beliefs.fleet.view.of_service(service));
     let own = services.filter(|replica| {
         replica.data_centre == relay.settings.data_centre && replica.layers.is_some()
     });
-    own.map(|replica| replica.life.clone()).collect()
+    own.map(|replica| replica.instance.clone()).collect()
 }
 
-async fn ask(relay: &Relay, engine: &ReplicaLife) {
+async fn ask(relay: &Relay, engine: &ReplicaInstance) {
     let address = relay.beliefs.borrow().fleet.view.living(engine).map(|replica| replica.address);
     let Some(address) = address else { return };
     let Some(report) = ask_report(relay, address).await else { return };
--- a/crates/relay/src/tell.rs
+++ b/crates/relay/src/tell.rs
@@ -1,6 +1,6 @@
 //! Telling the other relays.
 //!
-//! A relay tells its state to those of its [circle](switchfold_router::membership::TalkCircle): speakers hear each other's often
+//! A relay tells its state to those of its [circle](switchfold_router::membership::GossipPlan): speakers hear each other's often
 //! within a data centre and seldom beyond, members and their speakers in between. What a member needs of others its speakers
 //! tell it as sums, so that what a relay hears does not grow with the count of relays.
 
@@ -9,10 +9,10 @@
 use switchfold_kernel::clock::now_millis;
 use switchfold_router::{
     Millis,
-    fleet::ReplicaNews,
-    life::ReplicaLife,
-    membership::{ReportKind, TalkLeg, TalkPeer, name_hash},
-    origin::NewsReach,
+    fleet::ReplicaUpdate,
+    instance::ReplicaInstance,
+    membership::{GossipLink, GossipPeer, ReportKind, name_hash},
+    origin::UpdateAudience,
     room::RoomLedger,
 };
 use tokio::time::{Instant, sleep, sleep_until};
@@ -21,7 +21,7 @@
     counts::count,
     limits::{keeps_limits, limits_to_tell},
     news::{
-        CrashRecord, FleetNews, LifeRecord, LoadNews, LoadRecord, PeerMessage, ReplicaRecord,
+        CrashRecord, FleetNews, InstanceRecord, LoadNews, LoadRecord, PeerMessage, ReplicaRecord,
         ReportRecord, StateNews, encode_state,
     },
     replicas::drop_lapsed,
@@ -78,7 +78,7 @@
         }
         round += 1;
         drop_lapsed(relay);
-        settle_circle(relay);
+        plan_gossip(relay);
         tell_legs(relay, |name, leg| is_due(name, leg, round));
     }
 }
@@ -90,12 +90,12 @@
 }
 
 /// Decides anew whom this relay tells.
-pub fn settle_circle(relay: &Relay) {
+pub fn plan_gossip(relay: &Relay) {
     let settings = &relay.settings;
     let now = now_millis();
     let circle = {
         let peers = &mut relay.beliefs.borrow_mut().peers;
-        peers.settle_circle(&settings.name, &settings.data_centre, now)
+        peers.plan_gossip(&settings.name, &settings.data_centre, now)
     };
     let was_member = relay.circle.borrow().is_member;
     if was_member != circle.is_member {
@@ -134,16 +134,18 @@
 }
 
 /// Whether a relay is told in a round, and what.
-fn is_due(name: &str, leg: TalkLeg, round: u64) -> Option<TellParts> {
+fn is_due(name: &str, leg: GossipLink, round: u64) -> Option<TellParts> {
     let parts = TellParts { load: true, ..TellParts::default() };
     match leg {
-        TalkLeg::Near => Some(TellParts { members: round.is_multiple_of(MEMBERS_EVERY), ..parts }),
-        TalkLeg::Far => round.is_multiple_of(FAR_ONE_IN).then(|| TellParts {
+        GossipLink::Near => {
+            Some(TellParts { members: round.is_multiple_of(MEMBERS_EVERY), ..parts })
+        }
+        GossipLink::Far => round.is_multiple_of(FAR_ONE_IN).then(|| TellParts {
             load: (round / FAR_ONE_IN).is_multiple_of(FAR_LOAD_ONE_IN),
             ..parts
         }),
-        TalkLeg::Report(_) => Some(parts),
-        TalkLeg::Member(_) => {
+        GossipLink::Report(_) => Some(parts),
+        GossipLink::Member(_) => {
             let turn = round + u64::from(name_hash(name));
             Some(TellParts { far_load: turn.is_multiple_of(MEMBER_FAR_ONE_IN), ..parts })
         }
@@ -153,16 +155,16 @@
 /// Tells this relay's state to those of its data centre that it tells, and where asked to all.
 pub fn tell_state(relay: &Relay, reach: TellReach) {
     tell_legs(relay, |_, leg| {
-        let is_told = reach == TellReach::All || leg != TalkLeg::Far;
+        let is_told = reach == TellReach::All || leg != GossipLink::Far;
         // News are told at once; what is promised has its own time.
-        let load = matches!(leg, TalkLeg::Near | TalkLeg::Report(_));
+        let load = matches!(leg, GossipLink::Near | GossipLink::Report(_));
         is_told.then(|| TellParts { load, ..TellParts::default() })
     });
 }
 
 /// Tells relays once that this one is there: they may be waiting for a neighbour.
 pub fn greet(relay: &Relay, names: &[String]) {
-    let news = compose_state(relay, NewsReach::Members, now_millis());
+    let news = compose_state(relay, UpdateAudience::Members, now_millis());
     let datagram = encode_state(&news);
     let beliefs = relay.beliefs.borrow();
     for address in names.iter().filter_map(|name| beliefs.peers.address(name)) {
@@ -171,12 +173,12 @@
     }
 }
 
-fn tell_legs(relay: &Relay, is_due: impl Fn(&str, TalkLeg) -> Option<TellParts>) {
+fn tell_legs(relay: &Relay, is_due: impl Fn(&str, GossipLink) -> Option<TellParts>) {
     let now = now_millis();
     let circle = relay.circle.borrow();
     let due = circle.peers.iter().filter_map(|peer| Some((peer, is_due(&peer.name, peer.leg)?)));
     let (members, speakers): (Vec<_>, Vec<_>) =
-        due.partition(|(peer, _)| matches!(peer.leg, TalkLeg::Member(_)));
+        due.partition(|(peer, _)| matches!(peer.leg, GossipLink::Member(_)));
     if !speakers.is_empty() {
         tell_speakers(relay, &speakers, now);
     }
@@ -185,18 +187,18 @@
     }
 }
 
-fn tell_speakers(relay: &Relay, due: &[(&TalkPeer, TellParts)], now: Millis) {
-    let mut news = compose_state(relay, NewsReach::Speakers, now);
+fn tell_speakers(relay: &Relay, due: &[(&GossipPeer, TellParts)], now: Millis) {
+    let mut news = compose_state(relay, UpdateAudience::Speakers, now);
     let beliefs = relay.beliefs.borrow();
     let round = (now / TELL_EVERY.as_millis() as Millis) as usize;
     let limits = [false, true].map(|near| limits_to_tell(&beliefs, near, round, now));
     let members = beliefs.peers.member_hashes(now);
     let gathered = LoadNews::Gathered(gathered_load(&beliefs, now));
     for (peer, parts) in due {
-        let is_near = peer.leg != TalkLeg::Far;
+        let is_near = peer.leg != GossipLink::Far;
         let report = match peer.leg {
-            TalkLeg::Report(kind) => kind,
-            TalkLeg::Near | TalkLeg::Far | TalkLeg::Member(_) => ReportKind::None,
+            GossipLink::Report(kind) => kind,
+            GossipLink::Near | GossipLink::Far | GossipLink::Member(_) => ReportKind::None,
         };
         news.report = ReportRecord::from(report);
         news.echo = is_near.then(|| echo(&beliefs, &peer.name, now)).flatten();
@@ -208,8 +210,8 @@
     }
 }
 
-fn tell_members(relay: &Relay, due: &[(&TalkPeer, TellParts)], now: Millis) {
-    let mut news = compose_state(relay, NewsReach::Members, now);
+fn tell_members(relay: &Relay, due: &[(&GossipPeer, TellParts)], now: Millis) {
+    let mut news = compose_state(relay, UpdateAudience::Members, now);
     let beliefs = relay.beliefs.borrow();
     let round = (now / TELL_EVERY.as_millis() as Millis) as usize;
     news.limits = limits_to_tell(&beliefs, true, round, now);
@@ -223,7 +225,7 @@
     };
     for (peer, parts) in due {
         news.echo = echo(&beliefs, &peer.name, now);
-        let is_counted = peer.leg == TalkLeg::Member(ReportKind::Counted);
+        let is_counted = peer.leg == GossipLink::Member(ReportKind::Counted);
         news.load = match parts.load && is_counted {
             true => sums_for(relay, &beliefs, &peer.name, *parts),
             false => LoadNews::Untold,
@@ -246,9 +248,9 @@
 /// What this relay and its members promised.
 fn gathered_load(beliefs: &Beliefs, now: Millis) -> LoadRecord {
     let counts = |name: &str| beliefs.peers.report_kind(name, now) == ReportKind::Counted;
-    let records = |ledger: &RoomLedger| -> Vec<(LifeRecord, u32)> {
+    let records = |ledger: &RoomLedger| -> Vec<(InstanceRecord, u32)> {
         let gathered = ledger.gathered(counts);
-        gathered.into_iter().map(|(life, amount)| (life.into(), amount as u32)).collect()
+        gathered.into_iter().map(|(instance, amount)| (instance.into(), amount as u32)).collect()
     };
     LoadRecord { room: records(&beliefs.room), places: records(&beliefs.places) }
 }
@@ -256,20 +258,21 @@
 /// What all relays but one promised, as that one is told it.
 fn sums_for(relay: &Relay, beliefs: &Beliefs, member: &str, parts: TellParts) -> LoadNews {
     let home = &relay.settings.data_centre;
-    let is_near = |life: &ReplicaLife| {
-        beliefs.fleet.view.living(life).is_some_and(|replica| replica.data_centre == *home)
+    let is_near = |instance: &ReplicaInstance| {
+        beliefs.fleet.view.living(instance).is_some_and(|replica| replica.data_centre == *home)
     };
     let sum = |near: bool| {
-        let records = |ledger: &RoomLedger| -> Vec<(LifeRecord, u32)> {
-            let total = ledger.total_without(member).filter(|(life, _)| is_near(life) == near);
-            total.map(|(life, amount)| (life.into(), amount as u32)).collect()
+        let records = |ledger: &RoomLedger| -> Vec<(InstanceRecord, u32)> {
+            let total =
+                ledger.total_without(member).filter(|(instance, _)| is_near(instance) == near);
+            total.map(|(instance, amount)| (instance.into(), amount as u32)).collect()
         };
         LoadRecord { room: records(&beliefs.room), places: records(&beliefs.places) }
     };
     LoadNews::Sums { near: sum(true), far: parts.far_load.then(|| sum(false)) }
 }
 
-fn compose_state(relay: &Relay, reach: NewsReach, now: Millis) -> StateNews {
+fn compose_state(relay: &Relay, reach: UpdateAudience, now: Millis) -> StateNews {
     let fleet_is_fresh = relay.is_fleet_fresh(now);
     let mut beliefs = relay.beliefs.borrow_mut();
     beliefs.room.forget(now);
@@ -298,20 +301,20 @@
         config_answer_age: beliefs.config_lease.answer_age(now),
         keeps_limits: keeps_limits(relay, &beliefs, now),
         is_member: beliefs.peers.is_member(),
-        paces: paces.map(|(life, factor)| (life.into(), (factor * 100.0) as u32)).collect(),
-        mutes: mutes.map(|(life, left)| (life.into(), left as u32)).collect(),
+        paces: paces.map(|(instance, factor)| (instance.into(), (factor * 100.0) as u32)).collect(),
+        mutes: mutes.map(|(instance, left)| (instance.into(), left as u32)).collect(),
         crashes,
         cleared,
-        suspects: suspects.map(|(life, left)| (life.into(), left as u32)).collect(),
+        suspects: suspects.map(|(instance, left)| (instance.into(), left as u32)).collect(),
         ..StateNews::default()
     }
 }
 
 /// Tells the relays of the data centre of replicas that changed. A member tells its speakers, which tell the others.
-pub fn tell_fleet(relay: &Relay, changes: Vec<ReplicaNews>) {
+pub fn tell_fleet(relay: &Relay, changes: Vec<ReplicaUpdate>) {
     let records: Vec<ReplicaRecord> = changes.into_iter().map(ReplicaRecord::from).collect();
     let circle = relay.circle.borrow();
-    let speakers = circle.peers.iter().filter(|peer| matches!(peer.leg, TalkLeg::Report(_)));
+    let speakers = circle.peers.iter().filter(|peer| matches!(peer.leg, GossipLink::Report(_)));
     let told: Vec<SocketAddr> = match circle.is_member {
         true => speakers.map(|peer| peer.address).collect(),
         false => near_addresses(relay),
--- a/crates/relay/src/watch.rs
+++ b/crates/relay/src/watch.rs
@@ -19,11 +19,11 @@
 };
 use switchfold_router::{
     Millis,
+    era::era_of,
     follow::{
-        CONFIG_TIMES, FollowSight, FollowStep, FollowTimes, REPLICA_TIMES, ReadCause,
-        STORE_PATIENCE, StoreFollower,
+        CONFIG_TIMINGS, FollowInputs, FollowStep, FollowTimings, REPLICA_TIMINGS, ReadCause,
+        STORE_TIMEOUT, StoreFollower,
     },
-    place::era_of,
 };
 use switchfold_store::StoreError;
 use tokio::time::sleep;
@@ -41,20 +41,20 @@
 /// What is followed, and how its objects are taken over.
 struct Followed {
     kind: CallKind,
-    times: FollowTimes,
-    take_list: fn(&Rc<Relay>, ObjectList, Millis),
+    times: FollowTimings,
+    apply_list: fn(&Rc<Relay>, ObjectList, Millis),
     take_changes: fn(&Relay, ObjectChanges),
     prove: fn(&Relay, Millis, u64),
     lose: fn(&Relay, Millis),
-    see: fn(&Relay, Millis) -> FollowSight,
+    see: fn(&Relay, Millis) -> FollowInputs,
 }
 
 /// Follows the configuration for good.
 pub async fn follow_config(relay: Rc<Relay>) {
     let followed = Followed {
         kind: CallKind::Config,
-        times: CONFIG_TIMES,
-        take_list: |relay, list, _| {
+        times: CONFIG_TIMINGS,
+        apply_list: |relay, list, _| {
             list.items.iter().for_each(|item| read_config(relay, item, list.at))
         },
         take_changes: |relay, changes| {
@@ -74,26 +74,26 @@
         lose: |relay, sent| {
             let mut beliefs = relay.beliefs.borrow_mut();
             beliefs.config_lease.note_lost(sent);
-            beliefs.fleet.note_lost_by_other(sent, now_millis());
+            beliefs.fleet.record_loss_elsewhere(sent, now_millis());
         },
         see: see_config,
     };
     follow(relay, followed).await;
 }
 
-fn see_config(relay: &Relay, now: Millis) -> FollowSight {
+fn see_config(relay: &Relay, now: Millis) -> FollowInputs {
     let beliefs = relay.beliefs.borrow();
     let RelaySettings { name, data_centre, .. } = &relay.settings;
     let (peers, version) = (&beliefs.peers, beliefs.config_version());
     let before = peers.before(name, data_centre, now);
-    FollowSight {
-        is_covered: peers.covers_config(name, data_centre, version, now),
-        hears_newer: peers.hears_newer_config(name, data_centre, version, now),
-        teller: peers.config_teller(name, data_centre, version, now).map(|teller| teller.place),
+    FollowInputs {
+        is_read_by_peer: peers.config_read_by_peer(name, data_centre, version, now),
+        peer_has_newer: peers.peer_has_newer_config(name, data_centre, version, now),
+        teller: peers.config_source(name, data_centre, version, now).map(|teller| teller.place),
         before: before.live,
         lost_before: before.lost_config,
         wants_list: false,
-        is_tried_by_other: false,
+        is_retried_elsewhere: false,
     }
 }
 
@@ -101,8 +101,8 @@
 pub async fn follow_replicas(relay: Rc<Relay>) {
     let followed = Followed {
         kind: CallKind::Replicas,
-        times: REPLICA_TIMES,
-        take_list: take_replica_list,
+        times: REPLICA_TIMINGS,
+        apply_list: take_replica_list,
         take_changes: |relay, changes| take_replica_changes(relay, changes.events.read),
         prove: |relay, sent, at| {
             relay.beliefs.borrow_mut().fleet.note_read(sent, at, now_millis());
@@ -113,21 +113,21 @@
     follow(relay, followed).await;
 }
 
-fn see_replicas(relay: &Relay, now: Millis) -> FollowSight {
+fn see_replicas(relay: &Relay, now: Millis) -> FollowInputs {
     let beliefs = relay.beliefs.borrow();
     let RelaySettings { name, data_centre, .. } = &relay.settings;
     let (peers, fleet) = (&beliefs.peers, &beliefs.fleet);
-    let teller = peers.fleet_teller(name, data_centre, fleet.holds_none(), now);
+    let teller = peers.fleet_source(name, data_centre, fleet.holds_none(), now);
     let before = peers.before(name, data_centre, now);
-    FollowSight {
-        is_covered: peers.covers_fleet(name, data_centre, now),
-        hears_newer: false,
+    FollowInputs {
+        is_read_by_peer: peers.fleet_read_by_peer(name, data_centre, now),
+        peer_has_newer: false,
         wants_list: fleet.wants_list(now),
         teller: teller.map(|teller| teller.place),
         before: before.live,
         lost_before: before.lost_fleet,
         // Both kinds stand in one store: one call tells whether it is back.
-        is_tried_by_other: beliefs.config_lease.is_lost(),
+        is_retried_elsewhere: beliefs.config_lease.is_lost(),
     }
 }
 
@@ -137,9 +137,9 @@
         followed.times.within_bounds(bounds.contact(), bounds.old_state())
     };
     let platform = relay.settings.platform.to_string();
-    let lists = Duration::from_millis(times.list_patience);
+    let lists = Duration::from_millis(times.list_timeout);
     let lists = CountedStore::new(&platform, lists, &relay.calls);
-    let watches = Duration::from_millis(times.wait + STORE_PATIENCE);
+    let watches = Duration::from_millis(times.wait + STORE_TIMEOUT);
     let watches = CountedStore::new(&platform, watches, &relay.calls);
     let seed = hash_bytes(0, relay.settings.name.as_bytes());
     let seed = hash_bytes(seed, followed.kind.name().as_bytes());
@@ -154,7 +154,7 @@
         let sight = see(&relay, sent);
         let outcome = match follower.next_step(&sight, sent) {
             FollowStep::Rest(pause) => {
-                is_reader &= !sight.is_covered;
+                is_reader &= !sight.is_read_by_peer;
                 sleep(Duration::from_millis(pause)).await;
                 continue;
             }
@@ -223,7 +223,7 @@
     let at = list.at;
     tracing::debug!(event = "store-read", kind = %followed.kind, at, items = list.items.len());
     note_unreadable(relay, followed.kind, &list.unreadable, at);
-    (followed.take_list)(relay, list, sent);
+    (followed.apply_list)(relay, list, sent);
     Ok(at)
 }
 
--- a/crates/relay/tests/restarts.rs
+++ b/crates/relay/tests/restarts.rs
@@ -21,7 +21,7 @@
 use crate::harness::{RunningRelay, bounds, run_test, wait_until};
 
 /// Starts of the two lives of a replica, before now.
-fn lives() -> [u64; 2] {
+fn instances() -> [u64; 2] {
     let now = epoch_millis();
     [now - 60_000, now - 1_000]
 }
@@ -50,7 +50,7 @@
 #[test]
 fn a_report_of_a_later_life_counts_at_once() {
     run_test(async {
-        let [earlier, later] = lives();
+        let [earlier, later] = instances();
         // Rejections name the replica itself.
         let own = Arc::new(Mutex::new(None));
         let named = own.clone();
@@ -92,7 +92,7 @@
 #[test]
 fn entries_of_other_writers_are_passed_by() {
     run_test(async {
-        let [born, _] = lives();
+        let [born, _] = instances();
         let replica = StandinReplica::start(engine(born, whole_stream)).await;
         let own = born_at(model_entry(replica.address(), 0, LAYERS), born);
         let odd = odd_entries(&own);
--- a/crates/relay/tests/snapshots.rs
+++ b/crates/relay/tests/snapshots.rs
@@ -15,7 +15,7 @@
     samples::{self, KEY, desk_entry},
 };
 use switchfold_relay::{
-    news::{LifeRecord, LoadNews, LoadRecord, PeerMessage, StateNews, encode_state},
+    news::{InstanceRecord, LoadNews, LoadRecord, PeerMessage, StateNews, encode_state},
     snapshot::{RelayRecord, Snapshot, SnapshotBody, read_target, write_target},
     store_calls::CallKind,
 };
@@ -236,10 +236,10 @@
         name: "relay-1".to_owned(),
         stamp: (7, 1_000),
         load: LoadNews::Gathered(LoadRecord {
-            room: vec![(LifeRecord("i-1".to_owned(), 5), 40)],
+            room: vec![(InstanceRecord("i-1".to_owned(), 5), 40)],
             ..LoadRecord::default()
         }),
-        mutes: vec![(LifeRecord("i-2".to_owned(), 0), 600)],
+        mutes: vec![(InstanceRecord("i-2".to_owned(), 0), 600)],
         ..StateNews::default()
     };
     let written = encode_state(&news);
--- a/crates/relay/tests/streams.rs
+++ b/crates/relay/tests/streams.rs
@@ -20,7 +20,7 @@
     events, reject,
     samples::{LAYERS, draining, in_data_centre, model_entry, report},
 };
-use switchfold_relay::news::{LifeRecord, PeerMessage, StateNews};
+use switchfold_relay::news::{InstanceRecord, PeerMessage, StateNews};
 use tokio::net::UdpSocket;
 
 /// Events of a whole stream.
@@ -396,7 +396,7 @@
         let news = StateNews {
             name: "relay-0".to_owned(),
             data_centre: "far".to_owned(),
-            suspects: vec![(LifeRecord("i-1".to_owned(), 0), 2_000)],
+            suspects: vec![(InstanceRecord("i-1".to_owned(), 0), 2_000)],
             ..StateNews::default()
         };
         let datagram = PeerMessage::State(Box::new(news)).encode();
--- a/crates/router/benches/circles.rs
+++ b/crates/router/benches/circles.rs
@@ -6,10 +6,10 @@
 use criterion::Criterion;
 use switchfold_router::membership::PeerTable;
 
-#[path = "../tests/circle_model/mod.rs"]
-mod circle_model;
+#[path = "../tests/gossip_model/mod.rs"]
+mod gossip_model;
 
-use circle_model::{Day, Trouble, play};
+use gossip_model::{Day, Trouble, play};
 
 /// Sizes: relays, data centres.
 const FLEETS: [(usize, usize); 7] =
@@ -44,7 +44,7 @@
         }
         let name = format!("settle_circle/{relays} relays");
         criterion.bench_function(&name, |bencher| {
-            bencher.iter(|| black_box(table.settle_circle("r0900x", "d0", 1_000)).peers.len());
+            bencher.iter(|| black_box(table.plan_gossip("r0900x", "d0", 1_000)).peers.len());
         });
     }
 }
--- a/crates/router/benches/crashes.rs
+++ b/crates/router/benches/crashes.rs
@@ -6,7 +6,7 @@
 use criterion::Criterion;
 use switchfold_router::{
     fingerprint::{RequestFingerprint, RequestParts},
-    life::ReplicaLife,
+    instance::ReplicaInstance,
     quarantine::{CrashRun, CrashSign, QuarantineTable, RequestNews},
 };
 
@@ -101,8 +101,8 @@
     });
     let mut full = QuarantineTable::default();
     for number in 0..1_000 {
-        let life = ReplicaLife::new("i", number + 1);
-        let runs = vec![CrashRun { life, sent: 0, lost: 1, sign: CrashSign::Strong }];
+        let instance = ReplicaInstance::new("i", number + 1);
+        let runs = vec![CrashRun { instance, sent: 0, lost: 1, sign: CrashSign::Strong }];
         full.hear(
             vec![RequestNews { fingerprint: fingerprint(number), left: Some(500), runs }],
             false,
--- a/crates/router/benches/plans.rs
+++ b/crates/router/benches/plans.rs
@@ -10,11 +10,11 @@
     backoff::BackoffTable,
     chain::{ChainCosts, PartOffer, PathRequest, choose_path},
     cover::{CoverConfig, LayerHolder, ModelShape, improve_group, plan_group},
-    fleet::{EntryState, LayerRange, ReplicaEntry, ReplicaNews},
+    fleet::{EntryState, LayerRange, ReplicaEntry, ReplicaUpdate},
     grants::HeldGrants,
-    life::ReplicaLife,
+    instance::ReplicaInstance,
     limits::{LimitTable, LimitWord},
-    replicas::{FleetBelief, FleetList, NewsSource},
+    replicas::{FleetList, FleetTracker, UpdateSource},
     room::RoomLedger,
 };
 
@@ -29,7 +29,7 @@
     let holder = |index: usize| {
         let (memory_mb, pace) = kinds[if index.is_multiple_of(10) { 0 } else { 1 + index % 2 }];
         LayerHolder {
-            life: ReplicaLife::new(&format!("r{index:03}"), 0),
+            instance: ReplicaInstance::new(&format!("r{index:03}"), 0),
             memory_mb,
             slots: 0,
             layer_ms: 1.02 * pace / f64::from(MODEL.layers),
@@ -44,7 +44,8 @@
 fn laid_out(count: usize) -> Vec<LayerHolder> {
     let mut holders = empty_group(count);
     for order in plan_group(&holders, MODEL, &CoverConfig::default()) {
-        let holder = holders.iter_mut().find(|holder| holder.life == order.life).expect("a holder");
+        let holder =
+            holders.iter_mut().find(|holder| holder.instance == order.instance).expect("a holder");
         holder.range = Some(order.range);
         holder.held = holder.range;
     }
@@ -101,7 +102,7 @@
 
 fn offers(data_centre: usize, count: usize) -> Vec<PartOffer> {
     let offer = |holder: LayerHolder| PartOffer {
-        life: ReplicaLife::new(&format!("{data_centre}-{}", holder.life), 0),
+        instance: ReplicaInstance::new(&format!("{data_centre}-{}", holder.instance), 0),
         address: "10.0.0.1:8000".parse().expect("an address"),
         data_centre,
         range: holder.range.unwrap_or_default(),
@@ -117,15 +118,18 @@
 fn sums(criterion: &mut Criterion) {
     const ENTRIES: usize = 300;
     const HELD: usize = 100;
-    let lives: Vec<ReplicaLife> =
-        (0..3_000).map(|number| ReplicaLife::new(&format!("i-{number:010x}"), 0)).collect();
+    let instances: Vec<ReplicaInstance> =
+        (0..3_000).map(|number| ReplicaInstance::new(&format!("i-{number:010x}"), 0)).collect();
     let mut ledger = RoomLedger::default();
     for entry in 0..ENTRIES {
-        let held = (0..HELD).map(|number| lives[(entry * 37 + number * 29) % lives.len()].clone());
-        ledger.hear(&format!("edge-{entry}"), held.map(|life| (life, 900.0)).collect(), 0);
+        let held =
+            (0..HELD).map(|number| instances[(entry * 37 + number * 29) % instances.len()].clone());
+        ledger.hear(&format!("edge-{entry}"), held.map(|instance| (instance, 900.0)).collect(), 0);
     }
     criterion.bench_function("promised/3000 replicas, 300 entries", |bencher| {
-        bencher.iter(|| lives.iter().map(|life| ledger.promised(black_box(life))).sum::<f64>());
+        bencher.iter(|| {
+            instances.iter().map(|instance| ledger.promised(black_box(instance))).sum::<f64>()
+        });
     });
 }
 
@@ -133,13 +137,15 @@
 /// takes 7 us, 65 us and 69 us of a core, beside a hunt; the sums of room above take 67 us.
 fn held_back(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("held_back");
-    let lives: Vec<ReplicaLife> =
-        (0..3_000).map(|number| ReplicaLife::new(&format!("i-{number:010x}"), 0)).collect();
+    let instances: Vec<ReplicaInstance> =
+        (0..3_000).map(|number| ReplicaInstance::new(&format!("i-{number:010x}"), 0)).collect();
     for asked in [0, 1, 1_000] {
         let mut table = BackoffTable::default();
-        lives.iter().step_by(3).take(asked).for_each(|life| table.note(life, 3_000, 0));
+        instances.iter().step_by(3).take(asked).for_each(|instance| table.note(instance, 3_000, 0));
         group.bench_function(BenchmarkId::new("3000 replicas", asked), |bencher| {
-            bencher.iter(|| lives.iter().filter_map(|life| table.left(black_box(life), 1)).count());
+            bencher.iter(|| {
+                instances.iter().filter_map(|instance| table.left(black_box(instance), 1)).count()
+            });
         });
     }
     group.finish();
@@ -169,7 +175,7 @@
 /// Taking over a list of 3,000 replicas, all of them known.
 fn lists(criterion: &mut Criterion) {
     let entry = |number: u32| ReplicaEntry {
-        life: ReplicaLife::new(&format!("i-{number:010x}"), 0),
+        instance: ReplicaInstance::new(&format!("i-{number:010x}"), 0),
         service: "model".to_owned(),
         address: (Ipv4Addr::from(0x0a00_0000 + number), 8_080).into(),
         data_centre: "hall".to_owned(),
@@ -178,18 +184,18 @@
         kind: "small".to_owned(),
         layers: Some(LayerRange { from: 0, to: 8 }),
     };
-    let news = |number: u32| ReplicaNews {
+    let news = |number: u32| ReplicaUpdate {
         id: format!("i-{number:010x}"),
         revision: u64::from(number),
         entry: Some(entry(number)),
     };
-    let listed: Vec<ReplicaNews> = (0..3_000).map(news).collect();
-    let mut fleet = FleetBelief::default();
-    fleet.take_list(FleetList { listed: listed.clone(), at: 4_000 }, NewsSource::List, 0, 0);
+    let listed: Vec<ReplicaUpdate> = (0..3_000).map(news).collect();
+    let mut fleet = FleetTracker::default();
+    fleet.apply_list(FleetList { listed: listed.clone(), at: 4_000 }, UpdateSource::List, 0, 0);
     criterion.bench_function("take_list/3000 replicas", |bencher| {
         bencher.iter(|| {
             let list = FleetList { listed: listed.clone(), at: 4_000 };
-            fleet.take_list(black_box(list), NewsSource::List, 0, 0)
+            fleet.apply_list(black_box(list), UpdateSource::List, 0, 0)
         });
     });
 }
--- a/crates/router/src/backoff.rs
+++ b/crates/router/src/backoff.rs
@@ -10,7 +10,7 @@
 
 use std::collections::HashMap;
 
-use crate::{Millis, life::ReplicaLife};
+use crate::{Millis, instance::ReplicaInstance};
 
 /// Time that one request has to find out whether a replica takes requests again, in milliseconds: four times what the
 /// beginning of an answer usually takes. Another one tries after that.
@@ -42,25 +42,25 @@
 
 impl BackoffTable {
     /// Notes that a replica asked for `asked` milliseconds without requests. Of several times the latest end counts.
-    pub fn note(&mut self, life: &ReplicaLife, asked: Millis, now: Millis) {
+    pub fn note(&mut self, instance: &ReplicaInstance, asked: Millis, now: Millis) {
         self.backoffs.retain(|_, backoff| now < backoff.until.saturating_add(FORGET));
-        let backoff = self.backoffs.entry(life.id().to_owned()).or_default();
+        let backoff = self.backoffs.entry(instance.id().to_owned()).or_default();
         backoff.until = backoff.until.max(now.saturating_add(asked));
         backoff.tried = None;
     }
 
     /// Notes that a replica answered, and did not turn the request away.
-    pub fn note_served(&mut self, life: &ReplicaLife, now: Millis) {
+    pub fn note_served(&mut self, instance: &ReplicaInstance, now: Millis) {
         // An answer to an earlier request says nothing of what was asked since.
         let is_over = |backoff: &Backoff| backoff.until <= now && backoff.tried.is_some();
-        if self.backoffs.get(life.id()).is_some_and(is_over) {
-            self.backoffs.remove(life.id());
+        if self.backoffs.get(instance.id()).is_some_and(is_over) {
+            self.backoffs.remove(instance.id());
         }
     }
 
     /// Time for which nothing is sent to a replica; nothing where it may be sent to.
-    pub fn left(&self, life: &ReplicaLife, now: Millis) -> Option<Millis> {
-        self.backoffs.get(life.id())?.left(now)
+    pub fn left(&self, instance: &ReplicaInstance, now: Millis) -> Option<Millis> {
+        self.backoffs.get(instance.id())?.left(now)
     }
 
     /// Lets a request go to a replica at this moment; tells whether it is the one that finds out whether the time is over, for
@@ -72,11 +72,11 @@
     /// Gives the time for which nothing is sent there.
     pub fn begin_send(
         &mut self,
-        life: &ReplicaLife,
+        instance: &ReplicaInstance,
         is_trial: bool,
         now: Millis,
     ) -> Result<bool, Millis> {
-        let Some(backoff) = self.backoffs.get_mut(life.id()) else { return Ok(false) };
+        let Some(backoff) = self.backoffs.get_mut(instance.id()) else { return Ok(false) };
         if is_trial && backoff.until <= now {
             return Ok(true);
         }
--- a/crates/router/src/chain.rs
+++ b/crates/router/src/chain.rs
@@ -7,7 +7,7 @@
 
 use std::net::SocketAddr;
 
-use crate::{fleet::LayerRange, life::ReplicaLife};
+use crate::{fleet::LayerRange, instance::ReplicaInstance};
 
 /// Most parts that a path may have.
 pub const MOST_PARTS: usize = 32;
@@ -61,7 +61,7 @@
 #[derive(Clone, Debug)]
 pub struct PartOffer {
     /// The replica.
-    pub life: ReplicaLife,
+    pub instance: ReplicaInstance,
     /// Its address.
     pub address: SocketAddr,
     /// Its data centre, as a small number.
@@ -82,7 +82,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct PathPart {
     /// The replica.
-    pub life: ReplicaLife,
+    pub instance: ReplicaInstance,
     /// Its address.
     pub address: SocketAddr,
     /// Layers that it runs.
@@ -104,7 +104,7 @@
     pub may_cross: bool,
     /// First replica that the path must begin with, and its layers: for changing the path of a request
     /// that runs.
-    pub first: Option<(&'a ReplicaLife, LayerRange)>,
+    pub first: Option<(&'a ReplicaInstance, LayerRange)>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -169,7 +169,7 @@
     let layer = bounds[position];
     for (index, offer) in offers.iter().enumerate() {
         let fixed = request.first.filter(|_| starts);
-        let wrong_first = fixed.is_some_and(|(life, _)| *life != offer.life);
+        let wrong_first = fixed.is_some_and(|(instance, _)| *instance != offer.instance);
         if wrong_first || !offer.range.contains(layer) {
             continue;
         }
@@ -215,7 +215,7 @@
         let step = best[state.0][state.1].expect("states on a path were reached");
         let offer = &offers[step.offer];
         let range = LayerRange { from: bounds[step.previous.0], to: bounds[state.0] };
-        parts.push(PathPart { life: offer.life.clone(), address: offer.address, range });
+        parts.push(PathPart { instance: offer.instance.clone(), address: offer.address, range });
         state = step.previous;
     }
     parts.reverse();
@@ -227,8 +227,9 @@
 fn merge_revisits(mut parts: Vec<PathPart>) -> Vec<PathPart> {
     let mut index = 0;
     while index < parts.len() {
-        let later =
-            (index + 1..parts.len()).rev().find(|later| parts[*later].life == parts[index].life);
+        let later = (index + 1..parts.len())
+            .rev()
+            .find(|later| parts[*later].instance == parts[index].instance);
         if let Some(later) = later {
             parts[index].range.to = parts[later].range.to;
             parts.drain(index + 1..=later);
--- a/crates/router/src/cover/mod.rs
+++ b/crates/router/src/cover/mod.rs
@@ -34,7 +34,7 @@
         search::{BestPlace, PlaceWish, best_place, improve_layout, search_steps},
     },
     fleet::LayerRange,
-    life::ReplicaLife,
+    instance::ReplicaInstance,
 };
 
 /// Fractions of a replica's memory that weights may take.
@@ -58,7 +58,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct LayerHolder {
     /// The replica.
-    pub life: ReplicaLife,
+    pub instance: ReplicaInstance,
     /// Memory of its accelerator in MB.
     pub memory_mb: f64,
     /// Requests that it takes as the first of their path; 0 stands for no limit.
@@ -89,7 +89,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct PlaceOrder {
     /// The replica.
-    pub life: ReplicaLife,
+    pub instance: ReplicaInstance,
     /// Layers that it is to hold.
     pub range: LayerRange,
     /// Why, for the logs.
@@ -182,7 +182,7 @@
     });
     let order = |after: LayerHolder| {
         let range = after.range.unwrap_or_default();
-        PlaceOrder { life: after.life, range, reason: PlaceReason::Search }
+        PlaceOrder { instance: after.instance, range, reason: PlaceReason::Search }
     };
     changed.map(|(_, after)| order(after)).collect()
 }
@@ -218,7 +218,10 @@
         let mut holders = holders.to_vec();
         // Largest first, so that small replicas fill what large ones leave.
         holders.sort_by(|left, right| {
-            right.memory_mb.total_cmp(&left.memory_mb).then_with(|| left.life.cmp(&right.life))
+            right
+                .memory_mb
+                .total_cmp(&left.memory_mb)
+                .then_with(|| left.instance.cmp(&right.instance))
         });
         let mut group = Self { holders, model, config, fill: config.base_fill, orders: Vec::new() };
         group.fill = group.usual_fill();
@@ -351,9 +354,9 @@
     fn order(&mut self, index: usize, range: LayerRange, reason: PlaceReason) {
         let holder = &mut self.holders[index];
         holder.range = Some(range);
-        let life = holder.life.clone();
-        self.orders.retain(|order| order.life != life);
-        self.orders.push(PlaceOrder { life, range, reason });
+        let instance = holder.instance.clone();
+        self.orders.retain(|order| order.instance != instance);
+        self.orders.push(PlaceOrder { instance, range, reason });
     }
 
     /// Gives one replica other layers, where that is worth a load.
--- a/crates/router/src/place.rs
+++ b/crates/router/src/era.rs
@@ -13,10 +13,10 @@
 const REVISION_BITS: u32 = 48;
 
 /// Largest era that a place holds.
-pub const MOST_ERA: u64 = u64::MAX >> REVISION_BITS;
+pub const MAX_ERA: u64 = u64::MAX >> REVISION_BITS;
 
 /// A place by era and revision.
-pub const fn place(era: u64, revision: u64) -> u64 {
+pub const fn pack_revision(era: u64, revision: u64) -> u64 {
     (era << REVISION_BITS) | (revision & ((1 << REVISION_BITS) - 1))
 }
 
--- a/crates/router/src/fleet.rs
+++ b/crates/router/src/fleet.rs
@@ -7,7 +7,7 @@
 
 use switchfold_core::hash::hash_bytes;
 
-use crate::{Millis, life::ReplicaLife, place::era_of};
+use crate::{Millis, era::era_of, instance::ReplicaInstance};
 
 /// Layers `from..to` of the model.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
@@ -51,7 +51,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReplicaEntry {
     /// This life of the replica.
-    pub life: ReplicaLife,
+    pub instance: ReplicaInstance,
     /// Service that it belongs to.
     pub service: String,
     /// Where it takes requests.
@@ -77,7 +77,7 @@
 
 /// What the store said of one replica at a revision, whoever passes it on.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ReplicaNews {
+pub struct ReplicaUpdate {
     /// Id of the replica.
     pub id: String,
     /// Revision of the store at which it was so.
@@ -90,7 +90,7 @@
 /// revision, two relays that hold the same digest hold what the store said at the same revisions. The revision is
 /// not the seed: for short texts a seed is only combined by exclusive or, and two entries cancel each other.
 fn entry_digest(held: &HeldEntry) -> u64 {
-    let text = format!("{} {}", held.entry.life, held.revision);
+    let text = format!("{} {}", held.entry.instance, held.revision);
     hash_bytes(0, text.as_bytes())
 }
 
@@ -152,7 +152,7 @@
     by_address: HashMap<SocketAddr, Vec<String>>,
     gone: BTreeMap<String, GoneMark>,
     /// Lives that said in an answer that they are leaving, whatever their entries say.
-    leaving: HashSet<ReplicaLife>,
+    leaving: HashSet<ReplicaInstance>,
     /// Services that the configuration names; nothing before there is one.
     services: Option<HashSet<String>>,
     digest: u64,
@@ -171,7 +171,7 @@
     }
 
     /// Takes news of a replica, where it is newer than what is known.
-    pub fn take(&mut self, news: ReplicaNews, now: Millis) -> FleetChange {
+    pub fn take(&mut self, news: ReplicaUpdate, now: Millis) -> FleetChange {
         match news.entry {
             Some(entry) => self.insert(entry, news.revision, now),
             None => self.remove(news.id, news.revision),
@@ -180,17 +180,17 @@
 
     fn insert(&mut self, entry: ReplicaEntry, revision: u64, now: Millis) -> FleetChange {
         let mut entry = entry;
-        if self.leaving.contains(&entry.life) {
+        if self.leaving.contains(&entry.instance) {
             entry.state = EntryState::Draining;
         }
-        let id = entry.life.id();
+        let id = entry.instance.id();
         let first = self.first_listed(id).unwrap_or(revision);
         if self.is_older(&entry, revision) || self.has_successor(&entry, first) {
             return FleetChange::Older;
         }
         let change = match self.get(id) {
             None => FleetChange::Joined,
-            Some(old) if old.life != entry.life => FleetChange::Restarted,
+            Some(old) if old.instance != entry.instance => FleetChange::Restarted,
             Some(old) if *old == entry => FleetChange::Unchanged,
             Some(old) => state_change(old.state, entry.state),
         };
@@ -207,14 +207,15 @@
 
     /// Whether something newer is known of an entry's own id.
     fn is_older(&self, entry: &ReplicaEntry, revision: u64) -> bool {
-        let born = entry.life.born();
+        let born = entry.instance.born();
         let is_over = self
             .gone
-            .get(entry.life.id())
+            .get(entry.instance.id())
             .is_some_and(|gone| revision <= gone.revision || born < gone.born);
-        let held = self.replicas.get(entry.life.id());
+        let held = self.replicas.get(entry.instance.id());
         is_over
-            || held.is_some_and(|held| (born, revision) < (held.entry.life.born(), held.revision))
+            || held
+                .is_some_and(|held| (born, revision) < (held.entry.instance.born(), held.revision))
     }
 
     /// Whether a later start is listed at the address of an entry whose id was listed first at the revision
@@ -223,10 +224,10 @@
     fn has_successor(&self, entry: &ReplicaEntry, first: u64) -> bool {
         let mut others = self.named_at(entry.address);
         others.any(|held| {
-            let (life, other) = (&entry.life, &held.entry.life);
-            match life.born() > 0 && other.born() > 0 {
-                _ if life.id() == other.id() => false,
-                true => other.born() > life.born(),
+            let (instance, other) = (&entry.instance, &held.entry.instance);
+            match instance.born() > 0 && other.born() > 0 {
+                _ if instance.id() == other.id() => false,
+                true => other.born() > instance.born(),
                 false => held.first > first,
             }
         })
@@ -254,7 +255,7 @@
         let first = self.first_listed(&id);
         let earlier = self.gone.get(&id).map_or(0, |gone| gone.born);
         let old = self.replicas.remove(&id);
-        let born = old.as_ref().map_or(earlier, |old| old.entry.life.born());
+        let born = old.as_ref().map_or(earlier, |old| old.entry.instance.born());
         self.note_gone(id, GoneMark { revision, born, first });
         let Some(old) = old else { return FleetChange::Unchanged };
         self.forget_entry(&old);
@@ -266,7 +267,7 @@
         self.digest ^= entry_digest(old);
         let address = old.entry.address;
         let Some(ids) = self.by_address.get_mut(&address) else { return };
-        if let Some(index) = ids.iter().position(|id| id == old.entry.life.id()) {
+        if let Some(index) = ids.iter().position(|id| id == old.entry.instance.id()) {
             ids.swap_remove(index);
         }
         if ids.is_empty() {
@@ -286,21 +287,21 @@
     /// Takes a replica's own word that it is leaving; tells whether that is news. It binds until the replica starts
     /// again: its entry may say for seconds that it takes requests, and a request that comes later than the time for
     /// which it serves on is lost.
-    pub fn note_leaving(&mut self, life: &ReplicaLife) -> bool {
-        let Some(held) = self.replicas.get_mut(life.id()) else { return false };
-        if held.entry.life != *life {
+    pub fn note_leaving(&mut self, instance: &ReplicaInstance) -> bool {
+        let Some(held) = self.replicas.get_mut(instance.id()) else { return false };
+        if held.entry.instance != *instance {
             return false;
         }
         let is_news = held.entry.state != EntryState::Draining;
         held.entry.state = EntryState::Draining;
         if self.leaving.len() >= MOST_GONE {
             let replicas = &self.replicas;
-            let lives = |life: &ReplicaLife| {
-                replicas.get(life.id()).is_some_and(|held| held.entry.life == *life)
+            let instances = |instance: &ReplicaInstance| {
+                replicas.get(instance.id()).is_some_and(|held| held.entry.instance == *instance)
             };
-            self.leaving.retain(lives);
+            self.leaving.retain(instances);
         }
-        self.leaving.insert(life.clone());
+        self.leaving.insert(instance.clone());
         is_news
     }
 
@@ -309,26 +310,26 @@
     pub fn keep_leaving(&mut self) {
         let held = self.replicas.values().map(|held| &held.entry);
         let leaving = held.filter(|entry| entry.state == EntryState::Draining);
-        self.leaving.extend(leaving.map(|entry| entry.life.clone()));
+        self.leaving.extend(leaving.map(|entry| entry.instance.clone()));
     }
 
     /// Whether a listed life was gone before the era in which it is listed began.
-    pub fn was_gone_before(&self, news: &ReplicaNews) -> bool {
+    pub fn was_gone_before(&self, news: &ReplicaUpdate) -> bool {
         let Some(entry) = &news.entry else { return false };
         self.gone.get(&news.id).is_some_and(|gone| {
-            era_of(gone.revision) < era_of(news.revision) && entry.life.born() <= gone.born
+            era_of(gone.revision) < era_of(news.revision) && entry.instance.born() <= gone.born
         })
     }
 
     /// Takes a replica's own word that it started again, where its entry is still one of an earlier life: it
     /// holds nothing that is known of. Gives the life that ended.
-    pub fn note_start(&mut self, id: &str, born: Millis, now: Millis) -> Option<ReplicaLife> {
+    pub fn note_start(&mut self, id: &str, born: Millis, now: Millis) -> Option<ReplicaInstance> {
         let held = self.replicas.get(id)?;
-        let ended = held.entry.life.clone();
+        let ended = held.entry.instance.clone();
         if born <= ended.born() || ended.born() == 0 {
             return None;
         }
-        let entry = ReplicaEntry { life: ended.at(born), layers: None, ..held.entry.clone() };
+        let entry = ReplicaEntry { instance: ended.at(born), layers: None, ..held.entry.clone() };
         let revision = held.revision;
         self.insert(entry, revision, now);
         Some(ended)
@@ -347,13 +348,13 @@
     /// Other replicas that are listed at an address: earlier starts, which ended there. A later start is
     /// never among them, since no entry of an earlier one is taken beside it.
     pub fn predecessors(&self, id: &str, address: SocketAddr) -> Vec<String> {
-        let others = self.listed_at(address).map(|held| held.entry.life.id());
+        let others = self.listed_at(address).map(|held| held.entry.instance.id());
         others.filter(|other| *other != id).map(str::to_owned).collect()
     }
 
     /// Ids that a list read at the revision `at` lacks. What is held at a higher revision was written after
     /// it was read.
-    pub fn missing_from(&self, listed: &[ReplicaNews], at: u64) -> Vec<String> {
+    pub fn missing_from(&self, listed: &[ReplicaUpdate], at: u64) -> Vec<String> {
         let listed: HashSet<&str> = listed.iter().map(|news| news.id.as_str()).collect();
         let older = self.replicas.iter().filter(|(_, held)| held.revision <= at);
         let ids = older.map(|(id, _)| id).filter(|id| !listed.contains(id.as_str()));
@@ -366,8 +367,8 @@
     }
 
     /// Replica in that life; nothing where it started again since, or is gone.
-    pub fn living(&self, life: &ReplicaLife) -> Option<&ReplicaEntry> {
-        self.get(life.id()).filter(|entry| entry.life == *life)
+    pub fn living(&self, instance: &ReplicaInstance) -> Option<&ReplicaEntry> {
+        self.get(instance.id()).filter(|entry| entry.instance == *instance)
     }
 
     /// Replica at that address.
@@ -377,8 +378,8 @@
     }
 
     /// All that is held, as news for another relay.
-    pub fn news(&self) -> impl Iterator<Item = ReplicaNews> {
-        self.replicas.iter().map(|(id, held)| ReplicaNews {
+    pub fn news(&self) -> impl Iterator<Item = ReplicaUpdate> {
+        self.replicas.iter().map(|(id, held)| ReplicaUpdate {
             id: id.clone(),
             revision: held.revision,
             entry: Some(held.entry.clone()),
--- a/crates/router/src/follow.rs
+++ b/crates/router/src/follow.rs
@@ -10,33 +10,33 @@
 //! | load | what would go wrong | what bounds it |
 //! |---|---|---|
 //! | versions in quick succession | every relay reads each | the followed relay reads, the others ask it |
-//! | restarts of many relays | every start lists everything | a neighbour tells within [`START_PATIENCE`] |
-//! | an outage | every relay tries on, for each kind | [`FollowSight::lost_before`], [`FollowSight::is_tried_by_other`] |
+//! | restarts of many relays | every start lists everything | a neighbour tells within [`START_DELAY`] |
+//! | an outage | every relay tries on, for each kind | [`FollowInputs::lost_before`], [`FollowInputs::is_retried_elsewhere`] |
 //! | the store's return | every relay lists everything | one that is back says so, the others ask it |
 
 use derive_more::Display;
 use rand::Rng;
 use switchfold_core::retry::Backoff;
 
-use crate::{Millis, membership::FOLLOWED_AGE};
+use crate::{Millis, membership::MAX_PEER_READ_AGE};
 
 /// Time between two looks at what the other relays say, in milliseconds.
 const COVER_EVERY: Millis = 100;
 
 /// Time that a relay gives its neighbours at its start to say that they are there, in milliseconds, before it
 /// reads the store itself: two relays tell each that was there lately, in each round of 200 ms.
-pub const START_PATIENCE: Millis = 200;
+pub const START_DELAY: Millis = 200;
 
 /// The same for a relay that hears of another one before it, which is to read first and cannot tell yet.
-pub const START_PATIENCE_BEHIND: Millis = 500;
+pub const START_DELAY_BEHIND: Millis = 500;
 
 /// The same at the first start of the whole system, in milliseconds, for a relay that hears of no other one before
 /// it: processes start within 300 ms of each other, and need a little to find each other.
-pub const FIRST_PATIENCE: Millis = 700;
+pub const FIRST_START_DELAY: Millis = 700;
 
 /// The same for one that hears of another one before it, which is to read first. Callers come ten seconds after
 /// the first start.
-pub const FIRST_PATIENCE_BEHIND: Millis = 2_500;
+pub const FIRST_START_DELAY_BEHIND: Millis = 2_500;
 
 /// Time between two questions to a neighbour that reads the store, where its word covers nobody: it awaits
 /// entries that its list lacks, or the lists differ. In milliseconds; a leaving replica must be left alone within
@@ -52,7 +52,7 @@
 
 /// Time that is left of the users' contact time where a relay behind others tries the store again: the try's own
 /// patience, and the same once more for a second one. In milliseconds.
-const CONTACT_MARGIN: Millis = 2 * STORE_PATIENCE;
+const CONTACT_MARGIN: Millis = 2 * STORE_TIMEOUT;
 
 /// Doublings of the pause between two tries at most; the longest pause is reached before.
 const MOST_DOUBLINGS: usize = 8;
@@ -105,7 +105,7 @@
 
 /// A neighbour that can tell what the store holds.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum TellerPlace {
+pub enum SourceOrder {
     /// It comes before this relay, so that it also follows for it.
     Before,
     /// It comes behind.
@@ -114,13 +114,13 @@
 
 /// What is seen of the other relays of the data centre.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct FollowSight {
+pub struct FollowInputs {
     /// Whether another relay follows for this one.
-    pub is_covered: bool,
+    pub is_read_by_peer: bool,
     /// Whether one tells of something newer.
-    pub hears_newer: bool,
+    pub peer_has_newer: bool,
     /// Whether one that reads the store can tell all that it read.
-    pub teller: Option<TellerPlace>,
+    pub teller: Option<SourceOrder>,
     /// Count of live relays before this one.
     pub before: usize,
     /// Count of those that lost the store as well.
@@ -128,70 +128,70 @@
     /// Whether the whole list is to be read anew.
     pub wants_list: bool,
     /// Whether this relay lost the store, and tries it again for another kind of object.
-    pub is_tried_by_other: bool,
+    pub is_retried_elsewhere: bool,
 }
 
 /// Times of a follower, in milliseconds.
 #[derive(Clone, Copy, Debug)]
-pub struct FollowTimes {
+pub struct FollowTimings {
     /// Wait of a watch.
     pub wait: Millis,
     /// Time that the store has for each page of a list.
-    pub list_patience: Millis,
+    pub list_timeout: Millis,
     /// Pause after an answer that moved on, so that changes in series cost one call together.
     pub gather: Millis,
     /// Time by which it lets the other kind go first once no relay follows for this one: where the store is away,
     /// one call tells.
     pub yields: Millis,
     /// Longest time from one try to the next while the store does not answer.
-    pub longest_pause: Millis,
+    pub max_pause: Millis,
     /// The same for a relay behind others that lost the store as well: they try for it. It may be turned
     /// away by itself all the same, and must then use the store again before it counts as in touch.
-    pub longest_behind: Millis,
+    pub max_pause_behind: Millis,
     /// Longest delay of a read once no relay follows for this one.
-    pub longest_stagger: Millis,
+    pub max_stagger: Millis,
 }
 
-impl FollowTimes {
+impl FollowTimings {
     /// These times where a relay counts as in touch `contact` milliseconds after a trouble, and must then hold no
     /// state that is older than `old_state` milliseconds.
     pub fn within_bounds(self, contact: Millis, old_state: Millis) -> Self {
-        let longest_behind = contact.saturating_sub(CONTACT_MARGIN).max(self.longest_pause);
-        let left = old_state.saturating_sub(FOLLOWED_AGE + READ_MARGIN);
-        Self { longest_behind, longest_stagger: left.min(LONGEST_STAGGER), ..self }
+        let max_pause_behind = contact.saturating_sub(CONTACT_MARGIN).max(self.max_pause);
+        let left = old_state.saturating_sub(MAX_PEER_READ_AGE + READ_MARGIN);
+        Self { max_pause_behind, max_stagger: left.min(LONGEST_STAGGER), ..self }
     }
 }
 
 /// Time that the store has for an answer beyond the wait asked of it, in milliseconds. It answers in 4 ms,
 /// and 60 times slower in a disruption. A call that is lost is given up then, so this is also how late the
 /// store's return may be noticed.
-pub const STORE_PATIENCE: Millis = 600;
+pub const STORE_TIMEOUT: Millis = 600;
 
 /// How the configuration is followed. A watch waits for a second: the lease is as old as two waits at
 /// most, which leaves half of the usual bound of 5 s on removed keys.
-pub const CONFIG_TIMES: FollowTimes = FollowTimes { gather: 0, yields: 0, ..REPLICA_TIMES };
+pub const CONFIG_TIMINGS: FollowTimings = FollowTimings { gather: 0, yields: 0, ..REPLICA_TIMINGS };
 
 /// How the list of replicas is followed. A leaving replica must be left alone within the 2 s that it goes
 /// on serving, also where a watch was cut without a word. A store that comes back is used again within
 /// half a second by the first relay of each data centre.
-pub const REPLICA_TIMES: FollowTimes = FollowTimes {
+pub const REPLICA_TIMINGS: FollowTimings = FollowTimings {
     wait: 1_000,
-    list_patience: STORE_PATIENCE,
+    list_timeout: STORE_TIMEOUT,
     gather: 150,
     yields: 60,
-    longest_pause: 400,
-    longest_behind: 1_600,
-    longest_stagger: 100,
+    max_pause: 400,
+    max_pause_behind: 1_600,
+    max_stagger: 100,
 };
 
 /// Time that a relay at its start waits for a neighbour that can tell, in milliseconds: `before` relays of its
 /// data centre were heard that come before it.
-pub fn start_patience(is_first_start: bool, before: usize) -> Millis {
+pub fn start_delay(is_first_start: bool, before: usize) -> Millis {
     match (is_first_start, before) {
-        (false, 0) => START_PATIENCE,
-        (false, _) => START_PATIENCE_BEHIND,
-        (true, 0) => FIRST_PATIENCE,
-        (true, _) => FIRST_PATIENCE_BEHIND,
+        (false, 0) => START_DELAY,
+        (false, _) => START_DELAY_BEHIND,
+        (true, 0) => FIRST_START_DELAY,
+        (true, _) => FIRST_START_DELAY_BEHIND,
     }
 }
 
@@ -209,7 +209,7 @@
 /// Follows one kind of object.
 #[derive(Debug)]
 pub struct StoreFollower<R> {
-    times: FollowTimes,
+    times: FollowTimings,
     backoff: Backoff<R>,
     revision: Option<u64>,
     /// Until when the store is not called.
@@ -218,14 +218,14 @@
     tries_by: Millis,
     asking: AskState,
     is_listed: bool,
-    is_covered: bool,
+    is_read_by_peer: bool,
     /// Why the next list is read.
     cause: ReadCause,
 }
 
 impl<R: Rng> StoreFollower<R> {
     /// Makes a follower that read nothing yet.
-    pub fn new(times: FollowTimes, backoff: Backoff<R>) -> Self {
+    pub fn new(times: FollowTimings, backoff: Backoff<R>) -> Self {
         Self {
             times,
             backoff,
@@ -234,7 +234,7 @@
             tries_by: 0,
             asking: AskState::Free,
             is_listed: false,
-            is_covered: false,
+            is_read_by_peer: false,
             cause: ReadCause::Start,
         }
     }
@@ -245,14 +245,14 @@
     }
 
     /// What to do next, by what is seen of the others.
-    pub fn next_step(&mut self, sight: &FollowSight, now: Millis) -> FollowStep {
-        if self.is_listed && sight.is_covered {
+    pub fn next_step(&mut self, sight: &FollowInputs, now: Millis) -> FollowStep {
+        if self.is_listed && sight.is_read_by_peer {
             self.revision = None;
-            self.is_covered = true;
+            self.is_read_by_peer = true;
             return FollowStep::Rest(COVER_EVERY);
         }
-        if self.is_covered {
-            self.is_covered = false;
+        if self.is_read_by_peer {
+            self.is_read_by_peer = false;
             self.end_cover(sight, now);
         }
         if sight.wants_list && now >= self.rests_until {
@@ -265,18 +265,18 @@
         if now < self.rests_until {
             return FollowStep::Rest((self.rests_until - now).min(COVER_EVERY));
         }
-        if sight.is_tried_by_other && now < self.tries_by {
+        if sight.is_retried_elsewhere && now < self.tries_by {
             return FollowStep::Rest(COVER_EVERY);
         }
         self.revision.map_or(FollowStep::List(self.cause), FollowStep::Watch)
     }
 
-    fn end_cover(&mut self, sight: &FollowSight, now: Millis) {
+    fn end_cover(&mut self, sight: &FollowInputs, now: Millis) {
         self.cause = ReadCause::CoverEnded;
-        let stagger = (READ_STAGGER * sight.before as Millis).min(self.times.longest_stagger);
+        let stagger = (READ_STAGGER * sight.before as Millis).min(self.times.max_stagger);
         self.rests_until = self.rests_until.max(now + stagger + self.times.yields);
-        self.tries_by = now + self.times.longest_behind;
-        if sight.hears_newer {
+        self.tries_by = now + self.times.max_pause_behind;
+        if sight.peer_has_newer {
             self.cause = ReadCause::NewerHeard;
             self.asking = AskState::RestsUntil(now + ASK_STAGGER * sight.before as Millis);
         }
@@ -284,9 +284,9 @@
 
     /// What is to be done about a neighbour that reads the store, if anything: it is asked for a whole list,
     /// and by whoever comes behind it again as long as its word does not cover that one.
-    fn next_question(&self, sight: &FollowSight, now: Millis) -> Option<FollowStep> {
+    fn next_question(&self, sight: &FollowInputs, now: Millis) -> Option<FollowStep> {
         let place = sight.teller?;
-        if self.revision.is_some() && place == TellerPlace::Behind {
+        if self.revision.is_some() && place == SourceOrder::Behind {
             return None;
         }
         match self.asking {
@@ -330,12 +330,12 @@
     pub fn note_failure(&mut self, sent: Millis, lost_before: usize) {
         self.revision = None;
         self.cause = ReadCause::Lost;
-        let FollowTimes { longest_pause, longest_behind, .. } = self.times;
+        let FollowTimings { max_pause, max_pause_behind, .. } = self.times;
         let pause = match lost_before {
-            0 => self.backoff.next_wait().min(longest_pause),
-            before => (longest_pause << before.min(MOST_DOUBLINGS)).min(longest_behind),
+            0 => self.backoff.next_wait().min(max_pause),
+            before => (max_pause << before.min(MOST_DOUBLINGS)).min(max_pause_behind),
         };
         self.rests_until = sent + pause;
-        self.tries_by = sent + longest_behind;
+        self.tries_by = sent + max_pause_behind;
     }
 }
--- a/crates/router/src/groups.rs
+++ b/crates/router/src/groups.rs
@@ -15,7 +15,7 @@
 
 use switchfold_core::hash::hash_bytes;
 
-use crate::life::ReplicaLife;
+use crate::instance::ReplicaInstance;
 
 /// Replicas of a group on average, at most: its layout is weighed within a tenth of a second of a small VM.
 pub const MOST_GROUP: usize = 64;
@@ -35,8 +35,8 @@
 }
 
 /// Group of a replica among `count`: the same for all lives of its id.
-pub fn group_of(life: &ReplicaLife, count: u32) -> u32 {
-    let hash = hash_bytes(0, life.id().as_bytes());
+pub fn group_of(instance: &ReplicaInstance, count: u32) -> u32 {
+    let hash = hash_bytes(0, instance.id().as_bytes());
     // The upper half: the lower bits of short texts differ little.
     (hash >> 32) as u32 & (count - 1)
 }
--- a/crates/router/src/life.rs
+++ b/crates/router/src/instance.rs
@@ -15,16 +15,16 @@
 /// Time by which a replica's start may lie ahead of this VM's time of day, in milliseconds: times of day differ by
 /// seconds between VMs, and jump by seconds. What lies further ahead was not written by a replica; taken for
 /// its start, it would make every true entry one of an earlier life.
-pub const MOST_AHEAD: Millis = 60_000;
+pub const MAX_CLOCK_SKEW: Millis = 60_000;
 
 /// One life of a replica. Of two lives of one id, the one with the later start is the present one.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub struct ReplicaLife {
+pub struct ReplicaInstance {
     id: Arc<str>,
     born: Millis,
 }
 
-impl ReplicaLife {
+impl ReplicaInstance {
     /// Makes one; `born` is the Unix time of its start in milliseconds, 0 where the replica tells none.
     pub fn new(id: &str, born: Millis) -> Self {
         Self { id: id.into(), born }
@@ -47,11 +47,11 @@
 
     /// Whether its start is possible, by the time of day `clock` in Unix milliseconds.
     pub fn is_plausible(&self, clock: Millis) -> bool {
-        self.born <= clock.saturating_add(MOST_AHEAD)
+        self.born <= clock.saturating_add(MAX_CLOCK_SKEW)
     }
 }
 
-impl Display for ReplicaLife {
+impl Display for ReplicaInstance {
     fn fmt(&self, formatter: &mut Formatter<'_>) -> Result {
         match self.born {
             0 => formatter.write_str(&self.id),
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -21,15 +21,15 @@
 //! | [`groups`] | which replicas are planned together, and by which relays |
 //! | [`issuer`] | which relay gets the next grant of such a replica |
 //! | [`keeper`] | which relay hands these grants out |
-//! | [`lapse`] | which entries that are missing after an outage are waited for |
-//! | [`life`] | which life of a replica something is known of |
+//! | [`missing`] | which entries that are missing after an outage are waited for |
+//! | [`instance`] | which life of a replica something is known of |
 //! | [`limits`] | how many requests a second each replica takes, by its own word |
 //! | [`membership`] | which relays tell each other, which gives orders, and which follows the store for others |
 //! | [`mute`] | which first replicas begin no answers, and when a request goes elsewhere |
 //! | [`origin`] | to whom news of other relays are told on |
 //! | [`pace`] | how slow each engine is at the moment |
 //! | [`pipe`] | how many paths may cross from one data centre to another |
-//! | [`place`] | which of two states of the store is the newer one, also where it came back from a copy |
+//! | [`era`] | which of two states of the store is the newer one, also where it came back from a copy |
 //! | [`quarantine`] | which requests end the replicas that run them, and are sent nowhere |
 //! | [`replicas`] | what a relay believes of the replicas, by whose word |
 //! | [`returns`] | in which order callers come back to an entry that has just started |
@@ -46,23 +46,23 @@
 pub mod chain;
 pub mod clocks;
 pub mod cover;
+pub mod era;
 pub mod fingerprint;
 pub mod fleet;
 pub mod follow;
 pub mod freshness;
 pub mod grants;
 pub mod groups;
+pub mod instance;
 pub mod issuer;
 pub mod keeper;
-pub mod lapse;
-pub mod life;
 pub mod limits;
 pub mod membership;
+pub mod missing;
 pub mod mute;
 pub mod origin;
 pub mod pace;
 pub mod pipe;
-pub mod place;
 pub mod quarantine;
 pub mod replicas;
 pub mod returns;
--- a/crates/router/src/membership.rs
+++ b/crates/router/src/membership.rs
@@ -7,25 +7,25 @@
 //!
 //! | module | decides |
 //! |---|---|
-//! | `circle` | which relays tell each other, and who speaks for whom |
+//! | `gossip` | which relays tell each other, and who speaks for whom |
 //! | `proofs` | what messages of other relays prove, and how old that is |
-//! | `tellers` | who follows the store for a relay, and whom it asks |
+//! | `sources` | who follows the store for a relay, and whom it asks |
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
-mod circle;
+mod gossip;
 mod proofs;
-mod tellers;
+mod sources;
 
 pub use self::{
-    circle::{ReportKind, SPEAKERS, TalkCircle, TalkLeg, TalkPeer, name_hash},
+    gossip::{GossipLink, GossipPeer, GossipPlan, ReportKind, SPEAKERS, name_hash},
     proofs::{OwnState, PeerProof, PeerProofs, PeerStamp, proof_time},
-    tellers::{FOLLOWED_AGE, PeersBefore, StateTeller},
+    sources::{MAX_PEER_READ_AGE, PrecedingPeers, SnapshotSource},
 };
 use crate::Millis;
 
 /// Silence after which a relay is taken for gone, in milliseconds: three messages in a row were lost.
-pub const PEER_SILENCE: Millis = 1_600;
+pub const PEER_TIMEOUT: Millis = 1_600;
 
 /// Age of its own proof of the configuration from which a relay leaves new callers to others that have a
 /// younger one, in milliseconds: above what a relay has that others follow the store for, and a second
@@ -33,11 +33,11 @@
 pub const STEP_ASIDE_AGE: Millis = 2_600;
 
 /// The same for a relay whose last read of the configuration failed.
-pub const LOST_ASIDE_AGE: Millis = 1_300;
+pub const STEP_ASIDE_AGE_LOST: Millis = 1_300;
 
 /// Silence after which a relay is forgotten, in milliseconds: several windows of the shared budget of
 /// repeats, so that one that is only cut off keeps its share; a VM that is replaced has another name.
-pub const PEER_FORGET: Millis = 60_000;
+pub const PEER_EXPIRY: Millis = 60_000;
 
 /// What a relay says of itself.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
@@ -248,7 +248,7 @@
     }
 
     /// Whether this relay is the first to give orders, as [`PeerTable::rank`] tells.
-    pub fn is_first(&self, name: &str, fleet_is_fresh: bool, now: Millis) -> bool {
+    pub fn is_leader(&self, name: &str, fleet_is_fresh: bool, now: Millis) -> bool {
         self.rank(name, fleet_is_fresh, now) == Some(0)
     }
 
@@ -277,8 +277,8 @@
     /// old, `is_lost` tells that its last read failed, and another relay has a younger proof, or this one
     /// hears none of those it knows and is cut off itself. Where all have lost the store nobody steps
     /// aside.
-    pub fn should_step_aside(&self, own_age: Millis, is_lost: bool, now: Millis) -> bool {
-        let most = if is_lost { LOST_ASIDE_AGE } else { STEP_ASIDE_AGE };
+    pub fn should_redirect(&self, own_age: Millis, is_lost: bool, now: Millis) -> bool {
+        let most = if is_lost { STEP_ASIDE_AGE_LOST } else { STEP_ASIDE_AGE };
         if own_age < most || self.peers.is_empty() {
             return false;
         }
@@ -301,6 +301,6 @@
     }
 
     fn is_live(&self, now: Millis) -> bool {
-        self.heard.is_some_and(|heard| now.saturating_sub(heard) < PEER_SILENCE)
+        self.heard.is_some_and(|heard| now.saturating_sub(heard) < PEER_TIMEOUT)
     }
 }
--- a/crates/router/src/membership/circle.rs
+++ b/crates/router/src/membership/gossip.rs
@@ -10,15 +10,15 @@
 //!
 //! | worst case | what follows |
 //! |---|---|
-//! | a speaker ends | its members go on hearing their second one; [`PEER_SILENCE`] later they report to another |
-//! | all speakers of a data centre end at once | members pass over two silent ones each [`PEER_SILENCE`], until they come first themselves |
+//! | a speaker ends | its members go on hearing their second one; [`PEER_TIMEOUT`] later they report to another |
+//! | all speakers of a data centre end at once | members pass over two silent ones each [`PEER_TIMEOUT`], until they come first themselves |
 //! | relays differ on who is there | a member is counted late, or twice, for as long as figures of room are kept |
 
 use std::{cmp::Reverse, collections::BTreeMap, net::SocketAddr};
 
 use switchfold_core::hash::hash_bytes;
 
-use super::{PEER_FORGET, PEER_SILENCE, Peer, PeerTable};
+use super::{PEER_EXPIRY, PEER_TIMEOUT, Peer, PeerTable};
 use crate::Millis;
 
 /// Speakers of a data centre. As many tell each other everything at little cost; each speaks for an eighth of the others.
@@ -29,7 +29,7 @@
 
 /// Time for which a silent speaker is passed over unless it is heard again or another relay says that it hears it, in
 /// milliseconds: tried sooner, those that are gone would take reports that reach nobody.
-const PASS_TIME: Millis = PEER_FORGET;
+const PASS_TIME: Millis = PEER_EXPIRY;
 
 /// Time since its last report for which a member is told, in milliseconds: a process that restarts is back within it, and
 /// learns from its speakers what it would have to ask the store.
@@ -49,7 +49,7 @@
 
 /// What a message to a relay is for.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum TalkLeg {
+pub enum GossipLink {
     /// From one speaker to another of its data centre.
     Near,
     /// From one speaker to another of another data centre.
@@ -62,22 +62,22 @@
 
 /// A relay that is told.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct TalkPeer {
+pub struct GossipPeer {
     /// Its name.
     pub name: String,
     /// Where it is.
     pub address: SocketAddr,
     /// What for.
-    pub leg: TalkLeg,
+    pub leg: GossipLink,
 }
 
 /// Relays that a relay tells.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct TalkCircle {
+pub struct GossipPlan {
     /// Whether it is a member.
     pub is_member: bool,
     /// The others.
-    pub peers: Vec<TalkPeer>,
+    pub peers: Vec<GossipPeer>,
 }
 
 /// Hash of a relay's name, as messages name it.
@@ -93,7 +93,7 @@
 
 impl PeerTable {
     /// Decides whom to tell now, and whether this relay is a member.
-    pub fn settle_circle(&mut self, own: &str, data_centre: &str, now: Millis) -> TalkCircle {
+    pub fn plan_gossip(&mut self, own: &str, data_centre: &str, now: Millis) -> GossipPlan {
         self.pass_over_silent(now);
         let speakers = self.near_speakers(own, data_centre, now);
         let is_member = !speakers.iter().any(|name| name == own);
@@ -107,8 +107,8 @@
         let address = |name: &str| self.peers.get(name).map(|peer| peer.address);
         let peers = legs
             .into_iter()
-            .filter_map(|(name, leg)| Some(TalkPeer { address: address(&name)?, name, leg }));
-        TalkCircle { is_member, peers: peers.collect() }
+            .filter_map(|(name, leg)| Some(GossipPeer { address: address(&name)?, name, leg }));
+        GossipPlan { is_member, peers: peers.collect() }
     }
 
     /// Whether this relay is a member, as last decided.
@@ -186,15 +186,16 @@
         fleet_is_fresh: bool,
         now: Millis,
     ) -> Vec<String> {
-        let is_first_near = !self.is_member && self.is_first_near(own, data_centre, now);
-        let is_first = !self.is_member && self.is_first(own, fleet_is_fresh, now);
+        let is_data_centre_leader =
+            !self.is_member && self.is_data_centre_leader(own, data_centre, now);
+        let is_first = !self.is_member && self.is_leader(own, fleet_is_fresh, now);
         let is_left = |place: &str| {
             let mut there = self.peers.values().filter(|peer| peer.data_centre == place);
             there.any(|peer| !peer.is_gone(now))
         };
         let gone = self.peers.iter().filter(|(_, peer)| peer.is_gone(now));
         let removable = gone.filter(|(_, peer)| match peer.data_centre == data_centre {
-            true => is_first_near,
+            true => is_data_centre_leader,
             false => is_first && !is_left(&peer.data_centre),
         });
         removable.map(|(name, _)| name.clone()).collect()
@@ -204,7 +205,7 @@
         for peer in self.peers.values_mut() {
             let Some(since) = peer.told_since else { continue };
             let heard = peer.heard.unwrap_or_default().max(since);
-            if now.saturating_sub(heard) >= PEER_SILENCE {
+            if now.saturating_sub(heard) >= PEER_TIMEOUT {
                 peer.passed_until = now + PASS_TIME;
                 peer.told_since = None;
             }
@@ -233,7 +234,7 @@
         own: &str,
         speakers: &[String],
         now: Millis,
-    ) -> BTreeMap<String, TalkLeg> {
+    ) -> BTreeMap<String, GossipLink> {
         let seed = hash_bytes(0, own.as_bytes());
         let mut ranked: Vec<&String> = speakers.iter().collect();
         ranked.sort_by_key(|name| Reverse(hash_bytes(seed, name.as_bytes())));
@@ -242,8 +243,8 @@
             |name: &&String| self.peers.get(name.as_str()).is_some_and(|peer| peer.is_live(now));
         let counting = ranked.iter().find(|name| is_live(name)).or(ranked.first()).copied();
         let leg = |name: &String| match counting == Some(name) {
-            true => TalkLeg::Report(ReportKind::Counted),
-            false => TalkLeg::Report(ReportKind::Spare),
+            true => GossipLink::Report(ReportKind::Counted),
+            false => GossipLink::Report(ReportKind::Spare),
         };
         ranked.iter().map(|name| ((*name).clone(), leg(name))).collect()
     }
@@ -256,14 +257,14 @@
         data_centre: &str,
         speakers: Vec<String>,
         now: Millis,
-    ) -> BTreeMap<String, TalkLeg> {
-        let mut legs: BTreeMap<String, TalkLeg> = BTreeMap::new();
+    ) -> BTreeMap<String, GossipLink> {
+        let mut legs: BTreeMap<String, GossipLink> = BTreeMap::new();
         let mut places: BTreeMap<&str, Vec<(&str, &Peer)>> = BTreeMap::new();
         for (name, peer) in &self.peers {
             places.entry(&peer.data_centre).or_default().push((name, peer));
         }
         for (place, peers) in &places {
-            let leg = if *place == data_centre { TalkLeg::Near } else { TalkLeg::Far };
+            let leg = if *place == data_centre { GossipLink::Near } else { GossipLink::Far };
             let heeded = peers.iter().filter(|(_, peer)| peer.passed_until <= now);
             let all = first_of(peers.iter().map(|(name, _)| *name));
             let speaks = |peer: &Peer| peer.is_live(now) && !peer.state.is_member;
@@ -273,12 +274,12 @@
             legs.extend(told.map(|name| (name.to_owned(), leg)));
         }
         let near = speakers.into_iter().filter(|name| name != own);
-        legs.extend(near.map(|name| (name, TalkLeg::Near)));
+        legs.extend(near.map(|name| (name, GossipLink::Near)));
         legs
     }
 
     /// Notes since when each relay is told, from which its silence counts.
-    fn note_told(&mut self, legs: &BTreeMap<String, TalkLeg>, now: Millis) {
+    fn note_told(&mut self, legs: &BTreeMap<String, GossipLink>, now: Millis) {
         for (name, peer) in &mut self.peers {
             let is_told = legs.contains_key(name) && peer.passed_until <= now;
             peer.told_since = is_told.then(|| peer.told_since.unwrap_or(now));
@@ -288,13 +289,13 @@
     /// Adds the members of this relay.
     fn with_members(
         &self,
-        mut legs: BTreeMap<String, TalkLeg>,
+        mut legs: BTreeMap<String, GossipLink>,
         now: Millis,
-    ) -> BTreeMap<String, TalkLeg> {
+    ) -> BTreeMap<String, GossipLink> {
         for (name, peer) in &self.peers {
             let Some((kind, at)) = peer.report else { continue };
             if now.saturating_sub(at) < MEMBER_KEPT {
-                legs.insert(name.clone(), TalkLeg::Member(kind));
+                legs.insert(name.clone(), GossipLink::Member(kind));
             }
         }
         legs
@@ -309,7 +310,7 @@
 
     /// Whether it is one that others are asked to give grants, by its own word or that of a relay that hears it.
     pub(super) fn keeps_limits(&self, now: Millis) -> bool {
-        let is_vouched = self.vouched.is_some_and(|at| now.saturating_sub(at) < PEER_SILENCE);
+        let is_vouched = self.vouched.is_some_and(|at| now.saturating_sub(at) < PEER_TIMEOUT);
         self.is_live(now) && self.state.keeps_limits || is_vouched
     }
 
@@ -317,6 +318,6 @@
     pub(super) fn is_gone(&self, now: Millis) -> bool {
         let words = [self.heard, self.alive, self.vouched, Some(self.learnt)];
         let last = words.into_iter().flatten().max().unwrap_or_default();
-        now.saturating_sub(last) >= PEER_FORGET
+        now.saturating_sub(last) >= PEER_EXPIRY
     }
 }
--- a/crates/router/src/membership/tellers.rs
+++ b/crates/router/src/membership/sources.rs
@@ -4,29 +4,29 @@
 
 use switchfold_core::hash::hash_bytes;
 
-use super::{PEER_SILENCE, Peer, PeerTable, name_hash};
-use crate::{Millis, follow::TellerPlace};
+use super::{PEER_TIMEOUT, Peer, PeerTable, name_hash};
+use crate::{Millis, follow::SourceOrder};
 
 /// Time since another relay's last answer of the store up to which it spares a relay its own reads, in
 /// milliseconds. The one that follows has an answer every wait of a second and pause of 150 ms, and tells it
 /// within 200 ms; that leaves one message to be lost. The least of the users' bounds on old state is 2 s: a tenth
 /// of a second passes until the age is looked at, and the read itself takes its time.
-pub const FOLLOWED_AGE: Millis = 1_600;
+pub const MAX_PEER_READ_AGE: Millis = 1_600;
 
 /// A relay that can tell what the store holds.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct StateTeller<'a> {
+pub struct SnapshotSource<'a> {
     /// Its name.
     pub name: &'a str,
     /// Where it is.
     pub address: SocketAddr,
     /// Whether it comes before the asking relay, or behind.
-    pub place: TellerPlace,
+    pub place: SourceOrder,
 }
 
 /// Counts of live relays of a data centre before one of them.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct PeersBefore {
+pub struct PrecedingPeers {
     /// All of them.
     pub live: usize,
     /// Those that lost the store for the configuration.
@@ -38,15 +38,21 @@
 impl PeerTable {
     /// Whether another relay of the data centre follows the configuration for this one, which has
     /// `version`. One that says that it lost the store ends that at once, whatever it proved before.
-    pub fn covers_config(&self, own: &str, data_centre: &str, version: u64, now: Millis) -> bool {
-        let newer = self.hears_newer_config(own, data_centre, version, now);
+    pub fn config_read_by_peer(
+        &self,
+        own: &str,
+        data_centre: &str,
+        version: u64,
+        now: Millis,
+    ) -> bool {
+        let newer = self.peer_has_newer_config(own, data_centre, version, now);
         let mut followed =
             self.earlier(own, data_centre, now).filter(|peer| !peer.state.config_is_lost);
         is_recent(self.config_answered, now) && !newer && followed.next().is_some()
     }
 
     /// Whether a relay of the data centre that may follow for this one has a newer configuration.
-    pub fn hears_newer_config(
+    pub fn peer_has_newer_config(
         &self,
         own: &str,
         data_centre: &str,
@@ -57,8 +63,8 @@
     }
 
     /// Whether another relay of the data centre follows the list of replicas for this one; as
-    /// [`PeerTable::covers_config`].
-    pub fn covers_fleet(&self, own: &str, data_centre: &str, now: Millis) -> bool {
+    /// [`PeerTable::config_read_by_peer`].
+    pub fn fleet_read_by_peer(&self, own: &str, data_centre: &str, now: Millis) -> bool {
         let same = self.digest_differs_since.is_none_or(|since| now - since < DIGEST_GRACE);
         let mut followed = self.earlier(own, data_centre, now);
         is_recent(self.fleet_answered, now)
@@ -86,13 +92,13 @@
 
     /// Relay of the data centre that can tell the configuration to one that has `version`: the first by name
     /// that has a newer one, or that the store answered lately.
-    pub fn config_teller<'a>(
+    pub fn config_source<'a>(
         &'a self,
         own: &str,
         data_centre: &str,
         version: u64,
         now: Millis,
-    ) -> Option<StateTeller<'a>> {
+    ) -> Option<SnapshotSource<'a>> {
         self.teller(own, data_centre, now, |peer| {
             let state = &peer.state;
             let age = state.config_answer_age.filter(|_| !state.config_is_lost);
@@ -106,13 +112,13 @@
     /// that `holds_none` all the same, which can only be better off. Whoever holds none asks one of those that hold a
     /// recent list, each another one: after a stop of all, a hundred relays that asked the one that reads the
     /// store would want all of its link at once.
-    pub fn fleet_teller<'a>(
+    pub fn fleet_source<'a>(
         &'a self,
         own: &str,
         data_centre: &str,
         holds_none: bool,
         now: Millis,
-    ) -> Option<StateTeller<'a>> {
+    ) -> Option<SnapshotSource<'a>> {
         let reads = |peer: &Peer| {
             let age = peer.state.fleet_read_age.filter(|_| !peer.state.fleet_is_lost);
             peer.is_within_followed_age(age, now)
@@ -132,20 +138,20 @@
         data_centre: &str,
         now: Millis,
         can_tell: impl Fn(&Peer) -> bool,
-    ) -> Option<StateTeller<'a>> {
+    ) -> Option<SnapshotSource<'a>> {
         let seed = hash_bytes(0, own.as_bytes());
         let near = self.peers.iter().filter(|(_, peer)| peer.data_centre == data_centre);
         let able = near.filter(|(_, peer)| peer.is_live(now) && can_tell(peer));
         let (name, peer) = able.max_by_key(|(name, _)| hash_bytes(seed, name.as_bytes()))?;
-        Some(StateTeller { name, address: peer.address, place: teller_place(name, own) })
+        Some(SnapshotSource { name, address: peer.address, place: teller_place(name, own) })
     }
 
     /// The relay that reads the list of replicas, which a member does not hear itself.
-    fn vouched_reader<'a>(&'a self, own: &str, now: Millis) -> Option<StateTeller<'a>> {
+    fn vouched_reader<'a>(&'a self, own: &str, now: Millis) -> Option<SnapshotSource<'a>> {
         let reader = self.reader.as_ref().filter(|_| self.is_member);
-        let (name, _) = reader.filter(|(_, at)| now.saturating_sub(*at) < PEER_SILENCE)?;
+        let (name, _) = reader.filter(|(_, at)| now.saturating_sub(*at) < PEER_TIMEOUT)?;
         let address = self.peers.get(name)?.address;
-        Some(StateTeller { name, address, place: teller_place(name, own) })
+        Some(SnapshotSource { name, address, place: teller_place(name, own) })
     }
 
     /// Hash of the name of the relay that reads the list of replicas for the data centre, where another one does.
@@ -165,17 +171,17 @@
         data_centre: &str,
         now: Millis,
         can_tell: impl Fn(&Peer) -> bool,
-    ) -> Option<StateTeller<'a>> {
+    ) -> Option<SnapshotSource<'a>> {
         let near = self.peers.iter().filter(|(_, peer)| peer.data_centre == data_centre);
         let mut live = near.filter(|(_, peer)| peer.is_live(now));
         let (name, peer) = live.find(|(_, peer)| can_tell(peer))?;
-        Some(StateTeller { name, address: peer.address, place: teller_place(name, own) })
+        Some(SnapshotSource { name, address: peer.address, place: teller_place(name, own) })
     }
 
     /// Count of live relays of the data centre before this one, and of those among them that lost the store
     /// for the configuration and for the list of replicas.
-    pub fn before(&self, own: &str, data_centre: &str, now: Millis) -> PeersBefore {
-        let mut before = PeersBefore::default();
+    pub fn before(&self, own: &str, data_centre: &str, now: Millis) -> PrecedingPeers {
+        let mut before = PrecedingPeers::default();
         for peer in self.earlier(own, data_centre, now) {
             before.live += 1;
             before.lost_config += usize::from(peer.state.config_is_lost);
@@ -190,12 +196,12 @@
         own: &str,
         data_centre: &str,
         now: Millis,
-    ) -> Option<StateTeller<'a>> {
+    ) -> Option<SnapshotSource<'a>> {
         self.teller(own, data_centre, now, |_| true)
     }
 
     /// Whether no live relay of the data centre comes before this one by name.
-    pub fn is_first_near(&self, own: &str, data_centre: &str, now: Millis) -> bool {
+    pub fn is_data_centre_leader(&self, own: &str, data_centre: &str, now: Millis) -> bool {
         self.earlier(own, data_centre, now).next().is_none()
     }
 
@@ -213,10 +219,10 @@
     }
 }
 
-fn teller_place(name: &str, own: &str) -> TellerPlace {
+fn teller_place(name: &str, own: &str) -> SourceOrder {
     match name < own {
-        true => TellerPlace::Before,
-        false => TellerPlace::Behind,
+        true => SourceOrder::Before,
+        false => SourceOrder::Behind,
     }
 }
 
@@ -225,13 +231,13 @@
 const DIGEST_GRACE: Millis = 500;
 
 fn is_recent(answered: Option<Millis>, now: Millis) -> bool {
-    answered.is_some_and(|answered| now.saturating_sub(answered) < FOLLOWED_AGE)
+    answered.is_some_and(|answered| now.saturating_sub(answered) < MAX_PEER_READ_AGE)
 }
 
 impl Peer {
-    /// Whether an age that it told is below [`FOLLOWED_AGE`] by now.
+    /// Whether an age that it told is below [`MAX_PEER_READ_AGE`] by now.
     fn is_within_followed_age(&self, told: Option<Millis>, now: Millis) -> bool {
         let since = self.heard.map(|heard| now.saturating_sub(heard));
-        told.zip(since).is_some_and(|(told, since)| told + since < FOLLOWED_AGE)
+        told.zip(since).is_some_and(|(told, since)| told + since < MAX_PEER_READ_AGE)
     }
 }
--- a/crates/router/src/lapse.rs
+++ b/crates/router/src/missing.rs
@@ -11,7 +11,7 @@
 
 use std::collections::HashMap;
 
-use crate::{Millis, place::era_of};
+use crate::{Millis, era::era_of};
 
 /// Shortest outage in which entries may lapse, in milliseconds: one of a second leaves replicas more than
 /// a heartbeat of the three that they may miss.
@@ -19,12 +19,12 @@
 
 /// Time after the first read that the store answered for which a missing entry is waited for, in
 /// milliseconds: the two seconds in which entries are back, and the way of their news.
-pub const LAPSE_GRACE: Millis = 2_100;
+pub const REAPPEAR_GRACE: Millis = 2_100;
 
 /// Longest time after the last read without an answer was sent for which one is, in milliseconds: the
 /// least of the users' times after which a relay counts as in touch is 3 s, and whoever looks for overdue
 /// entries does so every 200 ms.
-pub const LONGEST_KEPT: Millis = 2_700;
+pub const MAX_MISSING_TIME: Millis = 2_700;
 
 /// An entry that is waited for.
 #[derive(Clone, Copy, Debug)]
@@ -36,7 +36,7 @@
 
 /// Missing entries that are waited for.
 #[derive(Clone, Debug, Default)]
-pub struct LapseGrace {
+pub struct MissingEntries {
     /// When the first read without an answer was sent, while the store is away.
     lost: Option<Millis>,
     /// When the last read without an answer was sent.
@@ -46,7 +46,7 @@
     awaited: HashMap<String, AwaitedEntry>,
 }
 
-impl LapseGrace {
+impl MissingEntries {
     /// Notes that a read sent at `sent` got no answer.
     pub fn note_lost(&mut self, sent: Millis) {
         self.lost = self.lost.or(Some(sent));
@@ -91,7 +91,7 @@
 
     /// Until when missing entries are kept, where the first answered read was sent at `returned`.
     fn kept_until(&self, returned: Millis) -> Millis {
-        (returned + LAPSE_GRACE).min(self.last_lost + LONGEST_KEPT)
+        (returned + REAPPEAR_GRACE).min(self.last_lost + MAX_MISSING_TIME)
     }
 
     /// Whether an entry is waited for.
--- a/crates/router/src/mute.rs
+++ b/crates/router/src/mute.rs
@@ -19,8 +19,8 @@
 
 use crate::{
     Millis,
-    life::ReplicaLife,
-    origin::{NewsOrigin, NewsReach},
+    instance::ReplicaInstance,
+    origin::{UpdateAudience, UpdateOrigin},
     suspect::SuspectList,
 };
 
@@ -68,17 +68,17 @@
 /// Beginnings of answers, by first replica.
 #[derive(Clone, Debug, Default)]
 pub struct HeadWatch {
-    firsts: HashMap<ReplicaLife, FirstState>,
+    firsts: HashMap<ReplicaInstance, FirstState>,
     times: VecDeque<Millis>,
     mutes: SuspectList,
     /// What other relays found, by relay, with the time until which each counts.
-    heard: HashMap<String, (NewsOrigin, Vec<(ReplicaLife, Millis)>)>,
+    heard: HashMap<String, (UpdateOrigin, Vec<(ReplicaInstance, Millis)>)>,
 }
 
 impl HeadWatch {
     /// Notes that a request was sent.
-    pub fn note_sent(&mut self, life: &ReplicaLife, now: Millis) {
-        let first = self.firsts.entry(life.clone()).or_default();
+    pub fn note_sent(&mut self, instance: &ReplicaInstance, now: Millis) {
+        let first = self.firsts.entry(instance.clone()).or_default();
         if first.waiting == 0 {
             first.since = now;
         }
@@ -87,29 +87,34 @@
 
     /// Notes that a replica answered a request: after `took`, where its answer began, and nothing where it was
     /// refused. Tells whether that ends what was thought of it.
-    pub fn note_answer(&mut self, life: &ReplicaLife, took: Option<Millis>, now: Millis) -> bool {
-        if let Some(first) = self.firsts.get_mut(life) {
+    pub fn note_answer(
+        &mut self,
+        instance: &ReplicaInstance,
+        took: Option<Millis>,
+        now: Millis,
+    ) -> bool {
+        if let Some(first) = self.firsts.get_mut(instance) {
             first.since = now;
         }
-        self.note_left(life);
+        self.note_left(instance);
         let Some(took) = took else { return false };
         if self.times.len() >= KEPT_TIMES {
             self.times.pop_front();
         }
         self.times.push_back(took);
-        let returns = self.mutes.is_own(life, now) || self.is_trial_due(life, now);
+        let returns = self.mutes.is_own(instance, now) || self.is_trial_due(instance, now);
         if returns {
-            self.mutes.clear(life);
+            self.mutes.clear(instance);
         }
         returns
     }
 
     /// Notes that a request is waited for no more.
-    pub fn note_left(&mut self, life: &ReplicaLife) {
-        let Some(first) = self.firsts.get_mut(life) else { return };
+    pub fn note_left(&mut self, instance: &ReplicaInstance) {
+        let Some(first) = self.firsts.get_mut(instance) else { return };
         first.waiting = first.waiting.saturating_sub(1);
         if first.waiting == 0 {
-            self.firsts.remove(life);
+            self.firsts.remove(instance);
         }
     }
 
@@ -135,42 +140,42 @@
     /// away from, where that is news.
     pub fn find_mute(
         &mut self,
-        life: &ReplicaLife,
+        instance: &ReplicaInstance,
         silent_after: Millis,
         now: Millis,
     ) -> Option<Millis> {
         let is_silent = |first: &FirstState| now.saturating_sub(first.since) >= silent_after;
-        let is_known = self.mutes.is_suspect(life, now) || self.is_heard(life, now);
-        if is_known || !self.firsts.get(life).is_some_and(is_silent) {
+        let is_known = self.mutes.is_suspect(instance, now) || self.is_heard(instance, now);
+        if is_known || !self.firsts.get(instance).is_some_and(is_silent) {
             return None;
         }
         let silent = self.firsts.values().filter(|first| is_silent(first)).count();
         if silent > (self.firsts.len() / SILENT_ONE_IN).max(1) {
             return None;
         }
-        self.mutes.note_failure(life, now).map(|until| until - now)
+        self.mutes.note_failure(instance, now).map(|until| until - now)
     }
 
     /// Whether new requests are to begin elsewhere.
-    pub fn is_mute(&self, life: &ReplicaLife, now: Millis) -> bool {
-        if self.mutes.is_suspect(life, now) {
+    pub fn is_mute(&self, instance: &ReplicaInstance, now: Millis) -> bool {
+        if self.mutes.is_suspect(instance, now) {
             return true;
         }
         // One request at a time tries whether it is back; what others repeat of this relay's own word does not put it off.
-        match self.is_trial_due(life, now) {
-            true => self.firsts.contains_key(life),
-            false => self.is_heard(life, now),
+        match self.is_trial_due(instance, now) {
+            true => self.firsts.contains_key(instance),
+            false => self.is_heard(instance, now),
         }
     }
 
     /// Whether a replica that this relay found mute is to be tried again.
-    fn is_trial_due(&self, life: &ReplicaLife, now: Millis) -> bool {
-        self.mutes.ended_lately(life, TRIAL_TIME, now)
+    fn is_trial_due(&self, instance: &ReplicaInstance, now: Millis) -> bool {
+        self.mutes.ended_lately(instance, TRIAL_TIME, now)
     }
 
-    fn is_heard(&self, life: &ReplicaLife, now: Millis) -> bool {
+    fn is_heard(&self, instance: &ReplicaInstance, now: Millis) -> bool {
         let mut heard = self.heard.values().flat_map(|(_, mutes)| mutes);
-        heard.any(|(mute, until)| mute == life && now < *until)
+        heard.any(|(mute, until)| mute == instance && now < *until)
     }
 
     /// Takes over all that another relay found, each with the milliseconds for which it counts; what it no longer
@@ -178,12 +183,12 @@
     pub fn hear_mutes(
         &mut self,
         relay: &str,
-        origin: NewsOrigin,
-        mutes: impl Iterator<Item = (ReplicaLife, Millis)>,
+        origin: UpdateOrigin,
+        mutes: impl Iterator<Item = (ReplicaInstance, Millis)>,
         now: Millis,
     ) {
-        let mutes: Vec<(ReplicaLife, Millis)> =
-            mutes.map(|(life, lasts)| (life, now + lasts)).collect();
+        let mutes: Vec<(ReplicaInstance, Millis)> =
+            mutes.map(|(instance, lasts)| (instance, now + lasts)).collect();
         match mutes.is_empty() {
             true => drop(self.heard.remove(relay)),
             false => drop(self.heard.insert(relay.to_owned(), (origin, mutes))),
@@ -194,20 +199,20 @@
     /// they are to keep away.
     pub fn told_on(
         &self,
-        reach: NewsReach,
+        reach: UpdateAudience,
         now: Millis,
-    ) -> impl Iterator<Item = (&ReplicaLife, Millis)> {
-        let own = self.mutes.own(now).map(|(life, lasts)| (life, lasts + TRIAL_TIME));
+    ) -> impl Iterator<Item = (&ReplicaInstance, Millis)> {
+        let own = self.mutes.own(now).map(|(instance, lasts)| (instance, lasts + TRIAL_TIME));
         let heard = self.heard.values().filter(move |(origin, _)| reach.takes(*origin));
         let heard = heard.flat_map(|(_, mutes)| mutes);
-        let lasts = heard.map(move |(life, until)| (life, until.saturating_sub(now)));
+        let lasts = heard.map(move |(instance, until)| (instance, until.saturating_sub(now)));
         own.chain(lasts.filter(|(_, lasts)| *lasts > 0))
     }
 
     /// Forgets a life that ended.
-    pub fn forget(&mut self, life: &ReplicaLife) {
-        self.mutes.clear(life);
-        self.firsts.remove(life);
+    pub fn forget(&mut self, instance: &ReplicaInstance) {
+        self.mutes.clear(instance);
+        self.firsts.remove(instance);
     }
 }
 
--- a/crates/router/src/origin.rs
+++ b/crates/router/src/origin.rs
@@ -5,7 +5,7 @@
 
 /// Whose word something is, the weakest first.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd)]
-pub enum NewsOrigin {
+pub enum UpdateOrigin {
     /// That of a relay that tells this one on its own account.
     #[default]
     Told,
@@ -17,18 +17,18 @@
 
 /// Whom news are told.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum NewsReach {
+pub enum UpdateAudience {
     /// Relays that hear the others' news from these themselves.
     Speakers,
     /// Relays that hear all news from this one.
     Members,
 }
 
-impl NewsReach {
+impl UpdateAudience {
     /// Whether news of an origin go there.
-    pub fn takes(self, origin: NewsOrigin) -> bool {
+    pub fn takes(self, origin: UpdateOrigin) -> bool {
         match self {
-            Self::Speakers => origin >= NewsOrigin::Member,
+            Self::Speakers => origin >= UpdateOrigin::Member,
             Self::Members => true,
         }
     }
--- a/crates/router/src/pace.rs
+++ b/crates/router/src/pace.rs
@@ -8,8 +8,8 @@
 
 use crate::{
     Millis,
-    life::ReplicaLife,
-    origin::{NewsOrigin, NewsReach},
+    instance::ReplicaInstance,
+    origin::{UpdateAudience, UpdateOrigin},
 };
 
 /// Age at which what an engine told is dropped, in milliseconds: an engine is asked every two seconds,
@@ -25,39 +25,47 @@
     factor: f64,
     heard: Millis,
     /// Who asked it.
-    origin: NewsOrigin,
+    origin: UpdateOrigin,
 }
 
 /// Factors by engine.
 #[derive(Clone, Debug, Default)]
 pub struct PaceTable {
-    paces: HashMap<ReplicaLife, EnginePace>,
+    paces: HashMap<ReplicaInstance, EnginePace>,
 }
 
 impl PaceTable {
     /// Notes what an engine told this entry; tells whether it is news that the engine is slow, or that it
     /// no longer is.
-    pub fn note(&mut self, life: &ReplicaLife, factor: f64, now: Millis) -> bool {
-        let was_slow = self.factor(life, now) > 1.0;
+    pub fn note(&mut self, instance: &ReplicaInstance, factor: f64, now: Millis) -> bool {
+        let was_slow = self.factor(instance, now) > 1.0;
         let is_slow = factor >= SLOW;
         match is_slow {
-            true => self.insert(life, EnginePace { factor, heard: now, origin: NewsOrigin::Own }),
-            false => self.forget(life),
+            true => {
+                self.insert(instance, EnginePace { factor, heard: now, origin: UpdateOrigin::Own })
+            }
+            false => self.forget(instance),
         }
         was_slow != is_slow
     }
 
     /// Takes over what another entry was told. What is known at first hand, and lately, counts for more.
-    pub fn take_over(&mut self, life: &ReplicaLife, factor: f64, origin: NewsOrigin, now: Millis) {
-        let known = self.paces.get(life).filter(|known| known.is_recent(now));
+    pub fn take_over(
+        &mut self,
+        instance: &ReplicaInstance,
+        factor: f64,
+        origin: UpdateOrigin,
+        now: Millis,
+    ) {
+        let known = self.paces.get(instance).filter(|known| known.is_recent(now));
         if known.is_none_or(|known| known.origin <= origin) {
-            self.insert(life, EnginePace { factor, heard: now, origin });
+            self.insert(instance, EnginePace { factor, heard: now, origin });
         }
     }
 
     /// By what factor an engine is slow; 1 where nothing was heard lately.
-    pub fn factor(&self, life: &ReplicaLife, now: Millis) -> f64 {
-        let known = self.paces.get(life).filter(|known| known.is_recent(now));
+    pub fn factor(&self, instance: &ReplicaInstance, now: Millis) -> f64 {
+        let known = self.paces.get(instance).filter(|known| known.is_recent(now));
         known.map_or(1.0, |known| known.factor)
     }
 
@@ -65,21 +73,21 @@
     /// one alive between them.
     pub fn told_on(
         &self,
-        reach: NewsReach,
+        reach: UpdateAudience,
         now: Millis,
-    ) -> impl Iterator<Item = (&ReplicaLife, f64)> {
+    ) -> impl Iterator<Item = (&ReplicaInstance, f64)> {
         let recent = self.paces.iter().filter(move |(_, known)| known.is_recent(now));
         let told = recent.filter(move |(_, known)| reach.takes(known.origin));
-        told.map(|(life, known)| (life, known.factor))
+        told.map(|(instance, known)| (instance, known.factor))
     }
 
     /// Forgets an engine that is gone.
-    pub fn forget(&mut self, life: &ReplicaLife) {
-        self.paces.remove(life);
+    pub fn forget(&mut self, instance: &ReplicaInstance) {
+        self.paces.remove(instance);
     }
 
-    fn insert(&mut self, life: &ReplicaLife, known: EnginePace) {
-        self.paces.insert(life.clone(), known);
+    fn insert(&mut self, instance: &ReplicaInstance, known: EnginePace) {
+        self.paces.insert(instance.clone(), known);
     }
 }
 
--- a/crates/router/src/pipe.rs
+++ b/crates/router/src/pipe.rs
@@ -12,7 +12,7 @@
 
 /// Time for which an entry may fill its share ahead, in milliseconds: several requests that come at once
 /// wait for each other no longer than half of a usual objective.
-const MOST_AHEAD: f64 = 250.0;
+const MAX_CLOCK_SKEW: f64 = 250.0;
 
 /// An entry's share of the pipe.
 #[derive(Clone, Debug, Default)]
@@ -26,7 +26,7 @@
     pub fn take(&mut self, pipe_time: f64, entries: usize, now: Millis) -> bool {
         let now = now as f64;
         let start = self.filled_until.max(now);
-        let left = start - now <= MOST_AHEAD;
+        let left = start - now <= MAX_CLOCK_SKEW;
         if left {
             self.filled_until = start + pipe_time * entries.max(1) as f64 / FILLED_PART;
         }
