--- a/crates/router/src/quarantine.rs
+++ b/crates/router/src/quarantine.rs
@@ -31,7 +31,9 @@
     record::{MOST_RUNS, RequestNews, STOP_WEIGHT},
     runs::{CrashRun, CrashSign, LostRun, PROVEN_AFTER, RunYield},
 };
-use crate::{Millis, fingerprint::RequestFingerprint, life::ReplicaLife, origin::NewsReach};
+use crate::{
+    Millis, fingerprint::RequestFingerprint, instance::ReplicaInstance, origin::UpdateAudience,
+};
 
 /// [`STOP_WEIGHT`] of a request each of whose crashes another one explains as well, or that had a result lately: the one that ends
 /// replicas goes on to do so, the others get a result. Where both hold it is never stopped: otherwise calls of one kind
@@ -66,7 +68,7 @@
 #[derive(Clone, Debug)]
 struct OpenRun {
     fingerprint: RequestFingerprint,
-    lives: Vec<ReplicaLife>,
+    instances: Vec<ReplicaInstance>,
     sent: Millis,
     lost: Millis,
     sign: CrashSign,
@@ -88,7 +90,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct QuarantineTable {
     open: VecDeque<OpenRun>,
-    ends: VecDeque<(ReplicaLife, Millis)>,
+    ends: VecDeque<(ReplicaInstance, Millis)>,
     records: HashMap<RequestFingerprint, RequestRecord>,
     proven: ProvenSet,
     /// Requests that had a result, which others are still told.
@@ -138,13 +140,18 @@
         now: Millis,
     ) -> QuarantineChange {
         let Some(sign) = run.yielded.sign(now) else { return QuarantineChange::default() };
-        let open =
-            OpenRun { fingerprint, lives: run.lives.to_vec(), sent: run.sent, lost: now, sign };
+        let open = OpenRun {
+            fingerprint,
+            instances: run.instances.to_vec(),
+            sent: run.sent,
+            lost: now,
+            sign,
+        };
         let is_recent = |at: Millis| now.saturating_sub(at) <= END_KEPT && open.sent <= at;
         let mut ends = self.ends.iter().filter(|(_, at)| is_recent(*at));
-        if let Some((life, _)) = ends.find(|(life, _)| open.lives.contains(life)) {
-            let life = life.clone();
-            self.add_own(&open, life, now);
+        if let Some((instance, _)) = ends.find(|(instance, _)| open.instances.contains(instance)) {
+            let instance = instance.clone();
+            self.add_own(&open, instance, now);
             return self.settle_own(now);
         }
         if self.open.len() == MOST_OPEN {
@@ -155,29 +162,29 @@
     }
 
     /// Notes that a replica was found to have ended, not as planned.
-    pub fn note_ended(&mut self, life: &ReplicaLife, now: Millis) -> QuarantineChange {
-        if !self.ends.iter().any(|(ended, _)| ended == life) {
+    pub fn note_ended(&mut self, instance: &ReplicaInstance, now: Millis) -> QuarantineChange {
+        if !self.ends.iter().any(|(ended, _)| ended == instance) {
             if self.ends.len() == MOST_ENDS {
                 self.ends.pop_front();
             }
-            self.ends.push_back((life.clone(), now));
+            self.ends.push_back((instance.clone(), now));
         }
         let (hit, open): (VecDeque<OpenRun>, VecDeque<OpenRun>) =
-            self.open.drain(..).partition(|run| run.lives.contains(life));
+            self.open.drain(..).partition(|run| run.instances.contains(instance));
         self.open = open;
         let mut is_hit = false;
         for run in hit.iter().filter(|run| now.saturating_sub(run.lost) <= FOUND_WITHIN) {
-            self.add_own(run, life.clone(), now);
+            self.add_own(run, instance.clone(), now);
             is_hit = true;
         }
         if is_hit { self.settle_own(now) } else { QuarantineChange::default() }
     }
 
     /// Notes that a replica that was taken to have ended answers: what was lost there says nothing.
-    pub fn note_alive(&mut self, life: &ReplicaLife) {
-        self.ends.retain(|(ended, _)| ended != life);
+    pub fn note_alive(&mut self, instance: &ReplicaInstance) {
+        self.ends.retain(|(ended, _)| ended != instance);
         for record in self.records.values_mut().filter(|record| record.until.is_none()) {
-            record.runs.retain(|run| run.life != *life);
+            record.runs.retain(|run| run.instance != *instance);
         }
         self.records.retain(|_, record| record.until.is_some() || !record.runs.is_empty());
     }
@@ -276,10 +283,10 @@
     }
 
     /// What others are to be told now.
-    pub fn news(&self, reach: NewsReach, now: Millis) -> Vec<RequestNews> {
+    pub fn news(&self, reach: UpdateAudience, now: Millis) -> Vec<RequestNews> {
         let tells_all = now < self.all_told_until;
         let is_heard = |record: &RequestRecord| {
-            reach == NewsReach::Members && now.saturating_sub(record.touched) < TELL_FOR
+            reach == UpdateAudience::Members && now.saturating_sub(record.touched) < TELL_FOR
         };
         let told = self.records.iter().filter(|(_, record)| {
             now < record.told_until || is_heard(record) || tells_all && record.is_stopped(now)
@@ -370,13 +377,13 @@
         self.cleared.push_back((*fingerprint, now));
     }
 
-    fn add_own(&mut self, run: &OpenRun, life: ReplicaLife, now: Millis) {
+    fn add_own(&mut self, run: &OpenRun, instance: ReplicaInstance, now: Millis) {
         let record = self.records.entry(run.fingerprint).or_default();
         record.touched = now;
         record.told_until = now + TELL_FOR;
         record.is_own = true;
         let OpenRun { sent, lost, sign, .. } = *run;
-        record.add(CrashRun { life, sent: sent as i64, lost: lost as i64, sign });
+        record.add(CrashRun { instance, sent: sent as i64, lost: lost as i64, sign });
         self.bound_records(now);
     }
 
@@ -437,14 +444,14 @@
         weights: &HashMap<RequestFingerprint, u32>,
     ) -> bool {
         let own = weights[fingerprint];
-        let others = |life: &ReplicaLife| {
+        let others = |instance: &ReplicaInstance| {
             self.records.iter().any(|(other, record)| {
                 other != fingerprint
-                    && record.runs.iter().any(|run| run.life == *life)
+                    && record.runs.iter().any(|run| run.instance == *instance)
                     && weights[other] >= own
             })
         };
-        self.records[fingerprint].runs.iter().all(|run| others(&run.life))
+        self.records[fingerprint].runs.iter().all(|run| others(&run.instance))
     }
 }
 
--- a/crates/router/src/quarantine/record.rs
+++ b/crates/router/src/quarantine/record.rs
@@ -52,7 +52,7 @@
 
     /// Adds a run; tells whether it is new. Of two words on one crash the earlier one holds.
     pub(super) fn add(&mut self, run: CrashRun) -> bool {
-        if self.runs.iter().any(|known| known.life == run.life) {
+        if self.runs.iter().any(|known| known.instance == run.instance) {
             return false;
         }
         self.runs.push(run);
--- a/crates/router/src/quarantine/runs.rs
+++ b/crates/router/src/quarantine/runs.rs
@@ -1,6 +1,6 @@
 //! Runs of requests that were lost, and how much they say of their requests.
 
-use crate::{Millis, life::ReplicaLife};
+use crate::{Millis, instance::ReplicaInstance};
 
 /// Time that a run must go on with events to count as a result, in milliseconds: ten times what a replica took to end
 /// after it had begun the request that ended it.
@@ -59,7 +59,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct CrashRun {
     /// The replica's life that ended.
-    pub life: ReplicaLife,
+    pub instance: ReplicaInstance,
     /// When the request was sent there.
     pub sent: i64,
     /// When the run was lost.
@@ -72,7 +72,7 @@
 #[derive(Clone, Debug)]
 pub struct LostRun<'a> {
     /// Replicas of its path.
-    pub lives: &'a [ReplicaLife],
+    pub instances: &'a [ReplicaInstance],
     /// When it was sent.
     pub sent: Millis,
     /// What had come of it.
--- a/crates/router/src/replicas.rs
+++ b/crates/router/src/replicas.rs
@@ -13,17 +13,17 @@
 
 use crate::{
     Millis,
-    fleet::{EntryState, FleetChange, FleetView, LayerRange, ReplicaEntry, ReplicaNews},
+    era::era_of,
+    fleet::{EntryState, FleetChange, FleetView, LayerRange, ReplicaEntry, ReplicaUpdate},
     freshness::FreshnessLease,
-    lapse::LapseGrace,
-    life::ReplicaLife,
-    membership::{FOLLOWED_AGE, PeerProof},
-    place::era_of,
+    instance::ReplicaInstance,
+    membership::{MAX_PEER_READ_AGE, PeerProof},
+    missing::MissingEntries,
 };
 
 /// Where news of a replica came from.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
-pub enum NewsSource {
+pub enum UpdateSource {
     /// A list of the store.
     #[display("list")]
     List,
@@ -52,13 +52,13 @@
 
 /// News that came, with what it changed.
 #[derive(Clone, Debug, PartialEq)]
-pub struct TakenNews {
+pub struct AppliedUpdate {
     /// Id of the replica.
     pub id: String,
     /// Its life that the news speaks of; nothing where it was not known.
-    pub life: Option<ReplicaLife>,
+    pub instance: Option<ReplicaInstance>,
     /// Its life that ended by the news: what is kept of it counts no more.
-    pub ended: Option<ReplicaLife>,
+    pub ended: Option<ReplicaInstance>,
     /// Whether that one had said that it leaves.
     pub is_planned: bool,
     /// Address of the replica; nothing where it was not known.
@@ -72,28 +72,28 @@
     /// Revision of what was held before.
     pub held: Option<u64>,
     /// Where the news came from.
-    pub source: NewsSource,
+    pub source: UpdateSource,
 }
 
 /// A whole list, as the store told it.
 #[derive(Clone, Debug)]
 pub struct FleetList {
     /// Replicas that are listed.
-    pub listed: Vec<ReplicaNews>,
+    pub listed: Vec<ReplicaUpdate>,
     /// Revision of the store at which they were.
     pub at: u64,
 }
 
 /// What taking over a list did.
 #[derive(Clone, Debug, Default)]
-pub struct TakenList {
+pub struct AppliedList {
     /// News that it brought.
-    pub taken: Vec<TakenNews>,
+    pub taken: Vec<AppliedUpdate>,
     /// Replicas that it lacks, and that are waited for.
     pub awaited: Vec<String>,
     /// Changes that a watch should have told and did not, with what was held: this relay had gone on
     /// beyond their revisions.
-    pub passed: Vec<(ReplicaNews, Option<u64>)>,
+    pub passed: Vec<(ReplicaUpdate, Option<u64>)>,
     /// The era that it is the first list of, where the store came back from a copy.
     pub began: Option<EraStart>,
 }
@@ -115,12 +115,12 @@
 #[derive(Clone, Debug, Default)]
 struct DoubtedNews {
     until: Millis,
-    news: BTreeMap<String, ReplicaNews>,
+    news: BTreeMap<String, ReplicaUpdate>,
 }
 
 impl DoubtedNews {
     /// Drops what newer news of the replica overtakes.
-    fn note_news(&mut self, news: &ReplicaNews) {
+    fn note_news(&mut self, news: &ReplicaUpdate) {
         if self.news.get(&news.id).is_some_and(|doubted| doubted.revision < news.revision) {
             self.news.remove(&news.id);
         }
@@ -129,10 +129,10 @@
 
 /// What a relay believes of the replicas.
 #[derive(Clone, Debug, Default)]
-pub struct FleetBelief {
+pub struct FleetTracker {
     /// The replicas.
     pub view: FleetView,
-    lapses: LapseGrace,
+    lapses: MissingEntries,
     doubted: DoubtedNews,
     lease: FreshnessLease,
     watched: u64,
@@ -145,11 +145,11 @@
 
 /// Entries in the list that are no replica's own, so that each is told of once for each revision.
 #[derive(Clone, Debug, Default)]
-pub struct OddEntries {
+pub struct ForeignEntries {
     seen: HashMap<String, u64>,
 }
 
-impl OddEntries {
+impl ForeignEntries {
     /// Notes an entry; tells whether it is news.
     pub fn note(&mut self, id: &str, revision: u64) -> bool {
         if self.seen.len() >= MOST_ODD && !self.seen.contains_key(id) {
@@ -161,23 +161,23 @@
 
 /// Age up to which the list of replicas counts as recent, in milliseconds: two waits of its watch, and
 /// the time that a store in trouble takes.
-pub const FRESH_FLEET: Millis = 5_000;
+pub const FLEET_MAX_AGE: Millis = 5_000;
 
 /// The same, where this relay has lost the store and only hears from others: their proofs are up to
 /// two waits of a second old, and what they tell a little more.
-pub const TOLD_FLEET: Millis = 3_500;
+pub const FLEET_MAX_AGE_LOST: Millis = 3_500;
 
-impl FleetBelief {
+impl FleetTracker {
     /// Takes over a whole list of the store, sent for at `sent`; `source` tells how it came.
-    pub fn take_list(
+    pub fn apply_list(
         &mut self,
         list: FleetList,
-        source: NewsSource,
+        source: UpdateSource,
         sent: Millis,
         now: Millis,
-    ) -> TakenList {
+    ) -> AppliedList {
         let FleetList { mut listed, at } = list;
-        let mut result = TakenList { passed: self.passed_by(&listed), ..TakenList::default() };
+        let mut result = AppliedList { passed: self.passed_by(&listed), ..AppliedList::default() };
         let is_new_era = self.watched > 0 && era_of(at) > era_of(self.watched);
         if is_new_era {
             self.lapses.note_copy(sent);
@@ -191,7 +191,7 @@
             match self.lapses.keeps(&id, at, sent) {
                 true => result.awaited.push(id),
                 false => {
-                    let news = ReplicaNews { id, revision: at, entry: None };
+                    let news = ReplicaUpdate { id, revision: at, entry: None };
                     result.taken.push(self.take_one(news, source, now));
                 }
             }
@@ -202,18 +202,18 @@
 
     /// Sets replicas of a list apart that were gone before the store came back from a copy. What an earlier list named and
     /// this one lacks has ended.
-    fn set_doubted_apart(&mut self, listed: &mut Vec<ReplicaNews>, now: Millis) {
+    fn set_doubted_apart(&mut self, listed: &mut Vec<ReplicaUpdate>, now: Millis) {
         self.doubted.news.clear();
         if now >= self.doubted.until {
             return;
         }
-        let was_gone = |news: &mut ReplicaNews| self.view.was_gone_before(news);
+        let was_gone = |news: &mut ReplicaUpdate| self.view.was_gone_before(news);
         for news in listed.extract_if(.., was_gone) {
             self.doubted.news.insert(news.id.clone(), news);
         }
     }
 
-    fn passed_by(&self, listed: &[ReplicaNews]) -> Vec<(ReplicaNews, Option<u64>)> {
+    fn passed_by(&self, listed: &[ReplicaUpdate]) -> Vec<(ReplicaUpdate, Option<u64>)> {
         let due = listed.iter().filter(|news| news.revision <= self.watched);
         let with_held = due.map(|news| (news, self.view.revision(&news.id)));
         let passed = with_held.filter(|(news, held)| held.is_none_or(|held| held < news.revision));
@@ -223,10 +223,10 @@
     /// Takes over news; what is older than what is known changes nothing.
     pub fn take_all(
         &mut self,
-        news: Vec<ReplicaNews>,
-        source: NewsSource,
+        news: Vec<ReplicaUpdate>,
+        source: UpdateSource,
         now: Millis,
-    ) -> Vec<TakenNews> {
+    ) -> Vec<AppliedUpdate> {
         let mut taken = Vec::with_capacity(news.len());
         for one in news {
             let named = one.entry.as_ref().is_some_and(|entry| self.view.names_service(entry));
@@ -237,8 +237,8 @@
             taken.push(first);
             let Some(address) = joined else { continue };
             for old in self.view.predecessors(&id, address) {
-                let news = ReplicaNews { id: old, revision, entry: None };
-                taken.push(self.take_one(news, NewsSource::Successor, now));
+                let news = ReplicaUpdate { id: old, revision, entry: None };
+                taken.push(self.take_one(news, UpdateSource::Successor, now));
             }
         }
         taken
@@ -260,16 +260,21 @@
         era_of(at) < era_of(self.watched)
     }
 
-    fn take_one(&mut self, news: ReplicaNews, source: NewsSource, now: Millis) -> TakenNews {
+    fn take_one(
+        &mut self,
+        news: ReplicaUpdate,
+        source: UpdateSource,
+        now: Millis,
+    ) -> AppliedUpdate {
         let news = self.without_lost_start(news);
         self.doubted.note_news(&news);
         let (id, revision) = (news.id.clone(), news.revision);
         let layers = news.entry.as_ref().and_then(|entry| entry.layers);
-        let known = self.view.get(&id).map(|entry| (entry.life.clone(), entry.address));
+        let known = self.view.get(&id).map(|entry| (entry.instance.clone(), entry.address));
         let is_planned =
             self.view.get(&id).is_some_and(|entry| entry.state == EntryState::Draining);
-        let told = news.entry.as_ref().map(|entry| (entry.life.clone(), entry.address));
-        let (life, address) = told.or(known.clone()).unzip();
+        let told = news.entry.as_ref().map(|entry| (entry.instance.clone(), entry.address));
+        let (instance, address) = told.or(known.clone()).unzip();
         let held = self.view.revision(&id);
         let change = match self.is_of_earlier_era(revision) {
             // A relay that stood still tells what it read before.
@@ -282,14 +287,25 @@
             _ => self.lapses.note_listed(&id, revision),
         }
         let ends = matches!(change, FleetChange::Gone | FleetChange::Restarted);
-        let ended = known.map(|(life, _)| life).filter(|_| ends);
-        TakenNews { id, life, ended, is_planned, address, layers, change, revision, held, source }
+        let ended = known.map(|(instance, _)| instance).filter(|_| ends);
+        AppliedUpdate {
+            id,
+            instance,
+            ended,
+            is_planned,
+            address,
+            layers,
+            change,
+            revision,
+            held,
+            source,
+        }
     }
 
     /// An entry that tells no start, where the replica's own entry told one, is another writer's.
-    fn without_lost_start(&self, news: ReplicaNews) -> ReplicaNews {
-        let told = news.entry.as_ref().map(|entry| entry.life.born());
-        let held = self.view.get(&news.id).map_or(0, |held| held.life.born());
+    fn without_lost_start(&self, news: ReplicaUpdate) -> ReplicaUpdate {
+        let told = news.entry.as_ref().map(|entry| entry.instance.born());
+        let held = self.view.get(&news.id).map_or(0, |held| held.instance.born());
         match told {
             Some(0) if held > 0 => self.overwritten(&news.id, news.revision).unwrap_or(news),
             _ => news,
@@ -298,7 +314,7 @@
 
     /// News of a replica in whose place another writer's entry stands. Nothing where the replica is not known: it
     /// names none then.
-    pub fn overwritten(&self, id: &str, revision: u64) -> Option<ReplicaNews> {
+    pub fn overwritten(&self, id: &str, revision: u64) -> Option<ReplicaUpdate> {
         let held = self.view.get(id)?;
         let state = match held.state {
             // It said that it leaves, and does.
@@ -306,17 +322,17 @@
             EntryState::Ready | EntryState::Overwritten => EntryState::Overwritten,
         };
         let entry = ReplicaEntry { state, ..held.clone() };
-        Some(ReplicaNews { id: id.to_owned(), revision, entry: Some(entry) })
+        Some(ReplicaUpdate { id: id.to_owned(), revision, entry: Some(entry) })
     }
 
     /// Takes a replica's own word of when it started; gives what it changed.
-    pub fn take_start(&mut self, id: &str, born: Millis, now: Millis) -> Option<TakenNews> {
+    pub fn apply_start(&mut self, id: &str, born: Millis, now: Millis) -> Option<AppliedUpdate> {
         let ended = self.view.note_start(id, born, now)?;
         let entry = self.view.get(id)?;
         let revision = self.view.revision(id)?;
-        Some(TakenNews {
+        Some(AppliedUpdate {
             id: id.to_owned(),
-            life: Some(entry.life.clone()),
+            instance: Some(entry.instance.clone()),
             ended: Some(ended),
             is_planned: false,
             address: Some(entry.address),
@@ -324,20 +340,20 @@
             change: FleetChange::Restarted,
             revision,
             held: Some(revision),
-            source: NewsSource::Report,
+            source: UpdateSource::Report,
         })
     }
 
     /// Takes a replica's own word that it is leaving; gives what it changed.
-    pub fn take_leaving(&mut self, life: &ReplicaLife) -> Option<TakenNews> {
-        if !self.view.note_leaving(life) {
+    pub fn apply_draining(&mut self, instance: &ReplicaInstance) -> Option<AppliedUpdate> {
+        if !self.view.note_leaving(instance) {
             return None;
         }
-        let entry = self.view.living(life)?;
-        let revision = self.view.revision(life.id())?;
-        Some(TakenNews {
-            id: life.id().to_owned(),
-            life: Some(life.clone()),
+        let entry = self.view.living(instance)?;
+        let revision = self.view.revision(instance.id())?;
+        Some(AppliedUpdate {
+            id: instance.id().to_owned(),
+            instance: Some(instance.clone()),
             ended: None,
             is_planned: true,
             address: Some(entry.address),
@@ -345,7 +361,7 @@
             change: FleetChange::Draining,
             revision,
             held: Some(revision),
-            source: NewsSource::Answer,
+            source: UpdateSource::Answer,
         })
     }
 
@@ -371,7 +387,7 @@
 
     /// The list as the store told it, for another relay: without entries that it lacks and that are awaited.
     /// Whoever takes it decides for itself which of its own it awaits.
-    pub fn told_list(&self) -> FleetList {
+    pub fn shareable_list(&self) -> FleetList {
         let news = self.view.news().filter(|news| !self.lapses.is_awaited(&news.id));
         FleetList { listed: news.collect(), at: self.watched }
     }
@@ -394,7 +410,7 @@
 
     /// Time since the store last answered for the list as it is held, awaited entries and all, in
     /// milliseconds.
-    pub fn held_answer_age(&self, now: Millis) -> Option<Millis> {
+    pub fn known_answer_age(&self, now: Millis) -> Option<Millis> {
         self.lease.answer_age(now)
     }
 
@@ -406,16 +422,16 @@
 
     /// Notes that the store did not answer this relay for another kind of object, which tells the same where
     /// it does not read the list itself.
-    pub fn note_lost_by_other(&mut self, sent: Millis, now: Millis) {
-        if self.read_age(now).is_none_or(|age| age >= FOLLOWED_AGE) {
+    pub fn record_loss_elsewhere(&mut self, sent: Millis, now: Millis) {
+        if self.read_age(now).is_none_or(|age| age >= MAX_PEER_READ_AGE) {
             self.note_lost(sent);
         }
     }
 
     /// Takes the news of replicas that were waited for too long: they are gone.
-    pub fn lapsed(&mut self, now: Millis) -> Vec<ReplicaNews> {
+    pub fn lapsed(&mut self, now: Millis) -> Vec<ReplicaUpdate> {
         let overdue = self.lapses.take_overdue(now).into_iter();
-        let gone = overdue.map(|(id, revision)| ReplicaNews { id, revision, entry: None });
+        let gone = overdue.map(|(id, revision)| ReplicaUpdate { id, revision, entry: None });
         gone.collect()
     }
 
@@ -427,12 +443,12 @@
 
     /// Listed news that ends a doubt: the relays that go by this one's word are to hear of them at once, since they count none of
     /// it in what they compare.
-    pub fn cleared_by(&self, list: &FleetList, now: Millis) -> Vec<ReplicaNews> {
+    pub fn confirmed_by(&self, list: &FleetList, now: Millis) -> Vec<ReplicaUpdate> {
         // The first list of another era is of another copy, and begins another doubt.
         if !self.wants_list(now) || era_of(list.at) != era_of(self.watched) {
             return Vec::new();
         }
-        let is_cleared = |news: &&ReplicaNews| self.doubted.news.contains_key(&news.id);
+        let is_cleared = |news: &&ReplicaUpdate| self.doubted.news.contains_key(&news.id);
         list.listed.iter().filter(is_cleared).cloned().collect()
     }
 
@@ -453,7 +469,7 @@
 
     /// Whether the list is recent, as far as can be told.
     pub fn is_fresh(&self, now: Millis) -> bool {
-        let most = if self.is_lost() { TOLD_FLEET } else { FRESH_FLEET };
+        let most = if self.is_lost() { FLEET_MAX_AGE_LOST } else { FLEET_MAX_AGE };
         self.age(now).is_some_and(|age| age < most)
     }
 }
--- a/crates/router/src/room.rs
+++ b/crates/router/src/room.rs
@@ -6,7 +6,7 @@
 
 use std::collections::HashMap;
 
-use crate::{Millis, life::ReplicaLife};
+use crate::{Millis, instance::ReplicaInstance};
 
 /// Age at which another entry's figures are dropped, in milliseconds: some of its reports were lost, or
 /// it is gone and its requests with it.
@@ -16,7 +16,7 @@
 #[derive(Clone, Debug, Default)]
 struct PeerRoom {
     heard: Millis,
-    promised: HashMap<ReplicaLife, f64>,
+    promised: HashMap<ReplicaInstance, f64>,
 }
 
 /// What is promised at each replica, by this entry and by the others.
@@ -25,10 +25,10 @@
 /// over hundreds of entries for each, they would take most of a small VM.
 #[derive(Clone, Debug, Default)]
 pub struct RoomLedger {
-    own: HashMap<ReplicaLife, f64>,
+    own: HashMap<ReplicaInstance, f64>,
     peers: HashMap<String, PeerRoom>,
     sums: [PeerRoom; 2],
-    total: HashMap<ReplicaLife, f64>,
+    total: HashMap<ReplicaInstance, f64>,
 }
 
 /// A part of the replicas, of which one entry tells another what all together promised.
@@ -43,35 +43,35 @@
 /// Amount below which nothing is promised: figures are whole numbers, but for what sums lose.
 const NOTHING: f64 = 0.5;
 
-fn add(sums: &mut HashMap<ReplicaLife, f64>, life: &ReplicaLife, amount: f64) {
-    match sums.get_mut(life) {
+fn add(sums: &mut HashMap<ReplicaInstance, f64>, instance: &ReplicaInstance, amount: f64) {
+    match sums.get_mut(instance) {
         Some(sum) => {
             *sum += amount;
             if *sum < NOTHING {
-                sums.remove(life);
+                sums.remove(instance);
             }
         }
-        None if amount >= NOTHING => drop(sums.insert(life.clone(), amount)),
+        None if amount >= NOTHING => drop(sums.insert(instance.clone(), amount)),
         None => {}
     }
 }
 
 impl RoomLedger {
     /// Promises room at a replica.
-    pub fn promise(&mut self, life: &ReplicaLife, amount: f64) {
-        add(&mut self.own, life, amount);
-        add(&mut self.total, life, amount);
+    pub fn promise(&mut self, instance: &ReplicaInstance, amount: f64) {
+        add(&mut self.own, instance, amount);
+        add(&mut self.total, instance, amount);
     }
 
     /// Releases room at a replica.
-    pub fn release(&mut self, life: &ReplicaLife, amount: f64) {
-        add(&mut self.own, life, -amount);
-        add(&mut self.total, life, -amount);
+    pub fn release(&mut self, instance: &ReplicaInstance, amount: f64) {
+        add(&mut self.own, instance, -amount);
+        add(&mut self.total, instance, -amount);
     }
 
     /// Takes over the figures of another entry.
-    pub fn hear(&mut self, peer: &str, promised: HashMap<ReplicaLife, f64>, now: Millis) {
-        promised.iter().for_each(|(life, amount)| add(&mut self.total, life, *amount));
+    pub fn hear(&mut self, peer: &str, promised: HashMap<ReplicaInstance, f64>, now: Millis) {
+        promised.iter().for_each(|(instance, amount)| add(&mut self.total, instance, *amount));
         let room = PeerRoom { heard: now, promised };
         if let Some(earlier) = self.peers.insert(peer.to_owned(), room) {
             self.take_off(&earlier);
@@ -79,8 +79,13 @@
     }
 
     /// Takes over what all other entries promised at a part of the replicas, as one of them adds it up.
-    pub fn hear_sum(&mut self, part: SumPart, promised: HashMap<ReplicaLife, f64>, now: Millis) {
-        promised.iter().for_each(|(life, amount)| add(&mut self.total, life, *amount));
+    pub fn hear_sum(
+        &mut self,
+        part: SumPart,
+        promised: HashMap<ReplicaInstance, f64>,
+        now: Millis,
+    ) {
+        promised.iter().for_each(|(instance, amount)| add(&mut self.total, instance, *amount));
         let sum = PeerRoom { heard: now, promised };
         let earlier = std::mem::replace(&mut self.sums[part as usize], sum);
         self.take_off(&earlier);
@@ -102,12 +107,12 @@
     }
 
     /// What this entry and those that `counts` names promised together.
-    pub fn gathered(&self, counts: impl Fn(&str) -> bool) -> HashMap<&ReplicaLife, f64> {
+    pub fn gathered(&self, counts: impl Fn(&str) -> bool) -> HashMap<&ReplicaInstance, f64> {
         let members = self.peers.iter().filter(|(name, _)| counts(name));
         let members = members.flat_map(|(_, peer)| &peer.promised);
-        let mut gathered: HashMap<&ReplicaLife, f64> = HashMap::new();
-        for (life, amount) in self.own.iter().chain(members) {
-            *gathered.entry(life).or_default() += amount;
+        let mut gathered: HashMap<&ReplicaInstance, f64> = HashMap::new();
+        for (instance, amount) in self.own.iter().chain(members) {
+            *gathered.entry(instance).or_default() += amount;
         }
         gathered
     }
@@ -116,16 +121,19 @@
     pub fn total_without<'a>(
         &'a self,
         peer: &str,
-    ) -> impl Iterator<Item = (&'a ReplicaLife, f64)> + use<'a> {
+    ) -> impl Iterator<Item = (&'a ReplicaInstance, f64)> + use<'a> {
         let told = self.peers.get(peer).map(|peer| &peer.promised);
-        let left = self.total.iter().map(move |(life, amount)| {
-            (life, amount - told.and_then(|told| told.get(life)).copied().unwrap_or_default())
+        let left = self.total.iter().map(move |(instance, amount)| {
+            (
+                instance,
+                amount - told.and_then(|told| told.get(instance)).copied().unwrap_or_default(),
+            )
         });
         left.filter(|(_, amount)| *amount >= NOTHING)
     }
 
     fn take_off(&mut self, peer: &PeerRoom) {
-        peer.promised.iter().for_each(|(life, amount)| add(&mut self.total, life, -amount));
+        peer.promised.iter().for_each(|(instance, amount)| add(&mut self.total, instance, -amount));
     }
 
     /// Whether nobody promised any room: no request runs, as far as is known.
@@ -135,13 +143,13 @@
     }
 
     /// What this entry promised.
-    pub fn own(&self) -> &HashMap<ReplicaLife, f64> {
+    pub fn own(&self) -> &HashMap<ReplicaInstance, f64> {
         &self.own
     }
 
     /// What all entries promised at a replica.
-    pub fn promised(&self, life: &ReplicaLife) -> f64 {
-        self.total.get(life).copied().unwrap_or(0.0)
+    pub fn promised(&self, instance: &ReplicaInstance) -> f64 {
+        self.total.get(instance).copied().unwrap_or(0.0)
     }
 }
 
@@ -156,18 +164,18 @@
 /// request anew.
 #[derive(Clone, Debug, Default)]
 pub struct FullStarts {
-    until: HashMap<ReplicaLife, Millis>,
+    until: HashMap<ReplicaInstance, Millis>,
 }
 
 impl FullStarts {
     /// Notes that a replica rejected a request for want of a place.
-    pub fn note_rejection(&mut self, life: &ReplicaLife, now: Millis) {
+    pub fn note_rejection(&mut self, instance: &ReplicaInstance, now: Millis) {
         self.until.retain(|_, until| now < *until);
-        self.until.insert(life.clone(), now + FULL_TIME);
+        self.until.insert(instance.clone(), now + FULL_TIME);
     }
 
     /// Whether a replica counts as having none.
-    pub fn is_full(&self, life: &ReplicaLife, now: Millis) -> bool {
-        self.until.get(life).is_some_and(|until| now < *until)
+    pub fn is_full(&self, instance: &ReplicaInstance, now: Millis) -> bool {
+        self.until.get(instance).is_some_and(|until| now < *until)
     }
 }
--- a/crates/router/src/suspect.rs
+++ b/crates/router/src/suspect.rs
@@ -7,8 +7,8 @@
 
 use crate::{
     Millis,
-    life::ReplicaLife,
-    origin::{NewsOrigin, NewsReach},
+    instance::ReplicaInstance,
+    origin::{UpdateAudience, UpdateOrigin},
 };
 
 /// First time out in milliseconds: about a heartbeat of the replicas' list.
@@ -29,24 +29,24 @@
     until: Millis,
     time_out: Millis,
     /// Who saw the failure.
-    origin: NewsOrigin,
+    origin: UpdateOrigin,
 }
 
 /// Suspicions by replica.
 #[derive(Clone, Debug, Default)]
 pub struct SuspectList {
-    suspicions: HashMap<ReplicaLife, Suspicion>,
+    suspicions: HashMap<ReplicaInstance, Suspicion>,
 }
 
 impl SuspectList {
     /// Notes a failure of a replica; returns the time until which it is kept away from, where that is
     /// news.
-    pub fn note_failure(&mut self, life: &ReplicaLife, now: Millis) -> Option<Millis> {
-        let known = self.suspicions.get(life).copied();
+    pub fn note_failure(&mut self, instance: &ReplicaInstance, now: Millis) -> Option<Millis> {
+        let known = self.suspicions.get(instance).copied();
         let time_out = match known {
             Some(known) if now < known.until => {
                 self.suspicions
-                    .insert(life.clone(), Suspicion { origin: NewsOrigin::Own, ..known });
+                    .insert(instance.clone(), Suspicion { origin: UpdateOrigin::Own, ..known });
                 return None;
             }
             Some(known) if now < known.until + FORGET => (known.time_out * 2).min(LONGEST_TIME_OUT),
@@ -54,13 +54,13 @@
         };
         let until = now + time_out;
         self.suspicions
-            .insert(life.clone(), Suspicion { until, time_out, origin: NewsOrigin::Own });
+            .insert(instance.clone(), Suspicion { until, time_out, origin: UpdateOrigin::Own });
         Some(until)
     }
 
     /// Takes over a suspicion from another entry.
-    pub fn take_over(&mut self, life: &ReplicaLife, until: Millis, origin: NewsOrigin) {
-        let entry = self.suspicions.entry(life.clone());
+    pub fn take_over(&mut self, instance: &ReplicaInstance, until: Millis, origin: UpdateOrigin) {
+        let entry = self.suspicions.entry(instance.clone());
         let suspicion = entry.or_insert(Suspicion { until, time_out: FIRST_TIME_OUT, origin });
         if suspicion.until < until {
             *suspicion = Suspicion { until, origin: suspicion.origin.max(origin), ..*suspicion };
@@ -68,50 +68,50 @@
     }
 
     /// Forgets a replica's suspicion after it worked.
-    pub fn clear(&mut self, life: &ReplicaLife) {
-        self.suspicions.remove(life);
+    pub fn clear(&mut self, instance: &ReplicaInstance) {
+        self.suspicions.remove(instance);
     }
 
     /// Whether a replica is kept away from.
-    pub fn is_suspect(&self, life: &ReplicaLife, now: Millis) -> bool {
-        self.suspicions.get(life).is_some_and(|suspicion| now < suspicion.until)
+    pub fn is_suspect(&self, instance: &ReplicaInstance, now: Millis) -> bool {
+        self.suspicions.get(instance).is_some_and(|suspicion| now < suspicion.until)
     }
 
     /// Whether a replica is kept away from for a failure that this entry saw itself.
-    pub fn is_own(&self, life: &ReplicaLife, now: Millis) -> bool {
+    pub fn is_own(&self, instance: &ReplicaInstance, now: Millis) -> bool {
         self.suspicions
-            .get(life)
-            .is_some_and(|suspicion| suspicion.origin == NewsOrigin::Own && now < suspicion.until)
+            .get(instance)
+            .is_some_and(|suspicion| suspicion.origin == UpdateOrigin::Own && now < suspicion.until)
     }
 
     /// Whether a suspicion for a failure that this entry saw itself ended no longer than `since` ago.
-    pub fn ended_lately(&self, life: &ReplicaLife, since: Millis, now: Millis) -> bool {
-        let known = self.suspicions.get(life).filter(|known| known.origin == NewsOrigin::Own);
+    pub fn ended_lately(&self, instance: &ReplicaInstance, since: Millis, now: Millis) -> bool {
+        let known = self.suspicions.get(instance).filter(|known| known.origin == UpdateOrigin::Own);
         known.is_some_and(|known| known.until <= now && now < known.until + since)
     }
 
     /// Suspicions in force for failures that this entry saw itself, as [`SuspectList::current`]: what it only
     /// heard is not its to repeat. Each way takes its time, so entries that repeat each other's would keep
     /// a suspicion for longer than any of them meant.
-    pub fn own(&self, now: Millis) -> impl Iterator<Item = (&ReplicaLife, Millis)> {
-        self.current(now).filter(move |(life, _)| self.is_own(life, now))
+    pub fn own(&self, now: Millis) -> impl Iterator<Item = (&ReplicaInstance, Millis)> {
+        self.current(now).filter(move |(instance, _)| self.is_own(instance, now))
     }
 
     /// Suspicions in force that others are told: all that reach them by nobody else.
     pub fn told_on(
         &self,
-        reach: NewsReach,
+        reach: UpdateAudience,
         now: Millis,
-    ) -> impl Iterator<Item = (&ReplicaLife, Millis)> {
+    ) -> impl Iterator<Item = (&ReplicaInstance, Millis)> {
         let told = self.suspicions.iter().filter(move |(_, known)| reach.takes(known.origin));
-        told.filter_map(move |(life, known)| Some((life, known.until.checked_sub(now)?)))
+        told.filter_map(move |(instance, known)| Some((instance, known.until.checked_sub(now)?)))
             .filter(|(_, left)| *left >= LEAST_TOLD)
     }
 
     /// Suspicions in force: lives, with the milliseconds that they still last.
-    pub fn current(&self, now: Millis) -> impl Iterator<Item = (&ReplicaLife, Millis)> {
+    pub fn current(&self, now: Millis) -> impl Iterator<Item = (&ReplicaInstance, Millis)> {
         let all = self.suspicions.iter();
         all.filter(move |(_, suspicion)| now < suspicion.until)
-            .map(move |(life, suspicion)| (life, suspicion.until - now))
+            .map(move |(instance, suspicion)| (instance, suspicion.until - now))
     }
 }
--- a/crates/router/tests/crash_model/mod.rs
+++ b/crates/router/tests/crash_model/mod.rs
@@ -15,8 +15,8 @@
 use rand_chacha::ChaCha8Rng;
 use switchfold_router::{
     fingerprint::RequestFingerprint,
-    life::ReplicaLife,
-    origin::NewsReach,
+    instance::ReplicaInstance,
+    origin::UpdateAudience,
     quarantine::{LostRun, QuarantineChange, QuarantineTable, RequestNews, RunYield},
 };
 
@@ -93,7 +93,7 @@
     request: u64,
     relay: usize,
     replica: usize,
-    life: ReplicaLife,
+    instance: ReplicaInstance,
     sent: u64,
     sends: u32,
     tries: u32,
@@ -108,7 +108,7 @@
     tables: Vec<QuarantineTable>,
     starts: Vec<u64>,
     /// Life and time of the start of each replica; nothing while it is down.
-    replicas: Vec<Option<ReplicaLife>>,
+    replicas: Vec<Option<ReplicaInstance>>,
     runs: Vec<Run>,
     messages: BTreeMap<(u64, u64), (usize, Message)>,
     stored: HashMap<RequestFingerprint, RequestNews>,
@@ -172,8 +172,8 @@
     world.seen
 }
 
-fn world_life(replica: usize, born: u64) -> ReplicaLife {
-    ReplicaLife::new(&format!("i-{replica}"), born + 1)
+fn world_life(replica: usize, born: u64) -> ReplicaInstance {
+    ReplicaInstance::new(&format!("i-{replica}"), born + 1)
 }
 
 impl World<'_> {
@@ -234,10 +234,10 @@
             return;
         }
         let Some(replica) = self.choose(relay) else { return };
-        let life = self.replicas[replica].clone().expect("a chosen replica lives");
+        let instance = self.replicas[replica].clone().expect("a chosen replica lives");
         let run = self.runs.len();
         let is_open = true;
-        self.runs.push(Run { request, relay, replica, life, sent: now, sends, tries, is_open });
+        self.runs.push(Run { request, relay, replica, instance, sent: now, sends, tries, is_open });
         if request != BAD {
             let lasts = if request == POPULAR { PLAIN } else { STREAM };
             return self.plan(now + lasts, Step::Finish { run });
@@ -268,9 +268,12 @@
     }
 
     fn end_replica(&mut self, replica: usize, now: u64) {
-        let Some(life) = self.replicas[replica].take() else { return };
+        let Some(instance) = self.replicas[replica].take() else { return };
         let by_bad = self.runs.iter().any(|run| {
-            run.is_open && run.life == life && run.request == BAD && now >= run.sent + BEGINS_AFTER
+            run.is_open
+                && run.instance == instance
+                && run.request == BAD
+                && now >= run.sent + BEGINS_AFTER
         });
         if by_bad {
             self.seen.ended += 1;
@@ -280,7 +283,7 @@
         }
         self.plan(now + DOWN_FOR, Step::Back { replica });
         let lost: Vec<usize> = (0..self.runs.len())
-            .filter(|run| self.runs[*run].is_open && self.runs[*run].life == life)
+            .filter(|run| self.runs[*run].is_open && self.runs[*run].instance == instance)
             .collect();
         for run in lost {
             self.runs[run].is_open = false;
@@ -290,7 +293,7 @@
     }
 
     fn lose(&mut self, number: usize, now: u64) {
-        let Run { request, relay, sent, sends, tries, ref life, .. } = self.runs[number];
+        let Run { request, relay, sent, sends, tries, ref instance, .. } = self.runs[number];
         if self.starts[relay] > sent {
             return;
         }
@@ -303,10 +306,10 @@
             POPULAR => RunYield::Whole,
             _ => RunYield::Stream { begun, events },
         };
-        let lives = [life.clone()];
-        let run = LostRun { lives: &lives, sent, yielded };
+        let instances = [instance.clone()];
+        let run = LostRun { instances: &instances, sent, yielded };
         let mut change = self.tables[relay].note_lost(fingerprint(request), &run, now);
-        let found = self.tables[relay].note_ended(&lives[0], now);
+        let found = self.tables[relay].note_ended(&instances[0], now);
         change.is_urgent |= found.is_urgent;
         change.stopped.extend(found.stopped);
         self.take(relay, &change, now);
@@ -346,7 +349,7 @@
     }
 
     fn tell(&mut self, relay: usize, far: bool, now: u64) {
-        let news = self.tables[relay].news(NewsReach::Speakers, now);
+        let news = self.tables[relay].news(UpdateAudience::Speakers, now);
         let cleared = self.tables[relay].cleared(now);
         let is_back = now < self.starts[relay] + TELL_EVERY * 2 && self.starts[relay] > 0;
         if news.is_empty() && cleared.is_empty() && !is_back {
--- a/crates/router/tests/crashes.rs
+++ b/crates/router/tests/crashes.rs
@@ -5,8 +5,8 @@
 use crash_model::{Day, Seen, Trouble, play};
 use switchfold_router::{
     fingerprint::RequestFingerprint,
-    life::ReplicaLife,
-    origin::NewsReach,
+    instance::ReplicaInstance,
+    origin::UpdateAudience,
     quarantine::{
         CrashRun, CrashSign, DOUBTFUL_WEIGHT, FORGET_RUNS, LostRun, MOST_RECORDS, QUARANTINE,
         QuarantineTable, RequestNews, RunYield, STOP_WEIGHT,
@@ -20,8 +20,8 @@
     RequestFingerprint::from_bytes([number; 16])
 }
 
-fn life(number: u64) -> ReplicaLife {
-    ReplicaLife::new("i", number + 1)
+fn instance(number: u64) -> ReplicaInstance {
+    ReplicaInstance::new("i", number + 1)
 }
 
 /// A request is sent at `sent` to a replica that ends at `lost`.
@@ -36,9 +36,9 @@
     (sent, lost): (u64, u64),
     yielded: RunYield,
 ) -> bool {
-    let lives = [life(replica)];
-    table.note_lost(request(of), &LostRun { lives: &lives, sent, yielded }, lost);
-    table.note_ended(&lives[0], lost);
+    let instances = [instance(replica)];
+    table.note_lost(request(of), &LostRun { instances: &instances, sent, yielded }, lost);
+    table.note_ended(&instances[0], lost);
     table.left(&request(of), lost).is_some()
 }
 
@@ -115,7 +115,7 @@
 }
 
 fn run(replica: u64, sent: i64, lost: i64) -> CrashRun {
-    CrashRun { life: life(replica), sent, lost, sign: CrashSign::Strong }
+    CrashRun { instance: instance(replica), sent, lost, sign: CrashSign::Strong }
 }
 
 /// Two requests under the same three crashes: neither is stopped until one of them makes the next crash alone, or until both
@@ -125,12 +125,12 @@
     let mut table = QuarantineTable::default();
     let both = |table: &mut QuarantineTable, replica: u64| {
         let (sent, lost) = (replica * 1_000, replica * 1_000 + 100);
-        let lives = [life(replica)];
+        let instances = [instance(replica)];
         for of in [1, 2] {
-            let run = LostRun { lives: &lives, sent, yielded: RunYield::Whole };
+            let run = LostRun { instances: &instances, sent, yielded: RunYield::Whole };
             table.note_lost(request(of), &run, lost);
         }
-        table.note_ended(&lives[0], lost);
+        table.note_ended(&instances[0], lost);
         [1, 2].map(|of| table.left(&request(of), lost).is_some())
     };
     for replica in 0..3 {
@@ -176,14 +176,18 @@
     assert!(crash(&mut table, 1, 3, (300, 400)));
     assert_eq!(table.unstored(400).len(), 1, "the store is told");
     assert_eq!(table.unstored(400), [], "once");
-    let news = table.news(NewsReach::Speakers, 400);
+    let news = table.news(UpdateAudience::Speakers, 400);
     let mut other = QuarantineTable::default();
     other.hear(news, false, 10);
     assert!(other.left(&request(1), 10).is_some());
     assert_eq!(other.unstored(10), [], "whoever saw it tells the store");
-    assert_eq!(other.news(NewsReach::Speakers, 10), [], "and what was heard is not told on");
+    assert_eq!(other.news(UpdateAudience::Speakers, 10), [], "and what was heard is not told on");
     other.tell_all(10);
-    assert_eq!(other.news(NewsReach::Speakers, 10).len(), 1, "but to whoever starts or returns");
+    assert_eq!(
+        other.news(UpdateAudience::Speakers, 10).len(),
+        1,
+        "but to whoever starts or returns"
+    );
 }
 
 /// A replica that was taken for lost and answers was not ended by what ran there.
@@ -192,7 +196,7 @@
     let mut table = QuarantineTable::default();
     crash(&mut table, 1, 1, (0, 100));
     crash(&mut table, 1, 2, (200, 300));
-    table.note_alive(&life(1));
+    table.note_alive(&instance(1));
     assert!(!crash(&mut table, 1, 3, (400, 500)));
 }
 
@@ -209,7 +213,7 @@
         let news = RequestNews { fingerprint, left: None, runs: vec![run(number + 50, 0, 100)] };
         table.hear(vec![news], false, 4_000 + number);
     }
-    let news = table.news(NewsReach::Speakers, 4_000);
+    let news = table.news(UpdateAudience::Speakers, 4_000);
     assert!(
         news.iter().any(|news| news.fingerprint == request(1)),
         "what is stopped is told first"
--- a/crates/router/tests/fleets.rs
+++ b/crates/router/tests/fleets.rs
@@ -2,14 +2,14 @@
 
 use proptest::prelude::*;
 use switchfold_router::{
-    fleet::{EntryState, FleetChange, FleetView, ReplicaEntry, ReplicaNews},
-    life::{MOST_AHEAD, ReplicaLife},
-    replicas::{FleetBelief, FleetList, NewsSource, OddEntries},
+    fleet::{EntryState, FleetChange, FleetView, ReplicaEntry, ReplicaUpdate},
+    instance::{MAX_CLOCK_SKEW, ReplicaInstance},
+    replicas::{FleetList, FleetTracker, ForeignEntries, UpdateSource},
 };
 
 fn entry(id: &str, port: u16, draining: bool) -> ReplicaEntry {
     ReplicaEntry {
-        life: ReplicaLife::new(id, 0),
+        instance: ReplicaInstance::new(id, 0),
         service: "model".to_owned(),
         address: ([10, 0, 0, 1], port).into(),
         data_centre: "a".to_owned(),
@@ -20,22 +20,22 @@
     }
 }
 
-fn news(id: &str, revision: u64, entry: Option<ReplicaEntry>) -> ReplicaNews {
-    ReplicaNews { id: id.to_owned(), revision, entry }
+fn news(id: &str, revision: u64, entry: Option<ReplicaEntry>) -> ReplicaUpdate {
+    ReplicaUpdate { id: id.to_owned(), revision, entry }
 }
 
-fn listed(id: &str, port: u16, revision: u64, draining: bool) -> ReplicaNews {
+fn listed(id: &str, port: u16, revision: u64, draining: bool) -> ReplicaUpdate {
     news(id, revision, Some(entry(id, port, draining)))
 }
 
 /// A history of the store: each step changes one of three replicas, each at an address of its own.
-fn history() -> impl Strategy<Value = Vec<ReplicaNews>> {
+fn history() -> impl Strategy<Value = Vec<ReplicaUpdate>> {
     let step = (0usize..3, 0u8..3);
     prop::collection::vec(step, 1..30).prop_map(|steps| {
         let news = steps.into_iter().zip(1..).map(|((which, state), revision)| {
             let id = format!("i-{which}");
             let entry = (state > 0).then(|| entry(&id, which as u16, state == 2));
-            ReplicaNews { id, revision, entry }
+            ReplicaUpdate { id, revision, entry }
         });
         news.collect()
     })
@@ -99,10 +99,10 @@
 /// A list lacks what was written after it was read: that is not missing.
 #[test]
 fn a_list_drops_nothing_that_is_newer() {
-    let mut fleet = FleetBelief::default();
-    let source = NewsSource::Relay(([10, 0, 0, 9], 7_000).into());
+    let mut fleet = FleetTracker::default();
+    let source = UpdateSource::Relay(([10, 0, 0, 9], 7_000).into());
     fleet.take_all(vec![listed("i-1", 1, 5, false), listed("i-2", 2, 9, false)], source, 0);
-    fleet.take_list(FleetList { listed: Vec::new(), at: 7 }, NewsSource::List, 0, 0);
+    fleet.apply_list(FleetList { listed: Vec::new(), at: 7 }, UpdateSource::List, 0, 0);
     assert!(fleet.view.get("i-1").is_none());
     assert!(fleet.view.get("i-2").is_some());
 }
@@ -114,9 +114,14 @@
     for [old, new] in [["i-a", "i-b"], ["i-b", "i-a"]] {
         let mut listing = vec![listed(old, 1, 3, false), listed(new, 1, 6, false)];
         listing.sort_by(|left, right| left.id.cmp(&right.id));
-        let mut fleet = FleetBelief::default();
+        let mut fleet = FleetTracker::default();
         for _ in 0..2 {
-            fleet.take_list(FleetList { listed: listing.clone(), at: 6 }, NewsSource::List, 0, 0);
+            fleet.apply_list(
+                FleetList { listed: listing.clone(), at: 6 },
+                UpdateSource::List,
+                0,
+                0,
+            );
             assert!(fleet.view.get(new).is_some(), "{new} after {old}");
             assert!(fleet.view.get(old).is_none(), "{old} before {new}");
         }
@@ -138,9 +143,9 @@
 }
 
 /// A life of a replica at an address of its own.
-fn living(id: &str, port: u16, revision: u64, born: u64) -> ReplicaNews {
-    let life = ReplicaLife::new(id, born);
-    news(id, revision, Some(ReplicaEntry { life, ..entry(id, port, false) }))
+fn living(id: &str, port: u16, revision: u64, born: u64) -> ReplicaUpdate {
+    let instance = ReplicaInstance::new(id, born);
+    news(id, revision, Some(ReplicaEntry { instance, ..entry(id, port, false) }))
 }
 
 /// Of two lives the one that started later counts, whatever the revisions and the order of arrival.
@@ -156,7 +161,7 @@
             let news = [&first, &second, &late_beat][which];
             fleet.take(news.clone(), 0);
         }
-        assert_eq!(fleet.get("i-1").expect("listed").life.born(), 200, "{order:?}");
+        assert_eq!(fleet.get("i-1").expect("listed").instance.born(), 200, "{order:?}");
         digests.push(fleet.digest());
     }
     digests.dedup();
@@ -165,20 +170,20 @@
 
 #[test]
 fn a_restart_ends_what_was_known() {
-    let mut fleet = FleetBelief::default();
-    let source = NewsSource::Watch;
+    let mut fleet = FleetTracker::default();
+    let source = UpdateSource::Watch;
     let taken = fleet.take_all(vec![living("i-1", 1, 5, 100)], source, 0);
     assert_eq!((taken[0].change, taken[0].ended.clone()), (FleetChange::Joined, None));
     let taken = fleet.take_all(vec![living("i-1", 1, 6, 200)], source, 0);
     assert_eq!(taken[0].change, FleetChange::Restarted);
-    assert_eq!(taken[0].ended, Some(ReplicaLife::new("i-1", 100)));
-    assert!(fleet.view.living(&ReplicaLife::new("i-1", 100)).is_none());
+    assert_eq!(taken[0].ended, Some(ReplicaInstance::new("i-1", 100)));
+    assert!(fleet.view.living(&ReplicaInstance::new("i-1", 100)).is_none());
     let late = fleet.take_all(vec![living("i-1", 1, 9, 100)], source, 0);
     assert_eq!(late[0].change, FleetChange::Older);
     // What it says itself counts before its entry does; what an earlier life says counts nowhere.
-    assert!(fleet.take_start("i-1", 150, 0).is_none());
-    let told = fleet.take_start("i-1", 300, 0).expect("it started again");
-    assert_eq!((told.ended, told.layers), (Some(ReplicaLife::new("i-1", 200)), None));
+    assert!(fleet.apply_start("i-1", 150, 0).is_none());
+    let told = fleet.apply_start("i-1", 300, 0).expect("it started again");
+    assert_eq!((told.ended, told.layers), (Some(ReplicaInstance::new("i-1", 200)), None));
     // Gone for good, and then a heartbeat of an earlier life.
     fleet.take_all(vec![news("i-1", 12, None)], source, 0);
     let late = fleet.take_all(vec![living("i-1", 1, 13, 200)], source, 0);
@@ -189,9 +194,9 @@
 /// The store may take a heartbeat of an earlier start after the later one is listed: that one stays.
 #[test]
 fn an_earlier_start_does_not_end_a_later_one() {
-    let source = NewsSource::Watch;
+    let source = UpdateSource::Watch;
     for lapsed in [false, true] {
-        let mut fleet = FleetBelief::default();
+        let mut fleet = FleetTracker::default();
         fleet.take_all(vec![listed("i-old", 1, 3, false)], source, 0);
         if lapsed {
             fleet.take_all(vec![news("i-old", 4, None)], source, 0);
@@ -201,7 +206,10 @@
         assert_eq!(beat[0].change, FleetChange::Older, "lapsed: {lapsed}");
         assert!(fleet.view.get("i-new").is_some());
         assert!(fleet.view.get("i-old").is_none());
-        assert_eq!(fleet.view.at(([10, 0, 0, 1], 1).into()).map(|at| at.life.id()), Some("i-new"));
+        assert_eq!(
+            fleet.view.at(([10, 0, 0, 1], 1).into()).map(|at| at.instance.id()),
+            Some("i-new")
+        );
     }
 }
 
@@ -209,9 +217,9 @@
 /// writes again, and one of a service that the configuration does not name ends nobody at its address.
 #[test]
 fn entries_of_other_writers_end_nobody() {
-    let mut fleet = FleetBelief::default();
+    let mut fleet = FleetTracker::default();
     fleet.view.note_services(["model"].into_iter());
-    let source = NewsSource::Watch;
+    let source = UpdateSource::Watch;
     fleet.take_all(vec![living("i-1", 1, 5, 100), listed("i-2", 2, 6, true)], source, 0);
     assert!(fleet.overwritten("i-9", 7).is_none());
     let odd = fleet.overwritten("i-1", 7).expect("it is known");
@@ -229,22 +237,26 @@
     fleet.take_all(vec![news("i-x", 12, Some(alien))], source, 0);
     fleet.take_all(vec![living("i-1", 1, 13, 100)], source, 0);
     assert_eq!(fleet.view.revision("i-1"), Some(13));
-    assert_eq!(fleet.view.at(([10, 0, 0, 1], 1).into()).map(|at| at.life.id()), Some("i-1"));
+    assert_eq!(fleet.view.at(([10, 0, 0, 1], 1).into()).map(|at| at.instance.id()), Some("i-1"));
 }
 
 #[test]
 fn starts_far_ahead_are_not_plausible() {
     const NOW: u64 = 1_780_000_000_000;
-    let rows =
-        [(NOW - 1, true), (NOW + MOST_AHEAD, true), (NOW + MOST_AHEAD + 1, false), (0, true)];
+    let rows = [
+        (NOW - 1, true),
+        (NOW + MAX_CLOCK_SKEW, true),
+        (NOW + MAX_CLOCK_SKEW + 1, false),
+        (0, true),
+    ];
     for (born, plausible) in rows {
-        assert_eq!(ReplicaLife::new("i-1", born).is_plausible(NOW), plausible, "{born}");
+        assert_eq!(ReplicaInstance::new("i-1", born).is_plausible(NOW), plausible, "{born}");
     }
 }
 
 #[test]
 fn an_odd_entry_is_told_of_once_for_each_revision() {
-    let mut odd = OddEntries::default();
+    let mut odd = ForeignEntries::default();
     let rows = [("i-1", 5, true), ("i-1", 5, false), ("i-2", 5, true), ("i-1", 6, true)];
     for (id, revision, news) in rows {
         assert_eq!(odd.note(id, revision), news, "{id} {revision}");
--- a/crates/router/tests/circles.rs
+++ b/crates/router/tests/gossip.rs
@@ -1,10 +1,10 @@
 //! What relays tell each other does not grow with their count, and reaches all of them.
 
-mod circle_model;
+mod gossip_model;
 
 use std::collections::BTreeSet;
 
-use circle_model::{Day, Seen, Trouble, play};
+use gossip_model::{Day, Seen, Trouble, play};
 use switchfold_router::suspect::FIRST_TIME_OUT;
 
 /// Most messages a second that a member sends and hears.
--- a/crates/router/tests/circle_model/mod.rs
+++ b/crates/router/tests/gossip_model/mod.rs
@@ -13,12 +13,12 @@
 use rand_chacha::ChaCha8Rng;
 use switchfold_router::{
     Millis,
+    instance::ReplicaInstance,
     keeper::{LimitKeeper, OwnKeeper, limit_keeper},
-    life::ReplicaLife,
     membership::{
-        PeerStamp, PeerState, PeerTable, ReportKind, TalkCircle, TalkLeg, TalkPeer, name_hash,
+        GossipLink, GossipPeer, GossipPlan, PeerStamp, PeerState, PeerTable, ReportKind, name_hash,
     },
-    origin::{NewsOrigin, NewsReach},
+    origin::{UpdateAudience, UpdateOrigin},
     room::{RoomLedger, SumPart},
     suspect::SuspectList,
 };
@@ -56,8 +56,8 @@
 #[derive(Clone)]
 enum Load {
     Untold,
-    Gathered(HashMap<ReplicaLife, f64>),
-    Sums(HashMap<ReplicaLife, f64>),
+    Gathered(HashMap<ReplicaInstance, f64>),
+    Sums(HashMap<ReplicaInstance, f64>),
 }
 
 #[derive(Clone)]
@@ -68,7 +68,7 @@
     is_member: bool,
     keepers: Vec<u32>,
     load: Load,
-    suspects: Vec<(ReplicaLife, Millis)>,
+    suspects: Vec<(ReplicaInstance, Millis)>,
 }
 
 enum Step {
@@ -85,7 +85,7 @@
     peers: PeerTable,
     room: RoomLedger,
     suspects: SuspectList,
-    circle: TalkCircle,
+    circle: GossipPlan,
     is_gone: bool,
 }
 
@@ -119,8 +119,8 @@
     seen: Seen,
 }
 
-fn life(replica: usize) -> ReplicaLife {
-    ReplicaLife::new(&format!("i-{replica}"), 1)
+fn instance(replica: usize) -> ReplicaInstance {
+    ReplicaInstance::new(&format!("i-{replica}"), 1)
 }
 
 fn address(relay: usize) -> SocketAddr {
@@ -135,7 +135,7 @@
         peers: PeerTable::default(),
         room: RoomLedger::default(),
         suspects: SuspectList::default(),
-        circle: TalkCircle::default(),
+        circle: GossipPlan::default(),
         is_gone: false,
     });
     let mut model = Model {
@@ -189,14 +189,14 @@
             }
             Step::Request(relay) if !self.relays[relay].is_gone => {
                 let replica = self.random.random_range(0..REPLICAS);
-                self.relays[relay].room.promise(&life(replica), 100.0);
+                self.relays[relay].room.promise(&instance(replica), 100.0);
                 self.promised[replica] += 100.0;
                 self.at(now + HOLDS, Step::End(relay, replica));
                 let pause = self.random.random_range(0.0..2_000.0 / REQUESTS) as Millis;
                 self.at(now + pause, Step::Request(relay));
             }
             Step::End(relay, replica) if !self.relays[relay].is_gone => {
-                self.relays[relay].room.release(&life(replica), 100.0);
+                self.relays[relay].room.release(&instance(replica), 100.0);
                 self.promised[replica] -= 100.0;
             }
             Step::Hear(relay, message) if !self.relays[relay].is_gone => {
@@ -218,13 +218,13 @@
                     self.relays[relay].is_gone = true;
                     for replica in 0..REPLICAS {
                         let own = self.relays[relay].room.own();
-                        self.promised[replica] -= own.get(&life(replica)).unwrap_or(&0.0);
+                        self.promised[replica] -= own.get(&instance(replica)).unwrap_or(&0.0);
                     }
                 }
             }
             Trouble::Cut { lasts } => self.cut_until = now + lasts,
             Trouble::Suspects { relay } => {
-                self.relays[relay].suspects.note_failure(&life(0), now);
+                self.relays[relay].suspects.note_failure(&instance(0), now);
                 self.note_away(relay, now);
                 self.tell(relay, now, |_, _| true);
             }
@@ -232,7 +232,7 @@
     }
 
     fn note_away(&mut self, relay: usize, now: Millis) {
-        if self.relays[relay].suspects.is_suspect(&life(0), now) {
+        if self.relays[relay].suspects.is_suspect(&instance(0), now) {
             self.seen.first_away.entry(relay).or_insert(now);
             self.seen.last_away.insert(relay, now);
         }
@@ -243,28 +243,28 @@
         let own = &mut self.relays[relay];
         own.room.forget(now);
         let was_member = own.circle.is_member;
-        own.circle = own.peers.settle_circle(&own.name, &own.place, now);
+        own.circle = own.peers.plan_gossip(&own.name, &own.place, now);
         if was_member && !own.circle.is_member {
             own.room.forget_sums();
             self.greet_all(relay, now);
         }
         self.tell(relay, now, |_, leg| match leg {
-            TalkLeg::Near => true,
-            TalkLeg::Far => round.is_multiple_of(2),
-            TalkLeg::Report(_) | TalkLeg::Member(_) => true,
+            GossipLink::Near => true,
+            GossipLink::Far => round.is_multiple_of(2),
+            GossipLink::Report(_) | GossipLink::Member(_) => true,
         });
     }
 
     fn greet_all(&mut self, relay: usize, now: Millis) {
         for to in (0..self.day.relays).filter(|to| *to != relay) {
             let name = self.relays[to].name.clone();
-            let peer = TalkPeer { name, address: address(to), leg: TalkLeg::Near };
+            let peer = GossipPeer { name, address: address(to), leg: GossipLink::Near };
             let message = Message { load: Load::Untold, ..self.message(relay, &peer, now) };
             self.send(relay, to, message, now);
         }
     }
 
-    fn tell(&mut self, relay: usize, now: Millis, is_due: impl Fn(&str, TalkLeg) -> bool) {
+    fn tell(&mut self, relay: usize, now: Millis, is_due: impl Fn(&str, GossipLink) -> bool) {
         let circle = self.relays[relay].circle.clone();
         for peer in circle.peers.iter().filter(|peer| is_due(&peer.name, peer.leg)) {
             let message = self.message(relay, peer, now);
@@ -273,28 +273,30 @@
         }
     }
 
-    fn message(&self, from: usize, peer: &TalkPeer, now: Millis) -> Message {
+    fn message(&self, from: usize, peer: &GossipPeer, now: Millis) -> Message {
         let own = &self.relays[from];
         let (report, reach) = match peer.leg {
-            TalkLeg::Report(kind) => (kind, NewsReach::Speakers),
-            TalkLeg::Near | TalkLeg::Far => (ReportKind::None, NewsReach::Speakers),
-            TalkLeg::Member(_) => (ReportKind::None, NewsReach::Members),
+            GossipLink::Report(kind) => (kind, UpdateAudience::Speakers),
+            GossipLink::Near | GossipLink::Far => (ReportKind::None, UpdateAudience::Speakers),
+            GossipLink::Member(_) => (ReportKind::None, UpdateAudience::Members),
         };
         let counts = |name: &str| own.peers.report_kind(name, now) == ReportKind::Counted;
         let load = match peer.leg {
-            TalkLeg::Member(ReportKind::Counted) => {
+            GossipLink::Member(ReportKind::Counted) => {
                 let total = own.room.total_without(&peer.name);
-                Load::Sums(total.map(|(life, amount)| (life.clone(), amount)).collect())
+                Load::Sums(total.map(|(instance, amount)| (instance.clone(), amount)).collect())
             }
-            TalkLeg::Member(_) | TalkLeg::Report(ReportKind::Spare) => Load::Untold,
+            GossipLink::Member(_) | GossipLink::Report(ReportKind::Spare) => Load::Untold,
             _ => {
                 let gathered = own.room.gathered(counts).into_iter();
-                Load::Gathered(gathered.map(|(life, amount)| (life.clone(), amount)).collect())
+                Load::Gathered(
+                    gathered.map(|(instance, amount)| (instance.clone(), amount)).collect(),
+                )
             }
         };
         let suspects = own.suspects.told_on(reach, now);
         let mut keepers = Vec::new();
-        if reach == NewsReach::Members {
+        if reach == UpdateAudience::Members {
             keepers = own.peers.keeper_hashes(now);
             keepers.extend((!own.circle.is_member).then(|| name_hash(&own.name)));
         }
@@ -305,7 +307,7 @@
             is_member: own.circle.is_member,
             keepers,
             load,
-            suspects: suspects.map(|(life, left)| (life.clone(), left)).collect(),
+            suspects: suspects.map(|(instance, left)| (instance.clone(), left)).collect(),
         }
     }
 
@@ -344,20 +346,21 @@
             }
             _ => {}
         }
-        let origin = if report == ReportKind::None { NewsOrigin::Told } else { NewsOrigin::Member };
+        let origin =
+            if report == ReportKind::None { UpdateOrigin::Told } else { UpdateOrigin::Member };
         let mut is_news = false;
-        for (life, left) in &message.suspects {
-            if !own.suspects.is_suspect(life, now) {
-                own.suspects.take_over(life, now + left, origin);
+        for (instance, left) in &message.suspects {
+            if !own.suspects.is_suspect(instance, now) {
+                own.suspects.take_over(instance, now + left, origin);
                 is_news = true;
             }
         }
         if is_news {
-            let reaches_far = origin == NewsOrigin::Member;
+            let reaches_far = origin == UpdateOrigin::Member;
             let has_members = self.relays[to].peers.has_members(now);
             self.note_away(to, now);
             if has_members {
-                self.tell(to, now, |_, leg| reaches_far || leg != TalkLeg::Far);
+                self.tell(to, now, |_, leg| reaches_far || leg != GossipLink::Far);
             }
         }
     }
@@ -370,7 +373,7 @@
             self.seen.is_member.push(relay.circle.is_member && !relay.peers.has_members(now));
             self.seen.is_there.push(!relay.is_gone);
             let off = (0..REPLICAS).map(|replica| {
-                (relay.room.promised(&life(replica)) - self.promised[replica]).abs()
+                (relay.room.promised(&instance(replica)) - self.promised[replica]).abs()
             });
             self.seen.misjudged.push(off.sum::<f64>() / true_sum.max(1.0));
             let keeps = !relay.circle.is_member;
--- a/crates/router/tests/groups.rs
+++ b/crates/router/tests/groups.rs
@@ -7,11 +7,13 @@
     groups::{
         GROUPS_ALONE, GROUPS_EACH, MOST_GROUP, group_count, group_of, is_planned_by, planner_count,
     },
-    life::ReplicaLife,
+    instance::ReplicaInstance,
 };
 
-fn lives(count: usize) -> Vec<ReplicaLife> {
-    (0..count).map(|number| ReplicaLife::new(&format!("i-{:010x}", number * 7_919), 0)).collect()
+fn instances(count: usize) -> Vec<ReplicaInstance> {
+    (0..count)
+        .map(|number| ReplicaInstance::new(&format!("i-{:010x}", number * 7_919), 0))
+        .collect()
 }
 
 #[test]
@@ -23,9 +25,9 @@
     for replicas in [100, 300, 1_000, 3_000] {
         let count = group_count(replicas);
         let mut sizes: BTreeMap<u32, usize> = BTreeMap::new();
-        lives(replicas)
+        instances(replicas)
             .iter()
-            .for_each(|life| *sizes.entry(group_of(life, count)).or_default() += 1);
+            .for_each(|instance| *sizes.entry(group_of(instance, count)).or_default() += 1);
         assert_eq!(sizes.len(), count as usize, "{replicas}: none is empty");
         assert!(sizes.values().all(|size| *size <= MOST_GROUP * 3 / 2), "{replicas}: {sizes:?}");
     }
@@ -34,11 +36,19 @@
 /// Where the count of groups doubles, each is split in two: no replica changes to another group's part.
 #[test]
 fn groups_are_split_in_two() {
-    for life in lives(500) {
+    for instance in instances(500) {
         for count in [1, 2, 4, 8] {
-            assert_eq!(group_of(&life, count * 2) % count, group_of(&life, count), "{life}");
+            assert_eq!(
+                group_of(&instance, count * 2) % count,
+                group_of(&instance, count),
+                "{instance}"
+            );
         }
-        assert_eq!(group_of(&life, 8), group_of(&life.at(5), 8), "a restart stays in its group");
+        assert_eq!(
+            group_of(&instance, 8),
+            group_of(&instance.at(5), 8),
+            "a restart stays in its group"
+        );
     }
 }
 
@@ -68,11 +78,11 @@
     let kinds = [(72_000.0, 2.4), (43_200.0, 5.6), (21_600.0, 16.0)];
     let count = group_count(1_000);
     let mut groups: BTreeMap<u32, Vec<LayerHolder>> = BTreeMap::new();
-    for (number, life) in lives(1_000).into_iter().enumerate() {
+    for (number, instance) in instances(1_000).into_iter().enumerate() {
         let (memory_mb, pace) = kinds[[0, 1, 1, 1, 2, 2, 2, 2, 2, 2][number % 10]];
-        let part = group_of(&life, count);
+        let part = group_of(&instance, count);
         let holder = LayerHolder {
-            life,
+            instance,
             memory_mb,
             slots: 0,
             layer_ms: 1.02 * pace / 80.0,
@@ -84,7 +94,8 @@
     }
     for (part, mut holders) in groups {
         for order in plan_group(&holders, model, &CoverConfig::default()) {
-            let holder = holders.iter_mut().find(|holder| holder.life == order.life).expect("one");
+            let holder =
+                holders.iter_mut().find(|holder| holder.instance == order.instance).expect("one");
             holder.range = Some(order.range);
         }
         let mut counts = vec![0; model.layers as usize];
--- a/crates/router/tests/layouts.rs
+++ b/crates/router/tests/layouts.rs
@@ -7,7 +7,7 @@
         plan_group, widest_gap,
     },
     fleet::LayerRange,
-    life::ReplicaLife,
+    instance::ReplicaInstance,
 };
 
 const MODEL: ModelShape = ModelShape { layers: 80, layer_mb: 1_750.0, request_mb: 0.0 };
@@ -26,7 +26,7 @@
 fn holder(id: usize, kind: (f64, f64), range: Option<(u32, u32)>) -> LayerHolder {
     let range = range.map(|(from, to)| LayerRange { from, to });
     LayerHolder {
-        life: ReplicaLife::new(&format!("r{id:03}"), 0),
+        instance: ReplicaInstance::new(&format!("r{id:03}"), 0),
         memory_mb: kind.0,
         slots: 0,
         layer_ms: STEP_MS * kind.1 / f64::from(MODEL.layers),
@@ -55,7 +55,8 @@
 fn apply(holders: &[LayerHolder], orders: Vec<PlaceOrder>) -> Vec<LayerHolder> {
     let mut holders = holders.to_vec();
     for order in orders {
-        let holder = holders.iter_mut().find(|holder| holder.life == order.life).expect("a holder");
+        let holder =
+            holders.iter_mut().find(|holder| holder.instance == order.instance).expect("a holder");
         holder.range = Some(order.range);
         holder.held = holder.range;
     }
--- a/crates/router/tests/membership.rs
+++ b/crates/router/tests/membership.rs
@@ -5,8 +5,8 @@
 use switchfold_router::{
     freshness::FreshnessLease,
     membership::{
-        FOLLOWED_AGE, LOST_ASIDE_AGE, PEER_FORGET, PEER_SILENCE, PeerProof, PeerStamp, PeerState,
-        PeerTable, STEP_ASIDE_AGE, proof_time,
+        MAX_PEER_READ_AGE, PEER_EXPIRY, PEER_TIMEOUT, PeerProof, PeerStamp, PeerState, PeerTable,
+        STEP_ASIDE_AGE, STEP_ASIDE_AGE_LOST, proof_time,
     },
 };
 
@@ -71,19 +71,19 @@
     let now = 10_000;
     let mut first = table(&[("b", "x"), ("c", "y")], now);
     first.note_answers(Some(now), Some(now));
-    assert!(!first.covers_config("a", "x", 3, now));
-    assert!(!first.covers_fleet("a", "x", now));
+    assert!(!first.config_read_by_peer("a", "x", 3, now));
+    assert!(!first.fleet_read_by_peer("a", "x", now));
     let mut second = table(&[("a", "x"), ("c", "y")], now);
-    assert!(!second.covers_config("b", "x", 3, now), "nothing proved yet");
+    assert!(!second.config_read_by_peer("b", "x", 3, now), "nothing proved yet");
     second.note_answers(Some(now), Some(now));
-    assert!(second.covers_config("b", "x", 3, now));
-    assert!(second.covers_fleet("b", "x", now));
-    assert!(!second.covers_config("b", "x", 2, now), "the other has a newer version");
-    assert!(!second.covers_config("b", "x", 3, now + FOLLOWED_AGE), "the proof is old");
-    assert!(!second.covers_fleet("b", "x", now + PEER_SILENCE), "the other is silent");
+    assert!(second.config_read_by_peer("b", "x", 3, now));
+    assert!(second.fleet_read_by_peer("b", "x", now));
+    assert!(!second.config_read_by_peer("b", "x", 2, now), "the other has a newer version");
+    assert!(!second.config_read_by_peer("b", "x", 3, now + MAX_PEER_READ_AGE), "the proof is old");
+    assert!(!second.fleet_read_by_peer("b", "x", now + PEER_TIMEOUT), "the other is silent");
     let mut other = table(&[("a", "y")], now);
     other.note_answers(Some(now), Some(now));
-    assert!(!other.covers_config("b", "x", 3, now), "it is in another data centre");
+    assert!(!other.config_read_by_peer("b", "x", 3, now), "it is in another data centre");
 }
 
 #[test]
@@ -92,23 +92,23 @@
     let mut table = table(&[("a", "x")], now);
     table.note_answers(Some(now), Some(now));
     assert!(!table.compare_digest("b", "x", 8, now));
-    assert!(table.covers_fleet("b", "x", now + 100), "a change may be on its way");
+    assert!(table.fleet_read_by_peer("b", "x", now + 100), "a change may be on its way");
     assert!(!table.compare_digest("b", "x", 8, now + 600));
-    assert!(!table.covers_fleet("b", "x", now + 600));
+    assert!(!table.fleet_read_by_peer("b", "x", now + 600));
     assert!(table.compare_digest("b", "x", 7, now + 700));
-    assert!(table.covers_fleet("b", "x", now + 700));
+    assert!(table.fleet_read_by_peer("b", "x", now + 700));
 }
 
 #[test]
 fn the_first_informed_relay_gives_orders() {
     let now = 10_000;
     let informed = table(&[("b", "x")], now);
-    assert!(informed.is_first("a", true, now));
-    assert!(!informed.is_first("c", true, now));
-    assert!(!informed.is_first("a", false, now), "another knows the replicas");
-    assert!(informed.is_first("c", true, now + PEER_SILENCE), "the other is gone");
-    assert!(!informed.is_first("a", false, now + PEER_SILENCE), "cut off from all");
-    assert!(PeerTable::default().is_first("a", false, now), "alone from the start");
+    assert!(informed.is_leader("a", true, now));
+    assert!(!informed.is_leader("c", true, now));
+    assert!(!informed.is_leader("a", false, now), "another knows the replicas");
+    assert!(informed.is_leader("c", true, now + PEER_TIMEOUT), "the other is gone");
+    assert!(!informed.is_leader("a", false, now + PEER_TIMEOUT), "cut off from all");
+    assert!(PeerTable::default().is_leader("a", false, now), "alone from the start");
 }
 
 /// Replaced VMs do not take shares of the budget for ever; one that was only learnt has time to be heard.
@@ -119,9 +119,9 @@
     table.learn("c", "10.0.0.2:7000".parse().expect("address"), "x", 50_000);
     // Reading an object of the store again is no sign of life.
     table.learn("a", "10.0.0.1:7000".parse().expect("address"), "x", 50_000);
-    assert_eq!(table.gone(999 + PEER_FORGET), Vec::<String>::new());
-    assert_eq!(table.gone(1_000 + PEER_FORGET), ["a"]);
-    assert_eq!(table.gone(50_000 + PEER_FORGET), ["a", "b", "c"]);
+    assert_eq!(table.gone(999 + PEER_EXPIRY), Vec::<String>::new());
+    assert_eq!(table.gone(1_000 + PEER_EXPIRY), ["a"]);
+    assert_eq!(table.gone(50_000 + PEER_EXPIRY), ["a", "b", "c"]);
     table.forget("a");
     assert_eq!(table.known(), 2);
 }
@@ -132,19 +132,19 @@
 fn a_relay_that_lost_the_store_alone_steps_aside() {
     let now = 10_000;
     let peers = table(&[("b", "north"), ("c", "south")], now);
-    assert!(peers.should_step_aside(STEP_ASIDE_AGE, false, now));
-    assert!(peers.should_step_aside(LOST_ASIDE_AGE, true, now));
-    assert!(!peers.should_step_aside(LOST_ASIDE_AGE, false, now), "a usual age");
-    assert!(!peers.should_step_aside(LOST_ASIDE_AGE - 1, true, now), "one failed read");
-    assert!(!PeerTable::default().should_step_aside(STEP_ASIDE_AGE, true, now), "it is alone");
+    assert!(peers.should_redirect(STEP_ASIDE_AGE, false, now));
+    assert!(peers.should_redirect(STEP_ASIDE_AGE_LOST, true, now));
+    assert!(!peers.should_redirect(STEP_ASIDE_AGE_LOST, false, now), "a usual age");
+    assert!(!peers.should_redirect(STEP_ASIDE_AGE_LOST - 1, true, now), "one failed read");
+    assert!(!PeerTable::default().should_redirect(STEP_ASIDE_AGE, true, now), "it is alone");
     let all_lost = now + STEP_ASIDE_AGE;
     let mut old = table(&[("b", "north")], all_lost);
     let state = PeerState { config_age: Some(STEP_ASIDE_AGE), ..PeerState::default() };
     old.hear("b", state, PeerStamp::default(), all_lost);
-    assert!(!old.should_step_aside(STEP_ASIDE_AGE + 100, true, all_lost), "nobody has the store");
-    let silent = now + PEER_SILENCE;
-    assert!(peers.should_step_aside(LOST_ASIDE_AGE, true, silent), "it is cut off from all");
-    assert!(!peers.should_step_aside(STEP_ASIDE_AGE, false, silent), "the store answers it");
+    assert!(!old.should_redirect(STEP_ASIDE_AGE + 100, true, all_lost), "nobody has the store");
+    let silent = now + PEER_TIMEOUT;
+    assert!(peers.should_redirect(STEP_ASIDE_AGE_LOST, true, silent), "it is cut off from all");
+    assert!(!peers.should_redirect(STEP_ASIDE_AGE, false, silent), "the store answers it");
 }
 
 /// What covers a follower ends with the word of the one that it follows, not when its last proof is old.
@@ -160,15 +160,15 @@
     let mut peers = table(&[("a", "x")], now);
     peers.note_answers(Some(now), Some(now));
     peers.hear("a", lost(false, true), PeerStamp::default(), now);
-    assert!(!peers.covers_config("c", "x", 3, now));
-    assert!(peers.covers_fleet("c", "x", now), "each kind is followed for itself");
+    assert!(!peers.config_read_by_peer("c", "x", 3, now));
+    assert!(peers.fleet_read_by_peer("c", "x", now), "each kind is followed for itself");
     peers.hear("a", lost(true, false), PeerStamp::default(), now);
-    assert!(!peers.covers_fleet("c", "x", now));
-    assert!(peers.covers_config("c", "x", 3, now));
+    assert!(!peers.fleet_read_by_peer("c", "x", now));
+    assert!(peers.config_read_by_peer("c", "x", 3, now));
     let next = "b";
     peers.learn(next, "10.0.0.2:7000".parse().expect("address"), "x", now);
     peers.hear(next, lost(false, false), PeerStamp::default(), now);
-    assert!(peers.covers_fleet("c", "x", now), "the next one follows");
+    assert!(peers.fleet_read_by_peer("c", "x", now), "the next one follows");
 }
 
 /// A message that another one overtook does not bring back what its sender said before.
@@ -180,9 +180,9 @@
     let version = |config_version| PeerState { config_version, ..PeerState::default() };
     assert!(peers.hear("a", version(5), at(1, 700), now));
     assert!(!peers.hear("a", version(4), at(1, 500), now));
-    assert!(peers.hears_newer_config("b", "x", 4, now));
+    assert!(peers.peer_has_newer_config("b", "x", 4, now));
     assert!(peers.hear("a", version(4), at(2, 100), now), "it started again");
-    assert!(!peers.hears_newer_config("b", "x", 4, now));
+    assert!(!peers.peer_has_newer_config("b", "x", 4, now));
     assert!(!peers.hear("unknown", version(9), at(1, 1), now));
 }
 
--- a/crates/router/tests/model/mod.rs
+++ b/crates/router/tests/model/mod.rs
@@ -422,8 +422,8 @@
             if self.beat_at[number].is_some_and(|at| now >= at) {
                 self.beat_at[number] = None;
                 let listed = self.left[number].is_none_or(|_| self.store.is_listed(number));
-                let lives = listed && !self.vanished[number];
-                if lives && self.back_at[number].is_none() {
+                let instances = listed && !self.vanished[number];
+                if instances && self.back_at[number].is_none() {
                     self.store.restore(number);
                 }
             }
@@ -514,7 +514,7 @@
 
     fn note_shown(&mut self, now: Millis) {
         for (number, shown) in self.shown.iter_mut().enumerate() {
-            let start = self.store.known(number).life.born();
+            let start = self.store.known(number).instance.born();
             let before = shown.filter(|shown| shown.start == start);
             let is_shown = self.store.shows_present(number);
             *shown = is_shown.then(|| before.unwrap_or(ShownLife { start, since: now }));
@@ -525,8 +525,8 @@
     fn check_ended(&self, now: Millis, relay: &ModelRelay, broken: &mut Broken) {
         for number in 0..REPLICAS {
             let Some(ShownLife { since, .. }) = self.shown[number] else { continue };
-            let life = &self.store.known(number).life;
-            if now > since + BOUND && relay.offers_earlier(number, life) {
+            let instance = &self.store.known(number).instance;
+            if now > since + BOUND && relay.offers_earlier(number, instance) {
                 let late = now - since;
                 let what = format!("{} offers an earlier i-{number} {late} ms after", relay.name());
                 broken.ended.push(what);
--- a/crates/router/tests/model/relay.rs
+++ b/crates/router/tests/model/relay.rs
@@ -8,12 +8,14 @@
 use switchfold_router::{
     Millis,
     access::ConfigSlot,
-    fleet::{EntryState, ReplicaEntry, ReplicaNews},
-    follow::{CONFIG_TIMES, FollowSight, FollowStep, FollowTimes, REPLICA_TIMES, StoreFollower},
+    fleet::{EntryState, ReplicaEntry, ReplicaUpdate},
+    follow::{
+        CONFIG_TIMINGS, FollowInputs, FollowStep, FollowTimings, REPLICA_TIMINGS, StoreFollower,
+    },
     freshness::FreshnessLease,
-    life::ReplicaLife,
-    membership::{OwnState, PeerProof, PeerStamp, PeerState, PeerTable, StateTeller},
-    replicas::{FleetBelief, FleetList, NewsSource},
+    instance::ReplicaInstance,
+    membership::{OwnState, PeerProof, PeerStamp, PeerState, PeerTable, SnapshotSource},
+    replicas::{FleetList, FleetTracker, UpdateSource},
 };
 
 use super::{
@@ -61,7 +63,7 @@
         stamp: PeerStamp,
         echo: Option<(PeerStamp, Millis)>,
     },
-    Fleet(Vec<ReplicaNews>),
+    Fleet(Vec<ReplicaUpdate>),
 }
 
 /// What surrounds a relay.
@@ -82,7 +84,7 @@
 
 struct Following {
     kind: Kind,
-    times: FollowTimes,
+    times: FollowTimings,
     follower: StoreFollower<ChaCha8Rng>,
     rests_until: Millis,
     call: Option<Call>,
@@ -93,7 +95,7 @@
 /// A relay.
 pub(crate) struct ModelRelay {
     number: usize,
-    fleet: FleetBelief,
+    fleet: FleetTracker,
     config: ConfigSlot<u64>,
     config_lease: FreshnessLease,
     config_at: u64,
@@ -125,7 +127,7 @@
                 peers.learn(name, address(other), data_centre, 0);
             }
         }
-        let following = [(Kind::Replicas, REPLICA_TIMES), (Kind::Config, CONFIG_TIMES)];
+        let following = [(Kind::Replicas, REPLICA_TIMINGS), (Kind::Config, CONFIG_TIMINGS)];
         let following = following.map(|(kind, times)| {
             let seed = number as u64 * 2 + u64::from(kind == Kind::Config);
             let backoff = Backoff::new(ChaCha8Rng::seed_from_u64(seed));
@@ -134,7 +136,7 @@
         });
         Self {
             number,
-            fleet: FleetBelief::default(),
+            fleet: FleetTracker::default(),
             config: ConfigSlot::new(),
             config_lease: FreshnessLease::default(),
             config_at: 0,
@@ -165,13 +167,13 @@
     /// When the life of a replica started that it would send requests to.
     pub(crate) fn offered_start(&self, number: usize) -> Option<Millis> {
         let held = self.fleet.view.get(&replica_id(number)).filter(|entry| entry.is_ready());
-        held.map(|entry| entry.life.born())
+        held.map(|entry| entry.instance.born())
     }
 
     /// Whether it would send requests to a life of a replica that is not its present one.
-    pub(crate) fn offers_earlier(&self, number: usize, present: &ReplicaLife) -> bool {
+    pub(crate) fn offers_earlier(&self, number: usize, present: &ReplicaInstance) -> bool {
         let held = self.fleet.view.get(&replica_id(number));
-        held.is_some_and(|entry| entry.is_ready() && entry.life != *present)
+        held.is_some_and(|entry| entry.is_ready() && entry.instance != *present)
     }
 
     /// Whether it would send requests to a replica.
@@ -190,7 +192,7 @@
         if now >= self.next_tell {
             self.next_tell = now + TELL_EVERY;
             let lapsed = self.fleet.lapsed(now);
-            self.tell_and_take(lapsed, NewsSource::Lapse, world.messages, now);
+            self.tell_and_take(lapsed, UpdateSource::Lapse, world.messages, now);
             self.tell_state(world.messages, now);
         }
         for index in 0..self.following.len() {
@@ -241,38 +243,38 @@
         }
     }
 
-    fn see(&self, kind: Kind, now: Millis) -> FollowSight {
+    fn see(&self, kind: Kind, now: Millis) -> FollowInputs {
         let (name, data_centre, version) = (self.name(), self.data_centre(), self.config_version());
         let before = self.peers.before(name, data_centre, now);
         let teller = self.teller(kind, now);
-        let sight = FollowSight {
+        let sight = FollowInputs {
             teller: teller.map(|teller| teller.place),
             before: before.live,
-            ..FollowSight::default()
+            ..FollowInputs::default()
         };
         match kind {
-            Kind::Replicas => FollowSight {
-                is_covered: self.peers.covers_fleet(name, data_centre, now),
+            Kind::Replicas => FollowInputs {
+                is_read_by_peer: self.peers.fleet_read_by_peer(name, data_centre, now),
                 lost_before: before.lost_fleet,
                 wants_list: self.fleet.wants_list(now),
-                is_tried_by_other: self.config_lease.is_lost(),
+                is_retried_elsewhere: self.config_lease.is_lost(),
                 ..sight
             },
-            Kind::Config => FollowSight {
-                is_covered: self.peers.covers_config(name, data_centre, version, now),
-                hears_newer: self.peers.hears_newer_config(name, data_centre, version, now),
+            Kind::Config => FollowInputs {
+                is_read_by_peer: self.peers.config_read_by_peer(name, data_centre, version, now),
+                peer_has_newer: self.peers.peer_has_newer_config(name, data_centre, version, now),
                 lost_before: before.lost_config,
                 ..sight
             },
         }
     }
 
-    fn teller(&self, kind: Kind, now: Millis) -> Option<StateTeller<'_>> {
+    fn teller(&self, kind: Kind, now: Millis) -> Option<SnapshotSource<'_>> {
         let (name, data_centre) = (self.name(), self.data_centre());
         let holds_none = self.fleet.holds_none();
         match kind {
-            Kind::Replicas => self.peers.fleet_teller(name, data_centre, holds_none, now),
-            Kind::Config => self.peers.config_teller(name, data_centre, self.config_version(), now),
+            Kind::Replicas => self.peers.fleet_source(name, data_centre, holds_none, now),
+            Kind::Config => self.peers.config_source(name, data_centre, self.config_version(), now),
         }
     }
 
@@ -300,8 +302,8 @@
             }),
             Kind::Replicas => {
                 let read_age = self.fleet.read_age(now).filter(|_| !self.fleet.is_lost());
-                let held_age = self.fleet.held_answer_age(now).filter(|_| held == 0);
-                let list = self.fleet.told_list();
+                let held_age = self.fleet.known_answer_age(now).filter(|_| held == 0);
+                let list = self.fleet.shareable_list();
                 let whole = list.listed.len() == self.fleet.view.len();
                 let is_same = whole && held == self.fleet.view.digest();
                 Some(Told {
@@ -345,7 +347,7 @@
             Kind::Replicas => {
                 let sent = proof.proved.unwrap_or_default();
                 if let Some(list) = told.list {
-                    self.fleet.take_list(list, NewsSource::Told, sent.max(0) as Millis, now);
+                    self.fleet.apply_list(list, UpdateSource::Told, sent.max(0) as Millis, now);
                 }
                 self.fleet.note_told(proof, told.at);
                 self.peers.note_answers(None, proof.answered);
@@ -363,7 +365,7 @@
             Kind::Config => {
                 let first = !self.config_lease.is_lost();
                 self.config_lease.note_lost(sent);
-                self.fleet.note_lost_by_other(sent, now);
+                self.fleet.record_loss_elsewhere(sent, now);
                 first
             }
         };
@@ -375,7 +377,7 @@
     }
 
     /// Reads news of the store: another writer's entry names no replica.
-    fn read_news(&self, news: ReplicaNews) -> Option<ReplicaNews> {
+    fn read_news(&self, news: ReplicaUpdate) -> Option<ReplicaUpdate> {
         let odd = |entry: &ReplicaEntry| entry.state == EntryState::Overwritten;
         match news.entry.as_ref().is_some_and(odd) {
             true => self.fleet.overwritten(&news.id, news.revision),
@@ -398,15 +400,15 @@
                 let at = list.at;
                 list.listed =
                     list.listed.into_iter().filter_map(|news| self.read_news(news)).collect();
-                let cleared = self.fleet.cleared_by(&list, now);
-                self.fleet.take_list(list, NewsSource::List, call.sent, now);
-                self.tell_and_take(cleared, NewsSource::List, messages, now);
+                let cleared = self.fleet.confirmed_by(&list, now);
+                self.fleet.apply_list(list, UpdateSource::List, call.sent, now);
+                self.tell_and_take(cleared, UpdateSource::List, messages, now);
                 at
             }
             Reply::Changes(news, at) => {
                 for one in news {
                     let read = self.read_news(one).into_iter().collect();
-                    self.tell_and_take(read, NewsSource::Watch, messages, now);
+                    self.tell_and_take(read, UpdateSource::Watch, messages, now);
                 }
                 at
             }
@@ -451,7 +453,7 @@
                 }
                 Body::Told { kind, asked, told } => self.take_told(kind, asked, told, now),
                 Body::Fleet(news) => {
-                    let source = NewsSource::Relay(address(message.from));
+                    let source = UpdateSource::Relay(address(message.from));
                     self.fleet.take_all(news, source, now);
                 }
                 Body::State { state, stamp, echo } => {
@@ -485,8 +487,8 @@
 
     fn tell_and_take(
         &mut self,
-        news: Vec<ReplicaNews>,
-        source: NewsSource,
+        news: Vec<ReplicaUpdate>,
+        source: UpdateSource,
         messages: &mut Vec<Message>,
         now: Millis,
     ) {
--- a/crates/router/tests/model/store.rs
+++ b/crates/router/tests/model/store.rs
@@ -4,10 +4,10 @@
 
 use switchfold_router::{
     Millis,
-    fleet::{EntryState, LayerRange, ReplicaEntry, ReplicaNews},
-    follow::{FollowStep, FollowTimes, STORE_PATIENCE},
-    life::ReplicaLife,
-    place::{era_of, place, revision_of},
+    era::{era_of, pack_revision, revision_of},
+    fleet::{EntryState, LayerRange, ReplicaEntry, ReplicaUpdate},
+    follow::{FollowStep, FollowTimings, STORE_TIMEOUT},
+    instance::ReplicaInstance,
     replicas::FleetList,
 };
 
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug)]
 pub(crate) enum Reply {
     List(FleetList),
-    Changes(Vec<ReplicaNews>, u64),
+    Changes(Vec<ReplicaUpdate>, u64),
     Config(Option<u64>, u64),
     Gap,
     Refused,
@@ -39,7 +39,7 @@
 pub(crate) struct Call {
     pub(crate) relay: usize,
     pub(crate) kind: Kind,
-    pub(crate) times: FollowTimes,
+    pub(crate) times: FollowTimings,
     pub(crate) step: FollowStep,
     pub(crate) sent: Millis,
     pub(crate) reply: Option<(Millis, Reply)>,
@@ -50,11 +50,11 @@
 impl Call {
     /// When the caller gives up.
     pub(crate) fn deadline(&self) -> Millis {
-        let FollowTimes { wait, list_patience, .. } = self.times;
+        let FollowTimings { wait, list_timeout, .. } = self.times;
         match self.step {
             FollowStep::Rest(_) | FollowStep::Ask => self.sent,
-            FollowStep::List(_) => self.sent + list_patience,
-            FollowStep::Watch(_) => self.sent + wait + STORE_PATIENCE,
+            FollowStep::List(_) => self.sent + list_timeout,
+            FollowStep::Watch(_) => self.sent + wait + STORE_TIMEOUT,
         }
     }
 }
@@ -67,7 +67,7 @@
     entries: BTreeMap<usize, (u64, ReplicaEntry)>,
     /// Entries as their replicas know them, listed or not.
     known: Vec<ReplicaEntry>,
-    history: Vec<ReplicaNews>,
+    history: Vec<ReplicaUpdate>,
     forgotten: u64,
     config: (u64, u64),
 }
@@ -108,7 +108,7 @@
     /// Whether a replica's entry is listed and tells its present life.
     pub(crate) fn shows_present(&self, number: usize) -> bool {
         let listed = self.entries.get(&number);
-        listed.is_some_and(|(_, entry)| entry.life == self.known[number].life)
+        listed.is_some_and(|(_, entry)| entry.instance == self.known[number].instance)
     }
 
     /// Starts a replica again under its id, with nothing; its entry tells that only once it is written. Gives
@@ -116,7 +116,7 @@
     pub(crate) fn restart(&mut self, number: usize) -> ReplicaEntry {
         let known = &mut self.known[number];
         let before = known.clone();
-        known.life = known.life.at(known.life.born() + 1);
+        known.instance = known.instance.at(known.instance.born() + 1);
         known.layers = None;
         before
     }
@@ -166,12 +166,12 @@
     }
 
     /// A revision as the platform's adapter tells it.
-    fn place(&self, revision: u64) -> u64 {
-        place(self.era, revision)
+    fn pack_revision(&self, revision: u64) -> u64 {
+        pack_revision(self.era, revision)
     }
 
-    fn placed(&self, news: &ReplicaNews) -> ReplicaNews {
-        ReplicaNews { revision: self.place(news.revision), ..news.clone() }
+    fn placed(&self, news: &ReplicaUpdate) -> ReplicaUpdate {
+        ReplicaUpdate { revision: self.pack_revision(news.revision), ..news.clone() }
     }
 
     /// The revision to watch from; nothing where this store does not have it.
@@ -183,7 +183,7 @@
 
     fn note(&mut self, number: usize, entry: Option<ReplicaEntry>) {
         let id = replica_id(number);
-        self.history.push(ReplicaNews { id, revision: self.revision, entry });
+        self.history.push(ReplicaUpdate { id, revision: self.revision, entry });
     }
 
     /// Lets a call go on: it may get its answer, or lose it.
@@ -222,30 +222,30 @@
         }
         let Some(after) = self.revision_of(after) else { return Some(Reply::Gap) };
         self.changes(call.kind, after)
-            .or_else(|| over.then(|| Self::empty(call.kind, self.place(self.revision))))
+            .or_else(|| over.then(|| Self::empty(call.kind, self.pack_revision(self.revision))))
     }
 
     fn list(&self, kind: Kind) -> Reply {
-        let at = self.place(self.revision);
+        let at = self.pack_revision(self.revision);
         if kind == Kind::Config {
             return Reply::Config(Some(self.config.1), at);
         }
-        let listed = self.entries.iter().map(|(number, (revision, entry))| ReplicaNews {
+        let listed = self.entries.iter().map(|(number, (revision, entry))| ReplicaUpdate {
             id: replica_id(*number),
-            revision: self.place(*revision),
+            revision: self.pack_revision(*revision),
             entry: Some(entry.clone()),
         });
         Reply::List(FleetList { listed: listed.collect(), at })
     }
 
     fn changes(&self, kind: Kind, after: u64) -> Option<Reply> {
-        let at = self.place(self.revision);
+        let at = self.pack_revision(self.revision);
         if kind == Kind::Config {
             let newer = self.config.0 > after;
             return newer.then_some(Reply::Config(Some(self.config.1), at));
         }
         let news = self.history.iter().filter(|news| news.revision > after);
-        let news: Vec<ReplicaNews> = news.map(|news| self.placed(news)).collect();
+        let news: Vec<ReplicaUpdate> = news.map(|news| self.placed(news)).collect();
         (!news.is_empty()).then_some(Reply::Changes(news, at))
     }
 
@@ -259,7 +259,7 @@
 
 fn entry(number: usize) -> ReplicaEntry {
     ReplicaEntry {
-        life: ReplicaLife::new(&replica_id(number), 1),
+        instance: ReplicaInstance::new(&replica_id(number), 1),
         service: "model".to_owned(),
         address: format!("10.0.0.{}:80", number + 1).parse().expect("an address"),
         data_centre: "a".to_owned(),
--- a/crates/router/tests/mutes.rs
+++ b/crates/router/tests/mutes.rs
@@ -4,9 +4,9 @@
 use std::collections::VecDeque;
 
 use switchfold_router::{
-    life::ReplicaLife,
+    instance::ReplicaInstance,
     mute::{HeadWatch, TRIAL_TIME, leave_after},
-    origin::{NewsOrigin, NewsReach},
+    origin::{UpdateAudience, UpdateOrigin},
 };
 
 /// Objective of the requests, and the time in which an engine usually begins an answer, in milliseconds.
@@ -44,8 +44,8 @@
 /// Plays a load against one relay's own decisions; each request begins at the replica that is not mute and has been
 /// sent least.
 fn play(load: &Load, watches: bool) -> Outcome {
-    let lives: Vec<ReplicaLife> =
-        (0..load.replicas).map(|number| ReplicaLife::new(&format!("i-{number}"), 0)).collect();
+    let instances: Vec<ReplicaInstance> =
+        (0..load.replicas).map(|number| ReplicaInstance::new(&format!("i-{number}"), 0)).collect();
     let mut watch = HeadWatch::default();
     let mut waiting: VecDeque<Waiting> = VecDeque::new();
     let mut outcome = Outcome::default();
@@ -53,12 +53,13 @@
     let takes = (USUAL as f64 * load.slow) as u64;
     let mut send =
         |watch: &mut HeadWatch, arrived: u64, avoid: Option<usize>, tries: u32, now: u64| {
-            let cost =
-                |number: &usize| (watches && watch.is_mute(&lives[*number], now), sent_to[*number]);
+            let cost = |number: &usize| {
+                (watches && watch.is_mute(&instances[*number], now), sent_to[*number])
+            };
             let others = (0..load.replicas).filter(|number| Some(*number) != avoid);
             let replica = others.min_by_key(cost).expect("there are others");
             sent_to[replica] += 1;
-            watch.note_sent(&lives[replica], now);
+            watch.note_sent(&instances[replica], now);
             let hangs = replica < load.hanging && load.hangs.contains(&now);
             Waiting { arrived, sent: now, begins: (!hangs).then_some(now + takes), replica, tries }
         };
@@ -70,9 +71,9 @@
         }
         let mut left = Vec::new();
         waiting.retain(|request| {
-            let life = &lives[request.replica];
+            let instance = &instances[request.replica];
             if request.begins == Some(now) {
-                watch.note_answer(life, Some(now - request.sent), now);
+                watch.note_answer(instance, Some(now - request.sent), now);
                 outcome.late += u32::from(now - request.arrived > OBJECTIVE);
                 return false;
             }
@@ -81,10 +82,10 @@
                 return true;
             }
             let silent_after = watch.silent_after(OBJECTIVE);
-            watch.find_mute(life, silent_after, now);
-            let is_mute = watches && watch.is_mute(life, now) && waited >= silent_after;
+            watch.find_mute(instance, silent_after, now);
+            let is_mute = watches && watch.is_mute(instance, now) && waited >= silent_after;
             if is_mute || waited > leave_after(OBJECTIVE) {
-                watch.note_left(life);
+                watch.note_left(instance);
                 left.push((request.arrived, request.replica));
                 return false;
             }
@@ -133,44 +134,46 @@
 /// A mute replica comes back by one request at a time of the relay that found it; others keep away until that ended.
 #[test]
 fn a_mute_replica_is_tried_by_one_request() {
-    let life = ReplicaLife::new("i-1", 0);
+    let instance = ReplicaInstance::new("i-1", 0);
     let (mut own, mut other) = (HeadWatch::default(), HeadWatch::default());
-    own.note_sent(&life, 0);
-    let lasts = own.find_mute(&life, 150, 200).expect("it is silent");
-    let told: Vec<_> =
-        own.told_on(NewsReach::Speakers, 200).map(|(life, lasts)| (life.clone(), lasts)).collect();
-    assert_eq!(told, [(life.clone(), lasts + TRIAL_TIME)]);
-    other.hear_mutes("own", NewsOrigin::Told, told.clone().into_iter(), 200);
+    own.note_sent(&instance, 0);
+    let lasts = own.find_mute(&instance, 150, 200).expect("it is silent");
+    let told: Vec<_> = own
+        .told_on(UpdateAudience::Speakers, 200)
+        .map(|(instance, lasts)| (instance.clone(), lasts))
+        .collect();
+    assert_eq!(told, [(instance.clone(), lasts + TRIAL_TIME)]);
+    other.hear_mutes("own", UpdateOrigin::Told, told.clone().into_iter(), 200);
     assert_eq!(
-        other.told_on(NewsReach::Speakers, 200).count(),
+        other.told_on(UpdateAudience::Speakers, 200).count(),
         0,
         "what was only heard is not repeated"
     );
-    own.note_left(&life);
+    own.note_left(&instance);
     let over = 200 + lasts;
-    assert!(own.is_mute(&life, over - 1) && !own.is_mute(&life, over));
-    own.note_sent(&life, over);
-    assert!(own.is_mute(&life, over + 1), "one tries, the next one keeps away");
-    assert!(other.is_mute(&life, over + 1));
-    assert!(own.note_answer(&life, Some(70), over + 70), "it is back");
-    assert!(!own.is_mute(&life, over + 71));
-    assert!(!other.is_mute(&life, over + TRIAL_TIME));
+    assert!(own.is_mute(&instance, over - 1) && !own.is_mute(&instance, over));
+    own.note_sent(&instance, over);
+    assert!(own.is_mute(&instance, over + 1), "one tries, the next one keeps away");
+    assert!(other.is_mute(&instance, over + 1));
+    assert!(own.note_answer(&instance, Some(70), over + 70), "it is back");
+    assert!(!own.is_mute(&instance, over + 71));
+    assert!(!other.is_mute(&instance, over + TRIAL_TIME));
     // What the one that found it tells no more has ended.
-    other.hear_mutes("own", NewsOrigin::Told, told.into_iter(), over);
-    assert!(other.is_mute(&life, over + 1));
-    other.hear_mutes("own", NewsOrigin::Told, std::iter::empty(), over + 2);
-    assert!(!other.is_mute(&life, over + 3));
+    other.hear_mutes("own", UpdateOrigin::Told, told.into_iter(), over);
+    assert!(other.is_mute(&instance, over + 1));
+    other.hear_mutes("own", UpdateOrigin::Told, std::iter::empty(), over + 2);
+    assert!(!other.is_mute(&instance, over + 3));
 }
 
 /// A queue goes on beginning answers, or refuses: neither is silence.
 #[test]
 fn a_replica_that_answers_others_is_not_mute() {
-    let life = ReplicaLife::new("i-1", 0);
+    let instance = ReplicaInstance::new("i-1", 0);
     let mut watch = HeadWatch::default();
-    (0..3).for_each(|_| watch.note_sent(&life, 0));
-    watch.note_answer(&life, Some(140), 140);
-    assert_eq!(watch.find_mute(&life, 150, 200), None);
-    watch.note_answer(&life, None, 280);
-    assert_eq!(watch.find_mute(&life, 150, 400), None);
-    assert!(watch.find_mute(&life, 150, 440).is_some());
+    (0..3).for_each(|_| watch.note_sent(&instance, 0));
+    watch.note_answer(&instance, Some(140), 140);
+    assert_eq!(watch.find_mute(&instance, 150, 200), None);
+    watch.note_answer(&instance, None, 280);
+    assert_eq!(watch.find_mute(&instance, 150, 400), None);
+    assert!(watch.find_mute(&instance, 150, 440).is_some());
 }
--- a/crates/router/tests/outages.rs
+++ b/crates/router/tests/outages.rs
@@ -7,8 +7,8 @@
 use switchfold_router::{
     Millis,
     follow::{
-        CONFIG_TIMES, FollowSight, FollowStep, FollowTimes, REPLICA_TIMES, StoreFollower,
-        TellerPlace,
+        CONFIG_TIMINGS, FollowInputs, FollowStep, FollowTimings, REPLICA_TIMINGS, SourceOrder,
+        StoreFollower,
     },
 };
 
@@ -52,7 +52,7 @@
 
 impl DataCentre {
     fn new(count: u64, contact: Millis, old_state: Millis) -> Self {
-        let kind = |seed: u64, times: FollowTimes| OneKind {
+        let kind = |seed: u64, times: FollowTimings| OneKind {
             follower: StoreFollower::new(
                 times.within_bounds(contact, old_state),
                 Backoff::new(ChaCha8Rng::seed_from_u64(seed)),
@@ -63,29 +63,30 @@
             is_lost: false,
             calls: 0,
         };
-        let relay = |number| [kind(2 * number, CONFIG_TIMES), kind(2 * number + 1, REPLICA_TIMES)];
+        let relay =
+            |number| [kind(2 * number, CONFIG_TIMINGS), kind(2 * number + 1, REPLICA_TIMINGS)];
         Self { relays: (0..count).map(relay).collect(), heard: Vec::new() }
     }
 
-    fn sight(&self, relay: usize, kind: usize, now: Millis) -> FollowSight {
+    fn sight(&self, relay: usize, kind: usize, now: Millis) -> FollowInputs {
         let heard = self.heard.iter().rev().find(|(at, _)| at + HEARD <= now);
-        let Some((_, heard)) = heard else { return FollowSight::default() };
+        let Some((_, heard)) = heard else { return FollowInputs::default() };
         let reads = |other: &usize| {
             let Heard { reads, is_lost } = heard[*other][kind];
             !is_lost && reads.is_some_and(|at| now - at < 1_600)
         };
         let teller = (0..heard.len()).filter(|other| *other != relay).find(reads);
-        let place = |other| if other < relay { TellerPlace::Before } else { TellerPlace::Behind };
+        let place = |other| if other < relay { SourceOrder::Before } else { SourceOrder::Behind };
         let answered = self.relays[relay][kind].answered;
-        FollowSight {
-            is_covered: teller.is_some_and(|other| other < relay)
+        FollowInputs {
+            is_read_by_peer: teller.is_some_and(|other| other < relay)
                 && answered.is_some_and(|at| now - at < 1_600),
-            hears_newer: false,
+            peer_has_newer: false,
             teller: teller.map(place),
             before: relay,
             wants_list: false,
             lost_before: heard[..relay].iter().filter(|one| one[kind].is_lost).count(),
-            is_tried_by_other: kind == 1 && self.relays[relay][0].is_lost,
+            is_retried_elsewhere: kind == 1 && self.relays[relay][0].is_lost,
         }
     }
 
@@ -104,7 +105,7 @@
     fn step_one(&mut self, relay: usize, kind: usize, now: Millis) {
         let sight = self.sight(relay, kind, now);
         let one = &mut self.relays[relay][kind];
-        if sight.is_covered {
+        if sight.is_read_by_peer {
             // Proofs come with the messages of the one that reads.
             one.answered = Some(now);
             one.is_lost = false;
--- a/crates/router/tests/paths.rs
+++ b/crates/router/tests/paths.rs
@@ -7,14 +7,14 @@
         CoverConfig, GiveUpRule, LayerHolder, ModelShape, PlaceReason, plan_group, widest_gap,
     },
     fleet::LayerRange,
-    life::ReplicaLife,
+    instance::ReplicaInstance,
 };
 
 const LAYERS: u32 = 80;
 
 fn offer(id: usize, from: u32, to: u32, data_centre: usize, layer_cost: f64) -> PartOffer {
     PartOffer {
-        life: ReplicaLife::new(&format!("r{id}"), 0),
+        instance: ReplicaInstance::new(&format!("r{id}"), 0),
         address: format!("10.0.0.{}:80", id + 1).parse().expect("address"),
         data_centre,
         range: LayerRange { from, to },
@@ -40,7 +40,7 @@
 fn stays_inside_a_data_centre_where_it_can() {
     let offers = [offer(0, 0, 40, 0, 1.0), offer(1, 40, 80, 0, 1.0), offer(2, 40, 80, 1, 0.5)];
     let path = choose_path(&request(), &offers, &ChainCosts::default()).expect("a path");
-    let ids: Vec<&str> = path.iter().map(|part| part.life.id()).collect();
+    let ids: Vec<&str> = path.iter().map(|part| part.instance.id()).collect();
     assert_eq!(ids, ["r0", "r1"]);
 }
 
@@ -78,7 +78,8 @@
         });
         let path = choose_path(&request(), &offers, &ChainCosts::default());
         let path = path.expect("there are places for all");
-        let first = offers.iter().position(|offer| offer.life == path[0].life).expect("an offer");
+        let first =
+            offers.iter().position(|offer| offer.instance == path[0].instance).expect("an offer");
         begun.push((now, relay, first));
         most[first] = most[first].max(running(&begun, first, now).count());
     }
@@ -92,10 +93,11 @@
     let dear = offer(1, 0, LAYERS, 1, 2.0);
     let costs = ChainCosts::default();
     let path = choose_path(&request(), &[full.clone(), dear], &costs).expect("a path");
-    assert_eq!(path[0].life.id(), "r1");
+    assert_eq!(path[0].instance.id(), "r1");
     assert_eq!(choose_path(&request(), &[full.clone()], &costs), None);
     // A request that runs there goes on there.
-    let runs = PathRequest { first: Some((&ReplicaLife::new("r0", 0), full.range)), ..request() };
+    let runs =
+        PathRequest { first: Some((&ReplicaInstance::new("r0", 0), full.range)), ..request() };
     assert!(choose_path(&runs, &[full], &costs).is_some());
     // A replica without a limit of its own is always open, and emptier ones are cheaper.
     assert_eq!(start_cost(5_000.0, 0), Some(0.0));
@@ -115,7 +117,7 @@
 fn crosses_once_where_a_layer_is_missing() {
     let offers = [offer(0, 0, 40, 0, 1.0), offer(1, 48, 80, 0, 1.0), offer(2, 30, 80, 1, 1.0)];
     let path = choose_path(&request(), &offers, &ChainCosts::default()).expect("a path");
-    let ids: Vec<&str> = path.iter().map(|part| part.life.id()).collect();
+    let ids: Vec<&str> = path.iter().map(|part| part.instance.id()).collect();
     assert_eq!(ids, ["r0", "r2"]);
     assert!(tiles(&path, LAYERS));
 }
@@ -123,11 +125,11 @@
 #[test]
 fn keeps_the_first_part_of_a_running_request() {
     let offers = [offer(0, 0, 40, 0, 9.0), offer(1, 0, 40, 0, 1.0), offer(2, 30, 80, 0, 1.0)];
-    let life = ReplicaLife::new("r0", 0);
-    let first = Some((&life, LayerRange { from: 0, to: 35 }));
+    let instance = ReplicaInstance::new("r0", 0);
+    let first = Some((&instance, LayerRange { from: 0, to: 35 }));
     let request = PathRequest { first, ..request() };
     let path = choose_path(&request, &offers, &ChainCosts::default()).expect("a path");
-    assert_eq!(path[0].life.id(), "r0");
+    assert_eq!(path[0].instance.id(), "r0");
     assert_eq!(path[0].range, LayerRange { from: 0, to: 35 });
     assert!(tiles(&path, LAYERS));
 }
@@ -138,7 +140,7 @@
     full.room = 100.0;
     let offers = [full, offer(1, 0, 80, 0, 5.0)];
     let path = choose_path(&request(), &offers, &ChainCosts::default()).expect("a path");
-    assert_eq!(path[0].life.id(), "r1");
+    assert_eq!(path[0].instance.id(), "r1");
 }
 
 #[test]
@@ -170,9 +172,9 @@
         };
         prop_assert!(tiles(&path, LAYERS));
         for (index, part) in path.iter().enumerate() {
-            let held = offers.iter().find(|offer| offer.life == part.life).expect("an offer").range;
+            let held = offers.iter().find(|offer| offer.instance == part.instance).expect("an offer").range;
             prop_assert!(held.from <= part.range.from && part.range.to <= held.to);
-            prop_assert!(path[index + 1..].iter().all(|later| later.life != part.life));
+            prop_assert!(path[index + 1..].iter().all(|later| later.instance != part.instance));
         }
     }
 
@@ -189,7 +191,7 @@
 fn holder(id: usize, memory_mb: f64, range: Option<(u32, u32)>) -> LayerHolder {
     let range = range.map(|(from, to)| LayerRange { from, to });
     LayerHolder {
-        life: ReplicaLife::new(&format!("r{id:02}"), 0),
+        instance: ReplicaInstance::new(&format!("r{id:02}"), 0),
         memory_mb,
         slots: 0,
         layer_ms: 0.1,
@@ -206,7 +208,8 @@
     let orders = plan_group(holders, MODEL, &CoverConfig::default());
     let mut holders = holders.to_vec();
     for order in orders {
-        let holder = holders.iter_mut().find(|holder| holder.life == order.life).expect("a holder");
+        let holder =
+            holders.iter_mut().find(|holder| holder.instance == order.instance).expect("a holder");
         holder.range = Some(order.range);
         holder.held = holder.range;
     }
@@ -369,7 +372,7 @@
         holders[loading].can_order = false;
     }
     let orders = plan_group(&holders, MODEL, &CoverConfig::default());
-    let moved = orders.iter().find(|order| order.life.id() == "r02");
+    let moved = orders.iter().find(|order| order.instance.id() == "r02");
     assert!(moved.is_none_or(|order| order.reason != PlaceReason::Move), "{orders:?}");
     assert_eq!(widest_gap(&counts(&after(&holders))), None);
 }
@@ -414,7 +417,7 @@
         for _ in 0..4 {
             let orders = plan_group(&holders, MODEL, &CoverConfig::default());
             for order in &orders {
-                let holder = holders.iter_mut().find(|holder| holder.life == order.life).expect("one");
+                let holder = holders.iter_mut().find(|holder| holder.instance == order.instance).expect("one");
                 prop_assert!(holder.can_order);
                 prop_assert!(f64::from(order.range.len()) * MODEL.layer_mb <= holder.memory_mb);
                 prop_assert!(order.range.to <= LAYERS);
--- a/crates/router/tests/state.rs
+++ b/crates/router/tests/state.rs
@@ -7,17 +7,17 @@
     access::ConfigSlot,
     budget::{BudgetConfig, RepeatBudget},
     freshness::{FreshnessLease, LEASE_MARGIN},
-    lapse::{LAPSE_GRACE, LONGEST_KEPT, LapseGrace},
-    life::ReplicaLife,
-    origin::{NewsOrigin, NewsReach},
+    instance::ReplicaInstance,
+    missing::{MAX_MISSING_TIME, MissingEntries, REAPPEAR_GRACE},
+    origin::{UpdateAudience, UpdateOrigin},
     pace::{PACE_AGE, PaceTable},
     pipe::PipeShare,
     room::{FULL_TIME, FullStarts, PEER_AGE, RoomLedger},
     suspect::{FIRST_TIME_OUT, SuspectList},
 };
 
-fn life(id: &str) -> ReplicaLife {
-    ReplicaLife::new(id, 0)
+fn instance(id: &str) -> ReplicaInstance {
+    ReplicaInstance::new(id, 0)
 }
 
 const BUDGET: BudgetConfig = BudgetConfig { ratio: 0.2, allowance: 200.0, window: 10_000 };
@@ -125,11 +125,11 @@
     let mut room = RoomLedger::default();
     room.hear("b", HashMap::new(), 0);
     assert!(room.is_idle());
-    room.hear("b", HashMap::from([(life("x"), 5.0)]), 0);
+    room.hear("b", HashMap::from([(instance("x"), 5.0)]), 0);
     assert!(!room.is_idle());
     room.forget(PEER_AGE);
     assert!(room.is_idle());
-    room.promise(&life("x"), 5.0);
+    room.promise(&instance("x"), 5.0);
     assert!(!room.is_idle());
 }
 
@@ -139,9 +139,9 @@
     fn sums_of_room_are_those_of_what_was_heard(
         steps in prop::collection::vec((0usize..4, 0u64..900, prop::collection::vec((0usize..3, 0u32..50), 0..4)), 1..60)
     ) {
-        let lives = ["a", "b", "c"].map(life);
+        let instances = ["a", "b", "c"].map(instance);
         let mut ledger = RoomLedger::default();
-        let mut heard: HashMap<usize, (u64, HashMap<ReplicaLife, f64>)> = HashMap::new();
+        let mut heard: HashMap<usize, (u64, HashMap<ReplicaInstance, f64>)> = HashMap::new();
         let mut own: Vec<(usize, f64)> = Vec::new();
         let mut now = 0;
         for (who, wait, figures) in steps {
@@ -150,22 +150,22 @@
                 match figures.first() {
                     Some((which, amount)) => {
                         own.push((*which, f64::from(*amount)));
-                        ledger.promise(&lives[*which], f64::from(*amount));
+                        ledger.promise(&instances[*which], f64::from(*amount));
                     }
-                    None => own.drain(..).for_each(|(which, amount)| ledger.release(&lives[which], amount)),
+                    None => own.drain(..).for_each(|(which, amount)| ledger.release(&instances[which], amount)),
                 }
             } else {
-                let told: HashMap<ReplicaLife, f64> =
-                    figures.iter().map(|(which, amount)| (lives[*which].clone(), f64::from(*amount))).collect();
+                let told: HashMap<ReplicaInstance, f64> =
+                    figures.iter().map(|(which, amount)| (instances[*which].clone(), f64::from(*amount))).collect();
                 ledger.hear(&who.to_string(), told.clone(), now);
                 heard.insert(who, (now, told));
             }
             ledger.forget(now);
             heard.retain(|_, (at, _)| now - *at < PEER_AGE);
-            for (which, life) in lives.iter().enumerate() {
+            for (which, instance) in instances.iter().enumerate() {
                 let own: f64 = own.iter().filter(|(own, _)| *own == which).map(|(_, amount)| amount).sum();
-                let others: f64 = heard.values().filter_map(|(_, told)| told.get(life)).sum();
-                prop_assert_eq!(ledger.promised(life), own + others);
+                let others: f64 = heard.values().filter_map(|(_, told)| told.get(instance)).sum();
+                prop_assert_eq!(ledger.promised(instance), own + others);
             }
         }
     }
@@ -174,27 +174,27 @@
 #[test]
 fn room_adds_up_over_entries_and_forgets_the_gone() {
     let mut ledger = RoomLedger::default();
-    ledger.promise(&life("a"), 100.0);
-    ledger.hear("peer", HashMap::from([(life("a"), 50.0)]), 1_000);
-    assert_eq!(ledger.promised(&life("a")), 150.0);
+    ledger.promise(&instance("a"), 100.0);
+    ledger.hear("peer", HashMap::from([(instance("a"), 50.0)]), 1_000);
+    assert_eq!(ledger.promised(&instance("a")), 150.0);
     ledger.forget(1_000 + PEER_AGE);
-    assert_eq!(ledger.promised(&life("a")), 100.0);
-    ledger.release(&life("a"), 100.0);
-    assert_eq!(ledger.promised(&life("a")), 0.0);
+    assert_eq!(ledger.promised(&instance("a")), 100.0);
+    ledger.release(&instance("a"), 100.0);
+    assert_eq!(ledger.promised(&instance("a")), 0.0);
     assert!(ledger.own().is_empty());
 }
 
 #[test]
 fn suspicion_ends_and_grows() {
     let mut suspects = SuspectList::default();
-    assert_eq!(suspects.note_failure(&life("a"), 0), Some(FIRST_TIME_OUT));
-    assert_eq!(suspects.note_failure(&life("a"), 10), None);
-    assert!(suspects.is_suspect(&life("a"), FIRST_TIME_OUT - 1));
-    assert!(!suspects.is_suspect(&life("a"), FIRST_TIME_OUT));
-    let again = suspects.note_failure(&life("a"), FIRST_TIME_OUT);
+    assert_eq!(suspects.note_failure(&instance("a"), 0), Some(FIRST_TIME_OUT));
+    assert_eq!(suspects.note_failure(&instance("a"), 10), None);
+    assert!(suspects.is_suspect(&instance("a"), FIRST_TIME_OUT - 1));
+    assert!(!suspects.is_suspect(&instance("a"), FIRST_TIME_OUT));
+    let again = suspects.note_failure(&instance("a"), FIRST_TIME_OUT);
     assert_eq!(again, Some(FIRST_TIME_OUT + 2 * FIRST_TIME_OUT));
-    suspects.clear(&life("a"));
-    assert!(!suspects.is_suspect(&life("a"), FIRST_TIME_OUT));
+    suspects.clear(&instance("a"));
+    assert!(!suspects.is_suspect(&instance("a"), FIRST_TIME_OUT));
 }
 
 proptest! {
@@ -233,22 +233,22 @@
 #[test]
 fn a_slow_engine_is_told_by_the_entry_that_asked_it() {
     let mut paces = PaceTable::default();
-    assert!(paces.note(&life("i-1"), 4.0, 0));
-    assert!(!paces.note(&life("i-1"), 3.0, 100));
-    paces.take_over(&life("i-2"), 2.0, NewsOrigin::Told, 100);
-    assert_eq!(paces.factor(&life("i-1"), 200), 3.0);
-    assert_eq!(paces.factor(&life("i-2"), 200), 2.0);
-    let told = paces.told_on(NewsReach::Speakers, 200);
-    assert_eq!(told.collect::<Vec<_>>(), [(&life("i-1"), 3.0)]);
-    assert_eq!(paces.factor(&life("i-2"), 100 + PACE_AGE), 1.0);
-    assert!(paces.note(&life("i-1"), 1.0, 300));
-    assert_eq!(paces.factor(&life("i-1"), 300), 1.0);
+    assert!(paces.note(&instance("i-1"), 4.0, 0));
+    assert!(!paces.note(&instance("i-1"), 3.0, 100));
+    paces.take_over(&instance("i-2"), 2.0, UpdateOrigin::Told, 100);
+    assert_eq!(paces.factor(&instance("i-1"), 200), 3.0);
+    assert_eq!(paces.factor(&instance("i-2"), 200), 2.0);
+    let told = paces.told_on(UpdateAudience::Speakers, 200);
+    assert_eq!(told.collect::<Vec<_>>(), [(&instance("i-1"), 3.0)]);
+    assert_eq!(paces.factor(&instance("i-2"), 100 + PACE_AGE), 1.0);
+    assert!(paces.note(&instance("i-1"), 1.0, 300));
+    assert_eq!(paces.factor(&instance("i-1"), 300), 1.0);
 }
 
 /// Entries that are missing after an outage are kept for a while; those missing at other times are not.
 #[test]
 fn missing_entries_are_kept_after_an_outage_alone() {
-    let mut lapses = LapseGrace::default();
+    let mut lapses = MissingEntries::default();
     assert!(!lapses.keeps("calm", 1, 0));
     lapses.note_lost(1_000);
     assert!(!lapses.keeps("short", 1, 1_500));
@@ -259,7 +259,7 @@
     lapses.note_listed("back", 7);
     assert!(lapses.is_awaited("back"), "that was told before it was missing");
     lapses.note_listed("back", 8);
-    let end = 4_000 + LAPSE_GRACE;
+    let end = 4_000 + REAPPEAR_GRACE;
     assert!(lapses.keeps("late", 8, end - 1));
     assert_eq!(lapses.take_overdue(end - 1), []);
     let mut overdue = lapses.take_overdue(end);
@@ -272,13 +272,13 @@
 /// have been back: that at which the last read without an answer was sent.
 #[test]
 fn keeping_ends_by_the_earliest_return() {
-    let mut lapses = LapseGrace::default();
+    let mut lapses = MissingEntries::default();
     lapses.note_lost(1_000);
     lapses.note_lost(2_500);
     assert!(lapses.keeps("missing", 7, 4_100));
     lapses.note_answer(4_100);
-    assert_eq!(lapses.take_overdue(2_500 + LONGEST_KEPT - 1), []);
-    assert_eq!(lapses.take_overdue(2_500 + LONGEST_KEPT), [("missing".to_owned(), 7)]);
+    assert_eq!(lapses.take_overdue(2_500 + MAX_MISSING_TIME - 1), []);
+    assert_eq!(lapses.take_overdue(2_500 + MAX_MISSING_TIME), [("missing".to_owned(), 7)]);
 }
 
 proptest! {
@@ -289,18 +289,18 @@
         const TELL_EVERY: u64 = 200;
         const LONGEST_WAY: u64 = 900;
         let mut entries = vec![SuspectList::default(); 3];
-        entries[0].note_failure(&life("x"), 0);
+        entries[0].note_failure(&instance("x"), 0);
         let mut on_the_way: Vec<(u64, usize, u64)> = Vec::new();
         for (round, delay) in (0u64..).zip(&delays) {
             let now = round * TELL_EVERY;
             for (_, to, lasts) in on_the_way.extract_if(.., |(arrives, ..)| *arrives <= now) {
-                if !entries[to].is_suspect(&life("x"), now) {
-                    entries[to].take_over(&life("x"), now + lasts, NewsOrigin::Told);
+                if !entries[to].is_suspect(&instance("x"), now) {
+                    entries[to].take_over(&instance("x"), now + lasts, UpdateOrigin::Told);
                 }
             }
             for from in 0..entries.len() {
                 let told: Vec<u64> = entries[from]
-                    .told_on(NewsReach::Speakers, now)
+                    .told_on(UpdateAudience::Speakers, now)
                     .map(|(_, lasts)| lasts)
                     .collect();
                 let others = (0..entries.len()).filter(|to| *to != from);
@@ -308,7 +308,7 @@
                 on_the_way.extend(sent);
             }
             let over = now > FIRST_TIME_OUT + LONGEST_WAY + TELL_EVERY;
-            let kept = entries.iter().any(|entry| entry.is_suspect(&life("x"), now));
+            let kept = entries.iter().any(|entry| entry.is_suspect(&instance("x"), now));
             prop_assert!(!(over && kept), "still suspected at {}", now);
         }
     }
@@ -326,7 +326,7 @@
     assert!(lease.is_lost());
     lease.prove(2_100);
     assert!(!lease.is_lost());
-    let mut lapses = LapseGrace::default();
+    let mut lapses = MissingEntries::default();
     lapses.note_lost(1_000);
     lapses.note_lost(3_000);
     lapses.note_answer(2_900);
@@ -339,16 +339,16 @@
 fn a_rejection_for_want_of_a_place_counts_for_the_next_requests() {
     const ENTRIES: usize = 26;
     const PLACES: u32 = 192;
-    let firsts = ["a", "b", "c", "d", "e"].map(life);
+    let firsts = ["a", "b", "c", "d", "e"].map(instance);
     let mut rejections = [0, 0];
     for (learns, rejected) in [false, true].into_iter().zip(&mut rejections) {
-        let mut begun: HashMap<ReplicaLife, u32> = HashMap::new();
+        let mut begun: HashMap<ReplicaInstance, u32> = HashMap::new();
         let mut entries = vec![(RoomLedger::default(), FullStarts::default()); ENTRIES];
         for request in 0..918 {
             let now = request as u64 * 250 / 918;
             let (places, full) = &mut entries[request % ENTRIES];
             // Nobody hears of others within these 250 ms: the order of the replicas decides between equal ones.
-            let cost = |first: &&ReplicaLife| {
+            let cost = |first: &&ReplicaInstance| {
                 (full.is_full(first, now), places.promised(first) as u64 / 16)
             };
             let first = firsts.iter().min_by_key(cost).expect("there are some");
@@ -370,8 +370,10 @@
 #[test]
 fn a_replica_without_a_place_is_asked_again_soon() {
     let mut full = FullStarts::default();
-    full.note_rejection(&life("a"), 100);
-    assert!(full.is_full(&life("a"), 100 + FULL_TIME - 1) && !full.is_full(&life("b"), 100));
-    assert!(!full.is_full(&life("a"), 100 + FULL_TIME));
-    assert!(!full.is_full(&ReplicaLife::new("a", 7), 101), "its next life has all its places");
+    full.note_rejection(&instance("a"), 100);
+    assert!(
+        full.is_full(&instance("a"), 100 + FULL_TIME - 1) && !full.is_full(&instance("b"), 100)
+    );
+    assert!(!full.is_full(&instance("a"), 100 + FULL_TIME));
+    assert!(!full.is_full(&ReplicaInstance::new("a", 7), 101), "its next life has all its places");
 }
--- a/crates/soak/src/replica.rs
+++ b/crates/soak/src/replica.rs
@@ -56,7 +56,7 @@
 const SILENT_AFTER: Duration = Duration::from_millis(600);
 
 /// Time that the store has for an answer.
-const STORE_PATIENCE: Duration = Duration::from_millis(500);
+const STORE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Service of a replica.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, ValueEnum)]
@@ -112,7 +112,7 @@
     println!("{LISTENS}{}", replica.address());
     let running = engine.clone();
     tokio::spawn(async move { running.run().await });
-    let store = ObjectStore::new(&arguments.store.to_string(), STORE_PATIENCE);
+    let store = ObjectStore::new(&arguments.store.to_string(), STORE_TIMEOUT);
     let mut told: Option<Instant> = None;
     let mut leaves = false;
     let linger = Duration::from_millis(arguments.linger_ms);
