--- a/crates/relay/src/peers.rs
+++ b/crates/relay/src/peers.rs
@@ -96,7 +96,7 @@
         let (incarnation, time) = news.stamp;
         let stamp = PeerStamp { incarnation, time };
         if beliefs.peers.is_back(&news.name, stamp, now) {
-            beliefs.quarantine.tell_all(now);
+            beliefs.quarantine.announce_all(now);
         }
         if !beliefs.peers.hear(&news.name, state, stamp, now) {
             count(&relay.counts.older_states);
@@ -113,7 +113,7 @@
         }
         let mutes =
             news.mutes.iter().map(|(instance, lasts)| (instance.into(), Millis::from(*lasts)));
-        beliefs.heads.hear_mutes(&news.name, origin, mutes, now);
+        beliefs.heads.merge_stalls(&news.name, origin, mutes, now);
         lost = take_suspects(beliefs, news, origin, now);
     }
     hear_limits(relay, &news.limits, &news.name, written);
@@ -140,7 +140,7 @@
         let instance = ReplicaInstance::from(instance);
         let is_current = beliefs.fleet.view.living(&instance).is_some();
         if is_current && !beliefs.suspects.is_suspect(&instance, now) {
-            beliefs.suspects.take_over(&instance, now + Millis::from(*lasts), origin);
+            beliefs.suspects.merge(&instance, now + Millis::from(*lasts), origin);
             tracing::info!(event = "suspect-heard", replica = %instance, from = news.name, lasts);
             lost.push(instance);
         }
--- a/crates/router/benches/plans.rs
+++ b/crates/router/benches/plans.rs
@@ -13,7 +13,7 @@
     fleet::{EntryState, LayerRange, ReplicaEntry, ReplicaUpdate},
     grants::HeldGrants,
     instance::ReplicaInstance,
-    limits::{LimitTable, LimitWord},
+    limits::{LimitReport, LimitTable},
     replicas::{FleetList, FleetTracker, UpdateSource},
     room::RoomLedger,
 };
@@ -141,10 +141,17 @@
         (0..3_000).map(|number| ReplicaInstance::new(&format!("i-{number:010x}"), 0)).collect();
     for asked in [0, 1, 1_000] {
         let mut table = BackoffTable::default();
-        instances.iter().step_by(3).take(asked).for_each(|instance| table.note(instance, 3_000, 0));
+        instances
+            .iter()
+            .step_by(3)
+            .take(asked)
+            .for_each(|instance| table.record(instance, 3_000, 0));
         group.bench_function(BenchmarkId::new("3000 replicas", asked), |bencher| {
             bencher.iter(|| {
-                instances.iter().filter_map(|instance| table.left(black_box(instance), 1)).count()
+                instances
+                    .iter()
+                    .filter_map(|instance| table.remaining(black_box(instance), 1))
+                    .count()
             });
         });
     }
@@ -158,8 +165,8 @@
     for limited in [0, 3_000] {
         let (mut table, mut grants) = (LimitTable::default(), HeldGrants::default());
         for id in &ids[..limited] {
-            table.hear(id, LimitWord { per_second: Some(3.1), sent: 0 }, 0);
-            grants.take(id, 1, 0, 1.0, 0);
+            table.update(id, LimitReport { per_second: Some(3.1), sent: 0 }, 0);
+            grants.add(id, 1, 0, 1.0, 0);
         }
         group.bench_function(BenchmarkId::new("3000 replicas", limited), |bencher| {
             let wait = |id: &&String| {
--- a/crates/router/tests/backoffs.rs
+++ b/crates/router/tests/backoffs.rs
@@ -10,7 +10,7 @@
     let mut table = BackoffTable::default();
     let early = table.begin_send(&instance, false, 0).expect("nothing was asked");
     assert!(!early, "it finds nothing out");
-    table.note(&instance, 100, 0);
+    table.record(&instance, 100, 0);
     assert_eq!(table.begin_send(&instance, early, 50), Err(50));
     let trial = table.begin_send(&instance, false, 100).expect("the time is over");
     assert!(trial);
