--- a/crates/relay/src/runs.rs
+++ b/crates/relay/src/runs.rs
@@ -9,8 +9,8 @@
 use switchfold_kernel::clock::now_millis;
 use switchfold_router::{
     Millis,
-    chain::PathPart,
     instance::ReplicaInstance,
+    path::PathStage,
     quarantine::{LostRun, RunProgress, SURVIVAL_TIME},
 };
 
@@ -38,7 +38,7 @@
     }
 
     /// Watches a stream that is sent now over a path.
-    pub fn over_path(path: &[PathPart]) -> Self {
+    pub fn over_path(path: &[PathStage]) -> Self {
         let instances = path.iter().map(|part| part.instance.clone()).collect();
         Self::new(instances, RunProgress::Stream { begun: None, events: 0 })
     }
--- a/crates/relay/src/state.rs
+++ b/crates/relay/src/state.rs
@@ -15,10 +15,9 @@
 use switchfold_kernel::{clock::now_millis, http::HttpClient};
 use switchfold_router::{
     Millis,
-    access::{ConfigSlot, RoutingConfig},
     backoff::BackoffTable,
+    bandwidth::BandwidthShare,
     budget::{BudgetConfig, RetryBudget},
-    chain::PathPart,
     clocks::PeerClocks,
     fleet::EntryState,
     freshness::FreshnessLease,
@@ -27,11 +26,12 @@
     issuer::GrantIssuer,
     limits::LimitTable,
     membership::{GossipPlan, PeerTable},
-    pace::PaceTable,
-    pipe::PipeShare,
+    path::PathStage,
     quarantine::QuarantineTable,
     replicas::{FleetTracker, ForeignEntries},
-    room::{FullStarts, RoomLedger},
+    reservations::{FullReplicas, ReservationLedger},
+    routing::{ConfigSlot, RoutingConfig},
+    slowdown::SlowdownTable,
     stall::StallDetector,
     suspect::SuspectList,
 };
@@ -70,11 +70,11 @@
     /// Entries that are no replica's own.
     pub odd_entries: ForeignEntries,
     /// Memory for requests promised at each replica.
-    pub room: RoomLedger,
+    pub room: ReservationLedger,
     /// Requests that run, by the first replica of their path.
-    pub places: RoomLedger,
+    pub places: ReservationLedger,
     /// First replicas that had no place a moment ago.
-    pub full_starts: FullStarts,
+    pub full_starts: FullReplicas,
     /// Replicas that asked this VM to stay away for a time.
     pub backoffs: BackoffTable,
     /// Limits that replicas named.
@@ -88,9 +88,9 @@
     /// Clocks of the other relays.
     pub clocks: PeerClocks,
     /// Engines that are slow.
-    pub paces: PaceTable,
+    pub paces: SlowdownTable,
     /// This relay's share of the pipe between data centres.
-    pub pipe: PipeShare,
+    pub pipe: BandwidthShare,
     /// Replicas to keep away from.
     pub suspects: SuspectList,
     /// Beginnings of answers, and first replicas that begin none.
@@ -280,7 +280,7 @@
     }
 
     /// State of a part of a running request's path.
-    pub fn part_state(&self, part: &PathPart) -> PartState {
+    pub fn part_state(&self, part: &PathStage) -> PartState {
         let beliefs = self.beliefs.borrow();
         let Some(replica) = beliefs.fleet.view.living(&part.instance) else {
             return PartState::Lost;
--- a/crates/relay/src/stream.rs
+++ b/crates/relay/src/stream.rs
@@ -11,10 +11,10 @@
 use switchfold_router::{
     Millis,
     attempt::{AttemptEnd, AttemptState, NextStep, decide_next},
-    chain::PathPart,
     fleet::ReplicaEntry,
     instance::ReplicaInstance,
-    returns::return_delay,
+    path::PathStage,
+    reconnects::reconnect_delay,
 };
 use tokio::time::sleep;
 
@@ -48,7 +48,7 @@
     /// Connection that it comes on.
     pub link: BusyLink,
     /// Path that it runs over.
-    pub path: Vec<PathPart>,
+    pub path: Vec<PathStage>,
     /// Room promised along the path.
     pub room: RoomGuard,
     /// Its run.
@@ -139,7 +139,7 @@
 async fn wait_in_turn(relay: &Relay, request: &CallerRequest) -> bool {
     let draw = relay.random.borrow_mut().random();
     let age = now_millis();
-    let delay = return_delay(age, request.marks.last_event_id.is_some(), draw);
+    let delay = reconnect_delay(age, request.marks.last_event_id.is_some(), draw);
     if delay > 0 {
         sleep(Duration::from_millis(delay)).await;
     }
@@ -177,7 +177,7 @@
     patience: Duration,
 ) -> Option<OpenEnd> {
     let engine = permit.config.services.get(&permit.service)?.engine.as_ref()?;
-    let tokens = request.tokens((engine.usual_prompt, engine.usual_answer));
+    let tokens = request.tokens((engine.mean_prompt_tokens, engine.mean_answer_tokens));
     let wish = PathWish {
         service: &permit.service,
         engine,
@@ -276,7 +276,7 @@
 
 /// What goes with a request that was sent over a path.
 struct SentRun {
-    path: Vec<PathPart>,
+    path: Vec<PathStage>,
     room: RoomGuard,
     run: RunWatch,
     begun: Millis,
@@ -341,7 +341,7 @@
         return;
     };
     if marks.faulty_replica.is_none() && status == StatusCode::SERVICE_UNAVAILABLE {
-        relay.beliefs.borrow_mut().full_starts.note_rejection(&instance, now_millis());
+        relay.beliefs.borrow_mut().full_starts.record_rejection(&instance, now_millis());
     }
     if marks.faulty_replica.is_some() && status == StatusCode::SERVICE_UNAVAILABLE {
         match recent_report(relay, faulty_replica).await {
--- a/crates/router/src/pace.rs
+++ b/crates/router/src/slowdown.rs
@@ -14,7 +14,7 @@
 
 /// Age at which what an engine told is dropped, in milliseconds: an engine is asked every two seconds,
 /// and other entries repeat the answer several times a second.
-pub const PACE_AGE: Millis = 3_000;
+pub const SLOWDOWN_MAX_AGE: Millis = 3_000;
 
 /// Factor from which an engine counts as slow: below it lies the noise of its own measurement.
 const SLOW: f64 = 1.25;
@@ -30,14 +30,14 @@
 
 /// Factors by engine.
 #[derive(Clone, Debug, Default)]
-pub struct PaceTable {
+pub struct SlowdownTable {
     paces: HashMap<ReplicaInstance, EnginePace>,
 }
 
-impl PaceTable {
+impl SlowdownTable {
     /// Notes what an engine told this entry; tells whether it is news that the engine is slow, or that it
     /// no longer is.
-    pub fn note(&mut self, instance: &ReplicaInstance, factor: f64, now: Millis) -> bool {
+    pub fn record(&mut self, instance: &ReplicaInstance, factor: f64, now: Millis) -> bool {
         let was_slow = self.factor(instance, now) > 1.0;
         let is_slow = factor >= SLOW;
         match is_slow {
@@ -50,7 +50,7 @@
     }
 
     /// Takes over what another entry was told. What is known at first hand, and lately, counts for more.
-    pub fn take_over(
+    pub fn merge_peer(
         &mut self,
         instance: &ReplicaInstance,
         factor: f64,
@@ -71,7 +71,7 @@
 
     /// Slow engines that others are told of, with their factors: all that reach them by nobody else, or two entries would keep
     /// one alive between them.
-    pub fn told_on(
+    pub fn shared_with(
         &self,
         reach: UpdateAudience,
         now: Millis,
@@ -93,6 +93,6 @@
 
 impl EnginePace {
     fn is_recent(&self, now: Millis) -> bool {
-        now.saturating_sub(self.heard) < PACE_AGE
+        now.saturating_sub(self.heard) < SLOWDOWN_MAX_AGE
     }
 }
--- a/crates/router/tests/model/relay.rs
+++ b/crates/router/tests/model/relay.rs
@@ -7,7 +7,6 @@
 use switchfold_core::retry::Backoff;
 use switchfold_router::{
     Millis,
-    access::ConfigSlot,
     fleet::{EntryState, ReplicaEntry, ReplicaUpdate},
     follow::{
         CONFIG_TIMINGS, FollowInputs, FollowStep, FollowTimings, REPLICA_TIMINGS, StoreFollower,
@@ -16,6 +15,7 @@
     instance::ReplicaInstance,
     membership::{OwnState, PeerProof, PeerStamp, PeerState, PeerTable, SnapshotSource},
     replicas::{FleetList, FleetTracker, UpdateSource},
+    routing::ConfigSlot,
 };
 
 use super::{
@@ -338,7 +338,7 @@
         };
         match kind {
             Kind::Config => {
-                self.config.merge(told.version, told.version);
+                self.config.replace_if_newer(told.version, told.version);
                 self.config_at = self.config_at.max(told.at);
                 proof.proved.into_iter().for_each(|at| self.config_lease.prove_at(at));
                 proof.answered.into_iter().for_each(|at| self.config_lease.note_answer(at));
@@ -414,7 +414,7 @@
             }
             Reply::Config(version, at) => {
                 if let Some(version) = version {
-                    self.config.merge(version, version);
+                    self.config.replace_if_newer(version, version);
                 }
                 at
             }
