--- a/crates/relay/src/request.rs
+++ b/crates/relay/src/request.rs
@@ -16,7 +16,7 @@
     attempt::{AttemptEnd, NextStep},
     fingerprint::{RequestFingerprint, RequestParts},
     fleet::ReplicaEntry,
-    life::ReplicaLife,
+    instance::ReplicaInstance,
     path::PathStage,
     reconnects::awaits_config,
 };
@@ -117,7 +117,7 @@
     pub fn to_replica(&self, permit: &Permit, target: &ReplicaTarget<'_>) -> Request<Full<Bytes>> {
         let mut headers = self.headers.clone();
         let marks = ForwardHeaders {
-            replica: target.replica.life.id(),
+            replica: target.replica.instance.id(),
             time_left: self.time_left(now_millis()).max(1),
             organisation: permit.organisation.as_deref(),
             priority: target.path.is_some().then_some(self.priority(permit, target)),
@@ -138,7 +138,7 @@
         &self,
         relay: &Relay,
         permit: &Permit,
-        first: &ReplicaLife,
+        first: &ReplicaInstance,
         last_event: Option<u64>,
         path: Option<&[PathStage]>,
     ) {
@@ -171,7 +171,7 @@
     pub fn log_attempt(
         &self,
         relay: &Relay,
-        replica: Option<&ReplicaLife>,
+        replica: Option<&ReplicaInstance>,
         permit: &Permit,
         end: AttemptEnd,
         next: NextStep,
@@ -185,7 +185,7 @@
         tracing::warn!(
             event = "attempt-failed",
             request = self.marks.attempt_id,
-            replica = replica.map(ReplicaLife::to_string),
+            replica = replica.map(ReplicaInstance::to_string),
             route = permit.route.name,
             config = permit.config.version,
             ?end,
--- a/crates/router/src/placement/mod.rs
+++ b/crates/router/src/placement/mod.rs
@@ -29,7 +29,7 @@
 pub use self::gaps::widest_gap;
 use crate::{
     fleet::LayerRange,
-    life::ReplicaLife,
+    instance::ReplicaInstance,
     placement::{
         capacity::LayoutScorer,
         scarcity::free_mb_by_layer,
@@ -58,7 +58,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct LayerHolder {
     /// The replica.
-    pub life: ReplicaLife,
+    pub instance: ReplicaInstance,
     /// Memory of its accelerator in MB.
     pub memory_mb: f64,
     /// Number of requests that it accepts as the first of their path; 0 means no limit.
@@ -89,7 +89,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct PlacementOrder {
     /// The replica.
-    pub life: ReplicaLife,
+    pub instance: ReplicaInstance,
     /// Layers that it is to hold.
     pub range: LayerRange,
     /// Why the order is given, for the logs and for [`PlacementReason::unload_mode`].
@@ -182,7 +182,7 @@
     });
     let order = |after: LayerHolder| {
         let range = after.range.unwrap_or_default();
-        PlacementOrder { life: after.life, range, reason: PlacementReason::Search }
+        PlacementOrder { instance: after.instance, range, reason: PlacementReason::Search }
     };
     changed.map(|(_, after)| order(after)).collect()
 }
@@ -219,7 +219,10 @@
         let mut holders = holders.to_vec();
         // Largest first, so that small replicas fill what large ones leave.
         holders.sort_by(|left, right| {
-            right.memory_mb.total_cmp(&left.memory_mb).then_with(|| left.life.cmp(&right.life))
+            right
+                .memory_mb
+                .total_cmp(&left.memory_mb)
+                .then_with(|| left.instance.cmp(&right.instance))
         });
         let mut plan = Self { holders, model, config, fill: config.usual_fill, orders: Vec::new() };
         plan.fill = plan.choose_fill();
@@ -351,9 +354,9 @@
     fn order(&mut self, index: usize, range: LayerRange, reason: PlacementReason) {
         let holder = &mut self.holders[index];
         holder.range = Some(range);
-        let life = holder.life.clone();
-        self.orders.retain(|order| order.life != life);
-        self.orders.push(PlacementOrder { life, range, reason });
+        let instance = holder.instance.clone();
+        self.orders.retain(|order| order.instance != instance);
+        self.orders.push(PlacementOrder { instance, range, reason });
     }
 
     /// Gives one replica other layers if the gain is worth a load.
@@ -367,8 +370,8 @@
         let stride = self.holders.len().div_ceil(steps.max(1)).max(1);
         let steps = (steps * stride / self.holders.len().max(1)).max(1);
         for index in (0..self.holders.len()).step_by(stride) {
-            let max_layers = self.max_layers(&self.holders[index]);
-            let query = RangeQuery { max_layers, min_score, steps };
+            let query =
+                RangeQuery { max_layers: self.max_layers(&self.holders[index]), min_score, steps };
             let found = best_range(&mut self.holders, &mut scorer, self.model, index, query);
             if let Some(found) = found {
                 min_score = found.score;
