--- a/crates/relay/src/paths.rs
+++ b/crates/relay/src/paths.rs
@@ -149,7 +149,7 @@
     let request = PathRequest {
         layers: wish.engine.layers,
         tokens: wish.tokens,
-        entry_data_centre: home,
+        local_data_centre: home,
         data_centres: data_centres.count(),
         may_cross: crossing == CrossingRule::Allowed,
         first: wish.first,
--- a/crates/router/benches/plans.rs
+++ b/crates/router/benches/plans.rs
@@ -89,7 +89,7 @@
         let request = PathRequest {
             layers: MODEL.layers,
             tokens: 1_000.0,
-            entry_data_centre: 0,
+            local_data_centre: 0,
             data_centres,
             may_cross: false,
             first: None,
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,43 +1,44 @@
 //! Decisions for pipelines that the engines chain themselves, and for plain services.
 //!
-//! On platforms whose engines pass activations to each other, an entry chooses the whole path of a
-//! request and hands it to the first engine. This crate holds every choice that this takes, as
-//! deterministic functions: time is a [`Millis`] argument, there is no I/O and no task. The processes
-//! around it move bytes and decide nothing, so that tests reach each decision without a socket.
+//! On platforms whose engines pass activations to each other, a relay chooses the whole path of a request and
+//! sends the request to the first engine. This crate contains all decisions of a relay, as deterministic
+//! functions without I/O or tasks: time is a [`Millis`] argument. The processes around it do the I/O and decide
+//! nothing, so that tests reach each decision without a socket.
 //!
-//! | module | decides |
+//! | module | purpose |
 //! |---|---|
-//! | [`routing`] | which route, service and organisation a request has, by the configuration in force |
-//! | [`attempt`] | what follows from the outcome of one attempt |
-//! | [`backoff`] | which replicas asked this VM to stay away for a time |
-//! | [`budget`] | how many repeats a service may still get |
-//! | [`path`] | the path of a request over the layers |
-//! | [`clocks`] | as of when a message tells what it tells |
-//! | [`placement`] | which layers each replica should hold |
-//! | [`fingerprint`] | which requests are one and the same, whatever their ids |
+//! | [`attempt`] | what to do after one attempt to run a request |
+//! | [`backoff`] | which replicas asked this VM to back off |
+//! | [`bandwidth`] | how many paths may cross from one data centre to another |
+//! | [`budget`] | how many retries a service may still get |
+//! | [`clocks`] | which time of the receiver a message's time stamp corresponds to |
+//! | [`coordinator`] | which relay hands out the grants for a replica's rate limit |
+//! | [`era`] | which of two states of the store is newer, also after it was restored from a backup |
+//! | [`fingerprint`] | which requests are identical apart from their ids |
+//! | [`fleet`] | the replicas as the store lists them, and what changed |
 //! | [`follow`] | what a relay reads next from the store |
-//! | [`freshness`] | whether the configuration is recent enough to let keys in |
-//! | [`grants`] | which requests may go to replicas that named a limit |
+//! | [`freshness`] | whether the configuration is recent enough to admit keys |
+//! | [`grants`] | which requests may be sent to rate-limited replicas |
 //! | [`groups`] | which replicas are planned together, and by which relays |
-//! | [`issuer`] | which relay gets the next grant of such a replica |
-//! | [`coordinator`] | which relay hands these grants out |
-//! | [`missing`] | which entries that are missing after an outage are waited for |
-//! | [`instance`] | which life of a replica something is known of |
-//! | [`limits`] | how many requests a second each replica takes, by its own word |
-//! | [`membership`] | which relays tell each other, which gives orders, and which follows the store for others |
-//! | [`stall`] | which first replicas begin no answers, and when a request goes elsewhere |
-//! | [`origin`] | to whom news of other relays are told on |
+//! | [`instance`] | the identity of one run of a replica |
+//! | [`issuer`] | which relay gets the next grant of a rate-limited replica |
+//! | [`limits`] | how many requests per second each replica accepts |
+//! | [`membership`] | which relays exchange state, which one gives orders, and which ones follow the store |
+//! | [`missing`] | how long entries that are missing after an outage are kept |
+//! | [`origin`] | which updates of other relays are passed on, and to whom |
+//! | [`path`] | the path of a request over the layers |
+//! | [`placement`] | which layers each replica should hold |
+//! | [`quarantine`] | which requests crash the replicas that run them, and are not sent any more |
+//! | [`reconnects`] | when requests begin at a relay that has just started |
+//! | [`replicas`] | what a relay knows of the replicas, and from which source |
+//! | [`reservations`] | how much memory and how many slots are reserved at each replica |
+//! | [`routing`] | the configuration: route, service and organisation of a request |
 //! | [`slowdown`] | how slow each engine is at the moment |
-//! | [`bandwidth`] | how many paths may cross from one data centre to another |
-//! | [`era`] | which of two states of the store is the newer one, also where it came back from a copy |
-//! | [`quarantine`] | which requests end the replicas that run them, and are sent nowhere |
-//! | [`replicas`] | what a relay believes of the replicas, by whose word |
-//! | [`reconnects`] | in which order callers come back to an entry that has just started |
-//! | [`reservations`] | how much memory for requests is promised at each replica |
-//! | [`suspect`] | which replicas to keep away from for a while |
+//! | [`stall`] | which first replicas begin no responses, and when a request goes elsewhere |
+//! | [`suspect`] | which replicas are avoided for a while after a failure |
 //!
-//! The trade-off: an entry chooses alone, from what it last heard. Two entries may choose the same
-//! replica at once; the reserve in [`reservations`] is what absorbs that.
+//! The trade-off: a relay chooses alone, from what it last received. Two relays may choose the same replica at
+//! once; the safety margins of [`reservations`] and [`path`] absorb that.
 
 pub mod attempt;
 pub mod backoff;
--- a/crates/router/src/path.rs
+++ b/crates/router/src/path.rs
@@ -1,7 +1,7 @@
-//! The path of a request: a cheapest tiling of the model's layers.
+//! Chooses the path of a request: the cheapest sequence of replicas that runs each layer of the model once.
 //!
-//! Each replica offers the layers that it holds at a cost for each layer, which grows as its memory
-//! for requests fills up. A path may use any part of what a replica holds. The tiling is found by
+//! Each replica offers the layers that it holds at a cost for each layer, which grows as its memory for
+//! requests fills up. A stage of a path may use any part of what a replica holds. The path is found by
 //! dynamic programming over layer boundaries and data centres; the worst case is
 //! boundaries² × replicas × data centres, about 30,000 steps for 40 replicas of 80 layers.
 
@@ -9,21 +9,21 @@
 
 use crate::{fleet::LayerRange, instance::ReplicaInstance};
 
-/// Most parts that a path may have.
+/// Maximum number of stages of a path.
 pub const MAX_STAGES: usize = 32;
 
-/// Costs that decide between paths, in milliseconds of a token step. The relations matter, not the
-/// unit: crossing between data centres moves the activations of a whole prompt over a shared pipe
-/// (20 ms of it for a usual prompt), and two data centres' worth of prompts more than fill the pipe; so a
-/// path crosses only where no data centre has a whole one. Starting elsewhere moves only the request's
-/// bytes.
+/// Costs by which paths are compared, in milliseconds of a token step. Only their ratios matter, not the
+/// unit. Crossing to another data centre moves the activations of a whole prompt over a shared link (20 ms of
+/// it for a usual prompt), and the prompts of two data centres more than fill the link. A path
+/// therefore crosses only if no data centre has a complete one. Starting in another data centre
+/// moves only the bytes of the request.
 #[derive(Clone, Copy, Debug)]
 pub struct PathCosts {
-    /// One more part.
+    /// One more stage.
     pub hop: f64,
-    /// Passing from one data centre to another.
+    /// Crossing from one data centre to another.
     pub crossing: f64,
-    /// Beginning outside the entry's own data centre.
+    /// Starting outside the relay's own data centre.
     pub remote_start: f64,
 }
 
@@ -33,52 +33,53 @@
     }
 }
 
-/// Part of a replica's places that paths are planned to begin at: what other relays begin meanwhile is heard of
-/// 0.1 to 0.4 s late.
-const PLANNED_PLACES: f64 = 0.95;
+/// Fraction of a replica's slots up to which new paths start there. The rest is for requests that other
+/// relays start meanwhile, which this relay learns of 0.1 to 0.4 s later.
+const PLANNED_SLOTS: f64 = 0.95;
 
-/// Cost of beginning at a replica of whose places half are taken, twice that, against one more hop at 0.5: it is more
-/// than what beginning in another data centre costs, so that relays which do not hear of each other in time do not
-/// all begin at the same one.
-const PLACE_COST: f64 = 8.0;
+/// Factor of the start cost. A replica half of whose planned slots are taken costs half of it, against 0.5 for one
+/// more hop. That is more than starting in another data centre costs, so that relays which do not hear of each
+/// other in time do not all start at the same replica.
+const SLOT_COST: f64 = 8.0;
 
-/// Cost of beginning at a replica without a place, where no other path is left either.
+/// Cost of starting at a replica without a free slot; used if no other path is left either.
 pub const FULL_START_COST: f64 = 100.0;
 
-/// Cost of beginning at a replica at which `begun` requests began that still run; nothing where all of its `slots`
-/// are taken, of which 0 stands for no limit. A replica takes only so many requests as the first of their path, and
-/// rejects the rest: without that, one that is cheap for all relays gets twice what it has places for, while others
-/// have some.
-pub fn start_cost(begun: f64, slots: u32) -> Option<f64> {
+/// Returns the cost of starting at a replica where `running` requests started that still run, or `None` if
+/// all of its `slots` are taken; 0 slots mean no limit. A replica accepts only so many requests as the first
+/// of their path and rejects the rest. Without this cost, a replica that is cheap for all relays gets
+/// twice as many requests as it has slots, while others have free ones.
+pub fn start_cost(running: f64, slots: u32) -> Option<f64> {
     if slots == 0 {
         return Some(0.0);
     }
-    let taken = begun / (f64::from(slots) * PLANNED_PLACES);
-    (taken < 1.0).then(|| PLACE_COST * taken * taken / (1.0 - taken))
+    let taken = running / (f64::from(slots) * PLANNED_SLOTS);
+    (taken < 1.0).then(|| SLOT_COST * taken * taken / (1.0 - taken))
 }
 
-/// What a replica offers to a path.
+/// What a replica offers to paths.
 #[derive(Clone, Debug)]
 pub struct StageOffer {
     /// The replica.
     pub instance: ReplicaInstance,
     /// Its address.
     pub address: SocketAddr,
-    /// Its data centre, as a small number.
+    /// Number of its data centre, below [`PathRequest::data_centres`].
     pub data_centre: usize,
     /// Layers that it holds.
     pub range: LayerRange,
-    /// Cost for each layer.
+    /// Cost for each layer, in milliseconds of a token step.
     pub layer_cost: f64,
-    /// Room for requests that is left, in tokens times layers.
+    /// Memory for requests that is left, in tokens times layers.
     pub free_token_layers: f64,
-    /// Cost of beginning here, which grows as its places for requests fill up; nothing where none is left.
+    /// Cost of starting here, which grows as its slots fill up; `None` if no slot is free.
     pub start_cost: Option<f64>,
-    /// Whether no path may begin here at the moment, whatever that would cost: the replica wants none from this VM.
+    /// Whether no path may start here at the moment, at any cost: the replica asked this VM to back off, or
+    /// its rate limit allows no request now.
     pub is_throttled: bool,
 }
 
-/// One part of a path.
+/// One stage of a path: the layers that one replica runs.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct PathStage {
     /// The replica.
@@ -89,24 +90,25 @@
     pub range: LayerRange,
 }
 
-/// What a path is wanted for.
+/// What a path is needed for.
 #[derive(Clone, Debug)]
 pub struct PathRequest<'a> {
-    /// Layers of the model.
+    /// Number of layers of the model.
     pub layers: u32,
-    /// Tokens that the request may hold.
+    /// Maximum number of tokens that the request may hold.
     pub tokens: f64,
-    /// The entry's own data centre.
-    pub entry_data_centre: usize,
-    /// Count of data centres.
+    /// Number of the relay's own data centre.
+    pub local_data_centre: usize,
+    /// Number of data centres.
     pub data_centres: usize,
-    /// Whether the path may pass from one data centre to another.
+    /// Whether the path may cross from one data centre to another.
     pub may_cross: bool,
-    /// First replica that the path must begin with, and its layers: for changing the path of a request
-    /// that runs.
+    /// Replica that the path must start with, and the layers that it must run there; set when the path of a
+    /// running request is changed.
     pub first: Option<(&'a ReplicaInstance, LayerRange)>,
 }
 
+/// The last stage of the cheapest path to one state.
 #[derive(Clone, Copy, Debug)]
 struct Step {
     cost: f64,
@@ -114,14 +116,15 @@
     previous: (usize, usize),
 }
 
-/// Finds the cheapest path; nothing where the offers leave a gap or have no room.
+/// Returns the cheapest path, or `None` if the offers leave a gap, have too little memory or would need
+/// more than [`MAX_STAGES`] stages.
 pub fn choose_path(
     request: &PathRequest<'_>,
     offers: &[StageOffer],
     costs: &PathCosts,
 ) -> Option<Vec<PathStage>> {
     let bounds = boundaries(request, offers);
-    // One row for "no part yet" beside the data centres.
+    // One row for each data centre, and one for "no stage yet".
     let rows = request.data_centres + 1;
     let start_row = request.data_centres;
     let mut best: Vec<Vec<Option<Step>>> = vec![vec![None; rows]; bounds.len()];
@@ -137,8 +140,8 @@
     let end = (0..rows)
         .filter_map(|row| best[last][row].map(|step| (row, step.cost)))
         .min_by(|left, right| left.1.total_cmp(&right.1))?;
-    let parts = merge_revisits(walk_back(&best, &bounds, (last, end.0), offers));
-    (parts.len() <= MAX_STAGES).then_some(parts)
+    let stages = merge_revisits(backtrack(&best, &bounds, (last, end.0), offers));
+    (stages.len() <= MAX_STAGES).then_some(stages)
 }
 
 fn boundaries(request: &PathRequest<'_>, offers: &[StageOffer]) -> Vec<u32> {
@@ -154,7 +157,7 @@
     bounds
 }
 
-/// Tries every part that may follow the state `from`.
+/// Tries every stage that may follow the state `from`, which is a boundary and a row of `best`.
 fn relax(
     request: &PathRequest<'_>,
     offers: &[StageOffer],
@@ -165,21 +168,21 @@
     best: &mut [Vec<Option<Step>>],
 ) {
     let (position, row) = from;
-    let starts = row == request.data_centres;
+    let is_start = row == request.data_centres;
     let layer = bounds[position];
     for (index, offer) in offers.iter().enumerate() {
-        let fixed = request.first.filter(|_| starts);
-        let wrong_first = fixed.is_some_and(|(instance, _)| *instance != offer.instance);
-        if wrong_first || !offer.range.contains(layer) {
+        let required = request.first.filter(|_| is_start);
+        let is_other = required.is_some_and(|(instance, _)| *instance != offer.instance);
+        if is_other || !offer.range.contains(layer) {
             continue;
         }
-        let start_cost = match starts {
-            true => offer.start_cost.or(fixed.map(|_| 0.0)),
+        let start_cost = match is_start {
+            true => offer.start_cost.or(required.map(|_| 0.0)),
             false => Some(0.0),
         };
         let Some(start_cost) = start_cost else { continue };
-        let entry = match starts {
-            true if offer.data_centre == request.entry_data_centre => start_cost,
+        let transition_cost = match is_start {
+            true if offer.data_centre == request.local_data_centre => start_cost,
             true => costs.remote_start + start_cost,
             false if offer.data_centre == row => 0.0,
             false if request.may_cross => costs.crossing,
@@ -191,10 +194,10 @@
             if to > offer.range.to || span * request.tokens > offer.free_token_layers {
                 break;
             }
-            if fixed.is_some_and(|(_, range)| range.to != to) {
+            if required.is_some_and(|(_, range)| range.to != to) {
                 continue;
             }
-            let total = cost + entry + costs.hop + offer.layer_cost * span;
+            let total = cost + transition_cost + costs.hop + offer.layer_cost * span;
             let target = &mut best[next][offer.data_centre];
             if target.is_none_or(|step| total < step.cost) {
                 *target = Some(Step { cost: total, offer: index, previous: from });
@@ -203,50 +206,50 @@
     }
 }
 
-fn walk_back(
+fn backtrack(
     best: &[Vec<Option<Step>>],
     bounds: &[u32],
     end: (usize, usize),
     offers: &[StageOffer],
 ) -> Vec<PathStage> {
-    let mut parts = Vec::new();
+    let mut stages = Vec::new();
     let mut state = end;
     while state.0 > 0 {
-        let step = best[state.0][state.1].expect("states on a path were reached");
+        let step = best[state.0][state.1].expect("each state on a path was reached");
         let offer = &offers[step.offer];
         let range = LayerRange { from: bounds[step.previous.0], to: bounds[state.0] };
-        parts.push(PathStage { instance: offer.instance.clone(), address: offer.address, range });
+        stages.push(PathStage { instance: offer.instance.clone(), address: offer.address, range });
         state = step.previous;
     }
-    parts.reverse();
-    parts
+    stages.reverse();
+    stages
 }
 
-/// Joins parts of one replica, which may stand in a path only once. What lies between them is within
-/// its own range, so it can run that as well.
-fn merge_revisits(mut parts: Vec<PathStage>) -> Vec<PathStage> {
+/// Merges stages at the same replica, which may occur only once in a path. The layers between them are within
+/// the replica's own range, so it can run those as well.
+fn merge_revisits(mut stages: Vec<PathStage>) -> Vec<PathStage> {
     let mut index = 0;
-    while index < parts.len() {
-        let later = (index + 1..parts.len())
+    while index < stages.len() {
+        let later = (index + 1..stages.len())
             .rev()
-            .find(|later| parts[*later].instance == parts[index].instance);
+            .find(|later| stages[*later].instance == stages[index].instance);
         if let Some(later) = later {
-            parts[index].range.to = parts[later].range.to;
-            parts.drain(index + 1..=later);
+            stages[index].range.to = stages[later].range.to;
+            stages.drain(index + 1..=later);
         }
         index += 1;
     }
-    parts
+    stages
 }
 
-/// Whether parts run each of `layers` layers once, in order.
-pub fn is_complete_path(parts: &[PathStage], layers: u32) -> bool {
+/// Returns whether the stages run each of `layers` layers once, in order.
+pub fn is_complete_path(stages: &[PathStage], layers: u32) -> bool {
     let mut next = 0;
-    for part in parts {
-        if part.range.from != next || part.range.is_empty() {
+    for stage in stages {
+        if stage.range.from != next || stage.range.is_empty() {
             return false;
         }
-        next = part.range.to;
+        next = stage.range.to;
     }
     next == layers
 }
--- a/crates/router/src/routing.rs
+++ b/crates/router/src/routing.rs
@@ -1,20 +1,20 @@
-//! Routes, services, organisations and limits of one version of the configuration.
+//! The routing configuration: routes, services, organisations and limits.
 //!
-//! A configuration is immutable once decoded; look-ups are by hash for hosts and keys and by a scan
-//! of one host's prefixes, longest first.
+//! A configuration is immutable once decoded. Hosts and keys are looked up by hash; the path prefixes of a
+//! host are scanned, longest first.
 
 use std::{collections::HashMap, rc::Rc};
 
 use crate::Millis;
 
-/// What a route lets the router repeat.
+/// Whether requests of a route may run more than once.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RouteKind {
     /// May run any number of times.
     Idempotent,
-    /// Runs at most once for each attempt of a caller.
+    /// Runs at most once for each request that a caller sends.
     NonIdempotent,
-    /// Answers with a series of events; runs at most once unless the route is resumable.
+    /// Responds with a stream of events; runs at most once unless the route is resumable.
     Streaming,
 }
 
@@ -23,41 +23,41 @@
 pub struct SplitTarget {
     /// Name of the service.
     pub service: String,
-    /// Share of the traffic, relative to the other targets of the route.
+    /// Weight of its share of the traffic, relative to the other targets of the route.
     pub weight: u32,
 }
 
-/// A route as the operator wrote it.
+/// A route, as configured by the operator.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct RouteRule {
     /// Name, for logs and metrics.
     pub name: String,
-    /// Host that it answers for, in lower case.
+    /// Host that it matches, in lower case.
     pub host: String,
-    /// Beginning of the paths that it answers for; ends with a slash.
+    /// Prefix of the paths that it matches; ends with a slash.
     pub path_prefix: String,
-    /// What may be repeated.
+    /// Whether its requests may run more than once.
     pub kind: RouteKind,
-    /// Longest time that a request may be held, in milliseconds.
+    /// Maximum time that a request may take, in milliseconds.
     pub timeout: Millis,
     /// Latency objective in milliseconds.
     pub objective: Millis,
-    /// Rank; 0 is the most urgent.
+    /// Priority of its requests; 0 is the most urgent.
     pub priority: u8,
-    /// Services, by share.
+    /// Services that share its traffic.
     pub targets: Vec<SplitTarget>,
-    /// Most replicas that one request may be sent to.
+    /// Maximum number of replicas that one request may be sent to.
     pub max_attempts: u32,
-    /// Whether requests need no key.
+    /// Whether requests without a known key are admitted.
     pub public: bool,
-    /// Whether a stream may go on at another replica.
+    /// Whether a broken stream may be resumed at another replica.
     pub resumable: bool,
-    /// Longest pause between events that keeps an answer in time, in milliseconds; 0 where unset.
+    /// Maximum pause between events for a response to count as in time, in milliseconds; 0 if unset.
     pub max_event_gap: Millis,
 }
 
 impl RouteRule {
-    /// Whether a request may run more than once.
+    /// Returns whether a request may run more than once.
     pub fn is_repeatable(&self) -> bool {
         match self.kind {
             RouteKind::Idempotent => true,
@@ -66,13 +66,13 @@
         }
     }
 
-    /// Chooses a service by weight; `draw` is uniform in 0..1.
+    /// Returns a service chosen by weight, or `None` if the route has no target. `draw` is uniform in `0..1`.
     pub fn choose_service(&self, draw: f64) -> Option<&str> {
         let total: u32 = self.targets.iter().map(|target| target.weight).sum();
-        let mut left = draw * f64::from(total);
+        let mut remaining = draw * f64::from(total);
         for target in &self.targets {
-            left -= f64::from(target.weight);
-            if left < 0.0 && target.weight > 0 {
+            remaining -= f64::from(target.weight);
+            if remaining < 0.0 && target.weight > 0 {
                 return Some(&target.service);
             }
         }
@@ -84,48 +84,48 @@
 /// A kind of accelerator that engines of a service run on.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AcceleratorKind {
-    /// Name of the kind.
+    /// Name of the kind, as replicas report it.
     pub name: String,
     /// Memory in MB.
     pub memory_mb: f64,
-    /// Factor on the time of token steps, against the fastest.
+    /// Factor by which token steps take longer than at the fastest kind.
     pub step_factor: f64,
 }
 
-/// What the operator says of a service's engines.
+/// Sizes and times of a model and of the engines that run it, as configured by the operator.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineSpec {
-    /// Layers of the model.
+    /// Number of layers of the model.
     pub layers: u32,
     /// Memory of one layer's weights in MB.
     pub layer_mb: f64,
-    /// Memory that one token takes over all layers, in bytes.
+    /// Memory that one token of a request takes over all layers, in bytes.
     pub token_bytes: f64,
-    /// Time of one token step over all layers at pace 1, in milliseconds.
+    /// Time of one token step over all layers at a step factor of 1, in milliseconds.
     pub step_ms: f64,
-    /// Kinds of accelerators.
+    /// Kinds of accelerators that the engines run on.
     pub kinds: Vec<AcceleratorKind>,
-    /// Loads of weights that run at full speed at the same time.
+    /// Number of concurrent loads that the store of weights serves at full speed.
     pub max_parallel_loads: u32,
     /// Time to load the whole model, in milliseconds.
     pub load_time: Millis,
-    /// Mean tokens of a prompt.
+    /// Mean number of tokens of a prompt.
     pub mean_prompt_tokens: u32,
-    /// Mean tokens of an answer.
+    /// Mean number of tokens of a completion.
     pub mean_answer_tokens: u32,
-    /// Bytes of activations that one token hands from one replica to the next.
+    /// Bytes of activations that are sent from one replica to the next for one token.
     pub activation_bytes: f64,
-    /// Width of the pipe between data centres, in Mbit/s; 0 where nothing limits it.
+    /// Bandwidth of the link between data centres, in Mbit/s; 0 if it is unlimited.
     pub bandwidth_mbps: f64,
 }
 
 impl EngineSpec {
-    /// Memory that one token takes in one layer, in MB.
+    /// Returns the memory that one token takes in one layer, in MB.
     pub fn token_layer_mb(&self) -> f64 {
         self.token_bytes / f64::from(self.layers.max(1)) / 1e6
     }
 
-    /// Time that the activations of so many tokens take of the pipe between data centres, in
+    /// Returns how long the activations of `tokens` tokens occupy the link between data centres, in
     /// milliseconds.
     pub fn transfer_ms(&self, tokens: f64) -> f64 {
         if self.bandwidth_mbps <= 0.0 {
@@ -134,12 +134,12 @@
         tokens * self.activation_bytes * 8.0 / (self.bandwidth_mbps * 1_000.0)
     }
 
-    /// Kind of that name.
+    /// Returns the accelerator kind of that name.
     pub fn kind(&self, name: &str) -> Option<&AcceleratorKind> {
         self.kinds.iter().find(|kind| kind.name == name)
     }
 
-    /// Room for requests beside `held` layers, in tokens times layers.
+    /// Returns the memory for requests that `held` layers leave free, in tokens times layers.
     pub fn free_token_layers(&self, memory_mb: f64, held: u32) -> f64 {
         let free = memory_mb - f64::from(held) * self.layer_mb;
         (free / self.token_layer_mb()).max(0.0)
@@ -151,59 +151,59 @@
 pub struct ServiceSpec {
     /// Name of the service.
     pub name: String,
-    /// Its engines, where it is a model.
+    /// Description of its engines; `None` if it is a plain service.
     pub engine: Option<EngineSpec>,
 }
 
-/// Bounds on what callers send.
+/// Limits on what callers send.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct CallerLimits {
-    /// Bytes of a request's line and headers.
+    /// Maximum size of the request line and the headers, in bytes.
     pub max_header_bytes: usize,
-    /// Bytes of a request's body.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: usize,
-    /// Time that a kept connection may rest, in milliseconds.
+    /// Time after which an idle connection is closed, in milliseconds.
     pub idle_timeout: Millis,
 }
 
-/// An organisation and its keys.
+/// An organisation that sends requests, and its API keys.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct OrganisationRule {
-    /// Name, as replicas are told.
+    /// Name, as sent to replicas.
     pub name: String,
-    /// Keys in force.
+    /// Valid keys.
     pub keys: Vec<String>,
-    /// Rank that goes before the route's, where there is one.
+    /// Priority of its requests, in place of the route's; `None` if the route's applies.
     pub priority: Option<u8>,
 }
 
 /// One version of the configuration.
 #[derive(Clone, Debug, Default)]
 pub struct RoutingConfig {
-    /// Version; a higher one replaces a lower one, never the other way.
+    /// Version number. A configuration is only ever replaced by one with a higher version.
     pub version: u64,
     /// Services by name.
     pub services: HashMap<String, ServiceSpec>,
-    /// Bounds on what callers send.
+    /// Limits on what callers send; `None` if the defaults apply.
     pub limits: Option<CallerLimits>,
     routes: HashMap<String, Vec<Rc<RouteRule>>>,
     organisations: Vec<OrganisationRule>,
     keys: HashMap<String, usize>,
 }
 
-/// What the configuration says of a request's key.
+/// Result of checking a request's key.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum KeyCheck<'a> {
-    /// The route needs no key.
+    /// The key is not known, and none is needed: the route is public, or no organisation is configured.
     NotNeeded,
     /// The key belongs to this organisation.
     Known(&'a OrganisationRule),
-    /// No organisation holds the key, or there was none.
+    /// A key is needed, and the request has none or an unknown one.
     Unknown,
 }
 
 impl RoutingConfig {
-    /// Builds the look-up tables of a version.
+    /// Creates the configuration and its look-up tables.
     pub fn new(
         version: u64,
         routes: Vec<RouteRule>,
@@ -226,7 +226,7 @@
         Self { version, services, limits, routes: by_host, organisations, keys }
     }
 
-    /// Route of a host and a path: the one with the longest prefix.
+    /// Returns the route of a host and a path: the one with the longest matching prefix.
     pub fn route(&self, host: &str, path: &str) -> Option<Rc<RouteRule>> {
         let host = host.split(':').next().unwrap_or(host);
         let rules = match self.routes.get(host) {
@@ -236,7 +236,7 @@
         rules.iter().find(|rule| path.starts_with(&rule.path_prefix)).cloned()
     }
 
-    /// Checks a request's key.
+    /// Checks the key of a request to a route.
     pub fn check_key(&self, route: &RouteRule, key: Option<&str>) -> KeyCheck<'_> {
         let organisation = key.and_then(|key| self.keys.get(key));
         match organisation {
@@ -246,31 +246,31 @@
         }
     }
 
-    /// Models among the services, by name.
+    /// Returns the services that are models, with their names.
     pub fn engines(&self) -> impl Iterator<Item = (&str, &EngineSpec)> {
         let services = self.services.values();
         services.filter_map(|spec| Some((spec.name.as_str(), spec.engine.as_ref()?)))
     }
 
-    /// Count of routes.
+    /// Returns the number of routes.
     pub fn route_count(&self) -> usize {
         self.routes.values().map(Vec::len).sum()
     }
 }
 
-/// The configuration in force at one process; only ever moves to higher versions.
+/// Holds the configuration in force; its version only ever increases.
 #[derive(Debug, Default)]
 pub struct ConfigSlot<T> {
     current: Option<(u64, T)>,
 }
 
 impl<T> ConfigSlot<T> {
-    /// Makes an empty slot.
+    /// Creates an empty slot.
     pub fn new() -> Self {
         Self { current: None }
     }
 
-    /// Takes a version where it is newer than the one in force; tells whether it was taken.
+    /// Replaces the configuration if `version` is higher than that of the one in force; returns whether it did.
     pub fn replace_if_newer(&mut self, version: u64, config: T) -> bool {
         let newer = self.current.as_ref().is_none_or(|(current, _)| version > *current);
         if newer {
@@ -279,7 +279,7 @@
         newer
     }
 
-    /// What is in force.
+    /// Returns the configuration in force, or `None` before the first one.
     pub fn get(&self) -> Option<&T> {
         self.current.as_ref().map(|(_, config)| config)
     }
--- a/crates/router/src/slowdown.rs
+++ b/crates/router/src/slowdown.rs
@@ -1,8 +1,8 @@
-//! How slow each engine is at the moment.
+//! Tracks how slow each engine is at the moment.
 //!
-//! An engine tells in its reports by what factor it is slower than its kind of accelerator should be.
-//! Paths go round slow engines where others hold the same layers. What was heard is dropped after a
-//! while, so an engine that is well again needs no message to be used again.
+//! The reports of an engine contain the factor by which it is slower than its kind of accelerator should be.
+//! Paths avoid slow engines if others hold the same layers. Reported factors expire, so an engine that
+//! recovered is used again without any message.
 
 use std::collections::HashMap;
 
@@ -12,44 +12,44 @@
     origin::{UpdateAudience, UpdateOrigin},
 };
 
-/// Age at which what an engine told is dropped, in milliseconds: an engine is asked every two seconds,
-/// and other entries repeat the answer several times a second.
+/// Age at which a reported factor expires, in milliseconds. An engine is polled every two seconds, and other relays
+/// repeat its report several times a second.
 pub const SLOWDOWN_MAX_AGE: Millis = 3_000;
 
-/// Factor from which an engine counts as slow: below it lies the noise of its own measurement.
-const SLOW: f64 = 1.25;
+/// Factor from which an engine counts as slow; smaller ones are within the noise of its own measurement.
+const MIN_SLOWDOWN: f64 = 1.25;
 
-/// What is known of a slow engine.
 #[derive(Clone, Copy, Debug)]
-struct EnginePace {
+struct EngineSlowdown {
     factor: f64,
-    heard: Millis,
-    /// Who asked it.
+    received: Millis,
+    /// Which relay polled the engine.
     origin: UpdateOrigin,
 }
 
-/// Factors by engine.
+/// The factors of slow engines.
 #[derive(Clone, Debug, Default)]
 pub struct SlowdownTable {
-    paces: HashMap<ReplicaInstance, EnginePace>,
+    slowdowns: HashMap<ReplicaInstance, EngineSlowdown>,
 }
 
 impl SlowdownTable {
-    /// Notes what an engine told this entry; tells whether it is news that the engine is slow, or that it
-    /// no longer is.
+    /// Records the factor that an engine reported to this relay; returns whether the engine became slow or ceased to
+    /// be slow.
     pub fn record(&mut self, instance: &ReplicaInstance, factor: f64, now: Millis) -> bool {
         let was_slow = self.factor(instance, now) > 1.0;
-        let is_slow = factor >= SLOW;
+        let is_slow = factor >= MIN_SLOWDOWN;
         match is_slow {
-            true => {
-                self.insert(instance, EnginePace { factor, heard: now, origin: UpdateOrigin::Own })
-            }
+            true => self.insert(
+                instance,
+                EngineSlowdown { factor, received: now, origin: UpdateOrigin::Own },
+            ),
             false => self.forget(instance),
         }
         was_slow != is_slow
     }
 
-    /// Takes over what another entry was told. What is known at first hand, and lately, counts for more.
+    /// Merges a factor that an engine reported to another relay. A recent factor from a closer origin is kept.
     pub fn merge_peer(
         &mut self,
         instance: &ReplicaInstance,
@@ -57,42 +57,42 @@
         origin: UpdateOrigin,
         now: Millis,
     ) {
-        let known = self.paces.get(instance).filter(|known| known.is_recent(now));
+        let known = self.slowdowns.get(instance).filter(|known| known.is_recent(now));
         if known.is_none_or(|known| known.origin <= origin) {
-            self.insert(instance, EnginePace { factor, heard: now, origin });
+            self.insert(instance, EngineSlowdown { factor, received: now, origin });
         }
     }
 
-    /// By what factor an engine is slow; 1 where nothing was heard lately.
+    /// Returns the factor by which an engine is slow; 1 if no recent report says that it is.
     pub fn factor(&self, instance: &ReplicaInstance, now: Millis) -> f64 {
-        let known = self.paces.get(instance).filter(|known| known.is_recent(now));
+        let known = self.slowdowns.get(instance).filter(|known| known.is_recent(now));
         known.map_or(1.0, |known| known.factor)
     }
 
-    /// Slow engines that others are told of, with their factors: all that reach them by nobody else, or two entries would keep
-    /// one alive between them.
+    /// Returns the slow engines to announce to other relays, with their factors. Only those are announced that the
+    /// audience does not learn of otherwise; two relays would else keep an entry alive between them.
     pub fn shared_with(
         &self,
-        reach: UpdateAudience,
+        audience: UpdateAudience,
         now: Millis,
     ) -> impl Iterator<Item = (&ReplicaInstance, f64)> {
-        let recent = self.paces.iter().filter(move |(_, known)| known.is_recent(now));
-        let told = recent.filter(move |(_, known)| reach.takes(known.origin));
-        told.map(|(instance, known)| (instance, known.factor))
+        let recent = self.slowdowns.iter().filter(move |(_, known)| known.is_recent(now));
+        let shared = recent.filter(move |(_, known)| audience.takes(known.origin));
+        shared.map(|(instance, known)| (instance, known.factor))
     }
 
-    /// Forgets an engine that is gone.
+    /// Removes an engine that is gone.
     pub fn forget(&mut self, instance: &ReplicaInstance) {
-        self.paces.remove(instance);
+        self.slowdowns.remove(instance);
     }
 
-    fn insert(&mut self, instance: &ReplicaInstance, known: EnginePace) {
-        self.paces.insert(instance.clone(), known);
+    fn insert(&mut self, instance: &ReplicaInstance, known: EngineSlowdown) {
+        self.slowdowns.insert(instance.clone(), known);
     }
 }
 
-impl EnginePace {
+impl EngineSlowdown {
     fn is_recent(&self, now: Millis) -> bool {
-        now.saturating_sub(self.heard) < SLOWDOWN_MAX_AGE
+        now.saturating_sub(self.received) < SLOWDOWN_MAX_AGE
     }
 }
--- a/crates/router/tests/paths.rs
+++ b/crates/router/tests/paths.rs
@@ -30,7 +30,7 @@
     PathRequest {
         layers: LAYERS,
         tokens: 900.0,
-        entry_data_centre: 0,
+        local_data_centre: 0,
         data_centres: 3,
         may_cross: true,
         first: None,
