--- a/crates/lang/src/ast.rs
+++ b/crates/lang/src/ast.rs
@@ -1,133 +1,133 @@
-//! Statements as values.
+//! Syntax tree of a statement.
 
 use derive_more::Display;
 use serde::Serialize;
 
-/// One statement.
+/// A parsed statement.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Statement {
-    /// What to do.
+    /// The command.
     pub command: Command,
-    /// Version that the object must still have.
+    /// Version from `expect version N`; the command is refused if the object has another one.
     pub expected_version: Option<u64>,
 }
 
-/// What a statement asks for.
+/// Command of a statement.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
-    /// Show a table.
+    /// Shows a table.
     Show(Query),
-    /// Change an event's state.
+    /// Changes an event's state.
     Event {
-        /// The event.
+        /// Name of the event.
         event: String,
-        /// Its new state.
+        /// State to put it in.
         state: TargetState,
     },
-    /// Give a VM no new work, or work again.
+    /// Stops or resumes giving new work to a VM.
     Drain {
         /// Name or address of the VM.
         vm: String,
-        /// Whether it is to drain.
+        /// True for `drain`, false for `resume`.
         draining: bool,
     },
-    /// Change a class of an event.
+    /// Changes a request class of an event.
     SetClass {
-        /// The event.
+        /// Name of the event.
         event: String,
-        /// The class.
+        /// Name of the class.
         class: String,
-        /// What to change.
+        /// New value.
         setting: ClassSetting,
     },
-    /// Change an event.
+    /// Changes a setting of an event.
     SetEvent {
-        /// The event.
+        /// Name of the event.
         event: String,
-        /// What to change.
+        /// New value.
         setting: EventSetting,
     },
-    /// Change an organisation.
+    /// Changes a setting of an organisation.
     SetOrganisation {
-        /// The organisation.
+        /// Name of the organisation.
         organisation: String,
-        /// What to change.
+        /// New value.
         setting: OrganisationSetting,
     },
-    /// Create an event from JSON.
+    /// Creates an event.
     CreateEvent {
-        /// The event's configuration.
+        /// Configuration, as unparsed JSON.
         json: String,
     },
-    /// Create an organisation from JSON.
+    /// Creates an organisation.
     CreateOrganisation {
-        /// The organisation's configuration.
+        /// Configuration, as unparsed JSON.
         json: String,
     },
-    /// Delete an event.
+    /// Deletes an event.
     DeleteEvent {
-        /// The event.
+        /// Name of the event.
         event: String,
     },
-    /// Delete an organisation.
+    /// Deletes an organisation.
     DeleteOrganisation {
-        /// The organisation.
+        /// Name of the organisation.
         organisation: String,
     },
 }
 
-/// State that an event is put in.
+/// State that a command puts an event in.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum TargetState {
-    /// Takes requests.
+    /// Accepts requests.
     Open,
-    /// Refuses new requests for now.
+    /// Refuses new requests until it is opened again.
     Paused,
-    /// Over.
+    /// Has ended.
     Closed,
 }
 
-/// A change of a class.
+/// New value of a class setting.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ClassSetting {
     /// Priority, from 0 to 255.
     Priority(u8),
     /// Milliseconds within which a request must start.
     DeadlineMs(u64),
-    /// Whether requests must never be repeated.
+    /// Whether a request must run at most once, so that it is never retried.
     Once(bool),
 }
 
-/// A change of an event.
+/// New value of an event setting.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum EventSetting {
-    /// Start, in milliseconds since the epoch.
+    /// Start, in milliseconds since the Unix epoch.
     StartMs(u64),
-    /// Expected requests a second.
+    /// Expected requests per second.
     ExpectedPerS(u32),
 }
 
-/// A change of an organisation.
+/// New value of an organisation setting.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum OrganisationSetting {
-    /// Share between organisations.
+    /// Weight in fair sharing between organisations.
     Weight(u32),
-    /// Most requests a second.
+    /// Rate limit, in requests per second.
     LimitPerS(u32),
 }
 
-/// A query of a table.
+/// Query of a `show` command.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Query {
-    /// The table.
+    /// Table to read.
     pub table: Table,
-    /// Conditions, all of which must hold.
+    /// Conditions that a row must all satisfy.
     pub conditions: Vec<Condition>,
-    /// Field to count by.
+    /// Field by whose values rows are counted; `None` shows the rows themselves.
     pub group_by: Option<String>,
 }
 
-/// Tables that can be shown.
+/// Table that a query can show.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Table {
@@ -137,31 +137,31 @@
     /// Organisations and their limits.
     #[display("organisations")]
     Organisations,
-    /// Layers on VMs.
+    /// Model layers held by each VM.
     #[display("placement")]
     Placement,
     /// Endpoints with their load.
     #[display("endpoints")]
     Endpoints,
-    /// What waits at this entry.
+    /// Requests waiting at this entry.
     #[display("waiting")]
     Waiting,
-    /// Outcomes counted at this entry.
+    /// Counts of request outcomes at this entry.
     #[display("outcomes")]
     Outcomes,
-    /// Entries that are known.
+    /// Known entries.
     #[display("entries")]
     Entries,
-    /// Objects in force and their versions.
+    /// Configuration objects in use, with their versions.
     #[display("config")]
     Config,
-    /// Entries that lag behind.
+    /// Entries whose configuration is out of date.
     #[display("config laggards")]
     Laggards,
 }
 
 impl Table {
-    /// All tables.
+    /// All tables, in declaration ordering.
     pub const ALL: [Self; 9] = [
         Self::Events,
         Self::Organisations,
@@ -175,63 +175,64 @@
     ];
 }
 
-/// A comparison.
+/// Comparison operator of a condition.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Comparison {
-    /// Equal.
+    /// `=`
     Equal,
-    /// Not equal.
+    /// `!=`
     NotEqual,
-    /// Less.
+    /// `<`
     Less,
-    /// Less or equal.
+    /// `<=`
     LessOrEqual,
-    /// Greater.
+    /// `>`
     Greater,
-    /// Greater or equal.
+    /// `>=`
     GreaterOrEqual,
 }
 
-/// A value in a statement.
+/// Literal value in a condition.
 #[derive(Clone, Debug, Display, Eq, PartialEq)]
 pub enum Value {
-    /// A whole number.
+    /// Unsigned integer.
     #[display("{_0}")]
     Number(u64),
     /// `true` or `false`.
     #[display("{_0}")]
     Flag(bool),
-    /// A text.
+    /// Quoted or bare text.
     #[display("{_0}")]
     Text(String),
 }
 
-/// A condition on a field.
+/// Condition on a field of a table.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Condition {
-    /// The field.
+    /// Name of the field.
     pub field: String,
-    /// The comparison.
+    /// Comparison operator.
     pub comparison: Comparison,
-    /// What it is compared with.
+    /// Right-hand side of the comparison.
     pub value: Value,
 }
 
 impl Condition {
-    /// Tells whether a field's text satisfies the condition; numbers compare as numbers.
+    /// Returns whether a field's text satisfies the condition. Two numbers are compared by value,
+    /// anything else as text.
     pub fn matches(&self, field: &str) -> bool {
-        let wanted = self.value.to_string();
-        let order = match (field.parse::<f64>(), wanted.parse::<f64>()) {
+        let operand = self.value.to_string();
+        let ordering = match (field.parse::<f64>(), operand.parse::<f64>()) {
             (Ok(left), Ok(right)) => left.total_cmp(&right),
-            _ => field.cmp(&wanted),
+            _ => field.cmp(&operand),
         };
         match self.comparison {
-            Comparison::Equal => order.is_eq(),
-            Comparison::NotEqual => order.is_ne(),
-            Comparison::Less => order.is_lt(),
-            Comparison::LessOrEqual => order.is_le(),
-            Comparison::Greater => order.is_gt(),
-            Comparison::GreaterOrEqual => order.is_ge(),
+            Comparison::Equal => ordering.is_eq(),
+            Comparison::NotEqual => ordering.is_ne(),
+            Comparison::Less => ordering.is_lt(),
+            Comparison::LessOrEqual => ordering.is_le(),
+            Comparison::Greater => ordering.is_gt(),
+            Comparison::GreaterOrEqual => ordering.is_ge(),
         }
     }
 }
--- a/crates/lang/src/error.rs
+++ b/crates/lang/src/error.rs
@@ -1,15 +1,15 @@
-//! What is wrong with a statement.
+//! Parse errors.
 
 use derive_more::{Display, Error};
 
-/// A statement that is not understood: where, and what was expected there.
+/// Error of a statement that cannot be parsed: its position, and what was expected there.
 #[derive(Clone, Debug, Display, Eq, Error, PartialEq)]
 #[display("line {line}, column {column}: {detail}")]
 pub struct LangError {
-    /// Line, from 1.
+    /// Line, counted from 1.
     pub line: usize,
-    /// Column, from 1.
+    /// Column in characters, counted from 1.
     pub column: usize,
-    /// What was expected.
+    /// What was expected at that position.
     pub detail: String,
 }
--- a/crates/lang/src/lib.rs
+++ b/crates/lang/src/lib.rs
@@ -1,4 +1,5 @@
-//! The operators' language: ask what is placed where and what is waiting; open, pause, drain, set.
+//! Parser of the operators' language, which queries the state of the system (placement, load,
+//! waiting requests) and changes events, organisations and VMs.
 //!
 //! ```
 //! use switchfold_lang::{Command, Table, parse};
@@ -15,22 +16,23 @@
 //!
 //! | statement | effect |
 //! |---|---|
-//! | `show TABLE [where FIELD OP VALUE [and …]] [by FIELD]` | a table: `events`, `organisations`, `placement`, `endpoints`, `waiting`, `outcomes`, `entries`, `config`, `config laggards` |
+//! | `show TABLE [where FIELD OP VALUE [and …]] [by FIELD]` | shows a table: `events`, `organisations`, `placement`, `endpoints`, `waiting`, `outcomes`, `entries`, `config`, `config laggards` |
 //! | `open event "E"`, `pause event "E"`, `close event "E"` | changes the event's state |
-//! | `drain vm V`, `resume vm V` | no new work for the VM, or again |
-//! | `set event "E" class "C" FIELD VALUE` | `priority`, `deadline_ms`, `once` |
-//! | `set event "E" FIELD VALUE` | `start_ms`, `expected_per_s` |
-//! | `set organisation "O" FIELD VALUE` | `weight`, `limit_per_s` |
-//! | `create event {JSON}`, `create organisation {JSON}` | a new one |
-//! | `delete event "E"`, `delete organisation "O"` | leaves a tombstone |
+//! | `drain vm V`, `resume vm V` | stops or resumes giving new work to the VM |
+//! | `set event "E" class "C" FIELD VALUE` | changes `priority`, `deadline_ms` or `once` of a class |
+//! | `set event "E" FIELD VALUE` | changes `start_ms` or `expected_per_s` of an event |
+//! | `set organisation "O" FIELD VALUE` | changes `weight` or `limit_per_s` of an organisation |
+//! | `create event {JSON}`, `create organisation {JSON}` | creates an event or an organisation |
+//! | `delete event "E"`, `delete organisation "O"` | deletes it, leaving a tombstone |
 //!
-//! `OP` is one of `= != < <= > >=`. A command may end in `expect version N`: it is refused where the
-//! object has changed since.
+//! `OP` is one of `= != < <= > >=`. A command may end in `expect version N`; it is then refused if
+//! the object has another version.
 //!
 //! # Guarantees
 //!
-//! A statement that is not understood changes nothing; the error names the line, the column and what
-//! was expected there. Parsing takes time linear in the text, of at most [`MAX_STATEMENT_BYTES`] bytes.
+//! A statement that cannot be parsed changes nothing; the error names the line, the column and what
+//! was expected there. Parsing takes time linear in the length of the text, which is limited to
+//! [`MAX_STATEMENT_BYTES`].
 
 mod ast;
 mod error;
@@ -44,5 +46,5 @@
 pub use error::LangError;
 pub use parser::parse;
 
-/// Longest statement, in bytes.
+/// Largest statement that [`parse`] accepts, in bytes.
 pub const MAX_STATEMENT_BYTES: usize = 64 * 1_024;
--- a/crates/lang/src/parser.rs
+++ b/crates/lang/src/parser.rs
@@ -1,4 +1,4 @@
-//! From text to statements, by a grammar that the `pest` library reads.
+//! Conversion of text to statements; `pest` generates the parser from `grammar.pest`.
 
 use pest::{
     Parser, Span,
@@ -13,7 +13,7 @@
 
 #[allow(missing_docs)]
 mod grammar {
-    /// The parser that the library makes from the grammar.
+    /// Parser that `pest` generates from the grammar.
     #[derive(pest_derive::Parser)]
     #[grammar = "grammar.pest"]
     pub(super) struct StatementParser;
@@ -21,11 +21,11 @@
 
 use grammar::{Rule, StatementParser};
 
-/// Parses one statement.
+/// Parses a statement of at most [`MAX_STATEMENT_BYTES`].
 ///
 /// # Errors
 ///
-/// Fails with the place of the mistake and what was expected there.
+/// Returns the position of the first mistake and what was expected there.
 pub fn parse(text: &str) -> Result<Statement, LangError> {
     if text.len() > MAX_STATEMENT_BYTES {
         let detail =
@@ -33,21 +33,23 @@
         return Err(LangError { line: 1, column: 1, detail });
     }
     let mut pairs =
-        StatementParser::parse(Rule::statement, text).map_err(|error| describe(&error))?;
-    let statement = pairs.next().map(inner).into_iter().flatten();
+        StatementParser::parse(Rule::statement, text).map_err(|error| describe_error(&error))?;
+    let statement = pairs.next().map(inner_pairs).into_iter().flatten();
     let mut command = None;
     let mut expected_version = None;
     for part in statement {
         match part.as_rule() {
-            Rule::command => command = inner(part).next(),
-            Rule::expectation => expected_version = inner(part).next().map(|number| whole(&number)),
+            Rule::command => command = inner_pairs(part).next(),
+            Rule::expectation => {
+                expected_version = inner_pairs(part).next().map(|number| parse_number(&number))
+            }
             _ => {}
         }
     }
     let Some(command) = command else {
         return Err(LangError { line: 1, column: 1, detail: "expected a command".to_owned() });
     };
-    let command = read_command(command)?;
+    let command = build_command(command)?;
     Ok(Statement { command, expected_version: expected_version.transpose()? })
 }
 
@@ -66,14 +68,15 @@
     )
 }
 
-/// Parts of a pair that mean something; keywords are only there so that mistakes name them.
-fn inner(pair: Pair<'_, Rule>) -> impl Iterator<Item = Pair<'_, Rule>> {
+/// Returns the inner pairs without keywords. Keywords have rules of their own only so that parse
+/// errors can name them.
+fn inner_pairs(pair: Pair<'_, Rule>) -> impl Iterator<Item = Pair<'_, Rule>> {
     pair.into_inner().filter(|part| !is_keyword(part.as_rule()))
 }
 
-fn describe(error: &Error<Rule>) -> LangError {
+fn describe_error(error: &Error<Rule>) -> LangError {
     let (line, column) = match error.line_col {
-        LineColLocation::Pos(place) | LineColLocation::Span(place, _) => place,
+        LineColLocation::Pos(position) | LineColLocation::Span(position, _) => position,
     };
     let detail = match &error.variant {
         ErrorVariant::ParsingError { positives, .. } => {
@@ -124,71 +127,72 @@
     }
 }
 
-fn fault(span: Span<'_>, detail: String) -> LangError {
+fn syntax_error(span: Span<'_>, detail: String) -> LangError {
     let (line, column) = span.start_pos().line_col();
     LangError { line, column, detail }
 }
 
-fn whole(pair: &Pair<'_, Rule>) -> Result<u64, LangError> {
+fn parse_number(pair: &Pair<'_, Rule>) -> Result<u64, LangError> {
     let number = pair.as_str().parse();
-    number.map_err(|_| fault(pair.as_span(), "expected a whole number below 2^64".to_owned()))
+    number
+        .map_err(|_| syntax_error(pair.as_span(), "expected a whole number below 2^64".to_owned()))
 }
 
-/// Text of a name, a quoted text or a bare word.
-fn text_of(pair: Pair<'_, Rule>) -> String {
+/// Returns the text of a name, without the quotes if it has any.
+fn pair_text(pair: Pair<'_, Rule>) -> String {
     match pair.as_rule() {
         Rule::text | Rule::name | Rule::value => {
-            inner(pair).next().map(text_of).unwrap_or_default()
+            inner_pairs(pair).next().map(pair_text).unwrap_or_default()
         }
         _ => pair.as_str().to_owned(),
     }
 }
 
-fn read_command(pair: Pair<'_, Rule>) -> Result<Command, LangError> {
+fn build_command(pair: Pair<'_, Rule>) -> Result<Command, LangError> {
     let rule = pair.as_rule();
-    let mut parts = inner(pair);
+    let mut parts = inner_pairs(pair);
     let Some(first) = parts.next() else {
         return Err(LangError { line: 1, column: 1, detail: "expected a command".to_owned() });
     };
     Ok(match rule {
-        Rule::show => Command::Show(read_query(first, parts)?),
-        Rule::open => Command::Event { event: text_of(first), state: TargetState::Open },
-        Rule::pause => Command::Event { event: text_of(first), state: TargetState::Paused },
-        Rule::close => Command::Event { event: text_of(first), state: TargetState::Closed },
-        Rule::drain => Command::Drain { vm: text_of(first), draining: true },
-        Rule::resume => Command::Drain { vm: text_of(first), draining: false },
-        _ => return read_change(first),
+        Rule::show => Command::Show(build_query(first, parts)?),
+        Rule::open => Command::Event { event: pair_text(first), state: TargetState::Open },
+        Rule::pause => Command::Event { event: pair_text(first), state: TargetState::Paused },
+        Rule::close => Command::Event { event: pair_text(first), state: TargetState::Closed },
+        Rule::drain => Command::Drain { vm: pair_text(first), draining: true },
+        Rule::resume => Command::Drain { vm: pair_text(first), draining: false },
+        _ => return build_change(first),
     })
 }
 
-fn read_change(pair: Pair<'_, Rule>) -> Result<Command, LangError> {
+fn build_change(pair: Pair<'_, Rule>) -> Result<Command, LangError> {
     let rule = pair.as_rule();
     let span = pair.as_span();
-    let mut parts = inner(pair);
-    let mut next = || parts.next().ok_or_else(|| fault(span, "expected more".to_owned()));
+    let mut parts = inner_pairs(pair);
+    let mut next = || parts.next().ok_or_else(|| syntax_error(span, "expected more".to_owned()));
     let subject = next()?;
     Ok(match rule {
         Rule::set_class => {
-            let class = text_of(next()?);
-            let setting = read_class_setting(&next()?, next()?)?;
-            Command::SetClass { event: text_of(subject), class, setting }
+            let class = pair_text(next()?);
+            let setting = build_class_setting(&next()?, next()?)?;
+            Command::SetClass { event: pair_text(subject), class, setting }
         }
         Rule::set_event => {
-            let setting = read_event_setting(&next()?, &next()?)?;
-            Command::SetEvent { event: text_of(subject), setting }
+            let setting = build_event_setting(&next()?, &next()?)?;
+            Command::SetEvent { event: pair_text(subject), setting }
         }
         Rule::set_organisation => {
-            let setting = read_organisation_setting(&next()?, &next()?)?;
-            Command::SetOrganisation { organisation: text_of(subject), setting }
+            let setting = build_organisation_setting(&next()?, &next()?)?;
+            Command::SetOrganisation { organisation: pair_text(subject), setting }
         }
-        Rule::create_event => Command::CreateEvent { json: text_of(subject) },
-        Rule::create_organisation => Command::CreateOrganisation { json: text_of(subject) },
-        Rule::delete_event => Command::DeleteEvent { event: text_of(subject) },
-        _ => Command::DeleteOrganisation { organisation: text_of(subject) },
+        Rule::create_event => Command::CreateEvent { json: pair_text(subject) },
+        Rule::create_organisation => Command::CreateOrganisation { json: pair_text(subject) },
+        Rule::delete_event => Command::DeleteEvent { event: pair_text(subject) },
+        _ => Command::DeleteOrganisation { organisation: pair_text(subject) },
     })
 }
 
-fn read_class_setting(
+fn build_class_setting(
     field: &Pair<'_, Rule>,
     value: Pair<'_, Rule>,
 ) -> Result<ClassSetting, LangError> {
@@ -198,13 +202,16 @@
         "once" => match value.as_str().to_ascii_lowercase().as_str() {
             "true" => Ok(ClassSetting::Once(true)),
             "false" => Ok(ClassSetting::Once(false)),
-            _ => Err(fault(value.as_span(), "expected true or false".to_owned())),
+            _ => Err(syntax_error(value.as_span(), "expected true or false".to_owned())),
         },
-        _ => Err(fault(field.as_span(), "expected one of priority, deadline_ms, once".to_owned())),
+        _ => Err(syntax_error(
+            field.as_span(),
+            "expected one of priority, deadline_ms, once".to_owned(),
+        )),
     }
 }
 
-fn read_event_setting(
+fn build_event_setting(
     field: &Pair<'_, Rule>,
     value: &Pair<'_, Rule>,
 ) -> Result<EventSetting, LangError> {
@@ -213,54 +220,56 @@
         "expected_per_s" => Ok(EventSetting::ExpectedPerS(number_below(value, 1 << 32)? as u32)),
         _ => {
             let detail = "expected class \"NAME\", or one of start_ms, expected_per_s".to_owned();
-            Err(fault(field.as_span(), detail))
+            Err(syntax_error(field.as_span(), detail))
         }
     }
 }
 
-fn read_organisation_setting(
+fn build_organisation_setting(
     field: &Pair<'_, Rule>,
     value: &Pair<'_, Rule>,
 ) -> Result<OrganisationSetting, LangError> {
     match field.as_str() {
         "weight" => Ok(OrganisationSetting::Weight(number_below(value, 1 << 20)? as u32)),
         "limit_per_s" => Ok(OrganisationSetting::LimitPerS(number_below(value, 1 << 32)? as u32)),
-        _ => Err(fault(field.as_span(), "expected one of weight, limit_per_s".to_owned())),
+        _ => Err(syntax_error(field.as_span(), "expected one of weight, limit_per_s".to_owned())),
     }
 }
 
 fn number_below(value: &Pair<'_, Rule>, bound: u64) -> Result<u64, LangError> {
     let number = value.as_str().parse::<u64>().ok().filter(|number| *number < bound);
-    number.ok_or_else(|| fault(value.as_span(), format!("expected a whole number below {bound}")))
+    number.ok_or_else(|| {
+        syntax_error(value.as_span(), format!("expected a whole number below {bound}"))
+    })
 }
 
-fn read_query<'a>(
+fn build_query<'a>(
     table: Pair<'a, Rule>,
     parts: impl Iterator<Item = Pair<'a, Rule>>,
 ) -> Result<Query, LangError> {
-    let mut query = Query { table: read_table(&table)?, conditions: Vec::new(), group_by: None };
+    let mut query = Query { table: parse_table(&table)?, conditions: Vec::new(), group_by: None };
     for part in parts {
         match part.as_rule() {
-            Rule::filter => query.conditions.extend(inner(part).filter_map(read_condition)),
-            _ => query.group_by = inner(part).next().map(|field| field.as_str().to_owned()),
+            Rule::filter => query.conditions.extend(inner_pairs(part).filter_map(build_condition)),
+            _ => query.group_by = inner_pairs(part).next().map(|field| field.as_str().to_owned()),
         }
     }
     Ok(query)
 }
 
-fn read_table(pair: &Pair<'_, Rule>) -> Result<Table, LangError> {
+fn parse_table(pair: &Pair<'_, Rule>) -> Result<Table, LangError> {
     let words: Vec<String> =
         pair.as_str().split_whitespace().map(str::to_ascii_lowercase).collect();
     let name = words.join(" ");
     let found = Table::ALL.into_iter().find(|table| table.to_string() == name);
     found.ok_or_else(|| {
         let names: Vec<String> = Table::ALL.iter().map(Table::to_string).collect();
-        fault(pair.as_span(), format!("expected one of {}", names.join(", ")))
+        syntax_error(pair.as_span(), format!("expected one of {}", names.join(", ")))
     })
 }
 
-fn read_condition(pair: Pair<'_, Rule>) -> Option<Condition> {
-    let mut parts = inner(pair);
+fn build_condition(pair: Pair<'_, Rule>) -> Option<Condition> {
+    let mut parts = inner_pairs(pair);
     let field = parts.next()?.as_str().to_owned();
     let comparison = match parts.next()?.as_str() {
         "=" => Comparison::Equal,
@@ -274,7 +283,7 @@
     let value = match value.as_rule() {
         Rule::number => Value::Number(value.as_str().parse().ok()?),
         Rule::flag => Value::Flag(value.as_str().eq_ignore_ascii_case("true")),
-        _ => Value::Text(text_of(value)),
+        _ => Value::Text(pair_text(value)),
     };
     Some(Condition { field, comparison, value })
 }
--- a/crates/lang/tests/statements.rs
+++ b/crates/lang/tests/statements.rs
@@ -1,4 +1,4 @@
-//! Statements of the operators' language: what is understood, and how mistakes are pointed at.
+//! Parsing of the operators' language, and the positions of parse errors.
 
 use assert_matches::assert_matches;
 use proptest::prelude::*;
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn every_table_can_be_shown() {
+fn show_parses_every_table() {
     for table in Table::ALL {
         assert_matches!(command(&format!("show {table}")), Command::Show(query) if query.table == table);
         assert_matches!(command(&format!("SHOW   {table} ;")), Command::Show(query) if query.table == table);
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn queries_carry_conditions_and_groups() {
+fn show_parses_conditions_and_grouping() {
     let Command::Show(query) =
         command(r#"show waiting where waiting >= 3 and organisation != "a b" by target"#)
     else {
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn changes_are_understood() {
+fn commands_that_change_state_are_parsed() {
     assert_matches!(command(r#"open event "dawn""#), Command::Event { event, state: TargetState::Open } if event == "dawn");
     assert_matches!(
         command(r#"pause event "dawn""#),
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn mistakes_are_pointed_at() {
+fn errors_name_position_and_expected_input() {
     let table = [
         ("", 1, "a command"),
         ("shw events", 1, "a command"),
@@ -103,9 +103,9 @@
 }
 
 proptest! {
-    /// No text makes the parser panic, and what it refuses it refuses at a place in the text.
+    /// Whatever the text, the parser returns, and the position of an error lies within the text.
     #[test]
-    fn any_text_is_understood_or_refused(text in "[ a-z\"{}=<>0-9._-]{0,60}") {
+    fn parser_never_panics_and_errors_lie_within_the_text(text in "[ a-z\"{}=<>0-9._-]{0,60}") {
         if let Err(error) = parse(&text) {
             prop_assert!(error.line >= 1 && error.column <= text.chars().count() + 1);
         }
--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -1,4 +1,4 @@
-//! The client of the platform.
+//! HTTP client of the platform's object store and VM list.
 
 use std::{
     sync::{
@@ -21,21 +21,21 @@
     ChangeBatch, IF_VERSION, MAX_VALUE_BYTES, OBJECT_VERSION, StoreError, StoredObject, VmList,
 };
 
-/// Longest answer that is read: a list of a kind may hold many objects.
-const MOST_ANSWER_BYTES: usize = 64 << 20;
+/// Largest response body that is read; the list of a kind may hold many objects.
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
-/// How to reach the platform.
+/// Settings of a [`StoreClient`].
 #[derive(Clone, Debug)]
 pub struct StoreConfig {
-    /// Address of the platform's service.
+    /// Host and port of the platform's service.
     pub address: String,
-    /// How long to wait for an answer.
+    /// How long to wait for the response to a call; a watch adds its own waiting time.
     pub timeout: Duration,
-    /// Name of this process, so that back-off differs between processes.
+    /// Name of this process. It seeds the back-off, so that processes retry at different times.
     pub process: String,
 }
 
-/// Calls made, by kind.
+/// Counts the calls that a [`StoreClient`] and its clones made, by kind.
 #[derive(Debug, Default)]
 pub struct StoreMeter {
     reads: AtomicU64,
@@ -44,23 +44,23 @@
 }
 
 impl StoreMeter {
-    /// Reads made.
+    /// Returns the count of reads and lists, retries included.
     pub fn reads(&self) -> u64 {
         self.reads.load(Ordering::Relaxed)
     }
 
-    /// Writes made, settled or not.
+    /// Returns the count of writes and deletes, retries included, whatever their outcome.
     pub fn writes(&self) -> u64 {
         self.writes.load(Ordering::Relaxed)
     }
 
-    /// Watches made.
+    /// Returns the count of watches.
     pub fn watches(&self) -> u64 {
         self.watches.load(Ordering::Relaxed)
     }
 }
 
-/// Calls the platform's store and list of VMs.
+/// Client of the platform's object store and VM list; clones share connections and counters.
 #[derive(Clone, Debug)]
 pub struct StoreClient {
     http: HttpClient,
@@ -69,18 +69,19 @@
     meter: Arc<StoreMeter>,
 }
 
-/// Longest wait of a watch; the client waits a little longer for its answer.
-const WATCH_WAIT: Duration = Duration::from_secs(20);
+/// Longest time that the store may hold a watch open. The client waits this long and
+/// [`StoreConfig::timeout`] for the response.
+const MAX_WATCH_WAIT: Duration = Duration::from_secs(20);
 
 impl StoreClient {
-    /// Makes a client; connects on the first call.
+    /// Creates a client, which connects on its first call.
     pub fn new(config: StoreConfig) -> Self {
-        let http = HttpClient::new(config.timeout, MOST_ANSWER_BYTES);
-        let watch_http = HttpClient::new(WATCH_WAIT + config.timeout, MOST_ANSWER_BYTES);
+        let http = HttpClient::new(config.timeout, MAX_RESPONSE_BYTES);
+        let watch_http = HttpClient::new(MAX_WATCH_WAIT + config.timeout, MAX_RESPONSE_BYTES);
         Self { http, watch_http, config, meter: Arc::default() }
     }
 
-    /// Calls made so far.
+    /// Returns the counters of calls.
     pub fn meter(&self) -> &StoreMeter {
         &self.meter
     }
@@ -89,30 +90,32 @@
     ///
     /// # Errors
     ///
-    /// Fails where the store does not answer, or not as its interface says.
+    /// Returns [`StoreError::Unavailable`] or [`StoreError::RateLimited`] if the store does not
+    /// serve the call, and [`StoreError::Malformed`] if the response breaks the interface.
     pub async fn read(&self, key: &ObjectKey) -> Result<StoredObject, StoreError> {
         self.meter.reads.fetch_add(1, Ordering::Relaxed);
         let request = self.request(Method::GET, &object_path(key), None, Bytes::new())?;
-        let answer = read_call(self.http.call(request).await)?;
-        match answer.status {
+        let response = read_outcome(self.http.call(request).await)?;
+        match response.status {
             StatusCode::OK => {
-                let version = version_of(&answer)?;
-                Ok(StoredObject { version, value: Some(answer.body.to_vec()) })
+                let version = version_of(&response)?;
+                Ok(StoredObject { version, value: Some(response.body.to_vec()) })
             }
             StatusCode::NOT_FOUND => {
-                let version = version_of(&answer).unwrap_or(0);
+                let version = version_of(&response).unwrap_or(0);
                 Ok(StoredObject { version, value: None })
             }
-            status => Err(refused(status)),
+            status => Err(status_error(status)),
         }
     }
 
-    /// Writes an object where it still has the version `expected`; 0 means that it must not exist.
-    /// Returns the new version.
+    /// Writes an object if its version is still `expected`, and returns the new version. An
+    /// `expected` of 0 means that the object must not exist.
     ///
     /// # Errors
     ///
-    /// [`StoreError::OutcomeUnknown`] where the write may have taken effect; otherwise it did not.
+    /// Returns [`StoreError::OutcomeUnknown`] if the write may have taken effect. After any other
+    /// error it did not.
     pub async fn write(
         &self,
         key: &ObjectKey,
@@ -120,12 +123,12 @@
         value: &[u8],
     ) -> Result<u64, StoreError> {
         if value.len() > MAX_VALUE_BYTES {
-            return Err(StoreError::TooLarge { len: value.len(), most: MAX_VALUE_BYTES });
+            return Err(StoreError::TooLarge { len: value.len(), max: MAX_VALUE_BYTES });
         }
         self.change(Method::PUT, key, expected, Bytes::copy_from_slice(value)).await
     }
 
-    /// Deletes an object where it still has the version `expected`. Returns the tombstone's version.
+    /// Deletes an object if its version is still `expected`, and returns the tombstone's version.
     ///
     /// # Errors
     ///
@@ -134,7 +137,7 @@
         self.change(Method::DELETE, key, expected, Bytes::new()).await
     }
 
-    /// Reads all objects of a kind, tombstones included.
+    /// Lists all objects of a kind, tombstones included.
     ///
     /// # Errors
     ///
@@ -143,14 +146,16 @@
         self.meter.reads.fetch_add(1, Ordering::Relaxed);
         let path = format!("/v1/objects/{kind}");
         let request = self.request(Method::GET, &path, None, Bytes::new())?;
-        parse(&read_call(self.http.call(request).await)?)
+        parse(&read_outcome(self.http.call(request).await)?)
     }
 
-    /// Waits for changes of some kinds after a revision, and gives what there is after `wait` at most.
+    /// Returns the changes of some kinds after the revision `after`, waiting for the first one for
+    /// at most `wait`. The batch is empty if none came in that time.
     ///
     /// # Errors
     ///
-    /// As [`StoreClient::read`]; [`StoreError::RevisionExpired`] where the revision is too old.
+    /// As [`StoreClient::read`]; also [`StoreError::RevisionExpired`] if the store no longer keeps
+    /// the history after that revision.
     pub async fn watch(
         &self,
         kinds: &[&str],
@@ -158,14 +163,14 @@
         wait: Duration,
     ) -> Result<ChangeBatch, StoreError> {
         self.meter.watches.fetch_add(1, Ordering::Relaxed);
-        let wait_ms = wait.min(WATCH_WAIT).as_millis();
+        let wait_ms = wait.min(MAX_WATCH_WAIT).as_millis();
         let kinds = kinds.join(",");
         let path = format!("/v1/watch?kinds={kinds}&after={after}&wait_ms={wait_ms}");
         let request = self.request(Method::GET, &path, None, Bytes::new())?;
-        parse(&read_call(self.watch_http.call(request).await)?)
+        parse(&read_outcome(self.watch_http.call(request).await)?)
     }
 
-    /// Reads the list of VMs.
+    /// Lists the VMs. The list may lag behind the platform.
     ///
     /// # Errors
     ///
@@ -173,18 +178,20 @@
     pub async fn list_vms(&self) -> Result<VmList, StoreError> {
         self.meter.reads.fetch_add(1, Ordering::Relaxed);
         let request = self.request(Method::GET, "/v1/vms", None, Bytes::new())?;
-        parse(&read_call(self.http.call(request).await)?)
+        parse(&read_outcome(self.http.call(request).await)?)
     }
 
-    /// Writes, and settles an unclear outcome by reading back, until `timeout` is used up.
+    /// Writes like [`StoreClient::write`], retries until `timeout`, and reads the object back when
+    /// an outcome is unknown.
     ///
-    /// `is_own` tells from the stored contents whether this very write took effect; contents that are
-    /// unique to the write (a command's id) make that certain.
+    /// `is_own` decides from the stored contents whether this very write took effect. The decision
+    /// is certain if the contents are unique to the write, for example by a command's id.
     ///
     /// # Errors
     ///
-    /// [`StoreError::Conflict`] where another write came first; [`StoreError::OutcomeUnknown`] where the
-    /// outcome could not be read back in time; otherwise nothing was written.
+    /// Returns [`StoreError::Conflict`] if another write came first, and
+    /// [`StoreError::OutcomeUnknown`] if the outcome could not be read back in time. After any
+    /// other error nothing was written.
     pub async fn write_confirmed(
         &self,
         key: &ObjectKey,
@@ -195,29 +202,32 @@
     ) -> Result<u64, StoreError> {
         let deadline = Instant::now() + timeout;
         let mut backoff = self.backoff(key);
-        let mut unclear = false;
-        // Once an answer was lost, that write may still land: a conflict may then be with itself.
-        let mut was_unclear = false;
+        let mut outcome_unknown = false;
+        // A write whose response was lost may still be applied later. A conflict of a later attempt
+        // may then be with that write, so it is checked by reading back.
+        let mut lost_response = false;
         loop {
-            let outcome = if unclear {
+            let outcome = if outcome_unknown {
                 self.read_back(key, expected, &is_own).await
             } else {
                 self.write(key, expected, value).await.map(WriteState::Written)
             };
             match outcome {
                 Ok(WriteState::Written(version)) => return Ok(version),
-                Ok(WriteState::Unwritten) => unclear = false,
+                Ok(WriteState::Unwritten) => outcome_unknown = false,
                 Err(StoreError::OutcomeUnknown { .. }) => {
-                    unclear = true;
-                    was_unclear = true;
+                    outcome_unknown = true;
+                    lost_response = true;
+                }
+                Err(StoreError::Conflict { .. }) if lost_response && !outcome_unknown => {
+                    outcome_unknown = true
                 }
-                Err(StoreError::Conflict { .. }) if was_unclear && !unclear => unclear = true,
                 Err(StoreError::Unavailable { .. } | StoreError::RateLimited) => {}
                 Err(error) => return Err(error),
             }
-            if !wait_within(deadline, backoff.next_wait()).await {
-                let detail = "no answer in time".to_owned();
-                return Err(match unclear {
+            if !sleep_before(deadline, backoff.next_wait()).await {
+                let detail = "no response before the time-out".to_owned();
+                return Err(match outcome_unknown {
                     true => StoreError::OutcomeUnknown { detail },
                     false => StoreError::Unavailable { detail },
                 });
@@ -259,8 +269,8 @@
     ) -> Result<u64, StoreError> {
         self.meter.writes.fetch_add(1, Ordering::Relaxed);
         let request = self.request(method, &object_path(key), Some(expected), body)?;
-        let answer = match self.http.call(request).await {
-            Ok(answer) => answer,
+        let response = match self.http.call(request).await {
+            Ok(response) => response,
             Err(CallError::NotConnected { detail }) => {
                 return Err(StoreError::Unavailable { detail });
             }
@@ -268,10 +278,10 @@
                 return Err(StoreError::OutcomeUnknown { detail });
             }
         };
-        match answer.status {
-            StatusCode::OK => version_of(&answer),
-            StatusCode::CONFLICT => Err(StoreError::Conflict { version: version_of(&answer)? }),
-            status => Err(refused(status)),
+        match response.status {
+            StatusCode::OK => version_of(&response),
+            StatusCode::CONFLICT => Err(StoreError::Conflict { version: version_of(&response)? }),
+            status => Err(status_error(status)),
         }
     }
 
@@ -293,13 +303,17 @@
     }
 }
 
-/// What reading back says of a write.
+/// Whether a write took effect.
 enum WriteState {
+    /// It did; the object's version.
     Written(u64),
+    /// The object still has the expected version.
     Unwritten,
 }
 
-async fn wait_within(deadline: Instant, millis: u64) -> bool {
+/// Sleeps for `millis` milliseconds and returns true, or returns false at once if that would pass
+/// the deadline.
+async fn sleep_before(deadline: Instant, millis: u64) -> bool {
     let wait = Duration::from_millis(millis);
     if Instant::now() + wait >= deadline {
         return false;
@@ -312,32 +326,37 @@
     format!("/v1/objects/{}/{}", key.kind, key.name)
 }
 
-fn version_of(answer: &FullResponse) -> Result<u64, StoreError> {
-    let header = answer.headers.get(OBJECT_VERSION);
+/// Reads the version header of a response.
+fn version_of(response: &FullResponse) -> Result<u64, StoreError> {
+    let header = response.headers.get(OBJECT_VERSION);
     let text = header.and_then(|value| value.to_str().ok());
     let version = text.and_then(|text| text.parse().ok());
-    version.ok_or_else(|| StoreError::Malformed { detail: format!("no {OBJECT_VERSION} header") })
+    version.ok_or_else(|| StoreError::Malformed {
+        detail: format!("missing or invalid {OBJECT_VERSION} header"),
+    })
 }
 
-fn parse<T: serde::de::DeserializeOwned>(answer: &FullResponse) -> Result<T, StoreError> {
-    if answer.status != StatusCode::OK {
-        return Err(refused(answer.status));
+fn parse<T: serde::de::DeserializeOwned>(response: &FullResponse) -> Result<T, StoreError> {
+    if response.status != StatusCode::OK {
+        return Err(status_error(response.status));
     }
-    serde_json::from_slice(&answer.body)
+    serde_json::from_slice(&response.body)
         .map_err(|error| StoreError::Malformed { detail: error.to_string() })
 }
 
-fn refused(status: StatusCode) -> StoreError {
+/// Returns the error for a status other than 200 and 409.
+fn status_error(status: StatusCode) -> StoreError {
     match status {
         StatusCode::TOO_MANY_REQUESTS => StoreError::RateLimited,
         StatusCode::GONE => StoreError::RevisionExpired,
         status if status.is_server_error() => {
             StoreError::Unavailable { detail: status.to_string() }
         }
-        status => StoreError::Malformed { detail: format!("status {status}") },
+        status => StoreError::Malformed { detail: format!("unexpected status {status}") },
     }
 }
 
-fn read_call(answer: Result<FullResponse, CallError>) -> Result<FullResponse, StoreError> {
-    answer.map_err(|error| StoreError::Unavailable { detail: error.to_string() })
+/// Converts the outcome of a call that changes nothing: whatever went wrong, it may be repeated.
+fn read_outcome(response: Result<FullResponse, CallError>) -> Result<FullResponse, StoreError> {
+    response.map_err(|error| StoreError::Unavailable { detail: error.to_string() })
 }
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -1,45 +1,46 @@
-//! What can go wrong with the store.
+//! Errors of store calls.
 
 use derive_more::{Display, Error};
 
-/// Why a call of the store did not do what was asked.
+/// Error of a call to the object store.
 #[derive(Clone, Debug, Display, Eq, Error, PartialEq)]
 #[non_exhaustive]
 pub enum StoreError {
-    /// The store did not take the call; nothing changed.
+    /// The store could not be reached or did not serve the call; nothing changed.
     #[display("store unavailable: {detail}")]
     Unavailable {
-        /// What it said.
+        /// Transport error or status of the response.
         detail: String,
     },
-    /// The store's rate is used up; nothing changed.
-    #[display("store's rate is used up")]
+    /// The store's rate limit was exceeded; nothing changed.
+    #[display("store's rate limit exceeded")]
     RateLimited,
-    /// The object has another version than the write expected; nothing changed.
+    /// The object's version is not the expected one; nothing changed.
     #[display("conflict: the object is at version {version}")]
     Conflict {
-        /// Version that it has.
+        /// Current version; 0 if the store's interface does not report one.
         version: u64,
     },
-    /// The answer was lost: the write may have taken effect.
-    #[display("answer lost, the write may have taken effect: {detail}")]
+    /// The response was lost or cannot be trusted: the write may have taken effect.
+    #[display("response lost, the write may have taken effect: {detail}")]
     OutcomeUnknown {
-        /// What happened.
+        /// Why the outcome is unknown.
         detail: String,
     },
-    /// The value is larger than the store takes; it was not sent.
-    #[display("value of {len} bytes, the store takes {most}")]
+    /// The value is larger than the store accepts; it was not sent.
+    #[display("value of {len} bytes exceeds the store's limit of {max} bytes")]
     TooLarge {
-        /// Length of the value.
+        /// Length of the value, in bytes.
         len: usize,
-        /// Most that it takes.
-        most: usize,
+        /// Largest accepted length, in bytes.
+        max: usize,
     },
-    /// The watch asked for a revision that the store has forgotten: read everything again.
+    /// The store no longer keeps the history after the revision of a watch; the caller has to list
+    /// the objects again.
     #[display("revision is too old to watch from")]
     RevisionExpired,
-    /// The answer is not what the interface says.
-    #[display("malformed answer: {detail}")]
+    /// The request or the response breaks the store's interface.
+    #[display("malformed response: {detail}")]
     Malformed {
         /// What is wrong with it.
         detail: String,
--- a/crates/store/src/types.rs
+++ b/crates/store/src/types.rs
@@ -1,17 +1,17 @@
-//! What the platform's answers hold.
+//! Types of the store's responses.
 
 use serde::{Deserialize, Serialize};
 
-/// An object as read.
+/// Object as returned by a read.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct StoredObject {
-    /// Version; 0 where there never was such an object.
+    /// Version of the object or of its tombstone; 0 if there never was such an object.
     pub version: u64,
-    /// Contents; nothing where it is absent or deleted.
+    /// Contents; `None` if the object is absent or deleted.
     pub value: Option<Vec<u8>>,
 }
 
-/// One change, as listed or watched.
+/// State of an object after its last change, as returned by a list or a watch.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct StoredChange {
     /// Kind of the object.
@@ -20,59 +20,59 @@
     pub name: String,
     /// Version after the change.
     pub version: u64,
-    /// Contents as text; nothing for a tombstone.
+    /// Contents as text; `None` for a tombstone.
     pub value: Option<String>,
 }
 
-/// Changes up to a revision.
+/// Response to a list or a watch.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ChangeBatch {
-    /// Revision that the batch reaches.
+    /// Revision of the store up to which the batch is complete; the next watch starts after it.
     pub revision: u64,
     /// Changes, oldest first.
     pub changes: Vec<StoredChange>,
 }
 
-/// What a VM is for.
+/// Which process a VM runs.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum VmRole {
-    /// Runs an entry.
+    /// An entry.
     Entry,
-    /// Runs an agent beside an endpoint.
+    /// An agent and the endpoint that it serves.
     Endpoint,
 }
 
-/// Whether a VM is to stay.
+/// Lifecycle state of a VM.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum VmState {
-    /// It is there.
+    /// In use.
     Live,
-    /// It will go soon.
+    /// About to be removed by the platform.
     Leaving,
 }
 
-/// One VM.
+/// VM of the platform's list.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct VmEntry {
-    /// Name; also the name of the process of the system that runs there.
+    /// Name of the VM, and of the entry or agent that runs on it.
     pub name: String,
-    /// Address of that process.
+    /// Address of that entry or agent.
     pub address: String,
-    /// Data centre.
+    /// Name of the data centre.
     pub data_centre: String,
-    /// What it is for.
+    /// Which process the VM runs.
     pub role: VmRole,
-    /// Whether it is to stay.
+    /// Lifecycle state.
     pub state: VmState,
 }
 
-/// The list of VMs.
+/// The platform's list of VMs.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct VmList {
-    /// Grows with each change of the list.
+    /// Revision of the list; grows with each change.
     pub revision: u64,
-    /// VMs, in no order.
+    /// The VMs, in no particular order.
     pub vms: Vec<VmEntry>,
 }
