--- a/crates/link/src/client.rs
+++ b/crates/link/src/client.rs
@@ -1,4 +1,4 @@
-//! The side that opens a link.
+//! Connecting side of a link.
 
 use std::time::Duration;
 
@@ -12,28 +12,29 @@
 
 use crate::{LinkError, LinkFrames, LinkSender, TOKEN_KEY, link_queue};
 
-/// How long to wait for a connection.
+/// Time-out for making a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// How often a silent connection is tested, and how long the test may take.
+/// Interval of HTTP/2 keep-alive pings, and time-out for the response to one.
 const KEEP_ALIVE: Duration = Duration::from_secs(10);
 
-/// Flow-control window, so that a frame of prompts never waits for a round trip.
-const WINDOW: u32 = 1 << 20;
+/// HTTP/2 flow-control window. It is large enough that a frame of prompts does not wait a round trip
+/// for a window update.
+const WINDOW_BYTES: u32 = 1 << 20;
 
-/// A link that this process opened.
+/// Link that this process opened.
 #[derive(Debug)]
 pub struct ClientLink {
-    /// Sends to the other side.
+    /// Outgoing half.
     pub sender: LinkSender,
-    /// What the other side sends.
+    /// Incoming half.
     pub frames: LinkFrames,
 }
 
-/// A channel whose calls carry the cluster token.
+/// gRPC channel whose calls carry the cluster token.
 pub type PeerChannel = InterceptedService<Channel, TokenInterceptor>;
 
-/// Adds the cluster token to each call.
+/// Adds the cluster token to the metadata of each call.
 #[derive(Clone, Debug)]
 pub struct TokenInterceptor {
     token: MetadataValue<Ascii>,
@@ -46,19 +47,19 @@
     }
 }
 
-/// Connects to a process of the cluster.
+/// Connects to another process of the cluster at `address`, an IP address with a port.
 ///
 /// # Errors
 ///
-/// Fails where the address or the token is malformed, or nobody answers.
+/// Fails if the address or the token is malformed, or no connection is made within a second.
 pub async fn peer_channel(address: &str, token: &str) -> Result<PeerChannel, LinkError> {
     let bad_address = |_| LinkError::BadAddress { address: address.to_owned() };
     let endpoint = Endpoint::from_shared(format!("http://{address}")).map_err(bad_address)?;
     let endpoint = endpoint
         .connect_timeout(CONNECT_TIMEOUT)
         .tcp_nodelay(true)
-        .initial_stream_window_size(WINDOW)
-        .initial_connection_window_size(WINDOW)
+        .initial_stream_window_size(WINDOW_BYTES)
+        .initial_connection_window_size(WINDOW_BYTES)
         .http2_keep_alive_interval(KEEP_ALIVE)
         .keep_alive_timeout(KEEP_ALIVE);
     let token = token.parse().map_err(|_| LinkError::BadToken)?;
@@ -69,11 +70,11 @@
     Ok(InterceptedService::new(channel, TokenInterceptor { token }))
 }
 
-/// Opens a link and says hello.
+/// Opens a link to another process; `hello` is its first message.
 ///
 /// # Errors
 ///
-/// As [`peer_channel`], and where the other side refuses the link.
+/// As [`peer_channel`]; also fails if the other side refuses the link.
 pub async fn connect_link(
     address: &str,
     token: &str,
@@ -82,9 +83,9 @@
     let channel = peer_channel(address, token).await?;
     let (sender, queue) = link_queue();
     sender.send(Body::Hello(hello));
-    let answer = LinkClient::new(channel).connect(queue.into_frames()).await;
-    match answer {
-        Ok(answer) => Ok(ClientLink { sender, frames: answer.into_inner() }),
+    let response = LinkClient::new(channel).connect(queue.into_frames()).await;
+    match response {
+        Ok(response) => Ok(ClientLink { sender, frames: response.into_inner() }),
         Err(status) => Err(LinkError::Refused { detail: status.message().to_owned() }),
     }
 }
--- a/crates/link/src/lib.rs
+++ b/crates/link/src/lib.rs
@@ -1,12 +1,12 @@
-//! Kept streams between the processes of switchfold.
+//! Links: persistent bidirectional gRPC streams between the processes of switchfold.
 //!
-//! Two processes that talk keep one stream open and send many small messages over it. Messages that
-//! wait together travel in one [`Frame`], which costs one write instead of many when a batch of steps
-//! leaves an engine at once. A sender never blocks: where the other side does not read, the queue
-//! fills up and the link is given up, which its owner treats like any other lost link.
+//! Two processes keep one stream open and send many small messages over it. Messages that are queued
+//! at the same time are sent in one [`Frame`], so that a batch of steps that leaves an engine at once
+//! costs one write instead of many. A sender never blocks: if the other side stops reading, the queue
+//! fills up, sends fail, and the owner treats the link as lost.
 //!
-//! Every stream carries the cluster token of the settings, compared in constant time, and starts with
-//! a [`Hello`] that names the protocol version; see [`LinkError`] for what a stranger is told.
+//! Every stream carries the cluster token of the settings, which is compared in constant time, and
+//! starts with a [`Hello`] that names the protocol version. [`LinkError`] lists why a link is refused.
 
 mod client;
 mod queue;
@@ -19,51 +19,51 @@
 pub use queue::{LinkQueue, LinkSender, link_queue};
 pub use server::{LinkAcceptor, ServerLink, bind_incoming, check_token};
 
-/// Name of the metadata entry that carries the cluster token.
+/// Name of the gRPC metadata entry that carries the cluster token.
 pub const TOKEN_KEY: &str = "switchfold-cluster";
 
-/// Messages that may wait on one link.
+/// Messages that may be queued on one link before sends fail.
 pub const QUEUE_CAPACITY: usize = 8_192;
 
-/// Why a link was not made, or ended.
+/// Error of opening a link.
 #[derive(Clone, Debug, Display, Eq, Error, PartialEq)]
 #[non_exhaustive]
 pub enum LinkError {
-    /// The address is not one.
+    /// The address is malformed.
     #[display("address {address}: expected an IP address with a port")]
     BadAddress {
         /// The address.
         address: String,
     },
-    /// The cluster token cannot be sent.
+    /// The cluster token cannot be sent in gRPC metadata.
     #[display("cluster token: expected visible ASCII characters")]
     BadToken,
-    /// Nobody answers at the address.
+    /// No connection to the address could be made.
     #[display("{address}: {detail}")]
     Unreachable {
         /// The address.
         address: String,
-        /// What the transport said.
+        /// Error of the transport.
         detail: String,
     },
     /// The other side refused the link.
     #[display("refused: {detail}")]
     Refused {
-        /// What the other side said.
+        /// Message of the gRPC status.
         detail: String,
     },
-    /// The other side speaks another version of the protocol.
+    /// The other side uses another version of the protocol.
     #[display("protocol version {theirs}, expected {ours}: upgrade the older process")]
     OtherProtocol {
-        /// Their version.
+        /// Version of the other side.
         theirs: u32,
-        /// This process's version.
+        /// Version of this process.
         ours: u32,
     },
 }
 
-/// First messages of a link: what the other side said of itself.
+/// First message of a link, with which the connecting side identifies itself.
 pub type LinkHello = Hello;
 
-/// Messages of a link, a frame at a time.
+/// Incoming half of a link: a stream of frames.
 pub type LinkFrames = tonic::Streaming<Frame>;
--- a/crates/link/src/queue.rs
+++ b/crates/link/src/queue.rs
@@ -7,44 +7,45 @@
 
 use crate::QUEUE_CAPACITY;
 
-/// Messages that travel in one frame at most.
-const FRAME_LEN: usize = 64;
+/// Largest number of messages in one frame.
+const MAX_FRAME_MESSAGES: usize = 64;
 
-/// Sends messages over a link without ever waiting.
+/// Sends messages over a link without blocking.
 #[derive(Clone, Debug)]
 pub struct LinkSender {
     queue: mpsc::Sender<Message>,
 }
 
 impl LinkSender {
-    /// Puts a message on its way; returns whether the link still takes any.
+    /// Queues a message and returns whether that succeeded.
     ///
-    /// A full queue counts as a lost link: the other side has stopped reading.
+    /// It fails if the link has ended or the queue is full. The caller should give the link up in both
+    /// cases: the queue fills up only if the other side has stopped reading.
     pub fn send(&self, body: Body) -> bool {
         self.queue.try_send(body.into()).is_ok()
     }
 
-    /// Tells whether the link has ended.
+    /// Returns whether the link has ended.
     pub fn is_closed(&self) -> bool {
         self.queue.is_closed()
     }
 }
 
-/// The other end of a [`LinkSender`]: a stream of frames.
+/// Receiving end of a [`LinkSender`]'s queue, from which the outgoing stream is made.
 #[derive(Debug)]
 pub struct LinkQueue {
     queue: mpsc::Receiver<Message>,
 }
 
 impl LinkQueue {
-    /// Turns the queue into frames, each with all the messages that wait.
+    /// Turns the queue into a stream of frames. Each frame holds the messages queued so far, up to 64.
     pub fn into_frames(self) -> impl Stream<Item = Frame> + Send + 'static {
         let messages = ReceiverStream::new(self.queue);
-        messages.ready_chunks(FRAME_LEN).map(|messages| Frame { messages })
+        messages.ready_chunks(MAX_FRAME_MESSAGES).map(|messages| Frame { messages })
     }
 }
 
-/// Makes both ends of a queue.
+/// Creates the queue of a link, which holds at most [`QUEUE_CAPACITY`] messages.
 pub fn link_queue() -> (LinkSender, LinkQueue) {
     let (sender, receiver) = mpsc::channel(QUEUE_CAPACITY);
     (LinkSender { queue: sender }, LinkQueue { queue: receiver })
--- a/crates/link/src/server.rs
+++ b/crates/link/src/server.rs
@@ -1,4 +1,4 @@
-//! The side that accepts links.
+//! Accepting side of links.
 
 use std::{pin::Pin, sync::Arc};
 
@@ -15,18 +15,18 @@
 
 use crate::{LinkError, LinkFrames, LinkSender, TOKEN_KEY, link_queue};
 
-/// A link that another process opened.
+/// Link that another process opened.
 #[derive(Debug)]
 pub struct ServerLink {
-    /// What the other side says of itself.
+    /// First message of the link, with which the other side identifies itself.
     pub hello: Hello,
-    /// Sends to the other side.
+    /// Outgoing half.
     pub sender: LinkSender,
-    /// What the other side sends.
+    /// Incoming half, after the hello.
     pub frames: LinkFrames,
 }
 
-/// Accepts links and hands each to a closure.
+/// gRPC service that accepts links and passes each to a callback.
 #[derive(Clone)]
 pub struct LinkAcceptor {
     token: Arc<str>,
@@ -34,7 +34,8 @@
 }
 
 impl LinkAcceptor {
-    /// Makes an acceptor for a cluster token.
+    /// Creates a service that accepts callers with this cluster token and passes their links to
+    /// `accept`.
     pub fn new(token: &str, accept: impl Fn(ServerLink) + Send + Sync + 'static) -> Self {
         Self { token: token.into(), accept: Arc::new(accept) }
     }
@@ -44,10 +45,10 @@
 ///
 /// # Errors
 ///
-/// Fails with `UNAUTHENTICATED` where it is missing or wrong.
+/// Fails with `UNAUTHENTICATED` if it is missing or wrong.
 pub fn check_token(metadata: &MetadataMap, token: &str) -> Result<(), Status> {
-    let given = metadata.get(TOKEN_KEY).map(|value| value.as_bytes()).unwrap_or_default();
-    if bool::from(given.ct_eq(token.as_bytes())) {
+    let received = metadata.get(TOKEN_KEY).map(|value| value.as_bytes()).unwrap_or_default();
+    if bool::from(received.ct_eq(token.as_bytes())) {
         return Ok(());
     }
     Err(Status::unauthenticated(
@@ -55,16 +56,13 @@
     ))
 }
 
-/// Turns a bound socket into connections without delay of small writes.
-///
-/// # Errors
-///
-/// Fails where the socket cannot be set up.
+/// Turns a bound socket into a stream of connections with `TCP_NODELAY` set.
 pub fn bind_incoming(listener: TcpListener) -> TcpIncoming {
     TcpIncoming::from(listener).with_nodelay(Some(true))
 }
 
-async fn first_hello(frames: &mut Streaming<Frame>) -> Result<(Hello, Vec<Body>), Status> {
+/// Reads the first frame. Returns its hello and the bodies of the messages after it.
+async fn read_hello(frames: &mut Streaming<Frame>) -> Result<(Hello, Vec<Body>), Status> {
     let missing = || Status::invalid_argument("the first message of a link must be a hello");
     let frame = frames.message().await?.ok_or_else(missing)?;
     let mut bodies = frame.messages.into_iter().filter_map(|message| message.body);
@@ -88,7 +86,7 @@
     ) -> Result<Response<Self::ConnectStream>, Status> {
         check_token(request.metadata(), &self.token)?;
         let mut frames = request.into_inner();
-        let (hello, rest) = first_hello(&mut frames).await?;
+        let (hello, rest) = read_hello(&mut frames).await?;
         if !rest.is_empty() {
             return Err(Status::invalid_argument(
                 "the first frame of a link must hold the hello alone",
--- a/crates/proto/src/convert.rs
+++ b/crates/proto/src/convert.rs
@@ -1,4 +1,4 @@
-//! Between messages and the types of the core.
+//! Conversions between protocol messages and the types of `switchfold_core`.
 
 use switchfold_core::{
     Error,
@@ -52,11 +52,12 @@
 }
 
 impl link::Route {
-    /// Reads the stages, which must tile the model from layer 0 to the end of the last one.
+    /// Converts the stages to a pipeline.
     ///
     /// # Errors
     ///
-    /// Fails where a range is empty or the stages do not tile.
+    /// Fails if a range is empty, or if the ranges do not cover the layers from 0 to the end of the
+    /// last stage without gap or overlap.
     pub fn pipeline(&self) -> Result<PipelineRoute, Error> {
         let places: Result<Vec<RouteStage>, Error> =
             self.stages.iter().map(RouteStage::try_from).collect();
--- a/crates/proto/src/lib.rs
+++ b/crates/proto/src/lib.rs
@@ -1,28 +1,32 @@
-//! Messages between the processes of switchfold.
+//! Protocol messages between the processes of switchfold.
+//!
+//! | module | used between |
+//! |---|---|
+//! | [`link`] | entries and agents, and agents among themselves, over persistent streams |
+//! | [`engine`] | an agent and its local engine |
+//! | [`peer`] | entries |
 //!
 //! The code under `generated/` is committed, so that the build needs no generator. After a change of
-//! a `.proto` file it is made anew, in pure Rust, by
+//! a `.proto` file, regenerate it (in pure Rust) with
 //! `cargo run --manifest-path tools/protogen/Cargo.toml`.
-//!
-//! [`link`] is spoken on kept streams between entries and agents and between agents, [`engine`]
-//! between an agent and the engine beside it, [`peer`] between entries.
 
-/// Version of all protocols here. A process refuses a peer with another one, naming both.
+/// Version of all protocols in this crate. A process refuses a peer with another version; the error
+/// names both.
 pub const PROTOCOL_VERSION: u32 = 1;
 
-/// Kept streams between entries and agents.
+/// Persistent streams between entries and agents, and between agents.
 #[allow(missing_docs, unreachable_pub, clippy::all)]
 #[rustfmt::skip]
 #[path = "generated/switchfold.link.rs"]
 pub mod link;
 
-/// What an agent asks of its engine.
+/// Calls of an agent to its local engine.
 #[allow(missing_docs, unreachable_pub, clippy::all)]
 #[rustfmt::skip]
 #[path = "generated/switchfold.engine.rs"]
 pub mod engine;
 
-/// What entries tell each other.
+/// Calls between entries: exchange of configuration, and claims.
 #[allow(missing_docs, unreachable_pub, clippy::all)]
 #[rustfmt::skip]
 #[path = "generated/switchfold.peer.rs"]
