--- a/crates/relay/src/placer.rs
+++ b/crates/relay/src/placer.rs
@@ -16,11 +16,13 @@
 use switchfold_kernel::clock::now_millis;
 use switchfold_router::{
     Millis,
-    access::EngineSpec,
-    cover::{CoverConfig, LayerHolder, ModelShape, PlaceOrder, layout_worth, plan_group},
     fleet::{EntryState, LayerRange, ReplicaEntry},
     groups::planner_count,
-    life::ReplicaLife,
+    instance::ReplicaInstance,
+    placement::{
+        LayerHolder, ModelShape, PlacementConfig, PlacementOrder, layout_score, plan_group,
+    },
+    routing::EngineSpec,
 };
 use tokio::{
     sync::Semaphore,
@@ -94,9 +96,9 @@
 /// Orders under way, by replica, and what suspected replicas answered.
 #[derive(Debug)]
 struct Placer {
-    pending: HashMap<ReplicaLife, PendingOrder>,
-    probes: HashMap<ReplicaLife, ProbeEnd>,
-    refused: Rc<RefCell<Vec<ReplicaLife>>>,
+    pending: HashMap<ReplicaInstance, PendingOrder>,
+    probes: HashMap<ReplicaInstance, ProbeEnd>,
+    refused: Rc<RefCell<Vec<ReplicaInstance>>>,
     /// Places for orders that are being given.
     ordering: Rc<Semaphore>,
     /// Groups that needed no orders when last planned.
@@ -167,8 +169,8 @@
 
     /// Notes joined and left replicas, and orders that took effect.
     fn observe(&mut self, relay: &Relay, now: Millis) {
-        for life in self.refused.borrow_mut().drain(..) {
-            if let Some(order) = self.pending.get_mut(&life) {
+        for instance in self.refused.borrow_mut().drain(..) {
+            if let Some(order) = self.pending.get_mut(&instance) {
                 order.until = order.until.min(now + REFUSED_PAUSE);
             }
         }
@@ -178,8 +180,8 @@
             self.fleet_seen = count;
             self.fleet_changed = now;
         }
-        self.pending.retain(|life, order| {
-            let Some(replica) = beliefs.fleet.view.living(life) else { return false };
+        self.pending.retain(|instance, order| {
+            let Some(replica) = beliefs.fleet.view.living(instance) else { return false };
             let done = replica.layers == Some(order.range);
             !done && now < order.until
         });
@@ -190,7 +192,7 @@
         self.probe_suspects(relay, now).await;
         for (service, engine) in config.engines() {
             let orders = self.plan(relay, share, service, engine, now).await;
-            let limit = (engine.loads_at_once as usize / share.planners).max(1);
+            let limit = (engine.max_parallel_loads as usize / share.planners).max(1);
             // Before the first request, loads are quick and all may run at once.
             let untouched = is_untouched(relay);
             let free = limit.saturating_sub(self.pending.len());
@@ -218,38 +220,40 @@
                 ReportState::Answered(report) => report.layers.is_some(),
             };
             if holds {
-                relay.beliefs.borrow_mut().quarantine.note_alive(&replica.life);
+                relay.beliefs.borrow_mut().quarantine.record_alive(&replica.instance);
             }
             let probe = ProbeEnd { asked: now, holds };
-            let known = self.probes.insert(replica.life.clone(), probe);
+            let known = self.probes.insert(replica.instance.clone(), probe);
             if known.is_none_or(|known| known.holds != holds) {
-                tracing::info!(event = "suspect-probed", replica = %replica.life, holds);
+                tracing::info!(event = "suspect-probed", replica = %replica.instance, holds);
             }
             if !holds {
-                relay.suspect(&replica.life, "holds no layers, or is silent");
+                relay.suspect(&replica.instance, "holds no layers, or is silent");
             }
         }
         let beliefs = relay.beliefs.borrow();
-        self.probes.retain(|life, _| beliefs.fleet.view.living(life).is_some());
+        self.probes.retain(|instance, _| beliefs.fleet.view.living(instance).is_some());
     }
 
     fn due_probes(&self, relay: &Relay, now: Millis) -> Vec<ReplicaEntry> {
         let beliefs = relay.beliefs.borrow();
-        let suspects = beliefs.suspects.current(now).map(|(life, _)| life);
+        let suspects = beliefs.suspects.current(now).map(|(instance, _)| instance);
         let lost = self.probes.iter().filter(|(_, probe)| !probe.holds);
-        let lives: BTreeSet<&ReplicaLife> = suspects.chain(lost.map(|(life, _)| life)).collect();
+        let instances: BTreeSet<&ReplicaInstance> =
+            suspects.chain(lost.map(|(instance, _)| instance)).collect();
         let is_due = |replica: &&ReplicaEntry| {
-            let probe = self.probes.get(&replica.life);
+            let probe = self.probes.get(&replica.instance);
             let due = probe.is_none_or(|probe| now - probe.asked >= PROBE_AGE);
             // One that loads what it was ordered to hold holds nothing meanwhile, and is well.
-            due && replica.layers.is_some() && !self.pending.contains_key(&replica.life)
+            due && replica.layers.is_some() && !self.pending.contains_key(&replica.instance)
         };
-        let replicas = lives.into_iter().filter_map(|life| beliefs.fleet.view.living(life));
+        let replicas =
+            instances.into_iter().filter_map(|instance| beliefs.fleet.view.living(instance));
         replicas.filter(is_due).cloned().collect()
     }
 
-    fn is_lost(&self, life: &ReplicaLife) -> bool {
-        self.probes.get(life).is_some_and(|probe| !probe.holds)
+    fn is_lost(&self, instance: &ReplicaInstance) -> bool {
+        self.probes.get(instance).is_some_and(|probe| !probe.holds)
     }
 
     /// Plans each group of replicas that changed since it needed no orders. The search takes some
@@ -261,18 +265,18 @@
         service: &str,
         engine: &EngineSpec,
         now: Millis,
-    ) -> Vec<PlaceOrder> {
+    ) -> Vec<PlacementOrder> {
         let mut groups = self.groups(relay, service, engine, now);
         let covered = covered_places(&groups, engine.layers);
         keep_share(&mut groups, share);
         groups.retain(|name, holders| self.settled.get(name) != Some(holders));
         let model = model_shape(engine);
         let planning = spawn_blocking(move || {
-            let config = CoverConfig::default();
+            let config = PlacementConfig::default();
             let planned = groups.into_iter().map(|(name, holders)| {
                 let mut orders = plan_group(&holders, model, &config);
                 if covered.contains(&name.data_centre) {
-                    let waiting = orders.into_iter().map(PlaceOrder::while_others_serve);
+                    let waiting = orders.into_iter().map(PlacementOrder::without_cut);
                     orders = waiting.collect();
                 }
                 let worths = (!orders.is_empty()).then(|| plan_worths(&holders, &orders, model));
@@ -312,7 +316,7 @@
         service: &str,
         engine: &EngineSpec,
         now: Millis,
-    ) -> Vec<PlaceOrder> {
+    ) -> Vec<PlacementOrder> {
         if self.searches.is_empty() {
             return Vec::new();
         }
@@ -340,13 +344,14 @@
             EntryState::Ready => true,
             EntryState::Draining => false,
             EntryState::Overwritten => {
-                let age = beliefs.fleet.view.age(replica.life.id(), now);
+                let age = beliefs.fleet.view.age(replica.instance.id(), now);
                 age.is_some_and(|age| age < KEEP_OVERWRITTEN)
             }
         };
         for replica in beliefs.fleet.view.of_service(service).filter(stays) {
-            let suspect = !replica.is_ready() || beliefs.suspects.is_suspect(&replica.life, now);
-            let lost = self.is_lost(&replica.life);
+            let suspect =
+                !replica.is_ready() || beliefs.suspects.is_suspect(&replica.instance, now);
+            let lost = self.is_lost(&replica.instance);
             let Some(holder) = self.holder(replica, engine, suspect, lost) else { continue };
             places.entry(&replica.data_centre).or_default().push(holder);
         }
@@ -361,13 +366,13 @@
         lost: bool,
     ) -> Option<LayerHolder> {
         let kind = engine.kind(&replica.kind)?;
-        let pending = self.pending.get(&replica.life);
+        let pending = self.pending.get(&replica.instance);
         let held = replica.layers.filter(|_| !lost);
         Some(LayerHolder {
-            life: replica.life.clone(),
+            instance: replica.instance.clone(),
             memory_mb: kind.memory_mb,
             slots: replica.slots,
-            layer_ms: kind.pace * engine.step_ms / f64::from(engine.layers.max(1)),
+            layer_ms: kind.step_factor * engine.step_ms / f64::from(engine.layers.max(1)),
             range: pending.map(|order| order.range).or(held),
             held,
             can_order: pending.is_none() && !suspect,
@@ -378,27 +383,28 @@
         &mut self,
         relay: &Rc<Relay>,
         engine: &EngineSpec,
-        order: PlaceOrder,
+        order: PlacementOrder,
         now: Millis,
     ) {
-        let replica = relay.beliefs.borrow().fleet.view.living(&order.life).cloned();
+        let replica = relay.beliefs.borrow().fleet.view.living(&order.instance).cloned();
         let Some(replica) = replica else { return };
-        let share = u64::from(order.range.len()) * engine.load / u64::from(engine.layers.max(1));
+        let share =
+            u64::from(order.range.len()) * engine.load_time / u64::from(engine.layers.max(1));
         let until = now + share * 2 + LIST_LAG;
-        self.pending.insert(order.life.clone(), PendingOrder { range: order.range, until });
+        self.pending.insert(order.instance.clone(), PendingOrder { range: order.range, until });
         let (relay, refused) = (relay.clone(), self.refused.clone());
         let ordering = self.ordering.clone();
         spawn_local(async move {
             let _place = ordering.acquire().await;
             if !carry_out(&relay, &replica, &order).await {
-                refused.borrow_mut().push(order.life);
+                refused.borrow_mut().push(order.instance);
             }
         });
     }
 }
 
 fn model_shape(engine: &EngineSpec) -> ModelShape {
-    let tokens = f64::from(engine.usual_prompt) + f64::from(engine.usual_answer);
+    let tokens = f64::from(engine.mean_prompt_tokens) + f64::from(engine.mean_answer_tokens);
     ModelShape {
         layers: engine.layers,
         layer_mb: engine.layer_mb,
@@ -407,16 +413,20 @@
 }
 
 /// What a group of replicas carries before and after its orders, by the plan's own measure.
-fn plan_worths(holders: &[LayerHolder], orders: &[PlaceOrder], model: ModelShape) -> (f64, f64) {
+fn plan_worths(
+    holders: &[LayerHolder],
+    orders: &[PlacementOrder],
+    model: ModelShape,
+) -> (f64, f64) {
     let planned = carried_out(holders, orders);
-    (layout_worth(holders, model), layout_worth(&planned, model))
+    (layout_score(holders, model), layout_score(&planned, model))
 }
 
 /// A group once its orders are carried out.
-fn carried_out(holders: &[LayerHolder], orders: &[PlaceOrder]) -> Vec<LayerHolder> {
+fn carried_out(holders: &[LayerHolder], orders: &[PlacementOrder]) -> Vec<LayerHolder> {
     let mut planned = holders.to_vec();
     for order in orders {
-        let holder = planned.iter_mut().find(|holder| holder.life == order.life);
+        let holder = planned.iter_mut().find(|holder| holder.instance == order.instance);
         if let Some(holder) = holder {
             holder.range = Some(order.range);
             holder.held = holder.range;
@@ -438,27 +448,27 @@
 }
 
 /// Gives an order; tells whether it may be under way.
-async fn carry_out(relay: &Relay, replica: &ReplicaEntry, order: &PlaceOrder) -> bool {
+async fn carry_out(relay: &Relay, replica: &ReplicaEntry, order: &PlacementOrder) -> bool {
     let range = order.range;
     let (from, to) = (range.from, range.to);
     let Some(report) = ask_report(relay, replica.address).await else {
-        tracing::warn!(event = "order-unsent", replica = %replica.life, from, to, why = "no report");
+        tracing::warn!(event = "order-unsent", replica = %replica.instance, from, to, why = "no report");
         return false;
     };
-    if relay.beliefs.borrow().fleet.view.living(&replica.life).is_none() {
+    if relay.beliefs.borrow().fleet.view.living(&replica.instance).is_none() {
         // The order was planned for what an earlier life held.
-        tracing::info!(event = "order-unsent", replica = %replica.life, from, to, why = "restarted");
+        tracing::info!(event = "order-unsent", replica = %replica.instance, from, to, why = "restarted");
         return false;
     }
     if report.busy {
-        tracing::info!(event = "order-waits", replica = %replica.life, from, to, why = "busy");
+        tracing::info!(event = "order-waits", replica = %replica.instance, from, to, why = "busy");
         return false;
     }
-    let give_up = order.reason.give_up_rule();
+    let give_up = order.reason.unload_mode();
     let end = order_layers(relay, replica.address, range, give_up, report.orders_taken).await;
     tracing::info!(
         event = "order",
-        replica = %replica.life,
+        replica = %replica.instance,
         kind = replica.kind,
         data_centre = replica.data_centre,
         from,
@@ -469,7 +479,7 @@
         ?end,
     );
     if end == OrderEnd::NotSent {
-        relay.suspect(&replica.life, "order not sent");
+        relay.suspect(&replica.instance, "order not sent");
     }
     matches!(end, OrderEnd::Taken | OrderEnd::Unknown)
 }
--- a/crates/relay/src/request.rs
+++ b/crates/relay/src/request.rs
@@ -14,11 +14,11 @@
 use switchfold_router::{
     Millis,
     attempt::{AttemptEnd, NextStep},
-    chain::PathPart,
     fingerprint::{RequestFingerprint, RequestParts},
     fleet::ReplicaEntry,
-    life::ReplicaLife,
-    returns::awaits_config,
+    instance::ReplicaInstance,
+    path::PathStage,
+    reconnects::awaits_config,
 };
 use tokio::time::sleep;
 
@@ -73,7 +73,7 @@
     /// Replica that takes it.
     pub replica: &'a ReplicaEntry,
     /// Path over several replicas, the first of them this one.
-    pub path: Option<&'a [PathPart]>,
+    pub path: Option<&'a [PathStage]>,
     /// Last event that the caller has.
     pub last_event: Option<u64>,
 }
@@ -117,7 +117,7 @@
     pub fn to_replica(&self, permit: &Permit, target: &ReplicaTarget<'_>) -> Request<Full<Bytes>> {
         let mut headers = self.headers.clone();
         let marks = ForwardHeaders {
-            replica: target.replica.life.id(),
+            replica: target.replica.instance.id(),
             time_left: self.time_left(now_millis()).max(1),
             organisation: permit.organisation.as_deref(),
             priority: target.path.is_some().then_some(self.priority(permit, target)),
@@ -138,9 +138,9 @@
         &self,
         relay: &Relay,
         permit: &Permit,
-        first: &ReplicaLife,
+        first: &ReplicaInstance,
         last_event: Option<u64>,
-        path: Option<&[PathPart]>,
+        path: Option<&[PathStage]>,
     ) {
         let now = now_millis();
         let beliefs = relay.beliefs.borrow();
@@ -156,11 +156,11 @@
             entry_revision = beliefs.fleet.view.revision(first.id()),
             entry_age = beliefs.fleet.view.age(first.id(), now),
             entry_awaited = beliefs.fleet.is_awaited(first.id()),
-            backoff_left = beliefs.backoffs.left(first, now),
+            backoff_left = beliefs.backoffs.remaining(first, now),
             limit = beliefs.limits.limit(first.id()),
             waited_ms = now - self.arrived,
             objective = permit.route.objective,
-            gap = permit.route.event_gap,
+            gap = permit.route.max_event_gap,
             last_event,
             %first,
             path = path.map(path_value),
@@ -171,7 +171,7 @@
     pub fn log_attempt(
         &self,
         relay: &Relay,
-        replica: Option<&ReplicaLife>,
+        replica: Option<&ReplicaInstance>,
         permit: &Permit,
         end: AttemptEnd,
         next: NextStep,
@@ -185,7 +185,7 @@
         tracing::warn!(
             event = "attempt-failed",
             request = self.marks.attempt_id,
-            replica = replica.map(ReplicaLife::to_string),
+            replica = replica.map(ReplicaInstance::to_string),
             route = permit.route.name,
             config = permit.config.version,
             ?end,
@@ -245,7 +245,7 @@
     let asked = asked_for(&parts, &marks);
     wait_for_config(relay).await;
     let permit = admit(relay, &asked)?;
-    let most = permit.config.limits.map_or(DEFAULT_BODY, |limits| limits.body_bytes);
+    let most = permit.config.limits.map_or(DEFAULT_BODY, |limits| limits.max_body_bytes);
     let body = match Limited::new(body, most).collect().await {
         Ok(body) => body.to_bytes(),
         Err(error) if error.is::<http_body_util::LengthLimitError>() => {
--- a/crates/relay/src/state.rs
+++ b/crates/relay/src/state.rs
@@ -15,27 +15,26 @@
 use switchfold_kernel::{clock::now_millis, http::HttpClient};
 use switchfold_router::{
     Millis,
-    access::{ConfigSlot, RoutingConfig},
     backoff::BackoffTable,
-    budget::{BudgetConfig, RepeatBudget},
-    chain::PathPart,
+    bandwidth::BandwidthShare,
+    budget::{BudgetConfig, RetryBudget},
     clocks::PeerClocks,
     fleet::EntryState,
     freshness::FreshnessLease,
-    grants::{HeldGrants, ReturnSlots},
+    grants::{HeldGrants, RetrySchedule},
+    instance::ReplicaInstance,
     issuer::GrantIssuer,
-    life::ReplicaLife,
     limits::LimitTable,
-    membership::{PeerTable, TalkCircle},
-    mute::HeadWatch,
-    pace::PaceTable,
-    pipe::PipeShare,
+    membership::{GossipPlan, PeerTable},
+    path::PathStage,
     quarantine::QuarantineTable,
-    replicas::{FleetBelief, OddEntries},
-    room::{FullStarts, RoomLedger},
+    replicas::{FleetTracker, ForeignEntries},
+    reservations::{FullReplicas, ReservationLedger},
+    routing::{ConfigSlot, RoutingConfig},
+    slowdown::SlowdownTable,
+    stall::StallDetector,
     suspect::SuspectList,
 };
-
 use tokio::{net::UdpSocket, sync::Notify};
 
 use crate::{
@@ -67,15 +66,15 @@
     /// Relays whose addresses stand in the store, as last listed by this one or a neighbour.
     pub listed_relays: Option<BTreeMap<String, PeerAddress>>,
     /// The replicas.
-    pub fleet: FleetBelief,
+    pub fleet: FleetTracker,
     /// Entries that are no replica's own.
-    pub odd_entries: OddEntries,
+    pub odd_entries: ForeignEntries,
     /// Memory for requests promised at each replica.
-    pub room: RoomLedger,
+    pub room: ReservationLedger,
     /// Requests that run, by the first replica of their path.
-    pub places: RoomLedger,
+    pub places: ReservationLedger,
     /// First replicas that had no place a moment ago.
-    pub full_starts: FullStarts,
+    pub full_starts: FullReplicas,
     /// Replicas that asked this VM to stay away for a time.
     pub backoffs: BackoffTable,
     /// Limits that replicas named.
@@ -85,23 +84,23 @@
     /// Grants that this relay hands out.
     pub issuer: GrantIssuer,
     /// Moments at which refused callers come back, by service.
-    pub return_slots: HashMap<String, ReturnSlots>,
+    pub return_slots: HashMap<String, RetrySchedule>,
     /// Clocks of the other relays.
     pub clocks: PeerClocks,
     /// Engines that are slow.
-    pub paces: PaceTable,
+    pub paces: SlowdownTable,
     /// This relay's share of the pipe between data centres.
-    pub pipe: PipeShare,
+    pub pipe: BandwidthShare,
     /// Replicas to keep away from.
     pub suspects: SuspectList,
     /// Beginnings of answers, and first replicas that begin none.
-    pub heads: HeadWatch,
+    pub heads: StallDetector,
     /// Replicas that were short of memory a moment ago.
     pub full: SuspectList,
     /// Requests that end the replicas that run them.
     pub quarantine: QuarantineTable,
     /// Repeats, by service.
-    pub budgets: HashMap<String, RepeatBudget>,
+    pub budgets: HashMap<String, RetryBudget>,
     /// Loads of plain services' replicas.
     pub loads: ServiceLoads,
     /// The other relays.
@@ -116,18 +115,18 @@
 
     /// Time until a request of a rank may be sent to a replica, by what the replica asked for: time without requests of this
     /// relay, or few of all relays together. Nothing where it may be sent now.
-    pub fn send_wait(&self, life: &ReplicaLife, rank: u8, now: Millis) -> Option<Millis> {
-        let left = self.backoffs.left(life, now);
-        left.max(self.limit_wait(life, rank, now))
+    pub fn send_wait(&self, instance: &ReplicaInstance, rank: u8, now: Millis) -> Option<Millis> {
+        let left = self.backoffs.remaining(instance, now);
+        left.max(self.limit_wait(instance, rank, now))
     }
 
     /// Time until a grant for a request of a rank; nothing where the replica has no limit, or there is a grant.
-    pub fn limit_wait(&self, life: &ReplicaLife, rank: u8, now: Millis) -> Option<Millis> {
+    pub fn limit_wait(&self, instance: &ReplicaInstance, rank: u8, now: Millis) -> Option<Millis> {
         if self.limits.is_empty() {
             return None;
         }
-        self.limits.limit(life.id())?;
-        self.grants.wait(life.id(), rank, now)
+        self.limits.limit(instance.id())?;
+        self.grants.wait(instance.id(), rank, now)
     }
 }
 
@@ -203,7 +202,7 @@
     /// When a line on dropped datagrams was last written.
     pub drop_logged: Cell<Option<Millis>>,
     /// Relays that are told.
-    pub circle: RefCell<TalkCircle>,
+    pub circle: RefCell<GossipPlan>,
 }
 
 impl Relay {
@@ -229,13 +228,13 @@
 
     /// Whether a service's budget has a repeat.
     pub fn has_repeat(&self, service: &str, now: Millis) -> bool {
-        self.with_budget(service, |budget, config, entries| budget.has_one(config, entries, now))
+        self.with_budget(service, |budget, config, entries| budget.can_retry(config, entries, now))
     }
 
     fn with_budget(
         &self,
         service: &str,
-        ask: impl FnOnce(&mut RepeatBudget, &BudgetConfig, usize) -> bool,
+        ask: impl FnOnce(&mut RetryBudget, &BudgetConfig, usize) -> bool,
     ) -> bool {
         let config = self.budget_config();
         let mut beliefs = self.beliefs.borrow_mut();
@@ -251,18 +250,18 @@
     /// Notes a request of a caller for a service.
     pub fn note_request(&self, service: &str, now: Millis) {
         let mut beliefs = self.beliefs.borrow_mut();
-        beliefs.budgets.entry(service.to_owned()).or_default().note_request(now);
+        beliefs.budgets.entry(service.to_owned()).or_default().record_request(now);
     }
 
     /// Keeps away from a replica for a while.
-    pub fn suspect(&self, life: &ReplicaLife, why: &str) {
+    pub fn suspect(&self, instance: &ReplicaInstance, why: &str) {
         let now = now_millis();
-        note_ended(self, life);
-        let until = self.beliefs.borrow_mut().suspects.note_failure(life, now);
+        note_ended(self, instance);
+        let until = self.beliefs.borrow_mut().suspects.record_failure(instance, now);
         if let Some(until) = until {
             self.raise_alarm();
             tell_state(self, TellReach::All);
-            tracing::warn!(event = "suspect", replica = %life, why, for_ms = until - now);
+            tracing::warn!(event = "suspect", replica = %instance, why, for_ms = until - now);
         }
     }
 
@@ -273,18 +272,20 @@
     }
 
     /// Notes that a replica was short of memory.
-    pub fn note_full(&self, life: &ReplicaLife) {
+    pub fn note_full(&self, instance: &ReplicaInstance) {
         let now = now_millis();
-        if self.beliefs.borrow_mut().full.note_failure(life, now).is_some() {
-            tracing::info!(event = "replica-full", replica = %life);
+        if self.beliefs.borrow_mut().full.record_failure(instance, now).is_some() {
+            tracing::info!(event = "replica-full", replica = %instance);
         }
     }
 
     /// State of a part of a running request's path.
-    pub fn part_state(&self, part: &PathPart) -> PartState {
+    pub fn part_state(&self, part: &PathStage) -> PartState {
         let beliefs = self.beliefs.borrow();
-        let Some(replica) = beliefs.fleet.view.living(&part.life) else { return PartState::Lost };
-        if beliefs.suspects.is_suspect(&part.life, now_millis()) {
+        let Some(replica) = beliefs.fleet.view.living(&part.instance) else {
+            return PartState::Lost;
+        };
+        if beliefs.suspects.is_suspect(&part.instance, now_millis()) {
             return PartState::Lost;
         }
         let holds = replica
@@ -301,7 +302,7 @@
         let beliefs = self.beliefs.borrow();
         let age = beliefs.config_lease.age(now);
         age.is_some_and(|age| {
-            beliefs.peers.should_step_aside(age, beliefs.config_lease.is_lost(), now)
+            beliefs.peers.should_redirect(age, beliefs.config_lease.is_lost(), now)
         })
     }
 
--- a/crates/relay/src/stream.rs
+++ b/crates/relay/src/stream.rs
@@ -11,10 +11,10 @@
 use switchfold_router::{
     Millis,
     attempt::{AttemptEnd, AttemptState, NextStep, decide_next},
-    chain::PathPart,
     fleet::ReplicaEntry,
-    life::ReplicaLife,
-    returns::return_delay,
+    instance::ReplicaInstance,
+    path::PathStage,
+    reconnects::reconnect_delay,
 };
 use tokio::time::sleep;
 
@@ -48,7 +48,7 @@
     /// Connection that it comes on.
     pub link: BusyLink,
     /// Path that it runs over.
-    pub path: Vec<PathPart>,
+    pub path: Vec<PathStage>,
     /// Room promised along the path.
     pub room: RoomGuard,
     /// Its run.
@@ -71,7 +71,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct TriedReplicas {
     /// Replicas not to use again.
-    pub avoid: Vec<ReplicaLife>,
+    pub avoid: Vec<ReplicaInstance>,
     /// Sends that a replica may have run.
     pub sends: u32,
     /// Sends that none ran.
@@ -139,7 +139,7 @@
 async fn wait_in_turn(relay: &Relay, request: &CallerRequest) -> bool {
     let draw = relay.random.borrow_mut().random();
     let age = now_millis();
-    let delay = return_delay(age, request.marks.last_event_id.is_some(), draw);
+    let delay = reconnect_delay(age, request.marks.last_event_id.is_some(), draw);
     if delay > 0 {
         sleep(Duration::from_millis(delay)).await;
     }
@@ -177,7 +177,7 @@
     patience: Duration,
 ) -> Option<OpenEnd> {
     let engine = permit.config.services.get(&permit.service)?.engine.as_ref()?;
-    let tokens = request.tokens((engine.usual_prompt, engine.usual_answer));
+    let tokens = request.tokens((engine.mean_prompt_tokens, engine.mean_answer_tokens));
     let wish = PathWish {
         service: &permit.service,
         engine,
@@ -187,20 +187,20 @@
         first: None,
     };
     let path = wait_for_path(relay, &wish, patience).await?;
-    let first = relay.beliefs.borrow().fleet.view.living(&path[0].life).cloned()?;
+    let first = relay.beliefs.borrow().fleet.view.living(&path[0].instance).cloned()?;
     if let Err(refusal) = check_quarantine(relay, request) {
         return Some(OpenEnd::Barred(refusal));
     }
     let room = RoomGuard::new(relay, &path, tokens);
-    request.log_dispatch(relay, permit, &first.life, last_event, Some(&path));
+    request.log_dispatch(relay, permit, &first.instance, last_event, Some(&path));
     let target = ReplicaTarget { replica: &first, path: Some(&path), last_event };
     let outgoing = request.to_replica(permit, &target);
     let fresh = !permit.route.is_repeatable();
     let mut run = RunWatch::over_path(&path);
-    let head = HeadGuard::new(relay, &first.life);
+    let head = HeadGuard::new(relay, &first.instance);
     let begun = now_millis();
     let sent = {
-        let gate = SendGate::new(relay, &first.life, permit.priority);
+        let gate = SendGate::new(relay, &first.instance, permit.priority);
         let sending = relay.pool.send(first.address, outgoing, fresh, || gate.pass());
         let wait = HeadWait { relay, request, permit, earlier_sends: tried.sends, path: &path };
         let sent = wait.run(sending).await;
@@ -212,12 +212,12 @@
     let sent = match sent {
         Ok(sent) => sent,
         Err(WaitEnd::Send(SendError::NotSent { detail })) => {
-            relay.suspect(&first.life, &detail);
-            tried.avoid.push(first.life);
+            relay.suspect(&first.instance, &detail);
+            tried.avoid.push(first.instance);
             return Some(OpenEnd::Failed(AttemptEnd::NotSent, detail));
         }
         Err(WaitEnd::Send(error @ SendError::HeldBack { .. })) => {
-            tried.avoid.push(first.life);
+            tried.avoid.push(first.instance);
             return Some(OpenEnd::Failed(AttemptEnd::NotSent, error.to_string()));
         }
         Err(WaitEnd::Send(SendError::Broken { detail })) => {
@@ -226,13 +226,13 @@
             probe_replicas(relay, std::iter::once(first.address));
             run.note_lost(relay, request, &detail);
             tried.sends += 1;
-            tried.avoid.push(first.life);
+            tried.avoid.push(first.instance);
             return Some(OpenEnd::Failed(AttemptEnd::Broken, detail));
         }
         Err(WaitEnd::Stalled(detail)) => {
             run.note_lost(relay, request, &detail);
             tried.sends += 1;
-            tried.avoid.push(first.life);
+            tried.avoid.push(first.instance);
             return Some(OpenEnd::Failed(AttemptEnd::Broken, detail));
         }
         Err(WaitEnd::TimeUp) => {
@@ -258,12 +258,17 @@
 
 /// Keeps away from the replica at an address.
 pub fn note_fault(relay: &Relay, faulty_replica: SocketAddr, why: &str) -> String {
-    let life =
-        relay.beliefs.borrow().fleet.view.at(faulty_replica).map(|replica| replica.life.clone());
-    match life {
-        Some(life) => {
-            relay.suspect(&life, why);
-            format!("{why} at {faulty_replica} ({life})")
+    let instance = relay
+        .beliefs
+        .borrow()
+        .fleet
+        .view
+        .at(faulty_replica)
+        .map(|replica| replica.instance.clone());
+    match instance {
+        Some(instance) => {
+            relay.suspect(&instance, why);
+            format!("{why} at {faulty_replica} ({instance})")
         }
         None => format!("{why} at {faulty_replica} (not listed)"),
     }
@@ -271,7 +276,7 @@
 
 /// What goes with a request that was sent over a path.
 struct SentRun {
-    path: Vec<PathPart>,
+    path: Vec<PathStage>,
     room: RoomGuard,
     run: RunWatch,
     begun: Millis,
@@ -289,7 +294,7 @@
     let SentRun { path, room, mut run, begun } = sent;
     let (head, body) = response.into_parts();
     let marks = read_response_headers(&head.headers);
-    hear_notices(relay, &first.life, request.heard(&marks, head.status, begun));
+    hear_notices(relay, &first.instance, request.heard(&marks, head.status, begun));
     if let Some(end) = early_end(request, &marks, head.status) {
         note_rejection(relay, tried, &marks, &first, head.status).await;
         match end {
@@ -301,7 +306,7 @@
         return OpenEnd::Failed(end, detail);
     }
     tried.sends += 1;
-    tried.avoid.push(first.life);
+    tried.avoid.push(first.instance);
     if head.status == StatusCode::OK {
         run.note_begun();
         return OpenEnd::Open(Box::new(OpenStream { head, body, link, path, room, run }));
@@ -323,30 +328,35 @@
     status: StatusCode,
 ) {
     let faulty_replica = marks.faulty_replica.unwrap_or(first.address);
-    let life =
-        relay.beliefs.borrow().fleet.view.at(faulty_replica).map(|replica| replica.life.clone());
-    let Some(life) = life else {
+    let instance = relay
+        .beliefs
+        .borrow()
+        .fleet
+        .view
+        .at(faulty_replica)
+        .map(|replica| replica.instance.clone());
+    let Some(instance) = instance else {
         // Whatever it names is not known here, so the first one is passed by.
-        tried.avoid.push(first.life.clone());
+        tried.avoid.push(first.instance.clone());
         return;
     };
     if marks.faulty_replica.is_none() && status == StatusCode::SERVICE_UNAVAILABLE {
-        relay.beliefs.borrow_mut().full_starts.note_rejection(&life, now_millis());
+        relay.beliefs.borrow_mut().full_starts.record_rejection(&instance, now_millis());
     }
     if marks.faulty_replica.is_some() && status == StatusCode::SERVICE_UNAVAILABLE {
         match recent_report(relay, faulty_replica).await {
             ReportState::Asking => {}
-            ReportState::Silent => relay.suspect(&life, "rejected and silent"),
+            ReportState::Silent => relay.suspect(&instance, "rejected and silent"),
             ReportState::Answered(report) if report.layers.is_none() => {
-                relay.suspect(&life, "rejected and empty");
+                relay.suspect(&instance, "rejected and empty");
             }
             ReportState::Answered(report) if report.kv_used > report.kv_total * FULL => {
-                relay.note_full(&life);
+                relay.note_full(&instance);
             }
             ReportState::Answered(_) => {}
         }
     }
-    tried.avoid.push(life);
+    tried.avoid.push(instance);
 }
 
 /// Part of an engine's memory for requests above which a rejection is put down to it.
--- a/crates/router/tests/crash_model/mod.rs
+++ b/crates/router/tests/crash_model/mod.rs
@@ -15,9 +15,9 @@
 use rand_chacha::ChaCha8Rng;
 use switchfold_router::{
     fingerprint::RequestFingerprint,
-    life::ReplicaLife,
-    origin::NewsReach,
-    quarantine::{LostRun, QuarantineChange, QuarantineTable, RequestNews, RunYield},
+    instance::ReplicaInstance,
+    origin::UpdateAudience,
+    quarantine::{CrashReport, LostRun, QuarantineChange, QuarantineTable, RunProgress},
 };
 
 /// Time without trouble after which a relay counts as in touch, in milliseconds.
@@ -93,7 +93,7 @@
     request: u64,
     relay: usize,
     replica: usize,
-    life: ReplicaLife,
+    instance: ReplicaInstance,
     sent: u64,
     sends: u32,
     tries: u32,
@@ -108,10 +108,10 @@
     tables: Vec<QuarantineTable>,
     starts: Vec<u64>,
     /// Life and time of the start of each replica; nothing while it is down.
-    replicas: Vec<Option<ReplicaLife>>,
+    replicas: Vec<Option<ReplicaInstance>>,
     runs: Vec<Run>,
     messages: BTreeMap<(u64, u64), (usize, Message)>,
-    stored: HashMap<RequestFingerprint, RequestNews>,
+    stored: HashMap<RequestFingerprint, CrashReport>,
     cut_until: u64,
     next_request: u64,
     seen: Seen,
@@ -119,7 +119,7 @@
 
 #[derive(Clone, Debug)]
 struct Message {
-    news: Vec<RequestNews>,
+    news: Vec<CrashReport>,
     cleared: Vec<(RequestFingerprint, u64)>,
     is_back: bool,
     from_store: bool,
@@ -172,8 +172,8 @@
     world.seen
 }
 
-fn world_life(replica: usize, born: u64) -> ReplicaLife {
-    ReplicaLife::new(&format!("i-{replica}"), born + 1)
+fn world_life(replica: usize, born: u64) -> ReplicaInstance {
+    ReplicaInstance::new(&format!("i-{replica}"), born + 1)
 }
 
 impl World<'_> {
@@ -229,15 +229,15 @@
     }
 
     fn send(&mut self, request: u64, relay: usize, sends: u32, tries: u32, now: u64) {
-        if self.tables[relay].left(&fingerprint(request), now).is_some() {
+        if self.tables[relay].remaining(&fingerprint(request), now).is_some() {
             self.seen.refused += usize::from(request != BAD);
             return;
         }
         let Some(replica) = self.choose(relay) else { return };
-        let life = self.replicas[replica].clone().expect("a chosen replica lives");
+        let instance = self.replicas[replica].clone().expect("a chosen replica lives");
         let run = self.runs.len();
         let is_open = true;
-        self.runs.push(Run { request, relay, replica, life, sent: now, sends, tries, is_open });
+        self.runs.push(Run { request, relay, replica, instance, sent: now, sends, tries, is_open });
         if request != BAD {
             let lasts = if request == POPULAR { PLAIN } else { STREAM };
             return self.plan(now + lasts, Step::Finish { run });
@@ -268,9 +268,12 @@
     }
 
     fn end_replica(&mut self, replica: usize, now: u64) {
-        let Some(life) = self.replicas[replica].take() else { return };
+        let Some(instance) = self.replicas[replica].take() else { return };
         let by_bad = self.runs.iter().any(|run| {
-            run.is_open && run.life == life && run.request == BAD && now >= run.sent + BEGINS_AFTER
+            run.is_open
+                && run.instance == instance
+                && run.request == BAD
+                && now >= run.sent + BEGINS_AFTER
         });
         if by_bad {
             self.seen.ended += 1;
@@ -280,7 +283,7 @@
         }
         self.plan(now + DOWN_FOR, Step::Back { replica });
         let lost: Vec<usize> = (0..self.runs.len())
-            .filter(|run| self.runs[*run].is_open && self.runs[*run].life == life)
+            .filter(|run| self.runs[*run].is_open && self.runs[*run].instance == instance)
             .collect();
         for run in lost {
             self.runs[run].is_open = false;
@@ -290,7 +293,7 @@
     }
 
     fn lose(&mut self, number: usize, now: u64) {
-        let Run { request, relay, sent, sends, tries, ref life, .. } = self.runs[number];
+        let Run { request, relay, sent, sends, tries, ref instance, .. } = self.runs[number];
         if self.starts[relay] > sent {
             return;
         }
@@ -299,16 +302,16 @@
             BAD => 0,
             _ => now.saturating_sub(sent + BEGINS_AFTER + 20) / 50,
         };
-        let yielded = match request {
-            POPULAR => RunYield::Whole,
-            _ => RunYield::Stream { begun, events },
+        let progress = match request {
+            POPULAR => RunProgress::Unary,
+            _ => RunProgress::Stream { begun, events },
         };
-        let lives = [life.clone()];
-        let run = LostRun { lives: &lives, sent, yielded };
-        let mut change = self.tables[relay].note_lost(fingerprint(request), &run, now);
-        let found = self.tables[relay].note_ended(&lives[0], now);
+        let instances = [instance.clone()];
+        let run = LostRun { instances: &instances, sent, progress };
+        let mut change = self.tables[relay].record_lost(fingerprint(request), &run, now);
+        let found = self.tables[relay].record_ended(&instances[0], now);
         change.is_urgent |= found.is_urgent;
-        change.stopped.extend(found.stopped);
+        change.quarantined.extend(found.quarantined);
         self.take(relay, &change, now);
         let pause = self.random.random_range(5..150);
         match (sends, tries) {
@@ -322,7 +325,7 @@
         let Run { request, relay, is_open, sent, .. } = self.runs[number];
         if is_open && request != BAD && self.starts[relay] <= sent {
             self.runs[number].is_open = false;
-            self.tables[relay].note_result(&fingerprint(request), now);
+            self.tables[relay].record_result(&fingerprint(request), now);
         }
     }
 
@@ -346,7 +349,7 @@
     }
 
     fn tell(&mut self, relay: usize, far: bool, now: u64) {
-        let news = self.tables[relay].news(NewsReach::Speakers, now);
+        let news = self.tables[relay].updates(UpdateAudience::Speakers, now);
         let cleared = self.tables[relay].cleared(now);
         let is_back = now < self.starts[relay] + TELL_EVERY * 2 && self.starts[relay] > 0;
         if news.is_empty() && cleared.is_empty() && !is_back {
@@ -382,10 +385,10 @@
             }
             let (to, message) = entry.remove();
             if message.is_back {
-                self.tables[to].tell_all(at);
+                self.tables[to].announce_all(at);
             }
-            self.tables[to].hear_cleared(&message.cleared, false, at);
-            let change = self.tables[to].hear(message.news, message.from_store, at);
+            self.tables[to].merge_cleared(&message.cleared, false, at);
+            let change = self.tables[to].merge(message.news, message.from_store, at);
             self.take(to, &change, at);
         }
     }
@@ -412,7 +415,7 @@
             Trouble::KillRelays => {
                 self.starts = vec![now; self.day.relays];
                 self.tables = vec![QuarantineTable::default(); self.day.relays];
-                let stored: Vec<RequestNews> = self.stored.values().cloned().collect();
+                let stored: Vec<CrashReport> = self.stored.values().cloned().collect();
                 for relay in 0..DATA_CENTRES.min(self.day.relays) {
                     let message = Message {
                         news: stored.clone(),
--- a/crates/router/tests/state.rs
+++ b/crates/router/tests/state.rs
@@ -4,20 +4,20 @@
 
 use proptest::prelude::*;
 use switchfold_router::{
-    access::ConfigSlot,
-    budget::{BudgetConfig, RepeatBudget},
+    bandwidth::BandwidthShare,
+    budget::{BudgetConfig, RetryBudget},
     freshness::{FreshnessLease, LEASE_MARGIN},
-    lapse::{LAPSE_GRACE, LONGEST_KEPT, LapseGrace},
-    life::ReplicaLife,
-    origin::{NewsOrigin, NewsReach},
-    pace::{PACE_AGE, PaceTable},
-    pipe::PipeShare,
-    room::{FULL_TIME, FullStarts, PEER_AGE, RoomLedger},
-    suspect::{FIRST_TIME_OUT, SuspectList},
+    instance::ReplicaInstance,
+    missing::{MAX_MISSING_TIME, MissingEntries, REAPPEAR_GRACE},
+    origin::{UpdateAudience, UpdateOrigin},
+    reservations::{FULL_DURATION, FullReplicas, PEER_MAX_AGE, ReservationLedger},
+    routing::ConfigSlot,
+    slowdown::{SLOWDOWN_MAX_AGE, SlowdownTable},
+    suspect::{BASE_SUSPICION_TIME, SuspectList},
 };
 
-fn life(id: &str) -> ReplicaLife {
-    ReplicaLife::new(id, 0)
+fn instance(id: &str) -> ReplicaInstance {
+    ReplicaInstance::new(id, 0)
 }
 
 const BUDGET: BudgetConfig = BudgetConfig { ratio: 0.2, allowance: 200.0, window: 10_000 };
@@ -40,14 +40,14 @@
     fn repeats_stay_within_the_window(
         steps in prop::collection::vec((0usize..4, 0u64..400, 0u32..6, 0u32..30), 1..200)
     ) {
-        let mut budgets: Vec<RepeatBudget> = vec![RepeatBudget::default(); 4];
+        let mut budgets: Vec<RetryBudget> = vec![RetryBudget::default(); 4];
         let mut now = 0;
         let mut requests: Vec<u64> = Vec::new();
         let mut repeats: Vec<u64> = Vec::new();
         for (entry, wait, arrivals, wanted) in steps {
             now += wait;
             for _ in 0..arrivals {
-                budgets[entry].note_request(now);
+                budgets[entry].record_request(now);
                 requests.push(now);
             }
             for _ in 0..wanted {
@@ -66,7 +66,7 @@
         steps in prop::collection::vec((0usize..4, 0u64..400, 0u32..4, 0u32..60, 0u8..12), 1..200)
     ) {
         let begun_long_ago = 0;
-        let mut budgets: Vec<RepeatBudget> = vec![RepeatBudget::begun_at(begun_long_ago); 4];
+        let mut budgets: Vec<RetryBudget> = vec![RetryBudget::starting_at(begun_long_ago); 4];
         let mut restarts: Vec<Vec<u64>> = vec![Vec::new(); 4];
         let mut now = BUDGET.window;
         let (mut requests, mut repeats): (Vec<u64>, Vec<u64>) = (Vec::new(), Vec::new());
@@ -74,11 +74,11 @@
             now += wait;
             let lately = restarts[entry].iter().filter(|at| **at + BUDGET.window > now).count();
             if draw == 0 && lately < 2 {
-                budgets[entry] = RepeatBudget::begun_at(now);
+                budgets[entry] = RetryBudget::starting_at(now);
                 restarts[entry].push(now);
             }
             for _ in 0..arrivals {
-                budgets[entry].note_request(now);
+                budgets[entry].record_request(now);
                 requests.push(now);
             }
             for _ in 0..wanted {
@@ -113,7 +113,7 @@
         let mut slot = ConfigSlot::new();
         let mut highest = None;
         for version in versions {
-            slot.merge(version, version);
+            slot.replace_if_newer(version, version);
             highest = highest.max(Some(version));
             prop_assert_eq!(slot.get().copied(), highest);
         }
@@ -122,14 +122,14 @@
 
 #[test]
 fn room_is_idle_while_nobody_promises() {
-    let mut room = RoomLedger::default();
-    room.hear("b", HashMap::new(), 0);
+    let mut room = ReservationLedger::default();
+    room.merge_peer("b", HashMap::new(), 0);
     assert!(room.is_idle());
-    room.hear("b", HashMap::from([(life("x"), 5.0)]), 0);
+    room.merge_peer("b", HashMap::from([(instance("x"), 5.0)]), 0);
     assert!(!room.is_idle());
-    room.forget(PEER_AGE);
+    room.expire(PEER_MAX_AGE);
     assert!(room.is_idle());
-    room.promise(&life("x"), 5.0);
+    room.reserve(&instance("x"), 5.0);
     assert!(!room.is_idle());
 }
 
@@ -139,9 +139,9 @@
     fn sums_of_room_are_those_of_what_was_heard(
         steps in prop::collection::vec((0usize..4, 0u64..900, prop::collection::vec((0usize..3, 0u32..50), 0..4)), 1..60)
     ) {
-        let lives = ["a", "b", "c"].map(life);
-        let mut ledger = RoomLedger::default();
-        let mut heard: HashMap<usize, (u64, HashMap<ReplicaLife, f64>)> = HashMap::new();
+        let instances = ["a", "b", "c"].map(instance);
+        let mut ledger = ReservationLedger::default();
+        let mut heard: HashMap<usize, (u64, HashMap<ReplicaInstance, f64>)> = HashMap::new();
         let mut own: Vec<(usize, f64)> = Vec::new();
         let mut now = 0;
         for (who, wait, figures) in steps {
@@ -150,22 +150,22 @@
                 match figures.first() {
                     Some((which, amount)) => {
                         own.push((*which, f64::from(*amount)));
-                        ledger.promise(&lives[*which], f64::from(*amount));
+                        ledger.reserve(&instances[*which], f64::from(*amount));
                     }
-                    None => own.drain(..).for_each(|(which, amount)| ledger.release(&lives[which], amount)),
+                    None => own.drain(..).for_each(|(which, amount)| ledger.release(&instances[which], amount)),
                 }
             } else {
-                let told: HashMap<ReplicaLife, f64> =
-                    figures.iter().map(|(which, amount)| (lives[*which].clone(), f64::from(*amount))).collect();
-                ledger.hear(&who.to_string(), told.clone(), now);
+                let told: HashMap<ReplicaInstance, f64> =
+                    figures.iter().map(|(which, amount)| (instances[*which].clone(), f64::from(*amount))).collect();
+                ledger.merge_peer(&who.to_string(), told.clone(), now);
                 heard.insert(who, (now, told));
             }
-            ledger.forget(now);
-            heard.retain(|_, (at, _)| now - *at < PEER_AGE);
-            for (which, life) in lives.iter().enumerate() {
+            ledger.expire(now);
+            heard.retain(|_, (at, _)| now - *at < PEER_MAX_AGE);
+            for (which, instance) in instances.iter().enumerate() {
                 let own: f64 = own.iter().filter(|(own, _)| *own == which).map(|(_, amount)| amount).sum();
-                let others: f64 = heard.values().filter_map(|(_, told)| told.get(life)).sum();
-                prop_assert_eq!(ledger.promised(life), own + others);
+                let others: f64 = heard.values().filter_map(|(_, told)| told.get(instance)).sum();
+                prop_assert_eq!(ledger.reserved(instance), own + others);
             }
         }
     }
@@ -173,28 +173,28 @@
 
 #[test]
 fn room_adds_up_over_entries_and_forgets_the_gone() {
-    let mut ledger = RoomLedger::default();
-    ledger.promise(&life("a"), 100.0);
-    ledger.hear("peer", HashMap::from([(life("a"), 50.0)]), 1_000);
-    assert_eq!(ledger.promised(&life("a")), 150.0);
-    ledger.forget(1_000 + PEER_AGE);
-    assert_eq!(ledger.promised(&life("a")), 100.0);
-    ledger.release(&life("a"), 100.0);
-    assert_eq!(ledger.promised(&life("a")), 0.0);
+    let mut ledger = ReservationLedger::default();
+    ledger.reserve(&instance("a"), 100.0);
+    ledger.merge_peer("peer", HashMap::from([(instance("a"), 50.0)]), 1_000);
+    assert_eq!(ledger.reserved(&instance("a")), 150.0);
+    ledger.expire(1_000 + PEER_MAX_AGE);
+    assert_eq!(ledger.reserved(&instance("a")), 100.0);
+    ledger.release(&instance("a"), 100.0);
+    assert_eq!(ledger.reserved(&instance("a")), 0.0);
     assert!(ledger.own().is_empty());
 }
 
 #[test]
 fn suspicion_ends_and_grows() {
     let mut suspects = SuspectList::default();
-    assert_eq!(suspects.note_failure(&life("a"), 0), Some(FIRST_TIME_OUT));
-    assert_eq!(suspects.note_failure(&life("a"), 10), None);
-    assert!(suspects.is_suspect(&life("a"), FIRST_TIME_OUT - 1));
-    assert!(!suspects.is_suspect(&life("a"), FIRST_TIME_OUT));
-    let again = suspects.note_failure(&life("a"), FIRST_TIME_OUT);
-    assert_eq!(again, Some(FIRST_TIME_OUT + 2 * FIRST_TIME_OUT));
-    suspects.clear(&life("a"));
-    assert!(!suspects.is_suspect(&life("a"), FIRST_TIME_OUT));
+    assert_eq!(suspects.record_failure(&instance("a"), 0), Some(BASE_SUSPICION_TIME));
+    assert_eq!(suspects.record_failure(&instance("a"), 10), None);
+    assert!(suspects.is_suspect(&instance("a"), BASE_SUSPICION_TIME - 1));
+    assert!(!suspects.is_suspect(&instance("a"), BASE_SUSPICION_TIME));
+    let again = suspects.record_failure(&instance("a"), BASE_SUSPICION_TIME);
+    assert_eq!(again, Some(BASE_SUSPICION_TIME + 2 * BASE_SUSPICION_TIME));
+    suspects.clear(&instance("a"));
+    assert!(!suspects.is_suspect(&instance("a"), BASE_SUSPICION_TIME));
 }
 
 proptest! {
@@ -206,12 +206,12 @@
     ) {
         const ENTRIES: usize = 4;
         const AHEAD: f64 = 250.0;
-        let mut shares = vec![PipeShare::default(); ENTRIES];
+        let mut shares = vec![BandwidthShare::default(); ENTRIES];
         let (mut now, mut taken, mut largest) = (0, 0.0, 0.0_f64);
         for (entry, wait, time) in steps {
             now += wait;
             largest = largest.max(time);
-            if shares[entry].take(time, ENTRIES, now) {
+            if shares[entry].try_reserve(time, ENTRIES, now) {
                 taken += time;
             }
             let most = now as f64 + AHEAD + ENTRIES as f64 * largest;
@@ -222,33 +222,33 @@
 
 #[test]
 fn a_full_pipe_has_room_again_later() {
-    let mut share = PipeShare::default();
+    let mut share = BandwidthShare::default();
     let mut now = 0;
-    while share.take(40.0, 5, now) {}
-    assert!(!share.take(40.0, 5, now));
+    while share.try_reserve(40.0, 5, now) {}
+    assert!(!share.try_reserve(40.0, 5, now));
     now += 10_000;
-    assert!(share.take(40.0, 5, now));
+    assert!(share.try_reserve(40.0, 5, now));
 }
 
 #[test]
 fn a_slow_engine_is_told_by_the_entry_that_asked_it() {
-    let mut paces = PaceTable::default();
-    assert!(paces.note(&life("i-1"), 4.0, 0));
-    assert!(!paces.note(&life("i-1"), 3.0, 100));
-    paces.take_over(&life("i-2"), 2.0, NewsOrigin::Told, 100);
-    assert_eq!(paces.factor(&life("i-1"), 200), 3.0);
-    assert_eq!(paces.factor(&life("i-2"), 200), 2.0);
-    let told = paces.told_on(NewsReach::Speakers, 200);
-    assert_eq!(told.collect::<Vec<_>>(), [(&life("i-1"), 3.0)]);
-    assert_eq!(paces.factor(&life("i-2"), 100 + PACE_AGE), 1.0);
-    assert!(paces.note(&life("i-1"), 1.0, 300));
-    assert_eq!(paces.factor(&life("i-1"), 300), 1.0);
+    let mut paces = SlowdownTable::default();
+    assert!(paces.record(&instance("i-1"), 4.0, 0));
+    assert!(!paces.record(&instance("i-1"), 3.0, 100));
+    paces.merge_peer(&instance("i-2"), 2.0, UpdateOrigin::Told, 100);
+    assert_eq!(paces.factor(&instance("i-1"), 200), 3.0);
+    assert_eq!(paces.factor(&instance("i-2"), 200), 2.0);
+    let told = paces.shared_with(UpdateAudience::Speakers, 200);
+    assert_eq!(told.collect::<Vec<_>>(), [(&instance("i-1"), 3.0)]);
+    assert_eq!(paces.factor(&instance("i-2"), 100 + SLOWDOWN_MAX_AGE), 1.0);
+    assert!(paces.record(&instance("i-1"), 1.0, 300));
+    assert_eq!(paces.factor(&instance("i-1"), 300), 1.0);
 }
 
 /// Entries that are missing after an outage are kept for a while; those missing at other times are not.
 #[test]
 fn missing_entries_are_kept_after_an_outage_alone() {
-    let mut lapses = LapseGrace::default();
+    let mut lapses = MissingEntries::default();
     assert!(!lapses.keeps("calm", 1, 0));
     lapses.note_lost(1_000);
     assert!(!lapses.keeps("short", 1, 1_500));
@@ -259,7 +259,7 @@
     lapses.note_listed("back", 7);
     assert!(lapses.is_awaited("back"), "that was told before it was missing");
     lapses.note_listed("back", 8);
-    let end = 4_000 + LAPSE_GRACE;
+    let end = 4_000 + REAPPEAR_GRACE;
     assert!(lapses.keeps("late", 8, end - 1));
     assert_eq!(lapses.take_overdue(end - 1), []);
     let mut overdue = lapses.take_overdue(end);
@@ -272,13 +272,13 @@
 /// have been back: that at which the last read without an answer was sent.
 #[test]
 fn keeping_ends_by_the_earliest_return() {
-    let mut lapses = LapseGrace::default();
+    let mut lapses = MissingEntries::default();
     lapses.note_lost(1_000);
     lapses.note_lost(2_500);
     assert!(lapses.keeps("missing", 7, 4_100));
     lapses.note_answer(4_100);
-    assert_eq!(lapses.take_overdue(2_500 + LONGEST_KEPT - 1), []);
-    assert_eq!(lapses.take_overdue(2_500 + LONGEST_KEPT), [("missing".to_owned(), 7)]);
+    assert_eq!(lapses.take_overdue(2_500 + MAX_MISSING_TIME - 1), []);
+    assert_eq!(lapses.take_overdue(2_500 + MAX_MISSING_TIME), [("missing".to_owned(), 7)]);
 }
 
 proptest! {
@@ -289,26 +289,26 @@
         const TELL_EVERY: u64 = 200;
         const LONGEST_WAY: u64 = 900;
         let mut entries = vec![SuspectList::default(); 3];
-        entries[0].note_failure(&life("x"), 0);
+        entries[0].record_failure(&instance("x"), 0);
         let mut on_the_way: Vec<(u64, usize, u64)> = Vec::new();
         for (round, delay) in (0u64..).zip(&delays) {
             let now = round * TELL_EVERY;
             for (_, to, lasts) in on_the_way.extract_if(.., |(arrives, ..)| *arrives <= now) {
-                if !entries[to].is_suspect(&life("x"), now) {
-                    entries[to].take_over(&life("x"), now + lasts, NewsOrigin::Told);
+                if !entries[to].is_suspect(&instance("x"), now) {
+                    entries[to].merge(&instance("x"), now + lasts, UpdateOrigin::Told);
                 }
             }
             for from in 0..entries.len() {
                 let told: Vec<u64> = entries[from]
-                    .told_on(NewsReach::Speakers, now)
+                    .shared_with(UpdateAudience::Speakers, now)
                     .map(|(_, lasts)| lasts)
                     .collect();
                 let others = (0..entries.len()).filter(|to| *to != from);
                 let sent = others.flat_map(|to| told.iter().map(move |lasts| (now + delay, to, *lasts)));
                 on_the_way.extend(sent);
             }
-            let over = now > FIRST_TIME_OUT + LONGEST_WAY + TELL_EVERY;
-            let kept = entries.iter().any(|entry| entry.is_suspect(&life("x"), now));
+            let over = now > BASE_SUSPICION_TIME + LONGEST_WAY + TELL_EVERY;
+            let kept = entries.iter().any(|entry| entry.is_suspect(&instance("x"), now));
             prop_assert!(!(over && kept), "still suspected at {}", now);
         }
     }
@@ -326,7 +326,7 @@
     assert!(lease.is_lost());
     lease.prove(2_100);
     assert!(!lease.is_lost());
-    let mut lapses = LapseGrace::default();
+    let mut lapses = MissingEntries::default();
     lapses.note_lost(1_000);
     lapses.note_lost(3_000);
     lapses.note_answer(2_900);
@@ -339,28 +339,28 @@
 fn a_rejection_for_want_of_a_place_counts_for_the_next_requests() {
     const ENTRIES: usize = 26;
     const PLACES: u32 = 192;
-    let firsts = ["a", "b", "c", "d", "e"].map(life);
+    let firsts = ["a", "b", "c", "d", "e"].map(instance);
     let mut rejections = [0, 0];
     for (learns, rejected) in [false, true].into_iter().zip(&mut rejections) {
-        let mut begun: HashMap<ReplicaLife, u32> = HashMap::new();
-        let mut entries = vec![(RoomLedger::default(), FullStarts::default()); ENTRIES];
+        let mut begun: HashMap<ReplicaInstance, u32> = HashMap::new();
+        let mut entries = vec![(ReservationLedger::default(), FullReplicas::default()); ENTRIES];
         for request in 0..918 {
             let now = request as u64 * 250 / 918;
             let (places, full) = &mut entries[request % ENTRIES];
             // Nobody hears of others within these 250 ms: the order of the replicas decides between equal ones.
-            let cost = |first: &&ReplicaLife| {
-                (full.is_full(first, now), places.promised(first) as u64 / 16)
+            let cost = |first: &&ReplicaInstance| {
+                (full.is_full(first, now), places.reserved(first) as u64 / 16)
             };
             let first = firsts.iter().min_by_key(cost).expect("there are some");
             let taken = begun.entry(first.clone()).or_default();
             if *taken < PLACES {
                 *taken += 1;
-                places.promise(first, 1.0);
+                places.reserve(first, 1.0);
                 continue;
             }
             *rejected += 1;
             if learns {
-                full.note_rejection(first, now);
+                full.record_rejection(first, now);
             }
         }
     }
@@ -369,9 +369,11 @@
 
 #[test]
 fn a_replica_without_a_place_is_asked_again_soon() {
-    let mut full = FullStarts::default();
-    full.note_rejection(&life("a"), 100);
-    assert!(full.is_full(&life("a"), 100 + FULL_TIME - 1) && !full.is_full(&life("b"), 100));
-    assert!(!full.is_full(&life("a"), 100 + FULL_TIME));
-    assert!(!full.is_full(&ReplicaLife::new("a", 7), 101), "its next life has all its places");
+    let mut full = FullReplicas::default();
+    full.record_rejection(&instance("a"), 100);
+    assert!(
+        full.is_full(&instance("a"), 100 + FULL_DURATION - 1) && !full.is_full(&instance("b"), 100)
+    );
+    assert!(!full.is_full(&instance("a"), 100 + FULL_DURATION));
+    assert!(!full.is_full(&ReplicaInstance::new("a", 7), 101), "its next life has all its places");
 }
