--- a/crates/link/src/client.rs
+++ b/crates/link/src/client.rs
@@ -18,8 +18,8 @@
 /// Interval of HTTP/2 keep-alive pings, and time-out for the response to one.
 const KEEP_ALIVE: Duration = Duration::from_secs(10);
 
-/// HTTP/2 flow-control window. It is large enough that a frame of prompts does not wait a round trip
-/// for a window update.
+/// HTTP/2 flow-control window. It is large enough that a frame of prompts does not wait a round
+/// trip for a window update.
 const WINDOW_BYTES: u32 = 1 << 20;
 
 /// Link that this process opened.
--- a/crates/link/src/lib.rs
+++ b/crates/link/src/lib.rs
@@ -1,12 +1,13 @@
 //! Links: persistent bidirectional gRPC streams between the processes of switchfold.
 //!
-//! Two processes keep one stream open and send many small messages over it. Messages that are queued
-//! at the same time are sent in one [`Frame`], so that a batch of steps that leaves an engine at once
-//! costs one write instead of many. A sender never blocks: if the other side stops reading, the queue
-//! fills up, sends fail, and the owner treats the link as lost.
+//! Two processes keep one stream open and send many small messages over it. Messages that are
+//! queued at the same time are sent in one [`Frame`], so that a batch of steps that leaves an
+//! engine at once costs one write instead of many. A sender never blocks: if the other side stops
+//! reading, the queue fills up, sends fail, and the owner treats the link as lost.
 //!
 //! Every stream carries the cluster token of the settings, which is compared in constant time, and
-//! starts with a [`Hello`] that names the protocol version. [`LinkError`] lists why a link is refused.
+//! starts with a [`Hello`] that names the protocol version. [`LinkError`] lists why a link is
+//! refused.
 
 mod client;
 mod queue;
--- a/crates/link/src/queue.rs
+++ b/crates/link/src/queue.rs
@@ -19,8 +19,8 @@
 impl LinkSender {
     /// Queues a message and returns whether that succeeded.
     ///
-    /// It fails if the link has ended or the queue is full. The caller should give the link up in both
-    /// cases: the queue fills up only if the other side has stopped reading.
+    /// It fails if the link has ended or the queue is full. The caller should give the link up in
+    /// both cases: the queue fills up only if the other side has stopped reading.
     pub fn send(&self, body: Body) -> bool {
         self.queue.try_send(body.into()).is_ok()
     }
@@ -38,7 +38,8 @@
 }
 
 impl LinkQueue {
-    /// Turns the queue into a stream of frames. Each frame holds the messages queued so far, up to 64.
+    /// Turns the queue into a stream of frames. Each frame holds the messages queued so far, up to
+    /// 64.
     pub fn into_frames(self) -> impl Stream<Item = Frame> + Send + 'static {
         let messages = ReceiverStream::new(self.queue);
         messages.ready_chunks(MAX_FRAME_MESSAGES).map(|messages| Frame { messages })
--- a/crates/proto/src/lib.rs
+++ b/crates/proto/src/lib.rs
@@ -6,9 +6,9 @@
 //! | [`engine`] | an agent and its local engine |
 //! | [`peer`] | entries |
 //!
-//! The code under `generated/` is committed, so that the build needs no generator. After a change of
-//! a `.proto` file, regenerate it (in pure Rust) with
-//! `cargo run --manifest-path tools/protogen/Cargo.toml`.
+//! The code under `generated/` is committed, so that the build needs no generator. After a change
+//! of a `.proto` file, regenerate it (in pure Rust) with `cargo run --manifest-path
+//! tools/protogen/Cargo.toml`.
 
 /// Version of all protocols in this crate. A process refuses a peer with another version; the error
 /// names both.
--- a/crates/relay/src/copies.rs
+++ b/crates/relay/src/copies.rs
@@ -34,5 +34,5 @@
 
 /// The newest era of the store that this relay read, or that a neighbour told it.
 pub fn store_era(relay: &Relay) -> u64 {
-    relay.calls.era.known().max(relay.beliefs.borrow().fleet.era())
+    relay.calls.era.current().max(relay.beliefs.borrow().fleet.era())
 }
--- a/crates/relay/src/flow.rs
+++ b/crates/relay/src/flow.rs
@@ -89,7 +89,7 @@
 ) -> RelayBody {
     let flow = StreamFlow {
         alarms_seen: relay.alarms.get(),
-        framer: EventFramer::after(request.marks.last_event_id),
+        framer: EventFramer::resume_after(request.marks.last_event_id),
         marks: read_response_headers(&opened.head.headers),
         body: opened.body,
         link: Some(opened.link),
@@ -199,7 +199,7 @@
     /// Pause after which the replicas of the path are probed: longer than any that the stream has had.
     fn probe_pause(&self) -> Millis {
         let ran_for = self.last_progress.saturating_sub(self.opened_at);
-        let mean = ran_for / self.framer.events().max(1);
+        let mean = ran_for / self.framer.event_count().max(1);
         let unusual = (mean * PROBE_PAUSES).max(self.longest_pause * 3 / 2);
         unusual.max(LEAST_QUIET)
     }
@@ -214,7 +214,7 @@
             request = self.request.marks.attempt_id,
             took_ms = took,
             longest_pause_ms = self.longest_pause,
-            events = self.framer.events(),
+            events = self.framer.event_count(),
             parts = self.path.len(),
             first = %self.path[0].instance,
         );
--- a/crates/relay/src/request.rs
+++ b/crates/relay/src/request.rs
@@ -8,7 +8,7 @@
 use hyper::body::Incoming;
 use switchfold_kernel::clock::now_millis;
 use switchfold_platform::headers::{
-    ForwardHeaders, RequestHeaders, ResponseHeaders, path_value, read_request_headers,
+    ForwardHeaders, RequestHeaders, ResponseHeaders, encode_path, read_request_headers,
     set_forward_headers,
 };
 use switchfold_router::{
@@ -163,7 +163,7 @@
             gap = permit.route.max_event_gap,
             last_event,
             %first,
-            path = path.map(path_value),
+            path = path.map(encode_path),
         );
     }
 
--- a/crates/relay/tests/crashes.rs
+++ b/crates/relay/tests/crashes.rs
@@ -34,9 +34,10 @@
     engine::{ORDER_PATH, REPORT_PATH},
 };
 use switchfold_platform_standin::{
-    ReceivedOrder, ReceivedRequest, Reply, StandinReplica, StandinStore, StreamEnd, answer, events,
+    ReceivedOrder, ReceivedRequest, Reply, StandinReplica, StandinStore, StreamEnd, events,
     parse_order,
     samples::{KEY, LAYERS, config, desk_entry, model_entry, report},
+    signed_response,
 };
 use tokio::time::sleep;
 
@@ -62,8 +63,8 @@
 /// An engine that holds all layers, and ends when it begins to run the bad request.
 fn fragile(request: &ReceivedRequest) -> Reply {
     match request.target.as_str() {
-        REPORT_PATH => answer(request, 200, &report(0, LAYERS, &[])),
-        ORDER_PATH => answer(request, 200, ""),
+        REPORT_PATH => signed_response(request, 200, &report(0, LAYERS, &[])),
+        ORDER_PATH => signed_response(request, 200, ""),
         _ if is_bad(request) => Reply::Crash(stream_head(request), PAUSE),
         _ => events(request, EVENTS, PAUSE, StreamEnd::Complete),
     }
@@ -144,8 +145,8 @@
 fn a_request_that_ends_later_stages_is_not_moved_on() {
     run_test(async {
         let later = start_engines(8, |request| match request.target.as_str() {
-            REPORT_PATH => answer(request, 200, &report(4, LAYERS, &[])),
-            _ => answer(request, 200, ""),
+            REPORT_PATH => signed_response(request, 200, &report(4, LAYERS, &[])),
+            _ => signed_response(request, 200, ""),
         })
         .await;
         let at_work: Arc<Mutex<Option<SocketAddr>>> = Arc::default();
@@ -166,13 +167,13 @@
                     .map(|faulty_replica| ("bad-0", faulty_replica))
                     .into_iter()
                     .collect();
-                answer(request, 200, &report(0, 4, &stalled))
+                signed_response(request, 200, &report(0, 4, &stalled))
             }
             ORDER_PATH => {
                 if let ReceivedOrder::Repath { path, .. } = parse_order(&request.body) {
                     crash_at(&path);
                 }
-                answer(request, 200, "")
+                signed_response(request, 200, "")
             }
             _ => {
                 crash_at(request.header("path").unwrap_or_default());
@@ -193,7 +194,7 @@
 fn fragile_desk(request: &ReceivedRequest) -> Reply {
     match is_bad(request) {
         true => Reply::Crash(Vec::new(), PAUSE),
-        false => answer(request, 200, "confirmed"),
+        false => signed_response(request, 200, "confirmed"),
     }
 }
 
--- a/crates/relay/tests/harness/mod.rs
+++ b/crates/relay/tests/harness/mod.rs
@@ -16,8 +16,9 @@
     headers::{ATTEMPT_ID, DEADLINE, REPLICA_SEAL},
 };
 use switchfold_platform_standin::{
-    ReceivedRequest, Reply, StandinReplica, StandinStore, StreamEnd, answer, events,
+    ReceivedRequest, Reply, StandinReplica, StandinStore, StreamEnd, events,
     samples::{self, HOST, KEY, RouteSample},
+    signed_response,
 };
 use switchfold_relay::{
     news::{PeerMessage, StateNews},
@@ -273,12 +274,12 @@
 /// What a replica of either service answers while it is well; an engine holds all layers.
 pub(crate) fn serve(request: &ReceivedRequest) -> Reply {
     match request.target.as_str() {
-        REPORT_PATH => answer(request, 200, &samples::report(0, samples::LAYERS, &[])),
-        ORDER_PATH => answer(request, 200, ""),
+        REPORT_PATH => signed_response(request, 200, &samples::report(0, samples::LAYERS, &[])),
+        ORDER_PATH => signed_response(request, 200, ""),
         path if path.starts_with("/stream") => {
             events(request, 3, Duration::from_millis(5), StreamEnd::Complete)
         }
-        _ => answer(request, 200, "confirmed"),
+        _ => signed_response(request, 200, "confirmed"),
     }
 }
 
--- a/crates/relay/tests/plain.rs
+++ b/crates/relay/tests/plain.rs
@@ -21,10 +21,10 @@
     headers::{ATTEMPT_ID, DEADLINE, EXPECT_REPLICA, ORGANISATION as ORGANISATION_HEADER},
 };
 use switchfold_platform_standin::{
-    ReceivedRequest, Reply, StandinReplica, StandinStore, StoreBehaviour, answer,
-    mismatched_response, reject,
+    ReceivedRequest, Reply, StandinReplica, StandinStore, StoreBehaviour, mismatched_response,
+    reject,
     samples::{self, KEY, ORGANISATION, desk_entry, draining},
-    truncated_response,
+    signed_response, truncated_response,
 };
 use switchfold_relay::settings::BoundSettings;
 use tokio::time::sleep;
@@ -32,7 +32,7 @@
 type Script = fn(&ReceivedRequest) -> Reply;
 
 fn well(request: &ReceivedRequest) -> Reply {
-    answer(request, 200, "confirmed")
+    signed_response(request, 200, "confirmed")
 }
 
 fn garbage(_: &ReceivedRequest) -> Reply {
@@ -92,13 +92,20 @@
 fn what_the_first_replica_does_decides() {
     let rows = [
         row("well", "/once/a", well, 200, true, 0),
-        row("its own failure", "/once/a", |r| answer(r, 500, "no"), 500, true, 0),
-        row("its own failure, repeatable", "/safe/a", |r| answer(r, 500, "no"), 200, true, 1),
-        row("its own refusal", "/safe/a", |r| answer(r, 404, "no"), 404, true, 0),
+        row("its own failure", "/once/a", |r| signed_response(r, 500, "no"), 500, true, 0),
+        row(
+            "its own failure, repeatable",
+            "/safe/a",
+            |r| signed_response(r, 500, "no"),
+            200,
+            true,
+            1,
+        ),
+        row("its own refusal", "/safe/a", |r| signed_response(r, 404, "no"), 404, true, 0),
         row("rejected", "/once/a", |r| reject(r, 503, None), 200, true, 1),
         row("other replica there", "/once/a", |r| reject(r, 421, None), 200, true, 1),
         row("rejected, repeatable", "/safe/a", |r| reject(r, 429, None), 200, true, 1),
-        row("503 without the promise", "/once/a", |r| answer(r, 503, "no"), 502, false, 0),
+        row("503 without the promise", "/once/a", |r| signed_response(r, 503, "no"), 502, false, 0),
         row("closed", "/once/a", |_| Reply::Close, 502, false, 0),
         row("closed, repeatable", "/safe/a", |_| Reply::Close, 200, true, 1),
         row("surplus answer", "/once/a", |_| mismatched_response(), 502, false, 0),
@@ -388,7 +395,7 @@
 #[test]
 fn a_stop_cuts_no_late_request() {
     run_test(async {
-        let slow = |request: &ReceivedRequest| match answer(request, 200, "confirmed") {
+        let slow = |request: &ReceivedRequest| match signed_response(request, 200, "confirmed") {
             Reply::Bytes(bytes) => Reply::BytesLater(Duration::from_millis(200), bytes),
             other => other,
         };
--- a/crates/relay/tests/restarts.rs
+++ b/crates/relay/tests/restarts.rs
@@ -14,8 +14,9 @@
     engine::{ORDER_PATH, REPORT_PATH},
 };
 use switchfold_platform_standin::{
-    ReceivedRequest, Reply, StandinReplica, StreamEnd, answer, events, reject,
+    ReceivedRequest, Reply, StandinReplica, StreamEnd, events, reject,
     samples::{LAYERS, in_data_centre, malformed_entries, model_entry, report, started_at},
+    signed_response,
 };
 
 use crate::harness::{RunningRelay, bounds, run_test, wait_until};
@@ -39,8 +40,8 @@
     let report: serde_json::Value = serde_json::from_str(&report).expect("reports are JSON");
     let report = started_at(report, born).to_string();
     move |request| match request.target.as_str() {
-        REPORT_PATH => answer(request, 200, &report),
-        ORDER_PATH => answer(request, 200, ""),
+        REPORT_PATH => signed_response(request, 200, &report),
+        ORDER_PATH => signed_response(request, 200, ""),
         _ => script(request),
     }
 }
--- a/crates/relay/tests/snapshots.rs
+++ b/crates/relay/tests/snapshots.rs
@@ -11,8 +11,9 @@
 use serde_json::json;
 use switchfold_platform::{CONFIG_KIND, CONFIG_NAME, ENTRY_KIND, REPLICA_KIND};
 use switchfold_platform_standin::{
-    ReceivedRequest, Reply, StandinReplica, StandinStore, StoreBehaviour, answer,
+    ReceivedRequest, Reply, StandinReplica, StandinStore, StoreBehaviour,
     samples::{self, KEY, desk_entry},
+    signed_response,
 };
 use switchfold_relay::{
     news::{InstanceRecord, LoadNews, LoadRecord, PeerMessage, StateNews, encode_state},
@@ -22,7 +23,7 @@
 use tokio::net::UdpSocket;
 
 fn well(request: &ReceivedRequest) -> Reply {
-    answer(request, 200, "well")
+    signed_response(request, 200, "well")
 }
 
 /// Lists of the store that were read so far, of the kinds that are followed.
@@ -131,7 +132,7 @@
 }
 
 fn bytes_answer(request: &ReceivedRequest, body: &[u8]) -> Reply {
-    let Reply::Bytes(whole) = answer(request, 200, &"x".repeat(body.len())) else {
+    let Reply::Bytes(whole) = signed_response(request, 200, &"x".repeat(body.len())) else {
         panic!("answers are bytes")
     };
     Reply::Bytes([&whole[..whole.len() - body.len()], body].concat())
--- a/crates/relay/tests/streams.rs
+++ b/crates/relay/tests/streams.rs
@@ -17,8 +17,9 @@
 };
 use switchfold_platform_standin::{
     GateState, ReceivedOrder, ReceivedRequest, Reply, StandinReplica, StreamEnd, StreamGate,
-    answer, events, reject,
+    events, reject,
     samples::{LAYERS, draining, in_data_centre, model_entry, report},
+    signed_response,
 };
 use switchfold_relay::news::{InstanceRecord, PeerMessage, StateNews};
 use tokio::net::UdpSocket;
@@ -40,8 +41,8 @@
     script: impl Fn(&ReceivedRequest) -> Reply + Send + Sync + 'static,
 ) -> impl Fn(&ReceivedRequest) -> Reply + Send + Sync + 'static {
     move |request| match request.target.as_str() {
-        REPORT_PATH => answer(request, 200, &report(from, to, &[])),
-        ORDER_PATH => answer(request, 200, ""),
+        REPORT_PATH => signed_response(request, 200, &report(from, to, &[])),
+        ORDER_PATH => signed_response(request, 200, ""),
         _ => script(request),
     }
 }
@@ -162,8 +163,8 @@
         ("other layers there", |r| reject(r, 421, None), "/stream-once/a", 200, 2),
         ("closed", |_| Reply::Close, "/stream/a", 200, 2),
         ("closed, once only", |_| Reply::Close, "/stream-once/a", 502, 1),
-        ("failed", |r| answer(r, 500, "no"), "/stream/a", 200, 2),
-        ("refused for good", |r| answer(r, 400, "no"), "/stream/a", 400, 1),
+        ("failed", |r| signed_response(r, 500, "no"), "/stream/a", 200, 2),
+        ("refused for good", |r| signed_response(r, 400, "no"), "/stream/a", 400, 1),
     ];
     for (name, fails, path, status, sends) in rows {
         run_test(async move {
@@ -188,8 +189,8 @@
         let spare = StandinReplica::start(engine(4, LAYERS, whole_stream)).await;
         let faulty_replica = lost.address();
         let first = StandinReplica::start(move |request| match request.target.as_str() {
-            REPORT_PATH => answer(request, 200, &report(0, 4, &[("a", faulty_replica)])),
-            ORDER_PATH => answer(request, 200, ""),
+            REPORT_PATH => signed_response(request, 200, &report(0, 4, &[("a", faulty_replica)])),
+            ORDER_PATH => signed_response(request, 200, ""),
             _ => events(request, 3, PAUSE, StreamEnd::Silence),
         })
         .await;
@@ -255,7 +256,9 @@
             let lost = StandinReplica::start(|_| Reply::Silence).await;
             let faulty_replica = lost.address();
             let first = StandinReplica::start(move |request| match request.target.as_str() {
-                REPORT_PATH => answer(request, 200, &report(0, LAYERS, &[("a", faulty_replica)])),
+                REPORT_PATH => {
+                    signed_response(request, 200, &report(0, LAYERS, &[("a", faulty_replica)]))
+                }
                 _ => {
                     let Reply::Bytes(bytes) = reject(request, 503, Some(faulty_replica)) else {
                         unreachable!("a rejection is bytes");
@@ -285,7 +288,7 @@
     run_test(async {
         let full =
             StandinReplica::start(move |request: &ReceivedRequest| match request.target.as_str() {
-                REPORT_PATH => answer(request, 200, &report(0, LAYERS, &[])),
+                REPORT_PATH => signed_response(request, 200, &report(0, LAYERS, &[])),
                 _ => reject(request, 503, None),
             })
             .await;
@@ -387,10 +390,11 @@
 #[test]
 fn a_heard_suspicion_ends_no_waiting_request() {
     run_test(async {
-        let late = |request: &ReceivedRequest| match answer(request, 200, "id: 0\ndata: a\n\n") {
-            Reply::Bytes(bytes) => Reply::BytesLater(Duration::from_millis(600), bytes),
-            other => other,
-        };
+        let late =
+            |request: &ReceivedRequest| match signed_response(request, 200, "id: 0\ndata: a\n\n") {
+                Reply::Bytes(bytes) => Reply::BytesLater(Duration::from_millis(600), bytes),
+                other => other,
+            };
         let replica = StandinReplica::start(engine(0, LAYERS, late)).await;
         let relay = RunningRelay::start(bounds(), &[listed("i-1", &replica, whole_model)]).await;
         let news = StateNews {
--- a/crates/soak/src/replica.rs
+++ b/crates/soak/src/replica.rs
@@ -18,8 +18,9 @@
     objects::ObjectStore,
 };
 use switchfold_platform_standin::{
-    EngineEvent, ReceivedRequest, Reply, StandinEngine, StandinReplica, StreamEnd, answer,
+    EngineEvent, ReceivedRequest, Reply, StandinEngine, StandinReplica, StreamEnd,
     samples::{desk_entry, draining, in_data_centre, started_at},
+    signed_response,
 };
 use tokio::{
     io::AsyncWriteExt,
@@ -223,7 +224,7 @@
         let attempt = attempt_id(request);
         let fails = attempt.bytes().map(usize::from).sum::<usize>().is_multiple_of(FAILS_ONE_IN);
         let status = if fails { 500 } else { 200 };
-        match notices.mark(answer(request, status, &own_body(attempt))) {
+        match notices.mark(signed_response(request, status, &own_body(attempt))) {
             Reply::Bytes(bytes) => Reply::BytesLater(WORK, bytes),
             other => other,
         }
@@ -249,7 +250,7 @@
             return reply;
         }
         let is_later = bad.as_ref().is_some_and(|name| name.starts_with(BAD_LATER));
-        let reply = engine.answer(request, EVENTS, PAUSE, |event| {
+        let reply = engine.respond(request, EVENTS, PAUSE, |event| {
             let began = event == EngineEvent::Started;
             let ends_here = began && !is_later;
             let bad_here = bad.clone().filter(|_| ends_here);
