--- a/crates/relay/src/flow/recovery.rs
+++ b/crates/relay/src/flow/recovery.rs
@@ -158,7 +158,9 @@
                 Some(OrderEnd::Refused(_, Some(faulty_replica))) => {
                     probe_replicas(&self.relay, std::iter::once(faulty_replica));
                     let beliefs = self.relay.beliefs.borrow();
-                    let Some(replica) = beliefs.fleet.view.at(faulty_replica) else { return false };
+                    let Some(replica) = beliefs.fleet.view.at_address(faulty_replica) else {
+                        return false;
+                    };
                     avoid.push(replica.instance.clone());
                 }
                 _ => return false,
@@ -171,9 +173,9 @@
     /// were, with memory of it.
     fn restarted_parts(&self) -> Vec<ReplicaInstance> {
         let beliefs = self.relay.beliefs.borrow();
-        let ended = |part: &&PathStage| beliefs.fleet.view.living(&part.instance).is_none();
+        let ended = |part: &&PathStage| beliefs.fleet.view.get_current(&part.instance).is_none();
         let present = self.path.iter().filter(ended);
-        let present = present.filter_map(|part| beliefs.fleet.view.at(part.address));
+        let present = present.filter_map(|part| beliefs.fleet.view.at_address(part.address));
         present.map(|replica| replica.instance.clone()).collect()
     }
 
--- a/crates/relay/src/heads.rs
+++ b/crates/relay/src/heads.rs
@@ -193,7 +193,7 @@
         let is_lost = |part: &&PathStage| self.relay.part_state(part) == PartState::Lost;
         let Some(lost) = self.path.iter().find(is_lost) else { return Ok(()) };
         let beliefs = self.relay.beliefs.borrow();
-        let is_listed = beliefs.fleet.view.living(&lost.instance).is_some();
+        let is_listed = beliefs.fleet.view.get_current(&lost.instance).is_some();
         let own = !is_listed || beliefs.suspects.is_local(&lost.instance, now);
         drop(beliefs);
         if self.has_another() || (own && self.is_repeatable()) {
--- a/crates/relay/src/limits.rs
+++ b/crates/relay/src/limits.rs
@@ -41,7 +41,7 @@
 
 /// Whether this relay keeps limits of replicas.
 pub fn keeps_limits(relay: &Relay, beliefs: &Beliefs, now: Millis) -> bool {
-    let has_others = || beliefs.peers.live(now) > 0;
+    let has_others = || beliefs.peers.live_count(now) > 0;
     // One that stops leaves them to the others while it is there, so that nobody waits for its silence.
     // What a member hears of the others is too little to tell whether it is cut off.
     let speaks = !beliefs.peers.is_member();
@@ -241,7 +241,7 @@
     now: Millis,
 ) -> (PeerStamp, i64) {
     let stamp = PeerStamp { incarnation, time };
-    (stamp, relay.beliefs.borrow_mut().clocks.written(name, stamp, now))
+    (stamp, relay.beliefs.borrow_mut().clocks.written_at(name, stamp, now))
 }
 
 /// Takes asks of another relay.
--- a/crates/relay/src/metrics.rs
+++ b/crates/relay/src/metrics.rs
@@ -192,10 +192,10 @@
             ("suspects", beliefs.suspects.current(now).count() as u64),
             ("requests_stopped_now", beliefs.quarantine.quarantined_count(now) as u64),
             ("requests_suspected", beliefs.quarantine.tracked_count() as u64),
-            ("known_relays", beliefs.peers.known() as u64),
+            ("known_relays", beliefs.peers.known_count() as u64),
             ("is_member", u64::from(beliefs.peers.is_member())),
             ("members", beliefs.peers.member_hashes(now).len() as u64),
-            ("live_relays", beliefs.peers.live(now) as u64),
+            ("live_relays", beliefs.peers.live_count(now) as u64),
             ("config_version", beliefs.config_version()),
         ];
         for (name, value) in figures {
--- a/crates/relay/src/news.rs
+++ b/crates/relay/src/news.rs
@@ -322,7 +322,7 @@
 
 impl From<&ReplicaInstance> for InstanceRecord {
     fn from(instance: &ReplicaInstance) -> Self {
-        Self(instance.id().to_owned(), instance.born())
+        Self(instance.id().to_owned(), instance.started_at())
     }
 }
 
@@ -407,7 +407,7 @@
 impl From<ReplicaEntry> for EntryRecord {
     fn from(entry: ReplicaEntry) -> Self {
         Self {
-            born: entry.instance.born(),
+            born: entry.instance.started_at(),
             service: entry.service,
             address: entry.address,
             data_centre: entry.data_centre,
--- a/crates/relay/src/notices.rs
+++ b/crates/relay/src/notices.rs
@@ -51,8 +51,13 @@
 
 /// Hears what an answer to a call of an engine's own interface says of the replica that is listed at an address.
 pub fn hear_notices_at(relay: &Relay, address: SocketAddr, answer: HeardAnswer<'_>) {
-    let instance =
-        relay.beliefs.borrow().fleet.view.at(address).map(|replica| replica.instance.clone());
+    let instance = relay
+        .beliefs
+        .borrow()
+        .fleet
+        .view
+        .at_address(address)
+        .map(|replica| replica.instance.clone());
     if let Some(instance) = instance {
         hear_word(relay, &instance, answer);
     }
--- a/crates/relay/src/paths.rs
+++ b/crates/relay/src/paths.rs
@@ -218,7 +218,11 @@
         if beliefs.limits.is_empty() {
             return;
         }
-        beliefs.fleet.view.living(&path[0].instance).is_some_and(|first| first.data_centre == *home)
+        beliefs
+            .fleet
+            .view
+            .get_current(&path[0].instance)
+            .is_some_and(|first| first.data_centre == *home)
     };
     let begins = |replica: &ReplicaEntry| {
         begins_for(replica, wish) && (!begins_at_home || replica.data_centre == *home)
@@ -246,7 +250,7 @@
 fn log_crowded(relay: &Relay, wish: &PathWish<'_>, path: &[PathStage]) {
     let beliefs = relay.beliefs.borrow();
     let fill = |part: &PathStage| {
-        let replica = beliefs.fleet.view.living(&part.instance)?;
+        let replica = beliefs.fleet.view.get_current(&part.instance)?;
         let memory = wish.engine.kind(&replica.kind)?.memory_mb;
         let total = wish.engine.free_token_layers(memory, replica.layers?.len());
         Some((beliefs.room.reserved(&part.instance) / total.max(1.0), &replica.instance))
@@ -264,7 +268,7 @@
     let pipe_time = wish.engine.transfer_ms(wish.tokens) * f64::from(crossings);
     let now = now_millis();
     let mut beliefs = relay.beliefs.borrow_mut();
-    let entries = beliefs.peers.known() + 1;
+    let entries = beliefs.peers.known_count() + 1;
     let taken = beliefs.pipe.try_reserve(pipe_time, entries, now);
     if !taken {
         tracing::info!(event = "pipe-full", service = wish.service, crossings, pipe_time, entries);
@@ -276,7 +280,7 @@
 fn count_crossings(relay: &Relay, path: &[PathStage]) -> u32 {
     let beliefs = relay.beliefs.borrow();
     let place = |part: &PathStage| {
-        beliefs.fleet.view.living(&part.instance).map(|replica| &replica.data_centre)
+        beliefs.fleet.view.get_current(&part.instance).map(|replica| &replica.data_centre)
     };
     let passes = path.windows(2).filter(|pair| place(&pair[0]) != place(&pair[1]));
     passes.count() as u32
@@ -369,7 +373,7 @@
     data_centres: &mut DataCentres,
 ) -> Option<StageOffer> {
     let (instance, range) = wish.first?;
-    let replica = beliefs.fleet.view.living(instance)?;
+    let replica = beliefs.fleet.view.get_current(instance)?;
     Some(StageOffer {
         instance: instance.clone(),
         address: replica.address,
--- a/crates/relay/src/peers.rs
+++ b/crates/relay/src/peers.rs
@@ -76,7 +76,7 @@
     let now = now_millis();
     let is_excess = {
         let peers = &relay.beliefs.borrow().peers;
-        peers.known() >= MOST_RELAYS && peers.address(&news.name).is_none()
+        peers.known_count() >= MOST_RELAYS && peers.address(&news.name).is_none()
     };
     if is_excess {
         return drop_datagram(relay, from, "of one relay too many");
@@ -92,20 +92,20 @@
     {
         let mut guard = relay.beliefs.borrow_mut();
         let beliefs = &mut *guard;
-        beliefs.peers.learn(&news.name, from, &news.data_centre, now);
+        beliefs.peers.upsert(&news.name, from, &news.data_centre, now);
         let (incarnation, time) = news.stamp;
         let stamp = PeerStamp { incarnation, time };
-        if beliefs.peers.is_back(&news.name, stamp, now) {
+        if beliefs.peers.is_returning(&news.name, stamp, now) {
             beliefs.quarantine.announce_all(now);
         }
-        if !beliefs.peers.hear(&news.name, state, stamp, now) {
+        if !beliefs.peers.record_message(&news.name, state, stamp, now) {
             count(&relay.counts.older_states);
             return;
         }
-        beliefs.peers.note_report(&news.name, kind, now);
-        beliefs.peers.note_vouched(&news.keepers, news.reader, now);
-        beliefs.peers.note_members(&news.members, now);
-        written = beliefs.clocks.written(&news.name, stamp, now);
+        beliefs.peers.record_report(&news.name, kind, now);
+        beliefs.peers.record_vouched(&news.keepers, news.reader, now);
+        beliefs.peers.record_members(&news.members, now);
+        written = beliefs.clocks.written_at(&news.name, stamp, now);
         take_load(beliefs, news, kind, now);
         for (instance, hundredfold) in &news.paces {
             let factor = f64::from(*hundredfold) / 100.0;
@@ -138,7 +138,7 @@
     let mut lost = Vec::new();
     for (instance, lasts) in &news.suspects {
         let instance = ReplicaInstance::from(instance);
-        let is_current = beliefs.fleet.view.living(&instance).is_some();
+        let is_current = beliefs.fleet.view.get_current(&instance).is_some();
         if is_current && !beliefs.suspects.is_suspect(&instance, now) {
             beliefs.suspects.merge(&instance, now + Millis::from(*lasts), origin);
             tracing::info!(event = "suspect-heard", replica = %instance, from = news.name, lasts);
@@ -228,12 +228,12 @@
     let passes_on = is_newer(proofs.config.answered, beliefs.config_lease.answer_age(now))
         || is_newer(proofs.fleet.answered, beliefs.fleet.answer_age(now));
     if let Some(answered) = proofs.config.answered {
-        beliefs.config_lease.note_answer(answered);
+        beliefs.config_lease.record_answer(answered);
     }
     if let Some(proved) = proofs.config.proved {
-        beliefs.config_lease.prove_at(proved);
+        beliefs.config_lease.record_proof_at(proved);
     }
-    beliefs.fleet.note_proof(proofs.fleet);
+    beliefs.fleet.record_proof(proofs.fleet);
     drop(guard);
     if passes_on {
         pass_on(relay, UpdateOrigin::Told, now);
--- a/crates/relay/src/placer.rs
+++ b/crates/relay/src/placer.rs
@@ -154,7 +154,7 @@
         let beliefs = relay.beliefs.borrow();
         let rank = beliefs.peers.rank(&relay.settings.name, fresh, now)?;
         let groups = self.groups.renew(&config, &beliefs.fleet.view);
-        let planners = planner_count(groups, beliefs.peers.live_speakers(now) + 1);
+        let planners = planner_count(groups, beliefs.peers.live_speaker_count(now) + 1);
         (rank < planners).then_some(PlanShare { rank, planners })
     }
 
@@ -181,7 +181,7 @@
             self.fleet_changed = now;
         }
         self.pending.retain(|instance, order| {
-            let Some(replica) = beliefs.fleet.view.living(instance) else { return false };
+            let Some(replica) = beliefs.fleet.view.get_current(instance) else { return false };
             let done = replica.layers == Some(order.range);
             !done && now < order.until
         });
@@ -232,7 +232,7 @@
             }
         }
         let beliefs = relay.beliefs.borrow();
-        self.probes.retain(|instance, _| beliefs.fleet.view.living(instance).is_some());
+        self.probes.retain(|instance, _| beliefs.fleet.view.get_current(instance).is_some());
     }
 
     fn due_probes(&self, relay: &Relay, now: Millis) -> Vec<ReplicaEntry> {
@@ -248,7 +248,7 @@
             due && replica.layers.is_some() && !self.pending.contains_key(&replica.instance)
         };
         let replicas =
-            instances.into_iter().filter_map(|instance| beliefs.fleet.view.living(instance));
+            instances.into_iter().filter_map(|instance| beliefs.fleet.view.get_current(instance));
         replicas.filter(is_due).cloned().collect()
     }
 
@@ -386,7 +386,7 @@
         order: PlacementOrder,
         now: Millis,
     ) {
-        let replica = relay.beliefs.borrow().fleet.view.living(&order.instance).cloned();
+        let replica = relay.beliefs.borrow().fleet.view.get_current(&order.instance).cloned();
         let Some(replica) = replica else { return };
         let share =
             u64::from(order.range.len()) * engine.load_time / u64::from(engine.layers.max(1));
@@ -455,7 +455,7 @@
         tracing::warn!(event = "order-unsent", replica = %replica.instance, from, to, why = "no report");
         return false;
     };
-    if relay.beliefs.borrow().fleet.view.living(&replica.instance).is_none() {
+    if relay.beliefs.borrow().fleet.view.get_current(&replica.instance).is_none() {
         // The order was planned for what an earlier life held.
         tracing::info!(event = "order-unsent", replica = %replica.instance, from, to, why = "restarted");
         return false;
--- a/crates/relay/src/quarantine.rs
+++ b/crates/relay/src/quarantine.rs
@@ -129,7 +129,7 @@
         let at = |time: i64| epoch.saturating_add_signed(time - now as i64);
         let runs = news.runs.iter().map(|run| StoredRun {
             id: run.instance.id().to_owned(),
-            born: run.instance.born(),
+            born: run.instance.started_at(),
             sent: at(run.sent),
             lost: at(run.lost),
             strong: run.evidence == CrashEvidence::Strong,
@@ -246,7 +246,7 @@
 
 /// Whether a relay of the data centre that comes before this one reads the store.
 fn is_read_by_other(settings: &RelaySettings, beliefs: &Beliefs, now: Millis) -> bool {
-    let before = beliefs.peers.before(&settings.name, &settings.data_centre, now);
+    let before = beliefs.peers.preceding(&settings.name, &settings.data_centre, now);
     before.live > before.lost_config
 }
 
--- a/crates/relay/src/registry.rs
+++ b/crates/relay/src/registry.rs
@@ -93,7 +93,7 @@
     let patience = relay.random.borrow_mut().random_range(START_DELAY / 2..=longest);
     let until = now_millis() + patience;
     while now_millis() < until {
-        if relay.beliefs.borrow().peers.live_near(data_centre, now_millis()) > 0 {
+        if relay.beliefs.borrow().peers.live_count_in(data_centre, now_millis()) > 0 {
             return;
         }
         sleep(START_LOOK).await;
@@ -111,7 +111,7 @@
         let now = now_millis();
         {
             let beliefs = relay.beliefs.borrow();
-            let before = beliefs.peers.before(name, data_centre, now).live;
+            let before = beliefs.peers.preceding(name, data_centre, now).live;
             if can_be_told(&beliefs, now) || now - begun >= start_delay(*first_start, before) {
                 return;
             }
@@ -167,7 +167,7 @@
             continue;
         }
         let peers = &mut relay.beliefs.borrow_mut().peers;
-        let is_new = peers.learn(name, *address, data_centre, now_millis());
+        let is_new = peers.upsert(name, *address, data_centre, now_millis());
         is_any_new |= is_new;
         if is_new && data_centre == home {
             new_near.push(name.clone());
@@ -205,7 +205,7 @@
     let (gone, removable) = {
         let peers = &relay.beliefs.borrow().peers;
         let RelaySettings { name, data_centre, .. } = &relay.settings;
-        (peers.gone(now), peers.removable(name, data_centre, fresh, now))
+        (peers.expired(now), peers.removable(name, data_centre, fresh, now))
     };
     for name in gone {
         let removes = removable.contains(&name);
--- a/crates/relay/src/replicas.rs
+++ b/crates/relay/src/replicas.rs
@@ -40,7 +40,7 @@
     if is_first {
         tracing::info!(event = "replicas-listed", count = list.listed.len(), at, %source);
     }
-    let AppliedList { taken, awaited, passed, began } =
+    let AppliedList { applied: taken, awaited, missed: passed, era_start: began } =
         relay.beliefs.borrow_mut().fleet.apply_list(list, source, sent, now_millis());
     if let Some(EraStart { era, doubted }) = began {
         count(&relay.counts.store_copies);
@@ -93,7 +93,7 @@
 
 /// Drops replicas that were waited for and did not come back.
 pub fn drop_lapsed(relay: &Relay) {
-    let lapsed = relay.beliefs.borrow_mut().fleet.lapsed(now_millis());
+    let lapsed = relay.beliefs.borrow_mut().fleet.take_expired(now_millis());
     tell_and_take(relay, lapsed, UpdateSource::Lapse);
 }
 
@@ -134,7 +134,7 @@
         }
         Err(why) => {
             let mut beliefs = relay.beliefs.borrow_mut();
-            if beliefs.odd_entries.note(name, *revision) {
+            if beliefs.odd_entries.record(name, *revision) {
                 count(&relay.counts.odd_entries);
                 tracing::warn!(event = "replica-unreadable", replica = name, revision, why);
             }
@@ -147,21 +147,22 @@
 fn check_start(entry: ReplicaEntry) -> Result<ReplicaEntry, String> {
     match entry.instance.is_plausible(epoch_millis()) {
         true => Ok(entry),
-        false => Err(format!("a start at {}, far ahead of now", entry.instance.born())),
+        false => Err(format!("a start at {}, far ahead of now", entry.instance.started_at())),
     }
 }
 
 /// Whether a report counts that the replica at an address gave. One of an earlier life than its entry's does not;
 /// one of a later life ends what is known of the earlier one at once, before the list tells.
 pub fn take_report_start(relay: &Relay, address: SocketAddr, born: Millis) -> bool {
-    let known = relay.beliefs.borrow().fleet.view.at(address).map(|entry| entry.instance.clone());
-    let Some(instance) = known.filter(|instance| born > 0 && instance.born() > 0) else {
+    let known =
+        relay.beliefs.borrow().fleet.view.at_address(address).map(|entry| entry.instance.clone());
+    let Some(instance) = known.filter(|instance| born > 0 && instance.started_at() > 0) else {
         return true;
     };
-    if born <= instance.born() {
-        return born == instance.born();
+    if born <= instance.started_at() {
+        return born == instance.started_at();
     }
-    if !instance.at(born).is_plausible(epoch_millis()) {
+    if !instance.restarted_at(born).is_plausible(epoch_millis()) {
         tracing::warn!(event = "report-unreadable", %address, born, why = "far ahead of now");
         return false;
     }
@@ -198,7 +199,7 @@
 
 /// Takes over news of replicas, from the store or from another relay.
 pub fn take_news(relay: &Relay, news: Vec<ReplicaUpdate>, source: UpdateSource) {
-    let taken = relay.beliefs.borrow_mut().fleet.take_all(news, source, now_millis());
+    let taken = relay.beliefs.borrow_mut().fleet.apply_all(news, source, now_millis());
     taken.iter().for_each(|taken| note_taken(relay, taken));
 }
 
@@ -231,7 +232,7 @@
         }
         FleetChange::Restarted => {
             count(&relay.counts.restarted);
-            let born = instance.as_ref().map(ReplicaInstance::born);
+            let born = instance.as_ref().map(ReplicaInstance::started_at);
             tracing::info!(event = "replica-restarted", replica = id, born, %address, ?layers, revision, held, %source);
         }
         FleetChange::Gone => {
--- a/crates/relay/src/serve.rs
+++ b/crates/relay/src/serve.rs
@@ -158,5 +158,5 @@
     let beliefs = relay.beliefs.borrow();
     let knows = beliefs.config.get().is_some() && !beliefs.fleet.view.is_empty();
     let bound = relay.bounds.borrow().revoke();
-    knows && !relay.stop.is_raised() && beliefs.config_lease.holds(bound, now)
+    knows && !relay.stop.is_raised() && beliefs.config_lease.is_valid(bound, now)
 }
--- a/crates/relay/src/snapshot/fetch.rs
+++ b/crates/relay/src/snapshot/fetch.rs
@@ -65,7 +65,7 @@
             let took = now_millis() - asked;
             let Snapshot { at, proved_age, answered_age, .. } = snapshot;
             tracing::info!(event = "snapshot-told", %kind, teller, at, proved_age, took, len);
-            let proof = PeerProof::of_answer(asked, proved_age, answered_age);
+            let proof = PeerProof::from_response(asked, proved_age, answered_age);
             Some(ToldSnapshot { at, proof, body: snapshot.body })
         }
         Err(reason) => {
--- a/crates/relay/src/snapshot/take.rs
+++ b/crates/relay/src/snapshot/take.rs
@@ -48,9 +48,9 @@
     if let Some(object) = &mut beliefs.config_object {
         object.at = object.at.max(at);
     }
-    proof.proved.into_iter().for_each(|proved| beliefs.config_lease.prove_at(proved));
-    proof.answered.into_iter().for_each(|answered| beliefs.config_lease.note_answer(answered));
-    beliefs.peers.note_answers(proof.answered, None);
+    proof.proved.into_iter().for_each(|proved| beliefs.config_lease.record_proof_at(proved));
+    proof.answered.into_iter().for_each(|answered| beliefs.config_lease.record_answer(answered));
+    beliefs.peers.record_answers(proof.answered, None);
     Some(at)
 }
 
@@ -65,7 +65,7 @@
 pub async fn ask_replicas(relay: &Rc<Relay>) -> Option<u64> {
     let (holds_none, held) = {
         let fleet = &relay.beliefs.borrow().fleet;
-        (fleet.holds_none(), fleet.view.digest())
+        (fleet.has_no_list(), fleet.view.digest())
     };
     let (teller, address) = fleet_source(relay, holds_none)?;
     let told = fetch_snapshot(relay, CallKind::Replicas, &teller, address, held).await?;
@@ -79,8 +79,8 @@
         apply_list(relay, FleetList { listed, at: told.at }, UpdateSource::Told, sent);
     }
     let mut beliefs = relay.beliefs.borrow_mut();
-    beliefs.fleet.note_told(told.proof, told.at);
-    beliefs.peers.note_answers(None, told.proof.answered);
+    beliefs.fleet.record_snapshot(told.proof, told.at);
+    beliefs.peers.record_answers(None, told.proof.answered);
     Some(told.at)
 }
 
@@ -97,8 +97,8 @@
     let first = {
         let RelaySettings { name, data_centre, .. } = &relay.settings;
         let beliefs = relay.beliefs.borrow();
-        let first = beliefs.peers.first_near(name, data_centre, now_millis())?;
-        let lists_itself = beliefs.listed_relays.is_some() && first.place == SourceOrder::Behind;
+        let first = beliefs.peers.first_live_peer(name, data_centre, now_millis())?;
+        let lists_itself = beliefs.listed_relays.is_some() && first.order == SourceOrder::Behind;
         (!lists_itself).then(|| (first.name.to_owned(), first.address))
     };
     let (teller, address) = first?;
--- a/crates/relay/src/state.rs
+++ b/crates/relay/src/state.rs
@@ -238,7 +238,7 @@
     ) -> bool {
         let config = self.budget_config();
         let mut beliefs = self.beliefs.borrow_mut();
-        let entries = beliefs.peers.known() + 1;
+        let entries = beliefs.peers.known_count() + 1;
         ask(beliefs.budgets.entry(service.to_owned()).or_default(), &config, entries)
     }
 
@@ -282,7 +282,7 @@
     /// State of a part of a running request's path.
     pub fn part_state(&self, part: &PathStage) -> PartState {
         let beliefs = self.beliefs.borrow();
-        let Some(replica) = beliefs.fleet.view.living(&part.instance) else {
+        let Some(replica) = beliefs.fleet.view.get_current(&part.instance) else {
             return PartState::Lost;
         };
         if beliefs.suspects.is_suspect(&part.instance, now_millis()) {
@@ -313,7 +313,7 @@
         }
         let beliefs = self.beliefs.borrow();
         let config_age = beliefs.config_lease.age(now);
-        let (is_lost, live) = (beliefs.config_lease.is_lost(), beliefs.peers.live(now));
+        let (is_lost, live) = (beliefs.config_lease.is_lost(), beliefs.peers.live_count(now));
         match aside {
             true => {
                 count(&self.counts.step_asides);
--- a/crates/relay/src/stream.rs
+++ b/crates/relay/src/stream.rs
@@ -187,7 +187,7 @@
         first: None,
     };
     let path = wait_for_path(relay, &wish, patience).await?;
-    let first = relay.beliefs.borrow().fleet.view.living(&path[0].instance).cloned()?;
+    let first = relay.beliefs.borrow().fleet.view.get_current(&path[0].instance).cloned()?;
     if let Err(refusal) = check_quarantine(relay, request) {
         return Some(OpenEnd::Barred(refusal));
     }
@@ -263,7 +263,7 @@
         .borrow()
         .fleet
         .view
-        .at(faulty_replica)
+        .at_address(faulty_replica)
         .map(|replica| replica.instance.clone());
     match instance {
         Some(instance) => {
@@ -333,7 +333,7 @@
         .borrow()
         .fleet
         .view
-        .at(faulty_replica)
+        .at_address(faulty_replica)
         .map(|replica| replica.instance.clone());
     let Some(instance) = instance else {
         // Whatever it names is not known here, so the first one is passed by.
--- a/crates/relay/src/survey.rs
+++ b/crates/relay/src/survey.rs
@@ -70,7 +70,8 @@
 }
 
 async fn ask(relay: &Relay, engine: &ReplicaInstance) {
-    let address = relay.beliefs.borrow().fleet.view.living(engine).map(|replica| replica.address);
+    let address =
+        relay.beliefs.borrow().fleet.view.get_current(engine).map(|replica| replica.address);
     let Some(address) = address else { return };
     let Some(report) = ask_report(relay, address).await else { return };
     let changed = relay.beliefs.borrow_mut().paces.record(engine, report.slowdown, now_millis());
--- a/crates/relay/src/tell.rs
+++ b/crates/relay/src/tell.rs
@@ -259,7 +259,7 @@
 fn sums_for(relay: &Relay, beliefs: &Beliefs, member: &str, parts: TellParts) -> LoadNews {
     let home = &relay.settings.data_centre;
     let is_near = |instance: &ReplicaInstance| {
-        beliefs.fleet.view.living(instance).is_some_and(|replica| replica.data_centre == *home)
+        beliefs.fleet.view.get_current(instance).is_some_and(|replica| replica.data_centre == *home)
     };
     let sum = |near: bool| {
         let records = |ledger: &ReservationLedger| -> Vec<(InstanceRecord, u32)> {
--- a/crates/relay/src/watch.rs
+++ b/crates/relay/src/watch.rs
@@ -64,8 +64,8 @@
         prove: |relay, sent, at| {
             let mut beliefs = relay.beliefs.borrow_mut();
             if !beliefs.config_unreadable {
-                beliefs.config_lease.prove(sent);
-                beliefs.config_lease.note_answer(now_millis());
+                beliefs.config_lease.record_proof(sent);
+                beliefs.config_lease.record_answer(now_millis());
             }
             if let Some(object) = &mut beliefs.config_object {
                 object.at = at;
@@ -73,7 +73,7 @@
         },
         lose: |relay, sent| {
             let mut beliefs = relay.beliefs.borrow_mut();
-            beliefs.config_lease.note_lost(sent);
+            beliefs.config_lease.record_loss(sent);
             beliefs.fleet.record_loss_elsewhere(sent, now_millis());
         },
         see: see_config,
@@ -85,14 +85,14 @@
     let beliefs = relay.beliefs.borrow();
     let RelaySettings { name, data_centre, .. } = &relay.settings;
     let (peers, version) = (&beliefs.peers, beliefs.config_version());
-    let before = peers.before(name, data_centre, now);
+    let before = peers.preceding(name, data_centre, now);
     FollowInputs {
         is_read_by_peer: peers.config_read_by_peer(name, data_centre, version, now),
         peer_has_newer: peers.peer_has_newer_config(name, data_centre, version, now),
-        teller: peers.config_source(name, data_centre, version, now).map(|teller| teller.place),
-        before: before.live,
-        lost_before: before.lost_config,
-        wants_list: false,
+        source: peers.config_source(name, data_centre, version, now).map(|teller| teller.order),
+        preceding: before.live,
+        preceding_lost: before.lost_config,
+        needs_full_list: false,
         is_retried_elsewhere: false,
     }
 }
@@ -105,9 +105,9 @@
         apply_list: take_replica_list,
         take_changes: |relay, changes| take_replica_changes(relay, changes.events.decoded),
         prove: |relay, sent, at| {
-            relay.beliefs.borrow_mut().fleet.note_read(sent, at, now_millis());
+            relay.beliefs.borrow_mut().fleet.record_read(sent, at, now_millis());
         },
-        lose: |relay, sent| relay.beliefs.borrow_mut().fleet.note_lost(sent),
+        lose: |relay, sent| relay.beliefs.borrow_mut().fleet.record_loss(sent),
         see: see_replicas,
     };
     follow(relay, followed).await;
@@ -117,15 +117,15 @@
     let beliefs = relay.beliefs.borrow();
     let RelaySettings { name, data_centre, .. } = &relay.settings;
     let (peers, fleet) = (&beliefs.peers, &beliefs.fleet);
-    let teller = peers.fleet_source(name, data_centre, fleet.holds_none(), now);
-    let before = peers.before(name, data_centre, now);
+    let teller = peers.fleet_source(name, data_centre, fleet.has_no_list(), now);
+    let before = peers.preceding(name, data_centre, now);
     FollowInputs {
         is_read_by_peer: peers.fleet_read_by_peer(name, data_centre, now),
         peer_has_newer: false,
-        wants_list: fleet.wants_list(now),
-        teller: teller.map(|teller| teller.place),
-        before: before.live,
-        lost_before: before.lost_fleet,
+        needs_full_list: fleet.needs_full_list(now),
+        source: teller.map(|teller| teller.order),
+        preceding: before.live,
+        preceding_lost: before.lost_fleet,
         // Both kinds stand in one store: one call tells whether it is back.
         is_retried_elsewhere: beliefs.config_lease.is_lost(),
     }
@@ -148,12 +148,12 @@
     // Whether the neighbours know that this relay reads the store.
     let mut is_reader = false;
     let see = followed.see;
-    wait_at_start(&relay, |_, now| see(&relay, now).teller.is_some()).await;
+    wait_at_start(&relay, |_, now| see(&relay, now).source.is_some()).await;
     loop {
         let sent = now_millis();
         let sight = see(&relay, sent);
         let outcome = match follower.next_step(&sight, sent) {
-            FollowStep::Rest(pause) => {
+            FollowStep::Wait(pause) => {
                 is_reader &= !sight.is_read_by_peer;
                 sleep(Duration::from_millis(pause)).await;
                 continue;
@@ -161,8 +161,8 @@
             FollowStep::Ask => {
                 is_reader = false;
                 match ask_neighbour(&relay, followed.kind).await {
-                    Some(at) => follower.note_told(at, now_millis()),
-                    None => follower.note_untold(now_millis()),
+                    Some(at) => follower.record_snapshot(at, now_millis()),
+                    None => follower.record_no_snapshot(now_millis()),
                 }
                 continue;
             }
@@ -172,7 +172,7 @@
         match outcome {
             Ok(at) => {
                 (followed.prove)(&relay, sent, at);
-                follower.note_answer(at, now_millis());
+                follower.record_answer(at, now_millis());
                 if let Some(lost) = lost_at.take() {
                     let out_ms = now_millis() - lost;
                     tracing::info!(event = "store-regained", kind = %followed.kind, out_ms, at);
@@ -188,11 +188,11 @@
             Err(StoreError::RevisionExpired) => {
                 let after = follower.revision();
                 tracing::info!(event = "history-gone", kind = %followed.kind, after);
-                follower.note_gap();
+                follower.record_gap();
             }
             Err(error) => {
                 (followed.lose)(&relay, sent);
-                follower.note_failure(sent, see(&relay, now_millis()).lost_before);
+                follower.record_failure(sent, see(&relay, now_millis()).preceding_lost);
                 if lost_at.is_none() {
                     lost_at = Some(sent);
                     // Those that this relay follows for read for themselves from now on.
@@ -306,7 +306,7 @@
     let object = ConfigObject { revision, at, spec: Bytes::from(spec.to_string()) };
     {
         let mut beliefs = relay.beliefs.borrow_mut();
-        beliefs.fleet.view.note_services(config.services.keys().map(String::as_str));
+        beliefs.fleet.view.set_services(config.services.keys().map(String::as_str));
         beliefs.config.replace_if_newer(version, config);
         beliefs.config_unreadable = false;
         beliefs.config_object = Some(object);
--- a/crates/router/benches/circles.rs
+++ b/crates/router/benches/circles.rs
@@ -40,7 +40,7 @@
         for number in 0..relays {
             let address = format!("10.0.{}.{}:7000", number / 250, number % 250 + 1);
             let address = address.parse().expect("an address");
-            table.learn(&format!("r{number:04}"), address, &format!("d{}", number % 5), 0);
+            table.upsert(&format!("r{number:04}"), address, &format!("d{}", number % 5), 0);
         }
         let name = format!("settle_circle/{relays} relays");
         criterion.bench_function(&name, |bencher| {
--- a/crates/router/src/clocks.rs
+++ b/crates/router/src/clocks.rs
@@ -16,7 +16,7 @@
 
 impl PeerClocks {
     /// Time by this relay's clock at which a message was written that carries this stamp, at the latest.
-    pub fn written(&mut self, peer: &str, stamp: PeerStamp, now: Millis) -> i64 {
+    pub fn written_at(&mut self, peer: &str, stamp: PeerStamp, now: Millis) -> i64 {
         let difference = now as i64 - stamp.time as i64;
         let held =
             self.differences.entry(peer.to_owned()).or_insert((stamp.incarnation, difference));
--- a/crates/router/src/coordinator.rs
+++ b/crates/router/src/coordinator.rs
@@ -73,7 +73,7 @@
     let (known, heard) = peers.speaker_counts(local.data_centre, now);
     let hears_first = || {
         let first = peers.others("").map(|(name, _, _)| name).next();
-        first.is_none_or(|first| local.name < first || peers.hears(first, now))
+        first.is_none_or(|first| local.name < first || peers.is_live_peer(first, now))
     };
     match (heard * 2).cmp(&known) {
         std::cmp::Ordering::Greater => 1.0,
--- a/crates/router/src/fleet.rs
+++ b/crates/router/src/fleet.rs
@@ -160,7 +160,7 @@
 
 impl FleetView {
     /// Notes the services that the configuration names.
-    pub fn note_services<'a>(&mut self, services: impl Iterator<Item = &'a str>) {
+    pub fn set_services<'a>(&mut self, services: impl Iterator<Item = &'a str>) {
         self.services = Some(services.map(str::to_owned).collect());
     }
 
@@ -171,7 +171,7 @@
     }
 
     /// Takes news of a replica, where it is newer than what is known.
-    pub fn take(&mut self, news: ReplicaUpdate, now: Millis) -> FleetChange {
+    pub fn apply(&mut self, news: ReplicaUpdate, now: Millis) -> FleetChange {
         match news.entry {
             Some(entry) => self.insert(entry, news.revision, now),
             None => self.remove(news.id, news.revision),
@@ -207,15 +207,16 @@
 
     /// Whether something newer is known of an entry's own id.
     fn is_older(&self, entry: &ReplicaEntry, revision: u64) -> bool {
-        let born = entry.instance.born();
+        let born = entry.instance.started_at();
         let is_over = self
             .gone
             .get(entry.instance.id())
             .is_some_and(|gone| revision <= gone.revision || born < gone.born);
         let held = self.replicas.get(entry.instance.id());
         is_over
-            || held
-                .is_some_and(|held| (born, revision) < (held.entry.instance.born(), held.revision))
+            || held.is_some_and(|held| {
+                (born, revision) < (held.entry.instance.started_at(), held.revision)
+            })
     }
 
     /// Whether a later start is listed at the address of an entry whose id was listed first at the revision
@@ -225,9 +226,9 @@
         let mut others = self.named_at(entry.address);
         others.any(|held| {
             let (instance, other) = (&entry.instance, &held.entry.instance);
-            match instance.born() > 0 && other.born() > 0 {
+            match instance.started_at() > 0 && other.started_at() > 0 {
                 _ if instance.id() == other.id() => false,
-                true => other.born() > instance.born(),
+                true => other.started_at() > instance.started_at(),
                 false => held.first > first,
             }
         })
@@ -255,7 +256,7 @@
         let first = self.first_listed(&id);
         let earlier = self.gone.get(&id).map_or(0, |gone| gone.born);
         let old = self.replicas.remove(&id);
-        let born = old.as_ref().map_or(earlier, |old| old.entry.instance.born());
+        let born = old.as_ref().map_or(earlier, |old| old.entry.instance.started_at());
         self.note_gone(id, GoneMark { revision, born, first });
         let Some(old) = old else { return FleetChange::Unchanged };
         self.forget_entry(&old);
@@ -287,7 +288,7 @@
     /// Takes a replica's own word that it is leaving; tells whether that is news. It binds until the replica starts
     /// again: its entry may say for seconds that it takes requests, and a request that comes later than the time for
     /// which it serves on is lost.
-    pub fn note_leaving(&mut self, instance: &ReplicaInstance) -> bool {
+    pub fn mark_draining(&mut self, instance: &ReplicaInstance) -> bool {
         let Some(held) = self.replicas.get_mut(instance.id()) else { return false };
         if held.entry.instance != *instance {
             return false;
@@ -307,29 +308,36 @@
 
     /// Keeps what is known of leaving replicas, whatever their entries say from now on: the store came back from a copy,
     /// which may be of before they said so.
-    pub fn keep_leaving(&mut self) {
+    pub fn pin_draining(&mut self) {
         let held = self.replicas.values().map(|held| &held.entry);
         let leaving = held.filter(|entry| entry.state == EntryState::Draining);
         self.leaving.extend(leaving.map(|entry| entry.instance.clone()));
     }
 
     /// Whether a listed life was gone before the era in which it is listed began.
-    pub fn was_gone_before(&self, news: &ReplicaUpdate) -> bool {
+    pub fn was_removed_before(&self, news: &ReplicaUpdate) -> bool {
         let Some(entry) = &news.entry else { return false };
         self.gone.get(&news.id).is_some_and(|gone| {
-            era_of(gone.revision) < era_of(news.revision) && entry.instance.born() <= gone.born
+            era_of(gone.revision) < era_of(news.revision)
+                && entry.instance.started_at() <= gone.born
         })
     }
 
     /// Takes a replica's own word that it started again, where its entry is still one of an earlier life: it
     /// holds nothing that is known of. Gives the life that ended.
-    pub fn note_start(&mut self, id: &str, born: Millis, now: Millis) -> Option<ReplicaInstance> {
+    pub fn apply_restart(
+        &mut self,
+        id: &str,
+        born: Millis,
+        now: Millis,
+    ) -> Option<ReplicaInstance> {
         let held = self.replicas.get(id)?;
         let ended = held.entry.instance.clone();
-        if born <= ended.born() || ended.born() == 0 {
+        if born <= ended.started_at() || ended.started_at() == 0 {
             return None;
         }
-        let entry = ReplicaEntry { instance: ended.at(born), layers: None, ..held.entry.clone() };
+        let entry =
+            ReplicaEntry { instance: ended.restarted_at(born), layers: None, ..held.entry.clone() };
         let revision = held.revision;
         self.insert(entry, revision, now);
         Some(ended)
@@ -367,18 +375,18 @@
     }
 
     /// Replica in that life; nothing where it started again since, or is gone.
-    pub fn living(&self, instance: &ReplicaInstance) -> Option<&ReplicaEntry> {
+    pub fn get_current(&self, instance: &ReplicaInstance) -> Option<&ReplicaEntry> {
         self.get(instance.id()).filter(|entry| entry.instance == *instance)
     }
 
     /// Replica at that address.
-    pub fn at(&self, address: SocketAddr) -> Option<&ReplicaEntry> {
+    pub fn at_address(&self, address: SocketAddr) -> Option<&ReplicaEntry> {
         let latest = self.named_at(address).max_by_key(|held| (held.first, held.revision));
         latest.map(|held| &held.entry)
     }
 
     /// All that is held, as news for another relay.
-    pub fn news(&self) -> impl Iterator<Item = ReplicaUpdate> {
+    pub fn updates(&self) -> impl Iterator<Item = ReplicaUpdate> {
         self.replicas.iter().map(|(id, held)| ReplicaUpdate {
             id: id.clone(),
             revision: held.revision,
--- a/crates/router/src/follow.rs
+++ b/crates/router/src/follow.rs
@@ -94,7 +94,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum FollowStep {
     /// Nothing, for so many milliseconds.
-    Rest(Millis),
+    Wait(Millis),
     /// A neighbour is asked for all that it read.
     Ask,
     /// A list is read.
@@ -120,13 +120,13 @@
     /// Whether one tells of something newer.
     pub peer_has_newer: bool,
     /// Whether one that reads the store can tell all that it read.
-    pub teller: Option<SourceOrder>,
+    pub source: Option<SourceOrder>,
     /// Count of live relays before this one.
-    pub before: usize,
+    pub preceding: usize,
     /// Count of those that lost the store as well.
-    pub lost_before: usize,
+    pub preceding_lost: usize,
     /// Whether the whole list is to be read anew.
-    pub wants_list: bool,
+    pub needs_full_list: bool,
     /// Whether this relay lost the store, and tries it again for another kind of object.
     pub is_retried_elsewhere: bool,
 }
@@ -139,10 +139,10 @@
     /// Time that the store has for each page of a list.
     pub list_timeout: Millis,
     /// Pause after an answer that moved on, so that changes in series cost one call together.
-    pub gather: Millis,
+    pub batch_delay: Millis,
     /// Time by which it lets the other kind go first once no relay follows for this one: where the store is away,
     /// one call tells.
-    pub yields: Millis,
+    pub yield_delay: Millis,
     /// Longest time from one try to the next while the store does not answer.
     pub max_pause: Millis,
     /// The same for a relay behind others that lost the store as well: they try for it. It may be turned
@@ -169,7 +169,8 @@
 
 /// How the configuration is followed. A watch waits for a second: the lease is as old as two waits at
 /// most, which leaves half of the usual bound of 5 s on removed keys.
-pub const CONFIG_TIMINGS: FollowTimings = FollowTimings { gather: 0, yields: 0, ..REPLICA_TIMINGS };
+pub const CONFIG_TIMINGS: FollowTimings =
+    FollowTimings { batch_delay: 0, yield_delay: 0, ..REPLICA_TIMINGS };
 
 /// How the list of replicas is followed. A leaving replica must be left alone within the 2 s that it goes
 /// on serving, also where a watch was cut without a word. A store that comes back is used again within
@@ -177,8 +178,8 @@
 pub const REPLICA_TIMINGS: FollowTimings = FollowTimings {
     wait: 1_000,
     list_timeout: STORE_TIMEOUT,
-    gather: 150,
-    yields: 60,
+    batch_delay: 150,
+    yield_delay: 60,
     max_pause: 400,
     max_pause_behind: 1_600,
     max_stagger: 100,
@@ -201,7 +202,7 @@
     /// It may.
     Free,
     /// It told lately, or may tell soon: neither it nor the store is asked before.
-    RestsUntil(Millis),
+    WaitsUntil(Millis),
     /// None could tell: the store is asked.
     BarredUntil(Millis),
 }
@@ -249,49 +250,49 @@
         if self.is_listed && sight.is_read_by_peer {
             self.revision = None;
             self.is_read_by_peer = true;
-            return FollowStep::Rest(COVER_EVERY);
+            return FollowStep::Wait(COVER_EVERY);
         }
         if self.is_read_by_peer {
             self.is_read_by_peer = false;
             self.end_cover(sight, now);
         }
-        if sight.wants_list && now >= self.rests_until {
-            self.note_gap();
+        if sight.needs_full_list && now >= self.rests_until {
+            self.record_gap();
             return FollowStep::List(self.cause);
         }
         if let Some(step) = self.next_question(sight, now) {
             return step;
         }
         if now < self.rests_until {
-            return FollowStep::Rest((self.rests_until - now).min(COVER_EVERY));
+            return FollowStep::Wait((self.rests_until - now).min(COVER_EVERY));
         }
         if sight.is_retried_elsewhere && now < self.tries_by {
-            return FollowStep::Rest(COVER_EVERY);
+            return FollowStep::Wait(COVER_EVERY);
         }
         self.revision.map_or(FollowStep::List(self.cause), FollowStep::Watch)
     }
 
     fn end_cover(&mut self, sight: &FollowInputs, now: Millis) {
         self.cause = ReadCause::CoverEnded;
-        let stagger = (READ_STAGGER * sight.before as Millis).min(self.times.max_stagger);
-        self.rests_until = self.rests_until.max(now + stagger + self.times.yields);
+        let stagger = (READ_STAGGER * sight.preceding as Millis).min(self.times.max_stagger);
+        self.rests_until = self.rests_until.max(now + stagger + self.times.yield_delay);
         self.tries_by = now + self.times.max_pause_behind;
         if sight.peer_has_newer {
             self.cause = ReadCause::NewerHeard;
-            self.asking = AskState::RestsUntil(now + ASK_STAGGER * sight.before as Millis);
+            self.asking = AskState::WaitsUntil(now + ASK_STAGGER * sight.preceding as Millis);
         }
     }
 
     /// What is to be done about a neighbour that reads the store, if anything: it is asked for a whole list,
     /// and by whoever comes behind it again as long as its word does not cover that one.
     fn next_question(&self, sight: &FollowInputs, now: Millis) -> Option<FollowStep> {
-        let place = sight.teller?;
+        let place = sight.source?;
         if self.revision.is_some() && place == SourceOrder::Behind {
             return None;
         }
         match self.asking {
-            AskState::RestsUntil(until) if now < until => {
-                Some(FollowStep::Rest((until - now).min(COVER_EVERY)))
+            AskState::WaitsUntil(until) if now < until => {
+                Some(FollowStep::Wait((until - now).min(COVER_EVERY)))
             }
             AskState::BarredUntil(until) if now < until => None,
             _ => Some(FollowStep::Ask),
@@ -299,35 +300,35 @@
     }
 
     /// Notes that a neighbour told all that it read, up to the revision `at`.
-    pub fn note_told(&mut self, at: u64, now: Millis) {
+    pub fn record_snapshot(&mut self, at: u64, now: Millis) {
         self.revision = Some(at);
         self.is_listed = true;
-        self.asking = AskState::RestsUntil(now + ASK_EVERY);
+        self.asking = AskState::WaitsUntil(now + ASK_EVERY);
     }
 
     /// Notes that a neighbour could not tell.
-    pub fn note_untold(&mut self, now: Millis) {
+    pub fn record_no_snapshot(&mut self, now: Millis) {
         self.asking = AskState::BarredUntil(now + ASK_AGAIN);
     }
 
     /// Notes an answer of the store that reached the revision `at`.
-    pub fn note_answer(&mut self, at: u64, now: Millis) {
+    pub fn record_answer(&mut self, at: u64, now: Millis) {
         let moved = self.revision.is_some_and(|after| at > after);
         self.revision = Some(self.revision.map_or(at, |after| after.max(at)));
         self.is_listed = true;
         self.backoff.reset();
-        self.rests_until = if moved { now + self.times.gather } else { 0 };
+        self.rests_until = if moved { now + self.times.batch_delay } else { 0 };
     }
 
     /// Notes that the store no longer has the history that was asked for.
-    pub fn note_gap(&mut self) {
+    pub fn record_gap(&mut self) {
         self.revision = None;
         self.cause = ReadCause::Gap;
     }
 
     /// Notes a read without an answer that was sent at `sent`. A store that cuts a watch may have dropped its
     /// history, and says so to a new watch only when that ends; a list tells at once what the watch did not.
-    pub fn note_failure(&mut self, sent: Millis, lost_before: usize) {
+    pub fn record_failure(&mut self, sent: Millis, lost_before: usize) {
         self.revision = None;
         self.cause = ReadCause::Lost;
         let FollowTimings { max_pause, max_pause_behind, .. } = self.times;
--- a/crates/router/src/freshness.rs
+++ b/crates/router/src/freshness.rs
@@ -22,17 +22,17 @@
 
 impl FreshnessLease {
     /// Notes that a read sent at `sent` was answered.
-    pub fn prove(&mut self, sent: Millis) {
-        self.prove_at(sent as i64);
+    pub fn record_proof(&mut self, sent: Millis) {
+        self.record_proof_at(sent as i64);
     }
 
     /// Notes a proof of a time by this relay's clock, which is negative before its start.
-    pub fn prove_at(&mut self, time: i64) {
+    pub fn record_proof_at(&mut self, time: i64) {
         self.proved = self.proved.max(Some(time));
     }
 
     /// Notes that the store answered at `now`.
-    pub fn note_answer(&mut self, now: Millis) {
+    pub fn record_answer(&mut self, now: Millis) {
         self.answered = self.answered.max(Some(now));
     }
 
@@ -43,7 +43,7 @@
     }
 
     /// Notes that a read sent at `sent` got no answer.
-    pub fn note_lost(&mut self, sent: Millis) {
+    pub fn record_loss(&mut self, sent: Millis) {
         self.lost = self.lost.max(Some(sent));
     }
 
@@ -54,7 +54,7 @@
     }
 
     /// Whether keys may be let in under a bound of `bound` milliseconds.
-    pub fn holds(&self, bound: Millis, now: Millis) -> bool {
+    pub fn is_valid(&self, bound: Millis, now: Millis) -> bool {
         let most = bound.saturating_sub(LEASE_MARGIN);
         self.age(now).is_some_and(|age| age <= most)
     }
--- a/crates/router/src/instance.rs
+++ b/crates/router/src/instance.rs
@@ -36,12 +36,12 @@
     }
 
     /// Unix time of its start in milliseconds; 0 where it tells none.
-    pub fn born(&self) -> Millis {
+    pub fn started_at(&self) -> Millis {
         self.born
     }
 
     /// The same id's life that began at `born`.
-    pub fn at(&self, born: Millis) -> Self {
+    pub fn restarted_at(&self, born: Millis) -> Self {
         Self { id: self.id.clone(), born }
     }
 
--- a/crates/router/src/membership.rs
+++ b/crates/router/src/membership.rs
@@ -118,17 +118,17 @@
 
 impl PeerTable {
     /// Count of relays that are not forgotten: an upper bound of those that spend a shared budget.
-    pub fn known(&self) -> usize {
+    pub fn known_count(&self) -> usize {
         self.peers.len()
     }
 
     /// Count of relays that were heard lately.
-    pub fn live(&self, now: Millis) -> usize {
+    pub fn live_count(&self, now: Millis) -> usize {
         self.peers.values().filter(|peer| peer.is_live(now)).count()
     }
 
     /// Count of relays that were heard lately and are no members.
-    pub fn live_speakers(&self, now: Millis) -> usize {
+    pub fn live_speaker_count(&self, now: Millis) -> usize {
         let live = self.peers.values().filter(|peer| peer.is_live(now));
         live.filter(|peer| !peer.state.is_member).count()
     }
@@ -150,18 +150,18 @@
     }
 
     /// Whether a relay was heard lately.
-    pub fn hears(&self, name: &str, now: Millis) -> bool {
+    pub fn is_live_peer(&self, name: &str, now: Millis) -> bool {
         self.peers.get(name).is_some_and(|peer| peer.is_live(now))
     }
 
     /// Count of relays of a data centre that were heard lately.
-    pub fn live_near(&self, data_centre: &str, now: Millis) -> usize {
+    pub fn live_count_in(&self, data_centre: &str, now: Millis) -> usize {
         let near = self.peers.values().filter(|peer| peer.data_centre == data_centre);
         near.filter(|peer| peer.is_live(now)).count()
     }
 
     /// Learns where a relay is; tells whether it was not known before.
-    pub fn learn(
+    pub fn upsert(
         &mut self,
         name: &str,
         address: SocketAddr,
@@ -188,7 +188,7 @@
     }
 
     /// Relays that were silent for so long that their VMs must be gone.
-    pub fn gone(&self, now: Millis) -> Vec<String> {
+    pub fn expired(&self, now: Millis) -> Vec<String> {
         let gone = self.peers.iter().filter(|(_, peer)| peer.is_gone(now));
         gone.map(|(name, _)| name.clone()).collect()
     }
@@ -204,7 +204,7 @@
     }
 
     /// Whether a message with this stamp is the first of a relay since its start, or since it was silent.
-    pub fn is_back(&self, name: &str, stamp: PeerStamp, now: Millis) -> bool {
+    pub fn is_returning(&self, name: &str, stamp: PeerStamp, now: Millis) -> bool {
         let Some(peer) = self.peers.get(name) else { return true };
         let same = peer.last_stamp.is_some_and(|(last, _)| last.incarnation == stamp.incarnation);
         !same || !peer.is_live(now)
@@ -212,7 +212,13 @@
 
     /// Notes a message of a relay that was learnt; tells whether it was news. One that was stamped before
     /// another that came earlier was overtaken on its way, and says nothing of now.
-    pub fn hear(&mut self, name: &str, state: PeerState, stamp: PeerStamp, now: Millis) -> bool {
+    pub fn record_message(
+        &mut self,
+        name: &str,
+        state: PeerState,
+        stamp: PeerStamp,
+        now: Millis,
+    ) -> bool {
         let Some(peer) = self.peers.get_mut(name) else { return false };
         if peer.last_stamp.is_some_and(|(last, _)| stamp.is_before(last)) {
             return false;
@@ -225,7 +231,7 @@
     }
 
     /// Notes how the sender of a message that was heard reports to this relay.
-    pub fn note_report(&mut self, name: &str, kind: ReportKind, now: Millis) {
+    pub fn record_report(&mut self, name: &str, kind: ReportKind, now: Millis) {
         if let Some(peer) = self.peers.get_mut(name) {
             peer.report = (kind != ReportKind::None).then_some((kind, now));
         }
--- a/crates/router/src/membership/gossip.rs
+++ b/crates/router/src/membership/gossip.rs
@@ -117,7 +117,7 @@
     }
 
     /// Notes which relays that keep limits, and which one that reads the list of replicas, another relay hears.
-    pub fn note_vouched(&mut self, keepers: &[u32], reader: Option<u32>, now: Millis) {
+    pub fn record_vouched(&mut self, keepers: &[u32], reader: Option<u32>, now: Millis) {
         for (name, peer) in &mut self.peers {
             if keepers.contains(&peer.hash) {
                 peer.vouched = Some(now);
@@ -130,7 +130,7 @@
     }
 
     /// Notes which members another speaker of the data centre hears.
-    pub fn note_members(&mut self, members: &[u32], now: Millis) {
+    pub fn record_members(&mut self, members: &[u32], now: Millis) {
         for peer in self.peers.values_mut().filter(|peer| members.contains(&peer.hash)) {
             peer.alive = Some(now);
         }
@@ -173,7 +173,7 @@
     }
 
     /// Count of known relays of a data centre beside this one.
-    pub fn known_near(&self, data_centre: &str) -> usize {
+    pub fn known_count_in(&self, data_centre: &str) -> usize {
         self.peers.values().filter(|peer| peer.data_centre == data_centre).count()
     }
 
--- a/crates/router/src/membership/proofs.rs
+++ b/crates/router/src/membership/proofs.rs
@@ -51,7 +51,7 @@
 
 impl PeerProof {
     /// What an answer proves to a question asked at `asked`, with ages by the clock of whoever answered.
-    pub fn of_answer(asked: Millis, proved_age: Millis, answered_age: Millis) -> Self {
+    pub fn from_response(asked: Millis, proved_age: Millis, answered_age: Millis) -> Self {
         let proved = Some(asked as i64 - proved_age as i64);
         Self { proved, answered: asked.checked_sub(answered_age) }
     }
@@ -101,12 +101,12 @@
                 (time(state.fleet_age), after_start(time(state.fleet_answer_age)));
             proofs.fleet = PeerProof { proved, answered };
         }
-        self.note_answers(proofs.config.answered, proofs.fleet.answered);
+        self.record_answers(proofs.config.answered, proofs.fleet.answered);
         proofs
     }
 
     /// Notes when the store answered another relay for the configuration and for the list of replicas.
-    pub fn note_answers(&mut self, config: Option<Millis>, fleet: Option<Millis>) {
+    pub fn record_answers(&mut self, config: Option<Millis>, fleet: Option<Millis>) {
         self.config_answered = self.config_answered.max(config);
         self.fleet_answered = self.fleet_answered.max(fleet);
     }
--- a/crates/router/src/membership/sources.rs
+++ b/crates/router/src/membership/sources.rs
@@ -21,7 +21,7 @@
     /// Where it is.
     pub address: SocketAddr,
     /// Whether it comes before the asking relay, or behind.
-    pub place: SourceOrder,
+    pub order: SourceOrder,
 }
 
 /// Counts of live relays of a data centre before one of them.
@@ -143,7 +143,7 @@
         let near = self.peers.iter().filter(|(_, peer)| peer.data_centre == data_centre);
         let able = near.filter(|(_, peer)| peer.is_live(now) && can_tell(peer));
         let (name, peer) = able.max_by_key(|(name, _)| hash_bytes(seed, name.as_bytes()))?;
-        Some(SnapshotSource { name, address: peer.address, place: teller_place(name, own) })
+        Some(SnapshotSource { name, address: peer.address, order: teller_place(name, own) })
     }
 
     /// The relay that reads the list of replicas, which a member does not hear itself.
@@ -151,7 +151,7 @@
         let reader = self.reader.as_ref().filter(|_| self.is_member);
         let (name, _) = reader.filter(|(_, at)| now.saturating_sub(*at) < PEER_TIMEOUT)?;
         let address = self.peers.get(name)?.address;
-        Some(SnapshotSource { name, address, place: teller_place(name, own) })
+        Some(SnapshotSource { name, address, order: teller_place(name, own) })
     }
 
     /// Hash of the name of the relay that reads the list of replicas for the data centre, where another one does.
@@ -175,12 +175,12 @@
         let near = self.peers.iter().filter(|(_, peer)| peer.data_centre == data_centre);
         let mut live = near.filter(|(_, peer)| peer.is_live(now));
         let (name, peer) = live.find(|(_, peer)| can_tell(peer))?;
-        Some(SnapshotSource { name, address: peer.address, place: teller_place(name, own) })
+        Some(SnapshotSource { name, address: peer.address, order: teller_place(name, own) })
     }
 
     /// Count of live relays of the data centre before this one, and of those among them that lost the store
     /// for the configuration and for the list of replicas.
-    pub fn before(&self, own: &str, data_centre: &str, now: Millis) -> PrecedingPeers {
+    pub fn preceding(&self, own: &str, data_centre: &str, now: Millis) -> PrecedingPeers {
         let mut before = PrecedingPeers::default();
         for peer in self.earlier(own, data_centre, now) {
             before.live += 1;
@@ -191,7 +191,7 @@
     }
 
     /// First live relay of the data centre by name, this one apart.
-    pub fn first_near<'a>(
+    pub fn first_live_peer<'a>(
         &'a self,
         own: &str,
         data_centre: &str,
--- a/crates/router/src/missing.rs
+++ b/crates/router/src/missing.rs
@@ -48,14 +48,14 @@
 
 impl MissingEntries {
     /// Notes that a read sent at `sent` got no answer.
-    pub fn note_lost(&mut self, sent: Millis) {
+    pub fn record_loss(&mut self, sent: Millis) {
         self.lost = self.lost.or(Some(sent));
         self.last_lost = sent;
     }
 
     /// Notes that one sent at `sent` did, by this relay or by another one; what was sent before the last loss
     /// says nothing of the store's return.
-    pub fn note_answer(&mut self, sent: Millis) {
+    pub fn record_answer(&mut self, sent: Millis) {
         if self.lost.is_some() && sent <= self.last_lost {
             return;
         }
@@ -67,7 +67,7 @@
 
     /// Notes that the store came back from a copy of before, by a list sent for at `sent`: what was written since the copy
     /// is missing, and written again.
-    pub fn note_copy(&mut self, sent: Millis) {
+    pub fn record_restore(&mut self, sent: Millis) {
         self.lost = None;
         self.last_lost = self.last_lost.max(sent);
         self.returned = Some(sent);
@@ -75,7 +75,7 @@
 
     /// Whether an entry that is missing from a list, sent for at `sent` and read at the revision `at`, is to
     /// be kept for now.
-    pub fn keeps(&mut self, id: &str, at: u64, sent: Millis) -> bool {
+    pub fn should_keep(&mut self, id: &str, at: u64, sent: Millis) -> bool {
         let away = self.lost.is_some_and(|lost| sent.saturating_sub(lost) >= LEAST_OUTAGE);
         let returned = self.returned.filter(|returned| sent < self.kept_until(*returned));
         if away || returned.is_some() {
@@ -106,14 +106,14 @@
 
     /// Notes that an entry was listed at a revision: it is back where that is newer than the list that it
     /// was missing from.
-    pub fn note_listed(&mut self, id: &str, revision: u64) {
+    pub fn record_listed(&mut self, id: &str, revision: u64) {
         if self.awaited.get(id).is_some_and(|entry| entry.missing_at < revision) {
             self.awaited.remove(id);
         }
     }
 
     /// Notes that an entry is gone.
-    pub fn note_gone(&mut self, id: &str) {
+    pub fn record_gone(&mut self, id: &str) {
         self.awaited.remove(id);
     }
 
--- a/crates/router/src/origin.rs
+++ b/crates/router/src/origin.rs
@@ -26,7 +26,7 @@
 
 impl UpdateAudience {
     /// Whether news of an origin go there.
-    pub fn takes(self, origin: UpdateOrigin) -> bool {
+    pub fn includes(self, origin: UpdateOrigin) -> bool {
         match self {
             Self::Speakers => origin >= UpdateOrigin::Member,
             Self::Members => true,
--- a/crates/router/src/replicas.rs
+++ b/crates/router/src/replicas.rs
@@ -88,14 +88,14 @@
 #[derive(Clone, Debug, Default)]
 pub struct AppliedList {
     /// News that it brought.
-    pub taken: Vec<AppliedUpdate>,
+    pub applied: Vec<AppliedUpdate>,
     /// Replicas that it lacks, and that are waited for.
     pub awaited: Vec<String>,
     /// Changes that a watch should have told and did not, with what was held: this relay had gone on
     /// beyond their revisions.
-    pub passed: Vec<(ReplicaUpdate, Option<u64>)>,
+    pub missed: Vec<(ReplicaUpdate, Option<u64>)>,
     /// The era that it is the first list of, where the store came back from a copy.
-    pub began: Option<EraStart>,
+    pub era_start: Option<EraStart>,
 }
 
 /// The first list after the store came back from a copy of before.
@@ -120,7 +120,7 @@
 
 impl DoubtedNews {
     /// Drops what newer news of the replica overtakes.
-    fn note_news(&mut self, news: &ReplicaUpdate) {
+    fn record_update(&mut self, news: &ReplicaUpdate) {
         if self.news.get(&news.id).is_some_and(|doubted| doubted.revision < news.revision) {
             self.news.remove(&news.id);
         }
@@ -151,7 +151,7 @@
 
 impl ForeignEntries {
     /// Notes an entry; tells whether it is news.
-    pub fn note(&mut self, id: &str, revision: u64) -> bool {
+    pub fn record(&mut self, id: &str, revision: u64) -> bool {
         if self.seen.len() >= MOST_ODD && !self.seen.contains_key(id) {
             self.seen.clear();
         }
@@ -177,26 +177,26 @@
         now: Millis,
     ) -> AppliedList {
         let FleetList { mut listed, at } = list;
-        let mut result = AppliedList { passed: self.passed_by(&listed), ..AppliedList::default() };
+        let mut result = AppliedList { missed: self.passed_by(&listed), ..AppliedList::default() };
         let is_new_era = self.watched > 0 && era_of(at) > era_of(self.watched);
         if is_new_era {
-            self.lapses.note_copy(sent);
-            self.view.keep_leaving();
+            self.lapses.record_restore(sent);
+            self.view.pin_draining();
             self.doubted = DoubtedNews { until: now + DOUBT_TIME, news: BTreeMap::new() };
         }
         self.set_doubted_apart(&mut listed, now);
-        result.began =
+        result.era_start =
             is_new_era.then(|| EraStart { era: era_of(at), doubted: self.doubted.news.len() });
         for id in self.view.missing_from(&listed, at) {
-            match self.lapses.keeps(&id, at, sent) {
+            match self.lapses.should_keep(&id, at, sent) {
                 true => result.awaited.push(id),
                 false => {
                     let news = ReplicaUpdate { id, revision: at, entry: None };
-                    result.taken.push(self.take_one(news, source, now));
+                    result.applied.push(self.apply_one(news, source, now));
                 }
             }
         }
-        result.taken.extend(self.take_all(listed, source, now));
+        result.applied.extend(self.apply_all(listed, source, now));
         result
     }
 
@@ -207,7 +207,7 @@
         if now >= self.doubted.until {
             return;
         }
-        let was_gone = |news: &mut ReplicaUpdate| self.view.was_gone_before(news);
+        let was_gone = |news: &mut ReplicaUpdate| self.view.was_removed_before(news);
         for news in listed.extract_if(.., was_gone) {
             self.doubted.news.insert(news.id.clone(), news);
         }
@@ -221,7 +221,7 @@
     }
 
     /// Takes over news; what is older than what is known changes nothing.
-    pub fn take_all(
+    pub fn apply_all(
         &mut self,
         news: Vec<ReplicaUpdate>,
         source: UpdateSource,
@@ -230,7 +230,7 @@
         let mut taken = Vec::with_capacity(news.len());
         for one in news {
             let named = one.entry.as_ref().is_some_and(|entry| self.view.names_service(entry));
-            let (revision, first) = (one.revision, self.take_one(one, source, now));
+            let (revision, first) = (one.revision, self.apply_one(one, source, now));
             let joins = first.change == FleetChange::Joined && named;
             let joined = first.address.filter(|_| joins);
             let id = first.id.clone();
@@ -238,7 +238,7 @@
             let Some(address) = joined else { continue };
             for old in self.view.predecessors(&id, address) {
                 let news = ReplicaUpdate { id: old, revision, entry: None };
-                taken.push(self.take_one(news, UpdateSource::Successor, now));
+                taken.push(self.apply_one(news, UpdateSource::Successor, now));
             }
         }
         taken
@@ -246,7 +246,7 @@
 
     /// Whether no list was ever read or told. One that is empty since all entries lapsed is a list: relays that ask each other
     /// for more, as those do that start, would believe each other's and read the store no more.
-    pub fn holds_none(&self) -> bool {
+    pub fn has_no_list(&self) -> bool {
         self.watched == 0
     }
 
@@ -260,14 +260,14 @@
         era_of(at) < era_of(self.watched)
     }
 
-    fn take_one(
+    fn apply_one(
         &mut self,
         news: ReplicaUpdate,
         source: UpdateSource,
         now: Millis,
     ) -> AppliedUpdate {
         let news = self.without_lost_start(news);
-        self.doubted.note_news(&news);
+        self.doubted.record_update(&news);
         let (id, revision) = (news.id.clone(), news.revision);
         let layers = news.entry.as_ref().and_then(|entry| entry.layers);
         let known = self.view.get(&id).map(|entry| (entry.instance.clone(), entry.address));
@@ -279,12 +279,12 @@
         let change = match self.is_of_earlier_era(revision) {
             // A relay that stood still tells what it read before.
             true => FleetChange::Older,
-            false => self.view.take(news, now),
+            false => self.view.apply(news, now),
         };
         match change {
             FleetChange::Older => {}
-            FleetChange::Gone => self.lapses.note_gone(&id),
-            _ => self.lapses.note_listed(&id, revision),
+            FleetChange::Gone => self.lapses.record_gone(&id),
+            _ => self.lapses.record_listed(&id, revision),
         }
         let ends = matches!(change, FleetChange::Gone | FleetChange::Restarted);
         let ended = known.map(|(instance, _)| instance).filter(|_| ends);
@@ -304,8 +304,8 @@
 
     /// An entry that tells no start, where the replica's own entry told one, is another writer's.
     fn without_lost_start(&self, news: ReplicaUpdate) -> ReplicaUpdate {
-        let told = news.entry.as_ref().map(|entry| entry.instance.born());
-        let held = self.view.get(&news.id).map_or(0, |held| held.instance.born());
+        let told = news.entry.as_ref().map(|entry| entry.instance.started_at());
+        let held = self.view.get(&news.id).map_or(0, |held| held.instance.started_at());
         match told {
             Some(0) if held > 0 => self.overwritten(&news.id, news.revision).unwrap_or(news),
             _ => news,
@@ -327,7 +327,7 @@
 
     /// Takes a replica's own word of when it started; gives what it changed.
     pub fn apply_start(&mut self, id: &str, born: Millis, now: Millis) -> Option<AppliedUpdate> {
-        let ended = self.view.note_start(id, born, now)?;
+        let ended = self.view.apply_restart(id, born, now)?;
         let entry = self.view.get(id)?;
         let revision = self.view.revision(id)?;
         Some(AppliedUpdate {
@@ -346,10 +346,10 @@
 
     /// Takes a replica's own word that it is leaving; gives what it changed.
     pub fn apply_draining(&mut self, instance: &ReplicaInstance) -> Option<AppliedUpdate> {
-        if !self.view.note_leaving(instance) {
+        if !self.view.mark_draining(instance) {
             return None;
         }
-        let entry = self.view.living(instance)?;
+        let entry = self.view.get_current(instance)?;
         let revision = self.view.revision(instance.id())?;
         Some(AppliedUpdate {
             id: instance.id().to_owned(),
@@ -366,17 +366,17 @@
     }
 
     /// Notes that a read sent at `sent`, which reached the revision `at`, was answered.
-    pub fn note_read(&mut self, sent: Millis, at: u64, now: Millis) {
+    pub fn record_read(&mut self, sent: Millis, at: u64, now: Millis) {
         self.watched = at;
         self.own_answer = Some(now);
-        self.note_proof(PeerProof { proved: Some(sent as i64), answered: Some(now) });
+        self.record_proof(PeerProof { proved: Some(sent as i64), answered: Some(now) });
     }
 
     /// Notes that another relay told its whole list, which it read up to the revision `at`.
-    pub fn note_told(&mut self, proof: PeerProof, at: u64) {
+    pub fn record_snapshot(&mut self, proof: PeerProof, at: u64) {
         self.watched = at;
         self.own_answer = None;
-        self.note_proof(proof);
+        self.record_proof(proof);
     }
 
     /// Time since the store last answered this relay itself, in milliseconds; nothing where another one follows
@@ -388,17 +388,17 @@
     /// The list as the store told it, for another relay: without entries that it lacks and that are awaited.
     /// Whoever takes it decides for itself which of its own it awaits.
     pub fn shareable_list(&self) -> FleetList {
-        let news = self.view.news().filter(|news| !self.lapses.is_awaited(&news.id));
+        let news = self.view.updates().filter(|news| !self.lapses.is_awaited(&news.id));
         FleetList { listed: news.collect(), at: self.watched }
     }
 
     /// Notes how recent the list held is, by a read or by another relay's word.
-    pub fn note_proof(&mut self, proof: PeerProof) {
-        proof.answered.into_iter().for_each(|answered| self.lease.note_answer(answered));
+    pub fn record_proof(&mut self, proof: PeerProof) {
+        proof.answered.into_iter().for_each(|answered| self.lease.record_answer(answered));
         let Some(proved) = proof.proved else { return };
-        self.lease.prove_at(proved);
+        self.lease.record_proof_at(proved);
         // What was sent before this start says nothing of an outage seen since.
-        self.lapses.note_answer(proved.max(0) as Millis);
+        self.lapses.record_answer(proved.max(0) as Millis);
     }
 
     /// Time since the store last answered for the list, in milliseconds; nothing while entries are awaited
@@ -415,21 +415,21 @@
     }
 
     /// Notes that a read sent at `sent` got no answer.
-    pub fn note_lost(&mut self, sent: Millis) {
-        self.lease.note_lost(sent);
-        self.lapses.note_lost(sent);
+    pub fn record_loss(&mut self, sent: Millis) {
+        self.lease.record_loss(sent);
+        self.lapses.record_loss(sent);
     }
 
     /// Notes that the store did not answer this relay for another kind of object, which tells the same where
     /// it does not read the list itself.
     pub fn record_loss_elsewhere(&mut self, sent: Millis, now: Millis) {
         if self.read_age(now).is_none_or(|age| age >= MAX_PEER_READ_AGE) {
-            self.note_lost(sent);
+            self.record_loss(sent);
         }
     }
 
     /// Takes the news of replicas that were waited for too long: they are gone.
-    pub fn lapsed(&mut self, now: Millis) -> Vec<ReplicaUpdate> {
+    pub fn take_expired(&mut self, now: Millis) -> Vec<ReplicaUpdate> {
         let overdue = self.lapses.take_overdue(now).into_iter();
         let gone = overdue.map(|(id, revision)| ReplicaUpdate { id, revision, entry: None });
         gone.collect()
@@ -437,7 +437,7 @@
 
     /// Whether the store is to be read anew, since entries were doubted and the time for that is over: whether they are listed
     /// still, a relay that goes by another's word has not heard, and one that followed it may have missed.
-    pub fn wants_list(&self, now: Millis) -> bool {
+    pub fn needs_full_list(&self, now: Millis) -> bool {
         !self.doubted.news.is_empty() && now >= self.doubted.until
     }
 
@@ -445,7 +445,7 @@
     /// it in what they compare.
     pub fn confirmed_by(&self, list: &FleetList, now: Millis) -> Vec<ReplicaUpdate> {
         // The first list of another era is of another copy, and begins another doubt.
-        if !self.wants_list(now) || era_of(list.at) != era_of(self.watched) {
+        if !self.needs_full_list(now) || era_of(list.at) != era_of(self.watched) {
             return Vec::new();
         }
         let is_cleared = |news: &&ReplicaUpdate| self.doubted.news.contains_key(&news.id);
--- a/crates/router/src/slowdown.rs
+++ b/crates/router/src/slowdown.rs
@@ -77,7 +77,7 @@
         now: Millis,
     ) -> impl Iterator<Item = (&ReplicaInstance, f64)> {
         let recent = self.paces.iter().filter(move |(_, known)| known.is_recent(now));
-        let told = recent.filter(move |(_, known)| reach.takes(known.origin));
+        let told = recent.filter(move |(_, known)| reach.includes(known.origin));
         told.map(|(instance, known)| (instance, known.factor))
     }
 
--- a/crates/router/src/stall.rs
+++ b/crates/router/src/stall.rs
@@ -209,7 +209,7 @@
     ) -> impl Iterator<Item = (&ReplicaInstance, Millis)> {
         let local =
             self.stalls.local(now).map(|(instance, remaining)| (instance, remaining + TRIAL_GRACE));
-        let peers = self.peer_stalls.values().filter(move |(origin, _)| reach.takes(*origin));
+        let peers = self.peer_stalls.values().filter(move |(origin, _)| reach.includes(*origin));
         let peers = peers.flat_map(|(_, stalls)| stalls);
         let remaining = peers.map(move |(instance, until)| (instance, until.saturating_sub(now)));
         local.chain(remaining.filter(|(_, remaining)| *remaining > 0))
--- a/crates/router/src/suspect.rs
+++ b/crates/router/src/suspect.rs
@@ -107,7 +107,7 @@
         reach: UpdateAudience,
         now: Millis,
     ) -> impl Iterator<Item = (&ReplicaInstance, Millis)> {
-        let shared = self.suspicions.iter().filter(move |(_, known)| reach.takes(known.origin));
+        let shared = self.suspicions.iter().filter(move |(_, known)| reach.includes(known.origin));
         shared
             .filter_map(move |(instance, known)| Some((instance, known.until.checked_sub(now)?)))
             .filter(|(_, remaining)| *remaining >= MIN_SHARED_TIME)
--- a/crates/router/tests/fleets.rs
+++ b/crates/router/tests/fleets.rs
@@ -50,11 +50,11 @@
     ) {
         let (mut straight, mut shuffled) = (FleetView::default(), FleetView::default());
         for news in &history {
-            straight.take(news.clone(), 0);
+            straight.apply(news.clone(), 0);
         }
         let drawn = order.iter().map(|index| index.get(&history));
         for news in drawn.chain(history.iter().rev()) {
-            shuffled.take(news.clone(), 0);
+            shuffled.apply(news.clone(), 0);
         }
         for id in ["i-0", "i-1", "i-2"] {
             prop_assert_eq!(shuffled.get(id), straight.get(id));
@@ -68,9 +68,9 @@
         let missed = missed.index(history.len());
         let (mut whole, mut part) = (FleetView::default(), FleetView::default());
         for (index, news) in history.iter().enumerate() {
-            whole.take(news.clone(), 0);
+            whole.apply(news.clone(), 0);
             if index != missed {
-                part.take(news.clone(), 0);
+                part.apply(news.clone(), 0);
             }
         }
         let differs = ["i-0", "i-1", "i-2"].iter().any(|id| whole.revision(id) != part.revision(id));
@@ -81,8 +81,8 @@
 #[test]
 fn older_news_changes_nothing() {
     let mut fleet = FleetView::default();
-    assert_eq!(fleet.take(listed("i-1", 1, 5, false), 0), FleetChange::Joined);
-    assert_eq!(fleet.take(listed("i-1", 1, 8, true), 0), FleetChange::Draining);
+    assert_eq!(fleet.apply(listed("i-1", 1, 5, false), 0), FleetChange::Joined);
+    assert_eq!(fleet.apply(listed("i-1", 1, 8, true), 0), FleetChange::Draining);
     let rows = [
         (listed("i-1", 1, 5, false), FleetChange::Older),
         (listed("i-1", 1, 8, true), FleetChange::Unchanged),
@@ -92,7 +92,7 @@
         (listed("i-1", 1, 10, true), FleetChange::Joined),
     ];
     for (news, change) in rows {
-        assert_eq!(fleet.take(news.clone(), 0), change, "{news:?}");
+        assert_eq!(fleet.apply(news.clone(), 0), change, "{news:?}");
     }
 }
 
@@ -101,7 +101,7 @@
 fn a_list_drops_nothing_that_is_newer() {
     let mut fleet = FleetTracker::default();
     let source = UpdateSource::Relay(([10, 0, 0, 9], 7_000).into());
-    fleet.take_all(vec![listed("i-1", 1, 5, false), listed("i-2", 2, 9, false)], source, 0);
+    fleet.apply_all(vec![listed("i-1", 1, 5, false), listed("i-2", 2, 9, false)], source, 0);
     fleet.apply_list(FleetList { listed: Vec::new(), at: 7 }, UpdateSource::List, 0, 0);
     assert!(fleet.view.get("i-1").is_none());
     assert!(fleet.view.get("i-2").is_some());
@@ -135,7 +135,7 @@
     let mut fleet = FleetView::default();
     let mut digests = vec![fleet.digest()];
     for (number, revision) in (0..10).zip(9..) {
-        fleet.take(listed(&format!("i-{number}"), number, revision, false), 0);
+        fleet.apply(listed(&format!("i-{number}"), number, revision, false), 0);
         digests.push(fleet.digest());
     }
     let distinct: std::collections::HashSet<u64> = digests.iter().copied().collect();
@@ -159,9 +159,9 @@
         let mut fleet = FleetView::default();
         for which in order {
             let news = [&first, &second, &late_beat][which];
-            fleet.take(news.clone(), 0);
+            fleet.apply(news.clone(), 0);
         }
-        assert_eq!(fleet.get("i-1").expect("listed").instance.born(), 200, "{order:?}");
+        assert_eq!(fleet.get("i-1").expect("listed").instance.started_at(), 200, "{order:?}");
         digests.push(fleet.digest());
     }
     digests.dedup();
@@ -172,21 +172,21 @@
 fn a_restart_ends_what_was_known() {
     let mut fleet = FleetTracker::default();
     let source = UpdateSource::Watch;
-    let taken = fleet.take_all(vec![living("i-1", 1, 5, 100)], source, 0);
+    let taken = fleet.apply_all(vec![living("i-1", 1, 5, 100)], source, 0);
     assert_eq!((taken[0].change, taken[0].ended.clone()), (FleetChange::Joined, None));
-    let taken = fleet.take_all(vec![living("i-1", 1, 6, 200)], source, 0);
+    let taken = fleet.apply_all(vec![living("i-1", 1, 6, 200)], source, 0);
     assert_eq!(taken[0].change, FleetChange::Restarted);
     assert_eq!(taken[0].ended, Some(ReplicaInstance::new("i-1", 100)));
-    assert!(fleet.view.living(&ReplicaInstance::new("i-1", 100)).is_none());
-    let late = fleet.take_all(vec![living("i-1", 1, 9, 100)], source, 0);
+    assert!(fleet.view.get_current(&ReplicaInstance::new("i-1", 100)).is_none());
+    let late = fleet.apply_all(vec![living("i-1", 1, 9, 100)], source, 0);
     assert_eq!(late[0].change, FleetChange::Older);
     // What it says itself counts before its entry does; what an earlier life says counts nowhere.
     assert!(fleet.apply_start("i-1", 150, 0).is_none());
     let told = fleet.apply_start("i-1", 300, 0).expect("it started again");
     assert_eq!((told.ended, told.layers), (Some(ReplicaInstance::new("i-1", 200)), None));
     // Gone for good, and then a heartbeat of an earlier life.
-    fleet.take_all(vec![news("i-1", 12, None)], source, 0);
-    let late = fleet.take_all(vec![living("i-1", 1, 13, 200)], source, 0);
+    fleet.apply_all(vec![news("i-1", 12, None)], source, 0);
+    let late = fleet.apply_all(vec![living("i-1", 1, 13, 200)], source, 0);
     assert_eq!(late[0].change, FleetChange::Older);
     assert!(fleet.view.is_empty());
 }
@@ -197,17 +197,17 @@
     let source = UpdateSource::Watch;
     for lapsed in [false, true] {
         let mut fleet = FleetTracker::default();
-        fleet.take_all(vec![listed("i-old", 1, 3, false)], source, 0);
+        fleet.apply_all(vec![listed("i-old", 1, 3, false)], source, 0);
         if lapsed {
-            fleet.take_all(vec![news("i-old", 4, None)], source, 0);
+            fleet.apply_all(vec![news("i-old", 4, None)], source, 0);
         }
-        fleet.take_all(vec![listed("i-new", 1, 6, false)], source, 0);
-        let beat = fleet.take_all(vec![listed("i-old", 1, 8, false)], source, 0);
+        fleet.apply_all(vec![listed("i-new", 1, 6, false)], source, 0);
+        let beat = fleet.apply_all(vec![listed("i-old", 1, 8, false)], source, 0);
         assert_eq!(beat[0].change, FleetChange::Older, "lapsed: {lapsed}");
         assert!(fleet.view.get("i-new").is_some());
         assert!(fleet.view.get("i-old").is_none());
         assert_eq!(
-            fleet.view.at(([10, 0, 0, 1], 1).into()).map(|at| at.instance.id()),
+            fleet.view.at_address(([10, 0, 0, 1], 1).into()).map(|at| at.instance.id()),
             Some("i-new")
         );
     }
@@ -218,26 +218,29 @@
 #[test]
 fn entries_of_other_writers_end_nobody() {
     let mut fleet = FleetTracker::default();
-    fleet.view.note_services(["model"].into_iter());
+    fleet.view.set_services(["model"].into_iter());
     let source = UpdateSource::Watch;
-    fleet.take_all(vec![living("i-1", 1, 5, 100), listed("i-2", 2, 6, true)], source, 0);
+    fleet.apply_all(vec![living("i-1", 1, 5, 100), listed("i-2", 2, 6, true)], source, 0);
     assert!(fleet.overwritten("i-9", 7).is_none());
     let odd = fleet.overwritten("i-1", 7).expect("it is known");
-    assert_eq!(fleet.take_all(vec![odd], source, 0)[0].change, FleetChange::Updated);
+    assert_eq!(fleet.apply_all(vec![odd], source, 0)[0].change, FleetChange::Updated);
     assert_eq!(fleet.view.get("i-1").map(|entry| entry.state), Some(EntryState::Overwritten));
     let draining = fleet.overwritten("i-2", 8).and_then(|news| news.entry).expect("it is known");
     assert_eq!(draining.state, EntryState::Draining);
-    fleet.take_all(vec![living("i-1", 1, 9, 100)], source, 0);
+    fleet.apply_all(vec![living("i-1", 1, 9, 100)], source, 0);
     assert!(fleet.view.get("i-1").is_some_and(ReplicaEntry::is_ready));
     // One that tells no start, where the replica's own told one.
-    fleet.take_all(vec![listed("i-1", 1, 10, false)], source, 0);
+    fleet.apply_all(vec![listed("i-1", 1, 10, false)], source, 0);
     assert_eq!(fleet.view.get("i-1").map(|entry| entry.state), Some(EntryState::Overwritten));
-    fleet.take_all(vec![living("i-1", 1, 11, 100)], source, 0);
+    fleet.apply_all(vec![living("i-1", 1, 11, 100)], source, 0);
     let alien = ReplicaEntry { service: "none".to_owned(), ..entry("i-x", 1, false) };
-    fleet.take_all(vec![news("i-x", 12, Some(alien))], source, 0);
-    fleet.take_all(vec![living("i-1", 1, 13, 100)], source, 0);
+    fleet.apply_all(vec![news("i-x", 12, Some(alien))], source, 0);
+    fleet.apply_all(vec![living("i-1", 1, 13, 100)], source, 0);
     assert_eq!(fleet.view.revision("i-1"), Some(13));
-    assert_eq!(fleet.view.at(([10, 0, 0, 1], 1).into()).map(|at| at.instance.id()), Some("i-1"));
+    assert_eq!(
+        fleet.view.at_address(([10, 0, 0, 1], 1).into()).map(|at| at.instance.id()),
+        Some("i-1")
+    );
 }
 
 #[test]
@@ -259,6 +262,6 @@
     let mut odd = ForeignEntries::default();
     let rows = [("i-1", 5, true), ("i-1", 5, false), ("i-2", 5, true), ("i-1", 6, true)];
     for (id, revision, news) in rows {
-        assert_eq!(odd.note(id, revision), news, "{id} {revision}");
+        assert_eq!(odd.record(id, revision), news, "{id} {revision}");
     }
 }
--- a/crates/router/tests/gossip_model/mod.rs
+++ b/crates/router/tests/gossip_model/mod.rs
@@ -169,7 +169,7 @@
             for other in (0..self.day.relays).filter(|other| *other != relay) {
                 let (name, place) =
                     (self.relays[other].name.clone(), self.relays[other].place.clone());
-                self.relays[relay].peers.learn(&name, address(other), &place, 0);
+                self.relays[relay].peers.upsert(&name, address(other), &place, 0);
             }
             let (round, request) =
                 (self.random.random_range(0..ROUND), self.random.random_range(0..2_000));
@@ -329,13 +329,13 @@
         let (name, place) = (self.relays[from].name.clone(), self.relays[from].place.clone());
         let Message { stamp, report, is_member, .. } = *message;
         let own = &mut self.relays[to];
-        own.peers.learn(&name, address(from), &place, now);
+        own.peers.upsert(&name, address(from), &place, now);
         let state = PeerState { keeps_limits: !is_member, is_member, ..PeerState::default() };
-        if !own.peers.hear(&name, state, stamp, now) {
+        if !own.peers.record_message(&name, state, stamp, now) {
             return;
         }
-        own.peers.note_report(&name, report, now);
-        own.peers.note_vouched(&message.keepers, None, now);
+        own.peers.record_report(&name, report, now);
+        own.peers.record_vouched(&message.keepers, None, now);
         let is_counted = report == ReportKind::Counted;
         match &message.load {
             Load::Gathered(load) if !own.circle.is_member || is_counted => {
--- a/crates/router/tests/groups.rs
+++ b/crates/router/tests/groups.rs
@@ -50,7 +50,7 @@
         }
         assert_eq!(
             group_of(&instance, 8),
-            group_of(&instance.at(5), 8),
+            group_of(&instance.restarted_at(5), 8),
             "a restart stays in its group"
         );
     }
--- a/crates/router/tests/limit_model/mod.rs
+++ b/crates/router/tests/limit_model/mod.rs
@@ -260,7 +260,7 @@
         let address = "10.0.0.1:7000".parse().expect("an address");
         for other in (0..self.day.relays).filter(|other| *other != relay) {
             let name = self.relays[other].name.clone();
-            self.relays[relay].peers.learn(&name, address, &place(other), now);
+            self.relays[relay].peers.upsert(&name, address, &place(other), now);
         }
     }
 
@@ -443,7 +443,7 @@
         let clock = now - self.relays[relay].born;
         let own = &mut self.relays[relay];
         own.limits.forget(|_| true, clock);
-        for gone in own.peers.gone(clock) {
+        for gone in own.peers.expired(clock) {
             own.peers.forget(&gone);
         }
         let changed: Vec<_> = own.limits.changed_since(clock.saturating_sub(1_300)).collect();
@@ -467,9 +467,9 @@
             }
             let receiver = &mut self.relays[to];
             let heard = now - receiver.born;
-            if !receiver.peers.hear(&name, state, stamp, heard) {
+            if !receiver.peers.record_message(&name, state, stamp, heard) {
                 let address = "10.0.0.1:7000".parse().expect("an address");
-                receiver.peers.learn(&name, address, &home, heard);
+                receiver.peers.upsert(&name, address, &home, heard);
             }
             for (replica, count) in recent.iter().filter(|_| self.day.way == Way::Demand) {
                 receiver.others.insert((relay, *replica), *count);
@@ -512,20 +512,20 @@
         let own = &mut self.relays[to];
         match body {
             Body::Limits { words, stamp } => {
-                let written = own.clocks.written(&sender, stamp, clock);
+                let written = own.clocks.written_at(&sender, stamp, clock);
                 for (replica, word) in words {
                     let sent = written - (stamp.time as i64 - word.sent);
                     own.take_word(replica, LimitReport { sent, ..word }, clock);
                 }
             }
             Body::Ask { replica, word, age, stamp, asked } => {
-                let sent = own.clocks.written(&sender, stamp, clock) - age;
+                let sent = own.clocks.written_at(&sender, stamp, clock) - age;
                 own.take_word(replica, LimitReport { per_second: word, sent }, clock);
                 own.issuer.request(&asked, &sender, stamp, clock);
                 self.issue(to, now);
             }
             Body::Grants { replica, word, age, stamp, issued } => {
-                let sent = own.clocks.written(&sender, stamp, clock) - age;
+                let sent = own.clocks.written_at(&sender, stamp, clock) - age;
                 own.take_word(replica, LimitReport { per_second: word, sent }, clock);
                 if issued.stamp.incarnation == own.born as u32 {
                     let at = (issued.stamp.time + issued.held_for) as i64;
--- a/crates/router/tests/membership.rs
+++ b/crates/router/tests/membership.rs
@@ -13,7 +13,7 @@
 fn table(names: &[(&str, &str)], now: u64) -> PeerTable {
     let mut table = PeerTable::default();
     for (name, data_centre) in names {
-        table.learn(name, "10.0.0.1:7000".parse().expect("address"), data_centre, now);
+        table.upsert(name, "10.0.0.1:7000".parse().expect("address"), data_centre, now);
         let state = PeerState {
             fleet_is_fresh: true,
             fleet_is_lost: false,
@@ -28,7 +28,7 @@
             keeps_limits: false,
             is_member: false,
         };
-        table.hear(name, state, PeerStamp::default(), now);
+        table.record_message(name, state, PeerStamp::default(), now);
     }
     table
 }
@@ -70,19 +70,19 @@
 fn one_relay_follows_for_a_data_centre() {
     let now = 10_000;
     let mut first = table(&[("b", "x"), ("c", "y")], now);
-    first.note_answers(Some(now), Some(now));
+    first.record_answers(Some(now), Some(now));
     assert!(!first.config_read_by_peer("a", "x", 3, now));
     assert!(!first.fleet_read_by_peer("a", "x", now));
     let mut second = table(&[("a", "x"), ("c", "y")], now);
     assert!(!second.config_read_by_peer("b", "x", 3, now), "nothing proved yet");
-    second.note_answers(Some(now), Some(now));
+    second.record_answers(Some(now), Some(now));
     assert!(second.config_read_by_peer("b", "x", 3, now));
     assert!(second.fleet_read_by_peer("b", "x", now));
     assert!(!second.config_read_by_peer("b", "x", 2, now), "the other has a newer version");
     assert!(!second.config_read_by_peer("b", "x", 3, now + MAX_PEER_READ_AGE), "the proof is old");
     assert!(!second.fleet_read_by_peer("b", "x", now + PEER_TIMEOUT), "the other is silent");
     let mut other = table(&[("a", "y")], now);
-    other.note_answers(Some(now), Some(now));
+    other.record_answers(Some(now), Some(now));
     assert!(!other.config_read_by_peer("b", "x", 3, now), "it is in another data centre");
 }
 
@@ -90,7 +90,7 @@
 fn lists_that_stay_different_end_the_cover() {
     let now = 10_000;
     let mut table = table(&[("a", "x")], now);
-    table.note_answers(Some(now), Some(now));
+    table.record_answers(Some(now), Some(now));
     assert!(!table.compare_digest("b", "x", 8, now));
     assert!(table.fleet_read_by_peer("b", "x", now + 100), "a change may be on its way");
     assert!(!table.compare_digest("b", "x", 8, now + 600));
@@ -115,15 +115,15 @@
 #[test]
 fn a_relay_that_is_gone_is_forgotten() {
     let mut table = table(&[("a", "x"), ("b", "x")], 1_000);
-    table.hear("b", PeerState::default(), PeerStamp::default(), 30_000);
-    table.learn("c", "10.0.0.2:7000".parse().expect("address"), "x", 50_000);
+    table.record_message("b", PeerState::default(), PeerStamp::default(), 30_000);
+    table.upsert("c", "10.0.0.2:7000".parse().expect("address"), "x", 50_000);
     // Reading an object of the store again is no sign of life.
-    table.learn("a", "10.0.0.1:7000".parse().expect("address"), "x", 50_000);
-    assert_eq!(table.gone(999 + PEER_EXPIRY), Vec::<String>::new());
-    assert_eq!(table.gone(1_000 + PEER_EXPIRY), ["a"]);
-    assert_eq!(table.gone(50_000 + PEER_EXPIRY), ["a", "b", "c"]);
+    table.upsert("a", "10.0.0.1:7000".parse().expect("address"), "x", 50_000);
+    assert_eq!(table.expired(999 + PEER_EXPIRY), Vec::<String>::new());
+    assert_eq!(table.expired(1_000 + PEER_EXPIRY), ["a"]);
+    assert_eq!(table.expired(50_000 + PEER_EXPIRY), ["a", "b", "c"]);
     table.forget("a");
-    assert_eq!(table.known(), 2);
+    assert_eq!(table.known_count(), 2);
 }
 
 /// A relay that lost the store alone leaves new callers to the others before keys are refused; where all
@@ -140,7 +140,7 @@
     let all_lost = now + STEP_ASIDE_AGE;
     let mut old = table(&[("b", "north")], all_lost);
     let state = PeerState { config_age: Some(STEP_ASIDE_AGE), ..PeerState::default() };
-    old.hear("b", state, PeerStamp::default(), all_lost);
+    old.record_message("b", state, PeerStamp::default(), all_lost);
     assert!(!old.should_redirect(STEP_ASIDE_AGE + 100, true, all_lost), "nobody has the store");
     let silent = now + PEER_TIMEOUT;
     assert!(peers.should_redirect(STEP_ASIDE_AGE_LOST, true, silent), "it is cut off from all");
@@ -158,16 +158,16 @@
         ..PeerState::default()
     };
     let mut peers = table(&[("a", "x")], now);
-    peers.note_answers(Some(now), Some(now));
-    peers.hear("a", lost(false, true), PeerStamp::default(), now);
+    peers.record_answers(Some(now), Some(now));
+    peers.record_message("a", lost(false, true), PeerStamp::default(), now);
     assert!(!peers.config_read_by_peer("c", "x", 3, now));
     assert!(peers.fleet_read_by_peer("c", "x", now), "each kind is followed for itself");
-    peers.hear("a", lost(true, false), PeerStamp::default(), now);
+    peers.record_message("a", lost(true, false), PeerStamp::default(), now);
     assert!(!peers.fleet_read_by_peer("c", "x", now));
     assert!(peers.config_read_by_peer("c", "x", 3, now));
     let next = "b";
-    peers.learn(next, "10.0.0.2:7000".parse().expect("address"), "x", now);
-    peers.hear(next, lost(false, false), PeerStamp::default(), now);
+    peers.upsert(next, "10.0.0.2:7000".parse().expect("address"), "x", now);
+    peers.record_message(next, lost(false, false), PeerStamp::default(), now);
     assert!(peers.fleet_read_by_peer("c", "x", now), "the next one follows");
 }
 
@@ -178,12 +178,12 @@
     let mut peers = table(&[("a", "x")], now);
     let at = |incarnation, time| PeerStamp { incarnation, time };
     let version = |config_version| PeerState { config_version, ..PeerState::default() };
-    assert!(peers.hear("a", version(5), at(1, 700), now));
-    assert!(!peers.hear("a", version(4), at(1, 500), now));
+    assert!(peers.record_message("a", version(5), at(1, 700), now));
+    assert!(!peers.record_message("a", version(4), at(1, 500), now));
     assert!(peers.peer_has_newer_config("b", "x", 4, now));
-    assert!(peers.hear("a", version(4), at(2, 100), now), "it started again");
+    assert!(peers.record_message("a", version(4), at(2, 100), now), "it started again");
     assert!(!peers.peer_has_newer_config("b", "x", 4, now));
-    assert!(!peers.hear("unknown", version(9), at(1, 1), now));
+    assert!(!peers.record_message("unknown", version(9), at(1, 1), now));
 }
 
 /// What was proved before this start keeps its age, instead of counting as proved at the start. Found by seed 737 of the soak: a relay that started in an outage of the store was told a configuration
@@ -195,12 +195,12 @@
     for (held, age, expected) in rows {
         assert_eq!(proof_time(stamp, 7, held, age), Some(expected), "{held} {age}");
     }
-    let told = PeerProof::of_answer(110, 6_785, 40);
+    let told = PeerProof::from_response(110, 6_785, 40);
     assert_eq!((told.proved, told.answered), (Some(-6_675), Some(70)));
     let mut lease = FreshnessLease::default();
-    lease.prove_at(-6_675);
+    lease.record_proof_at(-6_675);
     assert_eq!(lease.age(110), Some(6_785));
-    assert!(!lease.holds(5_000, 110));
-    let told = PeerProof::of_answer(110, 110, 111);
+    assert!(!lease.is_valid(5_000, 110));
+    let told = PeerProof::from_response(110, 110, 111);
     assert_eq!((told.proved, told.answered), (Some(0), None));
 }
--- a/crates/router/tests/model/mod.rs
+++ b/crates/router/tests/model/mod.rs
@@ -514,7 +514,7 @@
 
     fn note_shown(&mut self, now: Millis) {
         for (number, shown) in self.shown.iter_mut().enumerate() {
-            let start = self.store.known(number).instance.born();
+            let start = self.store.known(number).instance.started_at();
             let before = shown.filter(|shown| shown.start == start);
             let is_shown = self.store.shows_present(number);
             *shown = is_shown.then(|| before.unwrap_or(ShownLife { start, since: now }));
--- a/crates/router/tests/model/relay.rs
+++ b/crates/router/tests/model/relay.rs
@@ -124,7 +124,7 @@
         let mut peers = PeerTable::default();
         for (other, (name, data_centre)) in RELAYS.iter().enumerate() {
             if other != number {
-                peers.learn(name, address(other), data_centre, 0);
+                peers.upsert(name, address(other), data_centre, 0);
             }
         }
         let following = [(Kind::Replicas, REPLICA_TIMINGS), (Kind::Config, CONFIG_TIMINGS)];
@@ -167,7 +167,7 @@
     /// When the life of a replica started that it would send requests to.
     pub(crate) fn offered_start(&self, number: usize) -> Option<Millis> {
         let held = self.fleet.view.get(&replica_id(number)).filter(|entry| entry.is_ready());
-        held.map(|entry| entry.instance.born())
+        held.map(|entry| entry.instance.started_at())
     }
 
     /// Whether it would send requests to a life of a replica that is not its present one.
@@ -191,7 +191,7 @@
         self.hear(weather, world.messages, now);
         if now >= self.next_tell {
             self.next_tell = now + TELL_EVERY;
-            let lapsed = self.fleet.lapsed(now);
+            let lapsed = self.fleet.take_expired(now);
             self.tell_and_take(lapsed, UpdateSource::Lapse, world.messages, now);
             self.tell_state(world.messages, now);
         }
@@ -224,7 +224,7 @@
             return;
         }
         if self.following[index].asked.take().is_some() {
-            self.following[index].follower.note_untold(now);
+            self.following[index].follower.record_no_snapshot(now);
         }
         if now < self.following[index].rests_until {
             return;
@@ -232,7 +232,7 @@
         let kind = self.following[index].kind;
         let sight = self.see(kind, now);
         match self.following[index].follower.next_step(&sight, now) {
-            FollowStep::Rest(pause) => self.following[index].rests_until = now + pause,
+            FollowStep::Wait(pause) => self.following[index].rests_until = now + pause,
             FollowStep::Ask => self.ask(index, world.messages, now),
             step => {
                 let (relay, times) = (self.number, self.following[index].times);
@@ -245,25 +245,25 @@
 
     fn see(&self, kind: Kind, now: Millis) -> FollowInputs {
         let (name, data_centre, version) = (self.name(), self.data_centre(), self.config_version());
-        let before = self.peers.before(name, data_centre, now);
+        let before = self.peers.preceding(name, data_centre, now);
         let teller = self.teller(kind, now);
         let sight = FollowInputs {
-            teller: teller.map(|teller| teller.place),
-            before: before.live,
+            source: teller.map(|teller| teller.order),
+            preceding: before.live,
             ..FollowInputs::default()
         };
         match kind {
             Kind::Replicas => FollowInputs {
                 is_read_by_peer: self.peers.fleet_read_by_peer(name, data_centre, now),
-                lost_before: before.lost_fleet,
-                wants_list: self.fleet.wants_list(now),
+                preceding_lost: before.lost_fleet,
+                needs_full_list: self.fleet.needs_full_list(now),
                 is_retried_elsewhere: self.config_lease.is_lost(),
                 ..sight
             },
             Kind::Config => FollowInputs {
                 is_read_by_peer: self.peers.config_read_by_peer(name, data_centre, version, now),
                 peer_has_newer: self.peers.peer_has_newer_config(name, data_centre, version, now),
-                lost_before: before.lost_config,
+                preceding_lost: before.lost_config,
                 ..sight
             },
         }
@@ -271,7 +271,7 @@
 
     fn teller(&self, kind: Kind, now: Millis) -> Option<SnapshotSource<'_>> {
         let (name, data_centre) = (self.name(), self.data_centre());
-        let holds_none = self.fleet.holds_none();
+        let holds_none = self.fleet.has_no_list();
         match kind {
             Kind::Replicas => self.peers.fleet_source(name, data_centre, holds_none, now),
             Kind::Config => self.peers.config_source(name, data_centre, self.config_version(), now),
@@ -329,9 +329,9 @@
         let is_earlier =
             |told: &Told| kind == Kind::Replicas && self.fleet.is_of_earlier_era(told.at);
         let Some(told) = told.filter(|told| !is_earlier(told)) else {
-            return following.follower.note_untold(now);
+            return following.follower.record_no_snapshot(now);
         };
-        following.follower.note_told(told.at, now);
+        following.follower.record_snapshot(told.at, now);
         let proof = PeerProof {
             proved: Some(asked as i64 - told.proved_age as i64),
             answered: Some(asked.saturating_sub(told.answered_age)),
@@ -340,17 +340,17 @@
             Kind::Config => {
                 self.config.replace_if_newer(told.version, told.version);
                 self.config_at = self.config_at.max(told.at);
-                proof.proved.into_iter().for_each(|at| self.config_lease.prove_at(at));
-                proof.answered.into_iter().for_each(|at| self.config_lease.note_answer(at));
-                self.peers.note_answers(proof.answered, None);
+                proof.proved.into_iter().for_each(|at| self.config_lease.record_proof_at(at));
+                proof.answered.into_iter().for_each(|at| self.config_lease.record_answer(at));
+                self.peers.record_answers(proof.answered, None);
             }
             Kind::Replicas => {
                 let sent = proof.proved.unwrap_or_default();
                 if let Some(list) = told.list {
                     self.fleet.apply_list(list, UpdateSource::Told, sent.max(0) as Millis, now);
                 }
-                self.fleet.note_told(proof, told.at);
-                self.peers.note_answers(None, proof.answered);
+                self.fleet.record_snapshot(proof, told.at);
+                self.peers.record_answers(None, proof.answered);
             }
         }
     }
@@ -359,12 +359,12 @@
         let first = match self.following[index].kind {
             Kind::Replicas => {
                 let first = !self.fleet.is_lost();
-                self.fleet.note_lost(sent);
+                self.fleet.record_loss(sent);
                 first
             }
             Kind::Config => {
                 let first = !self.config_lease.is_lost();
-                self.config_lease.note_lost(sent);
+                self.config_lease.record_loss(sent);
                 self.fleet.record_loss_elsewhere(sent, now);
                 first
             }
@@ -372,8 +372,8 @@
         if first {
             self.tell_state(messages, now);
         }
-        let lost_before = self.see(self.following[index].kind, now).lost_before;
-        self.following[index].follower.note_failure(sent, lost_before);
+        let lost_before = self.see(self.following[index].kind, now).preceding_lost;
+        self.following[index].follower.record_failure(sent, lost_before);
     }
 
     /// Reads news of the store: another writer's entry names no replica.
@@ -395,7 +395,7 @@
     ) {
         let at = match reply {
             Reply::Refused => return self.fail(index, call.sent, messages, now),
-            Reply::Gap => return self.following[index].follower.note_gap(),
+            Reply::Gap => return self.following[index].follower.record_gap(),
             Reply::List(mut list) => {
                 let at = list.at;
                 list.listed =
@@ -425,14 +425,14 @@
             Kind::Config => self.config_lease.is_lost(),
         };
         match call.kind {
-            Kind::Replicas => self.fleet.note_read(call.sent, at, now),
+            Kind::Replicas => self.fleet.record_read(call.sent, at, now),
             Kind::Config => {
-                self.config_lease.prove(call.sent);
-                self.config_lease.note_answer(now);
+                self.config_lease.record_proof(call.sent);
+                self.config_lease.record_answer(now);
                 self.config_at = at;
             }
         }
-        self.following[index].follower.note_answer(at, now);
+        self.following[index].follower.record_answer(at, now);
         if is_return || !was_reader {
             self.tell_state(messages, now);
         }
@@ -454,11 +454,11 @@
                 Body::Told { kind, asked, told } => self.take_told(kind, asked, told, now),
                 Body::Fleet(news) => {
                     let source = UpdateSource::Relay(address(message.from));
-                    self.fleet.take_all(news, source, now);
+                    self.fleet.apply_all(news, source, now);
                 }
                 Body::State { state, stamp, echo } => {
                     let (name, data_centre) = RELAYS[message.from];
-                    self.peers.hear(name, state, stamp, now);
+                    self.peers.record_message(name, state, stamp, now);
                     if data_centre == self.data_centre() {
                         self.take_proofs(&state, echo, now);
                     }
@@ -477,12 +477,12 @@
         };
         let proofs = self.peers.read_proofs(own, state, echo, now);
         if let Some(answered) = proofs.config.answered {
-            self.config_lease.note_answer(answered);
+            self.config_lease.record_answer(answered);
         }
         if let Some(proved) = proofs.config.proved {
-            self.config_lease.prove_at(proved);
+            self.config_lease.record_proof_at(proved);
         }
-        self.fleet.note_proof(proofs.fleet);
+        self.fleet.record_proof(proofs.fleet);
     }
 
     fn tell_and_take(
@@ -498,7 +498,7 @@
         for to in self.near() {
             self.send(to, Body::Fleet(news.clone()), messages, now);
         }
-        self.fleet.take_all(news, source, now);
+        self.fleet.apply_all(news, source, now);
     }
 
     fn near(&self) -> impl Iterator<Item = usize> + use<> {
--- a/crates/router/tests/model/store.rs
+++ b/crates/router/tests/model/store.rs
@@ -52,7 +52,7 @@
     pub(crate) fn deadline(&self) -> Millis {
         let FollowTimings { wait, list_timeout, .. } = self.times;
         match self.step {
-            FollowStep::Rest(_) | FollowStep::Ask => self.sent,
+            FollowStep::Wait(_) | FollowStep::Ask => self.sent,
             FollowStep::List(_) => self.sent + list_timeout,
             FollowStep::Watch(_) => self.sent + wait + STORE_TIMEOUT,
         }
@@ -116,7 +116,7 @@
     pub(crate) fn restart(&mut self, number: usize) -> ReplicaEntry {
         let known = &mut self.known[number];
         let before = known.clone();
-        known.instance = known.instance.at(known.instance.born() + 1);
+        known.instance = known.instance.restarted_at(known.instance.started_at() + 1);
         known.layers = None;
         before
     }
@@ -204,7 +204,7 @@
 
     fn answer(&mut self, call: &Call, weather: &Weather<'_>, now: Millis) -> Option<Reply> {
         let after = match call.step {
-            FollowStep::Rest(_) | FollowStep::Ask => return None,
+            FollowStep::Wait(_) | FollowStep::Ask => return None,
             FollowStep::List(_) => return Some(self.list(call.kind)),
             FollowStep::Watch(after) => after,
         };
--- a/crates/router/tests/outages.rs
+++ b/crates/router/tests/outages.rs
@@ -82,10 +82,10 @@
             is_read_by_peer: teller.is_some_and(|other| other < relay)
                 && answered.is_some_and(|at| now - at < 1_600),
             peer_has_newer: false,
-            teller: teller.map(place),
-            before: relay,
-            wants_list: false,
-            lost_before: heard[..relay].iter().filter(|one| one[kind].is_lost).count(),
+            source: teller.map(place),
+            preceding: relay,
+            needs_full_list: false,
+            preceding_lost: heard[..relay].iter().filter(|one| one[kind].is_lost).count(),
             is_retried_elsewhere: kind == 1 && self.relays[relay][0].is_lost,
         }
     }
@@ -114,23 +114,23 @@
             return;
         }
         match one.follower.next_step(&sight, now) {
-            FollowStep::Rest(pause) => one.rests_until = now + pause,
+            FollowStep::Wait(pause) => one.rests_until = now + pause,
             FollowStep::Ask => {
-                one.follower.note_told(1, now);
+                one.follower.record_snapshot(1, now);
                 one.answered = Some(now);
                 one.is_lost = false;
             }
             FollowStep::List(_) | FollowStep::Watch(_) if AWAY.contains(&now) => {
                 one.calls += 1;
                 one.is_lost = true;
-                one.follower.note_failure(now, sight.lost_before);
+                one.follower.record_failure(now, sight.preceding_lost);
             }
             FollowStep::List(_) | FollowStep::Watch(_) => {
                 one.calls += 1;
                 one.is_lost = false;
                 one.answered = Some(now);
                 one.reads = Some(now);
-                one.follower.note_answer(1, now);
+                one.follower.record_answer(1, now);
                 one.rests_until = now + 1_000;
             }
         }
--- a/crates/router/tests/state.rs
+++ b/crates/router/tests/state.rs
@@ -99,12 +99,12 @@
         bound in 0u64..10_000,
     ) {
         let mut lease = FreshnessLease::default();
-        proofs.iter().for_each(|sent| lease.prove(*sent));
+        proofs.iter().for_each(|sent| lease.record_proof(*sent));
         let newest = proofs.iter().max().copied();
         let expected = newest.is_some_and(|newest| {
             now.saturating_sub(newest) <= bound.saturating_sub(LEASE_MARGIN)
         });
-        prop_assert_eq!(lease.holds(bound, now), expected);
+        prop_assert_eq!(lease.is_valid(bound, now), expected);
     }
 
     /// Versions never go back.
@@ -249,23 +249,23 @@
 #[test]
 fn missing_entries_are_kept_after_an_outage_alone() {
     let mut lapses = MissingEntries::default();
-    assert!(!lapses.keeps("calm", 1, 0));
-    lapses.note_lost(1_000);
-    assert!(!lapses.keeps("short", 1, 1_500));
-    lapses.note_lost(3_400);
-    assert!(lapses.keeps("gone", 7, 4_000));
-    assert!(lapses.keeps("back", 7, 4_000));
-    lapses.note_answer(4_000);
-    lapses.note_listed("back", 7);
+    assert!(!lapses.should_keep("calm", 1, 0));
+    lapses.record_loss(1_000);
+    assert!(!lapses.should_keep("short", 1, 1_500));
+    lapses.record_loss(3_400);
+    assert!(lapses.should_keep("gone", 7, 4_000));
+    assert!(lapses.should_keep("back", 7, 4_000));
+    lapses.record_answer(4_000);
+    lapses.record_listed("back", 7);
     assert!(lapses.is_awaited("back"), "that was told before it was missing");
-    lapses.note_listed("back", 8);
+    lapses.record_listed("back", 8);
     let end = 4_000 + REAPPEAR_GRACE;
-    assert!(lapses.keeps("late", 8, end - 1));
+    assert!(lapses.should_keep("late", 8, end - 1));
     assert_eq!(lapses.take_overdue(end - 1), []);
     let mut overdue = lapses.take_overdue(end);
     overdue.sort();
     assert_eq!(overdue, [("gone".to_owned(), 7), ("late".to_owned(), 8)]);
-    assert!(!lapses.keeps("gone", 9, end));
+    assert!(!lapses.should_keep("gone", 9, end));
 }
 
 /// What is kept is as of before the outage, so keeping ends by the earliest moment at which the store may
@@ -273,10 +273,10 @@
 #[test]
 fn keeping_ends_by_the_earliest_return() {
     let mut lapses = MissingEntries::default();
-    lapses.note_lost(1_000);
-    lapses.note_lost(2_500);
-    assert!(lapses.keeps("missing", 7, 4_100));
-    lapses.note_answer(4_100);
+    lapses.record_loss(1_000);
+    lapses.record_loss(2_500);
+    assert!(lapses.should_keep("missing", 7, 4_100));
+    lapses.record_answer(4_100);
     assert_eq!(lapses.take_overdue(2_500 + MAX_MISSING_TIME - 1), []);
     assert_eq!(lapses.take_overdue(2_500 + MAX_MISSING_TIME), [("missing".to_owned(), 7)]);
 }
@@ -319,18 +319,18 @@
 #[test]
 fn an_older_proof_does_not_undo_a_loss() {
     let mut lease = FreshnessLease::default();
-    lease.prove(1_000);
-    lease.note_lost(2_000);
+    lease.record_proof(1_000);
+    lease.record_loss(2_000);
     assert!(lease.is_lost());
-    lease.prove(1_900);
+    lease.record_proof(1_900);
     assert!(lease.is_lost());
-    lease.prove(2_100);
+    lease.record_proof(2_100);
     assert!(!lease.is_lost());
     let mut lapses = MissingEntries::default();
-    lapses.note_lost(1_000);
-    lapses.note_lost(3_000);
-    lapses.note_answer(2_900);
-    assert!(lapses.keeps("missing", 7, 3_300), "the outage is not over");
+    lapses.record_loss(1_000);
+    lapses.record_loss(3_000);
+    lapses.record_answer(2_900);
+    assert!(lapses.should_keep("missing", 7, 3_300), "the outage is not over");
 }
 
 /// The load after a stop of all: each entry gets many requests at once before it hears of any other, and each would
