--- a/crates/relay/src/quarantine.rs
+++ b/crates/relay/src/quarantine.rs
@@ -57,7 +57,7 @@
 
 /// Notes that a replica is lost: found silent, refusing connections, or listed no more without having said that it leaves.
 pub fn note_ended(relay: &Relay, life: &ReplicaLife) {
-    let change = relay.beliefs.borrow_mut().quarantine.record_ended(life, now_millis());
+    let change = relay.beliefs.borrow_mut().quarantine.record_crash(life, now_millis());
     take_change(relay, &change);
 }
 
--- a/crates/router/src/quarantine.rs
+++ b/crates/router/src/quarantine.rs
@@ -1,70 +1,73 @@
-//! Requests that end the replicas that run them: the "query of death" of serving systems.
+//! Quarantine of requests that crash the replicas that run them (the "query of death" of serving systems).
 //!
-//! A crash ends all that ran on a replica, so one crash says little of any request; the same request under one crash after
-//! the other says much. An entry keeps, by fingerprint, the runs that were lost with their replicas, tells them to the other
-//! entries, and sends a request nowhere any more once enough of them came one after the other. A result at any replica
-//! clears a request: what ends each replica that begins to run it has none.
+//! A crash ends every request that runs on a replica, so a single crash says little about any of them; the same request
+//! present at one crash after another says much. By request fingerprint, a relay keeps the runs that were lost when their
+//! replicas crashed, and shares them with the other relays. Once enough of them follow one another, the request is
+//! quarantined: it is rejected and sent to no replica. A result from any replica clears a request, since a request that
+//! crashes every replica that starts to run it never has one.
 //!
-//! | what harmless requests meet | why they are not taken for one |
+//! | what harmless requests encounter | why they are not quarantined for it |
 //! |---|---|
-//! | a rack, a data centre or all replicas end together | runs count only where each was sent after the one before had ended |
-//! | a crash in the middle of a long stream | a run that went on for [`SURVIVAL_TIME`] with events is a result |
-//! | a crash while they wait for their turn | a run that had not begun, or that had given something, is a [`CrashEvidence::Weak`] sign |
-//! | crash after crash, beside the request that makes them | crashes that another request explains as well say less ([`AMBIGUOUS_WEIGHT`]) |
-//! | a request that everybody makes, at each replica that ends | one that had a result lately needs more, and is not stopped for what another explains |
+//! | a rack, a data centre or all replicas fail together | runs form a chain only if each was sent after the one before was lost |
+//! | a crash in the middle of a long stream | a run that produced events for [`SURVIVAL_TIME`] counts as a result |
+//! | a crash while they are queued | a run that had not started, or had produced events, is only [`CrashEvidence::Weak`] evidence |
+//! | one crash after another, beside the request that causes them | crashes that another request explains as well take more weight ([`AMBIGUOUS_WEIGHT`]) |
+//! | a request that all callers make is present at every crash | a request with a recent result takes more weight, and is not quarantined for crashes that another request explains |
 //!
-//! The trade-off is how many replicas a request may end: three before it is stopped, one or two more where several
-//! requests share its crashes, and what is sent at the same moment by entries that have not heard. Worst case in memory:
-//! [`MAX_RECORDS`] requests with [`MAX_RUNS`] runs each, some 600 kB; nothing in calm.
+//! The trade-off is the number of replicas that a request may crash: three before it is quarantined, one or two more if
+//! several requests share its crashes, plus those of sends that relays make before they hear of the quarantine. Worst case
+//! for memory: [`MAX_RECORDS`] requests with [`MAX_RUNS`] runs each, some 600 kB. Without crashes nothing is kept.
 
 use std::{
     cmp::Reverse,
     collections::{HashMap, VecDeque},
 };
 
+mod completed;
 mod record;
-mod results;
 mod runs;
 
-use self::{record::RequestRecord, results::ProvenSet, runs::chain_weight};
+use self::{completed::CompletedSet, record::RequestRecord, runs::chain_weight};
 pub use self::{
     record::{CrashReport, MAX_RUNS, QUARANTINE_WEIGHT},
     runs::{CrashEvidence, CrashRun, LostRun, RunProgress, SURVIVAL_TIME},
 };
 use crate::{Millis, fingerprint::RequestFingerprint, life::ReplicaLife, origin::NewsReach};
 
-/// [`QUARANTINE_WEIGHT`] of a request each of whose crashes another one explains as well, or that had a result lately: the one that ends
-/// replicas goes on to do so, the others get a result. Where both hold it is never stopped: otherwise calls of one kind
-/// that all callers make are refused for ten minutes after two power failures in a row.
+/// Replaces [`QUARANTINE_WEIGHT`] for a request that recently had a result, or each of whose crashes another request
+/// explains as well. The request that causes the crashes will cause more, while the others will have a result. A request
+/// to which both apply is never quarantined; otherwise a call that all callers make would be rejected for ten minutes
+/// after two power failures in a row.
 pub const AMBIGUOUS_WEIGHT: u32 = 10;
 
-/// Weight at which lost runs are told at once and kept in the platform's store: two strong signs.
+/// Weight from which lost runs are shared at once and written to the platform's store: two pieces of strong evidence.
 pub const REPORT_WEIGHT: u32 = 4;
 
-/// Time for which a request is sent nowhere, in milliseconds. Then one more crash stops it again.
+/// Duration of a quarantine, in milliseconds. After it, one more crash quarantines the request again.
 pub const QUARANTINE_TIME: Millis = 600_000;
 
-/// Time without news after which lost runs are forgotten, in milliseconds: callers come back within a minute.
+/// Time without changes after which lost runs are dropped, in milliseconds. Callers retry within a minute.
 pub const RUN_RETENTION: Millis = 120_000;
 
-/// Time from a run's loss until its replica must be found to have ended, in milliseconds: the list of replicas drops one after
-/// three heartbeats, some 3.6 s.
-const FOUND_WITHIN: Millis = 6_000;
+/// Time from the loss of a run within which the crash of its replica must be detected, in milliseconds. The replica list
+/// drops a replica after three heartbeats, some 3.6 s.
+const CRASH_DETECTION_TIME: Millis = 6_000;
 
-/// Time for which a replica's end is remembered for runs that turn out lost after it was found, in milliseconds.
-const END_KEPT: Millis = 2_000;
+/// Time for which a crash is remembered for runs whose loss is noticed after it, in milliseconds.
+const CRASH_RETENTION: Millis = 2_000;
 
-/// Requests kept.
+/// Maximum number of requests with lost runs that are kept.
 pub const MAX_RECORDS: usize = 1_024;
 
-/// Lost runs kept whose replicas may turn out to have ended.
-const MOST_OPEN: usize = 1_024;
+/// Maximum number of lost runs kept while no crash of their replicas is known, and of cleared requests.
+const MAX_PENDING: usize = 1_024;
 
-/// Ends of replicas kept.
-const MOST_ENDS: usize = 256;
+/// Maximum number of crashes remembered.
+const MAX_CRASHES: usize = 256;
 
+/// A lost run of which no replica is known to have crashed yet.
 #[derive(Clone, Debug)]
-struct OpenRun {
+struct PendingRun {
     fingerprint: RequestFingerprint,
     lives: Vec<ReplicaLife>,
     sent: Millis,
@@ -72,65 +75,67 @@
     evidence: CrashEvidence,
 }
 
-/// How often lost runs of one's own, and what became of them, are told: through eight messages to the farthest entries.
-const TELL_FOR: Millis = 3_200;
+/// Time for which lost runs that this relay observed, and changes of their requests, are shared, in milliseconds: eight
+/// messages to the relays that get them least often.
+const SHARE_TIME: Millis = 3_200;
 
-/// What changed by something learnt.
+/// Effect of an update.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct QuarantineChange {
-    /// Requests that are sent nowhere from now on, with the weight of their runs.
+    /// Requests that are now quarantined, with the weight of their lost runs.
     pub quarantined: Vec<(RequestFingerprint, u32)>,
-    /// Whether others are to be told at once.
+    /// Whether other relays should be notified at once.
     pub is_urgent: bool,
 }
 
-/// What is known of requests that may end the replicas that run them.
+/// Lost runs of requests and the quarantines that follow from them.
 #[derive(Clone, Debug, Default)]
 pub struct QuarantineTable {
-    open: VecDeque<OpenRun>,
-    ends: VecDeque<(ReplicaLife, Millis)>,
+    pending: VecDeque<PendingRun>,
+    /// Recent crashes of replicas, with the time at which each was detected.
+    crashes: VecDeque<(ReplicaLife, Millis)>,
     records: HashMap<RequestFingerprint, RequestRecord>,
-    proven: ProvenSet,
-    /// Requests that had a result, which others are still told.
+    completed: CompletedSet,
+    /// Cleared requests that are still shared, with the time of each.
     cleared: VecDeque<(RequestFingerprint, Millis)>,
-    /// Requests that the platform's store may hold, and that had a result.
+    /// Cleared requests that the platform's store may still hold.
     removable: Vec<RequestFingerprint>,
-    /// Until when all stopped requests are told.
-    all_told_until: Millis,
+    /// Time until which all quarantined requests are shared.
+    share_all_until: Millis,
 }
 
 impl QuarantineTable {
-    /// Time for which a request still is sent nowhere.
+    /// Returns the remaining time of a request's quarantine in milliseconds, or `None` if it is not quarantined.
     pub fn remaining(&self, fingerprint: &RequestFingerprint, now: Millis) -> Option<Millis> {
         if self.records.is_empty() {
             return None;
         }
-        let until = self.records.get(fingerprint)?.until?;
-        until.checked_sub(now).filter(|left| *left > 0)
+        let until = self.records.get(fingerprint)?.quarantined_until?;
+        until.checked_sub(now).filter(|remaining| *remaining > 0)
     }
 
-    /// Whether no lost run is known.
+    /// Returns whether no lost run is known.
     pub fn is_empty(&self) -> bool {
-        self.records.is_empty() && self.open.is_empty()
+        self.records.is_empty() && self.pending.is_empty()
     }
 
-    /// Count of requests that are sent nowhere.
+    /// Returns the number of quarantined requests.
     pub fn quarantined_count(&self, now: Millis) -> usize {
-        self.records.values().filter(|record| record.is_stopped(now)).count()
+        self.records.values().filter(|record| record.is_quarantined(now)).count()
     }
 
-    /// Count of requests of which lost runs are known.
+    /// Returns the number of requests with known lost runs.
     pub fn tracked_count(&self) -> usize {
         self.records.len()
     }
 
-    /// Weight of a request's lost runs.
+    /// Returns the weight of a request's lost runs.
     pub fn weight(&self, fingerprint: &RequestFingerprint) -> u32 {
         self.records.get(fingerprint).map_or(0, |record| chain_weight(&record.runs))
     }
 
-    /// Notes a run that was lost. Where a replica of its path is known to have ended since it was sent, the run counts at
-    /// once; otherwise it does when one is found to have.
+    /// Records a lost run. If a replica of its path is known to have crashed since the request was sent, the run counts at
+    /// once; otherwise it counts when such a crash is detected.
     pub fn record_lost(
         &mut self,
         fingerprint: RequestFingerprint,
@@ -138,87 +143,100 @@
         now: Millis,
     ) -> QuarantineChange {
         let Some(evidence) = run.progress.evidence(now) else { return QuarantineChange::default() };
-        let open =
-            OpenRun { fingerprint, lives: run.lives.to_vec(), sent: run.sent, lost: now, evidence };
-        let is_recent = |at: Millis| now.saturating_sub(at) <= END_KEPT && open.sent <= at;
-        let mut ends = self.ends.iter().filter(|(_, at)| is_recent(*at));
-        if let Some((life, _)) = ends.find(|(life, _)| open.lives.contains(life)) {
+        let pending = PendingRun {
+            fingerprint,
+            lives: run.lives.to_vec(),
+            sent: run.sent,
+            lost: now,
+            evidence,
+        };
+        let is_recent =
+            |at: Millis| now.saturating_sub(at) <= CRASH_RETENTION && pending.sent <= at;
+        let mut crashes = self.crashes.iter().filter(|(_, at)| is_recent(*at));
+        if let Some((life, _)) = crashes.find(|(life, _)| pending.lives.contains(life)) {
             let life = life.clone();
-            self.add_own(&open, life, now);
-            return self.settle_own(now);
+            self.add_local(&pending, life, now);
+            return self.evaluate_local(now);
         }
-        if self.open.len() == MOST_OPEN {
-            self.open.pop_front();
+        if self.pending.len() == MAX_PENDING {
+            self.pending.pop_front();
         }
-        self.open.push_back(open);
+        self.pending.push_back(pending);
         QuarantineChange::default()
     }
 
-    /// Notes that a replica was found to have ended, not as planned.
-    pub fn record_ended(&mut self, life: &ReplicaLife, now: Millis) -> QuarantineChange {
-        if !self.ends.iter().any(|(ended, _)| ended == life) {
-            if self.ends.len() == MOST_ENDS {
-                self.ends.pop_front();
+    /// Records that a replica was found to have ended unexpectedly.
+    pub fn record_crash(&mut self, life: &ReplicaLife, now: Millis) -> QuarantineChange {
+        if !self.crashes.iter().any(|(crashed, _)| crashed == life) {
+            if self.crashes.len() == MAX_CRASHES {
+                self.crashes.pop_front();
             }
-            self.ends.push_back((life.clone(), now));
+            self.crashes.push_back((life.clone(), now));
         }
-        let (hit, open): (VecDeque<OpenRun>, VecDeque<OpenRun>) =
-            self.open.drain(..).partition(|run| run.lives.contains(life));
-        self.open = open;
-        let mut is_hit = false;
-        for run in hit.iter().filter(|run| now.saturating_sub(run.lost) <= FOUND_WITHIN) {
-            self.add_own(run, life.clone(), now);
-            is_hit = true;
+        let (affected, pending): (VecDeque<PendingRun>, VecDeque<PendingRun>) =
+            self.pending.drain(..).partition(|run| run.lives.contains(life));
+        self.pending = pending;
+        let mut is_any_added = false;
+        for run in
+            affected.iter().filter(|run| now.saturating_sub(run.lost) <= CRASH_DETECTION_TIME)
+        {
+            self.add_local(run, life.clone(), now);
+            is_any_added = true;
         }
-        if is_hit { self.settle_own(now) } else { QuarantineChange::default() }
+        if is_any_added { self.evaluate_local(now) } else { QuarantineChange::default() }
     }
 
-    /// Notes that a replica that was taken to have ended answers: what was lost there says nothing.
+    /// Records that a replica that was found to have crashed responds after all. Drops the runs lost there, except those of
+    /// requests that are already quarantined.
     pub fn record_alive(&mut self, life: &ReplicaLife) {
-        self.ends.retain(|(ended, _)| ended != life);
-        for record in self.records.values_mut().filter(|record| record.until.is_none()) {
+        self.crashes.retain(|(crashed, _)| crashed != life);
+        for record in self.records.values_mut().filter(|record| record.quarantined_until.is_none())
+        {
             record.runs.retain(|run| run.life != *life);
         }
-        self.records.retain(|_, record| record.until.is_some() || !record.runs.is_empty());
+        self.records
+            .retain(|_, record| record.quarantined_until.is_some() || !record.runs.is_empty());
     }
 
-    /// Notes that a request had a result: a replica ran it, and lives. Tells whether anything had been known of it.
+    /// Records that a request had a result, so a replica ran it and survived. Clears the request and returns whether lost
+    /// runs of it were known.
     pub fn record_result(&mut self, fingerprint: &RequestFingerprint, now: Millis) -> bool {
-        self.proven.add(fingerprint, now);
+        self.completed.add(fingerprint, now);
         if self.is_empty() {
             return false;
         }
-        self.open.retain(|run| run.fingerprint != *fingerprint);
+        self.pending.retain(|run| run.fingerprint != *fingerprint);
         let Some(record) = self.records.remove(fingerprint) else { return false };
-        self.tell_cleared(fingerprint, now);
+        self.share_cleared(fingerprint, now);
         if record.weight(now) >= REPORT_WEIGHT {
             self.removable.push(*fingerprint);
         }
         true
     }
 
-    /// Lets a request go everywhere again: the platform's store no longer holds it, by an operator's hand or since it had a
-    /// result. Others are told.
+    /// Releases a request that the platform's store no longer holds, because an operator removed it or it had a result. The
+    /// release is shared with other relays.
     pub fn release(&mut self, fingerprint: &RequestFingerprint, now: Millis) {
         if self.records.remove(fingerprint).is_some() {
-            self.tell_cleared(fingerprint, now);
+            self.share_cleared(fingerprint, now);
         }
     }
 
-    /// Takes over what another entry, or the platform's store, tells. `tells_on` asks to tell it on for a while.
+    /// Merges reports of another relay or of the platform's store. If `forwards` is set, what is new is shared with other
+    /// relays for a while.
     pub fn merge(
         &mut self,
-        news: Vec<CrashReport>,
-        tells_on: bool,
+        reports: Vec<CrashReport>,
+        forwards: bool,
         now: Millis,
     ) -> QuarantineChange {
         let mut is_any_new = false;
-        for CrashReport { fingerprint, remaining: left, runs } in news {
+        for CrashReport { fingerprint, remaining, runs } in reports {
             let cleared = self.cleared.iter().rev().find(|(known, _)| *known == fingerprint);
             let cleared_at = cleared.map_or(i64::MIN, |(_, at)| *at as i64);
-            let is_overruled = left.is_some() && self.overrules(&fingerprint, &runs, now);
-            let left = left.filter(|_| cleared_at == i64::MIN && !is_overruled);
-            if left.is_none() && runs.iter().all(|run| run.lost <= cleared_at) {
+            let is_overruled = remaining.is_some() && self.overrules(&fingerprint, &runs, now);
+            let remaining = remaining.filter(|_| cleared_at == i64::MIN && !is_overruled);
+            if remaining.is_none() && runs.iter().all(|run| run.lost <= cleared_at) {
                 continue;
             }
             let record = self.records.entry(fingerprint).or_default();
@@ -226,17 +244,18 @@
             for run in runs.into_iter().filter(|run| run.lost > cleared_at) {
                 is_new |= record.add(run);
             }
-            if let Some(left) = left {
-                let until = now + left.min(QUARANTINE_TIME);
-                is_new |= record.until.is_none_or(|known| known <= now);
-                record.until = Some(record.until.unwrap_or_default().max(until));
+            if let Some(remaining) = remaining {
+                let until = now + remaining.min(QUARANTINE_TIME);
+                is_new |= record.quarantined_until.is_none_or(|known| known <= now);
+                record.quarantined_until =
+                    Some(record.quarantined_until.unwrap_or_default().max(until));
             }
             if is_new {
-                record.touched = now;
-                record.is_own = false;
+                record.changed = now;
+                record.is_local = false;
             }
-            if is_new && tells_on {
-                record.told_until = now + TELL_FOR;
+            if is_new && forwards {
+                record.shared_until = now + SHARE_TIME;
             }
             is_any_new |= is_new;
         }
@@ -244,209 +263,217 @@
             return QuarantineChange::default();
         }
         self.bound_records(now);
-        QuarantineChange { quarantined: self.settle(now), is_urgent: is_any_new && tells_on }
+        QuarantineChange { quarantined: self.evaluate(now), is_urgent: is_any_new && forwards }
     }
 
-    /// Takes over that requests had a result somewhere, `age` milliseconds ago. `tells_on` asks to tell that on: it ends by its
-    /// age, however often it is repeated.
+    /// Merges requests that were cleared at another relay, each with its age in milliseconds. If `forwards` is set, they are
+    /// shared with other relays until their age reaches the limit, however often they are repeated.
     pub fn merge_cleared(
         &mut self,
         cleared: &[(RequestFingerprint, Millis)],
-        tells_on: bool,
+        forwards: bool,
         now: Millis,
     ) {
         for (fingerprint, age) in cleared {
             let at = now as i64 - *age as i64;
             let is_known = || self.cleared.iter().any(|(known, _)| known == fingerprint);
-            if tells_on && *age < TELL_FOR && !is_known() {
-                self.tell_cleared(fingerprint, now.saturating_sub(*age));
+            if forwards && *age < SHARE_TIME && !is_known() {
+                self.share_cleared(fingerprint, now.saturating_sub(*age));
             }
             let Some(record) = self.records.get_mut(fingerprint) else { continue };
             record.runs.retain(|run| run.lost > at);
-            record.until = record.until.filter(|_| !record.runs.is_empty());
+            record.quarantined_until = record.quarantined_until.filter(|_| !record.runs.is_empty());
             if record.runs.is_empty() {
                 self.records.remove(fingerprint);
             }
         }
     }
 
-    /// Tells all stopped requests for a while: an entry has just started, or is heard again after a silence.
+    /// Shares all quarantined requests for a while, after a relay has started or is heard again after a silence.
     pub fn announce_all(&mut self, now: Millis) {
-        self.all_told_until = now + TELL_FOR;
+        self.share_all_until = now + SHARE_TIME;
     }
 
-    /// What others are to be told now.
+    /// Returns the reports to send to other relays now, heaviest first.
     pub fn updates(&self, reach: NewsReach, now: Millis) -> Vec<CrashReport> {
-        let tells_all = now < self.all_told_until;
-        let is_heard = |record: &RequestRecord| {
-            reach == NewsReach::Members && now.saturating_sub(record.touched) < TELL_FOR
+        let shares_all = now < self.share_all_until;
+        let is_forwarded = |record: &RequestRecord| {
+            reach == NewsReach::Members && now.saturating_sub(record.changed) < SHARE_TIME
         };
-        let told = self.records.iter().filter(|(_, record)| {
-            now < record.told_until || is_heard(record) || tells_all && record.is_stopped(now)
+        let shared = self.records.iter().filter(|(_, record)| {
+            now < record.shared_until
+                || is_forwarded(record)
+                || shares_all && record.is_quarantined(now)
         });
-        let weighed = told.map(|(fingerprint, record)| (record.weight(now), fingerprint, record));
-        let mut noted: Vec<_> =
-            weighed.filter(|(weight, ..)| *weight >= CrashEvidence::Strong.weight()).collect();
-        noted.sort_unstable_by_key(|(weight, ..)| Reverse(*weight));
-        noted.truncate(MOST_TOLD);
-        noted.into_iter().map(|(_, fingerprint, record)| record.report(*fingerprint, now)).collect()
+        let weighted =
+            shared.map(|(fingerprint, record)| (record.weight(now), fingerprint, record));
+        let mut reports: Vec<_> =
+            weighted.filter(|(weight, ..)| *weight >= CrashEvidence::Strong.weight()).collect();
+        reports.sort_unstable_by_key(|(weight, ..)| Reverse(*weight));
+        reports.truncate(MAX_REPORTS);
+        reports
+            .into_iter()
+            .map(|(_, fingerprint, record)| record.report(*fingerprint, now))
+            .collect()
     }
 
-    /// Requests that had a result lately, with the milliseconds since, as others are to be told.
+    /// Returns the recently cleared requests to send to other relays, each with its age in milliseconds, latest first.
     pub fn cleared(&self, now: Millis) -> Vec<(RequestFingerprint, Millis)> {
-        let recent = self.cleared.iter().filter(|(_, at)| now.saturating_sub(*at) < TELL_FOR);
-        recent.rev().take(MOST_TOLD).map(|(fingerprint, at)| (*fingerprint, now - at)).collect()
+        let recent = self.cleared.iter().filter(|(_, at)| now.saturating_sub(*at) < SHARE_TIME);
+        recent.rev().take(MAX_REPORTS).map(|(fingerprint, at)| (*fingerprint, now - at)).collect()
     }
 
-    /// What the platform's store is to hold and does not yet, of what this entry saw itself; it counts as held from now on.
+    /// Returns the reports that this relay should write to the platform's store, and marks them as written.
     pub fn unstored(&mut self, now: Millis) -> Vec<CrashReport> {
         let mut unstored = Vec::new();
         for (fingerprint, record) in &mut self.records {
             let weight = record.weight(now);
-            if record.is_own && weight >= REPORT_WEIGHT && weight > record.stored {
-                record.stored = weight;
+            if record.is_local && weight >= REPORT_WEIGHT && weight > record.stored_weight {
+                record.stored_weight = weight;
                 unstored.push(record.report(*fingerprint, now));
             }
         }
         unstored
     }
 
-    /// Notes that the platform's store could not be told of a request.
+    /// Records that writing a request to the platform's store failed, so that it is written again.
     pub fn record_store_failure(&mut self, fingerprint: &RequestFingerprint) {
         if let Some(record) = self.records.get_mut(fingerprint) {
-            record.stored = 0;
+            record.stored_weight = 0;
         }
     }
 
-    /// Notes that the platform's store may have lost all that it was told.
+    /// Marks all requests as not written, since the platform's store may have lost them.
     pub fn reset_stored(&mut self) {
-        self.records.values_mut().for_each(|record| record.stored = 0);
+        self.records.values_mut().for_each(|record| record.stored_weight = 0);
     }
 
-    /// Requests that the platform's store may hold no longer; they count as removed from now on.
+    /// Takes the requests to remove from the platform's store, and marks them as removed.
     pub fn take_removable(&mut self) -> Vec<RequestFingerprint> {
         std::mem::take(&mut self.removable)
     }
 
-    /// Forgets what is old.
+    /// Drops expired state and ends expired quarantines.
     pub fn forget(&mut self, now: Millis) {
-        self.open.retain(|run| now.saturating_sub(run.lost) <= FOUND_WITHIN);
-        self.ends.retain(|(_, at)| now.saturating_sub(*at) <= END_KEPT);
-        self.cleared.retain(|(_, at)| now.saturating_sub(*at) < TELL_FOR);
+        self.pending.retain(|run| now.saturating_sub(run.lost) <= CRASH_DETECTION_TIME);
+        self.crashes.retain(|(_, at)| now.saturating_sub(*at) <= CRASH_RETENTION);
+        self.cleared.retain(|(_, at)| now.saturating_sub(*at) < SHARE_TIME);
         self.records.retain(|_, record| {
-            if record.until.is_some_and(|until| until <= now) {
-                // It may be tried once: the oldest of its runs is forgiven.
-                record.until = None;
-                record.touched = now;
-                record.stored = 0;
-                record.forgive();
+            if record.quarantined_until.is_some_and(|until| until <= now) {
+                // The request may be tried again; the runs that are left quarantine it at the next crash.
+                record.quarantined_until = None;
+                record.changed = now;
+                record.stored_weight = 0;
+                record.drop_oldest();
             }
-            record.until.is_some() || now.saturating_sub(record.touched) < RUN_RETENTION
+            record.quarantined_until.is_some() || now.saturating_sub(record.changed) < RUN_RETENTION
         });
     }
 
-    /// Whether this entry knows better than one that says a request is stopped: the request had a result here. One in the midst of
-    /// its crashes clears it everywhere; an earlier one asks for more crashes, as for what is seen here.
+    /// Returns whether a result seen by this relay overrules a quarantine reported by another one. A result later than the
+    /// first of the crashes clears the request at all relays; an earlier one raises the required weight, as for runs that this
+    /// relay observed.
     fn overrules(
         &mut self,
         fingerprint: &RequestFingerprint,
         runs: &[CrashRun],
         now: Millis,
     ) -> bool {
-        let Some(proof) = self.proven.last(fingerprint) else { return false };
+        let Some(completed_at) = self.completed.last(fingerprint) else { return false };
         let first = runs.iter().map(|run| run.lost).min();
-        if first.is_some_and(|first| first < proof as i64) {
-            self.tell_cleared(fingerprint, now);
+        if first.is_some_and(|first| first < completed_at as i64) {
+            self.share_cleared(fingerprint, now);
             return true;
         }
         chain_weight(runs) < AMBIGUOUS_WEIGHT
     }
 
-    fn tell_cleared(&mut self, fingerprint: &RequestFingerprint, now: Millis) {
+    fn share_cleared(&mut self, fingerprint: &RequestFingerprint, now: Millis) {
         self.cleared.retain(|(known, _)| known != fingerprint);
-        if self.cleared.len() == MOST_OPEN {
+        if self.cleared.len() == MAX_PENDING {
             self.cleared.pop_front();
         }
         self.cleared.push_back((*fingerprint, now));
     }
 
-    fn add_own(&mut self, run: &OpenRun, life: ReplicaLife, now: Millis) {
+    fn add_local(&mut self, run: &PendingRun, life: ReplicaLife, now: Millis) {
         let record = self.records.entry(run.fingerprint).or_default();
-        record.touched = now;
-        record.told_until = now + TELL_FOR;
-        record.is_own = true;
-        let OpenRun { sent, lost, evidence, .. } = *run;
+        record.changed = now;
+        record.shared_until = now + SHARE_TIME;
+        record.is_local = true;
+        let PendingRun { sent, lost, evidence, .. } = *run;
         record.add(CrashRun { life, sent: sent as i64, lost: lost as i64, evidence });
         self.bound_records(now);
     }
 
-    /// Makes room where there are too many: what says least goes first, and the oldest of that.
+    /// Drops the records with the least weight, oldest first, until at most [`MAX_RECORDS`] are left.
     fn bound_records(&mut self, now: Millis) {
         while self.records.len() > MAX_RECORDS {
             let least =
-                self.records.iter().min_by_key(|(_, record)| (record.weight(now), record.touched));
+                self.records.iter().min_by_key(|(_, record)| (record.weight(now), record.changed));
             let Some(least) = least.map(|(fingerprint, _)| *fingerprint) else { return };
             self.records.remove(&least);
         }
     }
 
-    /// Stops requests whose runs say enough, after something was learnt; gives them with the weight of their runs.
-    fn settle(&mut self, now: Millis) -> Vec<(RequestFingerprint, u32)> {
+    /// Quarantines the requests whose lost runs have reached the required weight, and returns them with that of their runs.
+    fn evaluate(&mut self, now: Millis) -> Vec<(RequestFingerprint, u32)> {
         let weights: HashMap<RequestFingerprint, u32> = self
             .records
             .iter()
             .map(|(fingerprint, record)| (*fingerprint, record.weight(now)))
             .collect();
-        let says_enough = |(fingerprint, weight): &(&RequestFingerprint, &u32)| {
-            let needed = || match (
-                self.proven.last(fingerprint).is_some(),
+        let is_sufficient = |(fingerprint, weight): &(&RequestFingerprint, &u32)| {
+            let required = || match (
+                self.completed.last(fingerprint).is_some(),
                 self.is_explained(fingerprint, &weights),
             ) {
                 (false, false) => QUARANTINE_WEIGHT,
                 (true, false) | (false, true) => AMBIGUOUS_WEIGHT,
                 (true, true) => u32::MAX,
             };
-            **weight >= QUARANTINE_WEIGHT && **weight < u32::MAX && **weight >= needed()
+            **weight >= QUARANTINE_WEIGHT && **weight < u32::MAX && **weight >= required()
         };
-        let stopped = weights.iter().filter(says_enough);
-        let stopped: Vec<_> = stopped.map(|(of, weight)| (*of, *weight)).collect();
-        for (fingerprint, _) in &stopped {
+        let quarantined = weights.iter().filter(is_sufficient);
+        let quarantined: Vec<_> =
+            quarantined.map(|(fingerprint, weight)| (*fingerprint, *weight)).collect();
+        for (fingerprint, _) in &quarantined {
             if let Some(record) = self.records.get_mut(fingerprint) {
-                record.until = Some(now + QUARANTINE_TIME);
-                record.told_until = now + TELL_FOR;
+                record.quarantined_until = Some(now + QUARANTINE_TIME);
+                record.shared_until = now + SHARE_TIME;
             }
         }
-        stopped
+        quarantined
     }
 
-    /// What follows from a run of one's own. Others are told at once where a second crash in a row makes it likely that a third
-    /// follows: what was heard is not told on, or each message would make hundreds.
-    fn settle_own(&mut self, now: Millis) -> QuarantineChange {
-        let stopped = self.settle(now);
-        let is_noted = |record: &RequestRecord| {
-            record.is_own && record.touched == now && record.weight(now) >= REPORT_WEIGHT
+    /// Evaluates after a run that this relay observed. Other relays are notified at once from the second crash in a row, when
+    /// a third one is likely. Reports of other relays are not forwarded that way, or each message would cause hundreds.
+    fn evaluate_local(&mut self, now: Millis) -> QuarantineChange {
+        let quarantined = self.evaluate(now);
+        let is_reportable = |record: &RequestRecord| {
+            record.is_local && record.changed == now && record.weight(now) >= REPORT_WEIGHT
         };
-        let is_urgent = self.records.values().any(is_noted);
-        QuarantineChange { quarantined: stopped, is_urgent }
+        let is_urgent = self.records.values().any(is_reportable);
+        QuarantineChange { quarantined, is_urgent }
     }
 
-    /// Whether each crash of a request is as well explained by another one.
+    /// Returns whether each crash of a request is explained as well by another request of at least the same weight.
     fn is_explained(
         &self,
         fingerprint: &RequestFingerprint,
         weights: &HashMap<RequestFingerprint, u32>,
     ) -> bool {
-        let own = weights[fingerprint];
-        let others = |life: &ReplicaLife| {
+        let weight = weights[fingerprint];
+        let is_shared = |life: &ReplicaLife| {
             self.records.iter().any(|(other, record)| {
                 other != fingerprint
                     && record.runs.iter().any(|run| run.life == *life)
-                    && weights[other] >= own
+                    && weights[other] >= weight
             })
         };
-        self.records[fingerprint].runs.iter().all(|run| others(&run.life))
+        self.records[fingerprint].runs.iter().all(|run| is_shared(&run.life))
     }
 }
 
-/// Requests told in one message at most; those that say most come first.
-const MOST_TOLD: usize = 32;
+/// Maximum number of requests per message. The heaviest reports are sent first.
+const MAX_REPORTS: usize = 32;
--- a/crates/router/src/quarantine/record.rs
+++ b/crates/router/src/quarantine/record.rs
@@ -1,56 +1,58 @@
-//! What is known of one request under which replicas ended.
+//! Lost runs and quarantine state of one request.
 
 use super::runs::{CrashRun, chain_weight};
 use crate::{Millis, fingerprint::RequestFingerprint};
 
-/// Weight of the lost runs, one after the other, at which a request is sent nowhere: three strong signs. One crash
-/// happens beside any request, and two stop requests that only met crashes of others.
+/// Weight of a chain of lost runs at which a request is quarantined: three pieces of strong evidence. Any request may be
+/// present at one crash, and a threshold of two quarantined requests that had only been present at crashes caused by
+/// others.
 pub const QUARANTINE_WEIGHT: u32 = 6;
 
-/// Runs kept of one request.
+/// Maximum number of runs kept per request.
 pub const MAX_RUNS: usize = 8;
 
-/// What is told of one request.
+/// Lost runs and quarantine state of one request, as exchanged between relays and with the platform's store.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct CrashReport {
-    /// The request.
+    /// Fingerprint of the request.
     pub fingerprint: RequestFingerprint,
-    /// Time for which it still is sent nowhere; nothing where it is not stopped.
+    /// Remaining time of the quarantine, in milliseconds; `None` if the request is not quarantined.
     pub remaining: Option<Millis>,
-    /// Its lost runs.
+    /// Lost runs of the request.
     pub runs: Vec<CrashRun>,
 }
 
-/// What is known of a request.
+/// Lost runs and quarantine state of a request, as kept by this relay.
 #[derive(Clone, Debug, Default)]
 pub(super) struct RequestRecord {
+    /// Lost runs, in the order of their losses.
     pub(super) runs: Vec<CrashRun>,
-    /// Until when it is sent nowhere.
-    pub(super) until: Option<Millis>,
-    /// Until when what is known of it is told to others.
-    pub(super) told_until: Millis,
-    /// Whether this entry saw the latest run itself.
-    pub(super) is_own: bool,
-    /// Weight up to which the platform's store has it.
-    pub(super) stored: u32,
-    /// When something was last learnt of it.
-    pub(super) touched: Millis,
+    /// End of the quarantine.
+    pub(super) quarantined_until: Option<Millis>,
+    /// Time until which the record is sent to other relays.
+    pub(super) shared_until: Millis,
+    /// Whether this relay observed the latest run itself.
+    pub(super) is_local: bool,
+    /// Weight that was last written to the platform's store.
+    pub(super) stored_weight: u32,
+    /// Time of the last change.
+    pub(super) changed: Millis,
 }
 
 impl RequestRecord {
-    pub(super) fn is_stopped(&self, now: Millis) -> bool {
-        self.until.is_some_and(|until| now < until)
+    pub(super) fn is_quarantined(&self, now: Millis) -> bool {
+        self.quarantined_until.is_some_and(|until| now < until)
     }
 
-    /// Weight of its runs; above all others once it is sent nowhere.
+    /// Returns the weight of the lost runs, or the maximum if the request is quarantined.
     pub(super) fn weight(&self, now: Millis) -> u32 {
-        match self.is_stopped(now) {
+        match self.is_quarantined(now) {
             true => u32::MAX,
             false => chain_weight(&self.runs),
         }
     }
 
-    /// Adds a run; tells whether it is new. Of two words on one crash the earlier one holds.
+    /// Adds a run and returns whether it is new. Of two reports of the same crash the first one received is kept.
     pub(super) fn add(&mut self, run: CrashRun) -> bool {
         if self.runs.iter().any(|known| known.life == run.life) {
             return false;
@@ -63,14 +65,18 @@
         true
     }
 
-    pub(super) fn forgive(&mut self) {
+    /// Drops the oldest runs until their weight is below [`QUARANTINE_WEIGHT`].
+    pub(super) fn drop_oldest(&mut self) {
         while chain_weight(&self.runs) >= QUARANTINE_WEIGHT {
             self.runs.remove(0);
         }
     }
 
     pub(super) fn report(&self, fingerprint: RequestFingerprint, now: Millis) -> CrashReport {
-        let left = self.until.and_then(|until| until.checked_sub(now)).filter(|left| *left > 0);
-        CrashReport { fingerprint, remaining: left, runs: self.runs.clone() }
+        let remaining = self
+            .quarantined_until
+            .and_then(|until| until.checked_sub(now))
+            .filter(|remaining| *remaining > 0);
+        CrashReport { fingerprint, remaining, runs: self.runs.clone() }
     }
 }
--- a/crates/router/src/quarantine/runs.rs
+++ b/crates/router/src/quarantine/runs.rs
@@ -1,20 +1,20 @@
-//! Runs of requests that were lost, and how much they say of their requests.
+//! Lost runs of requests, and how strongly they suggest that the request caused the crash.
 
 use crate::{Millis, life::ReplicaLife};
 
-/// Time that a run must go on with events to count as a result, in milliseconds: ten times what a replica took to end
-/// after it had begun the request that ended it.
+/// Time for which a run must produce events to count as a result, in milliseconds: ten times what a replica took to crash
+/// after it started the request that crashed it.
 pub const SURVIVAL_TIME: Millis = 1_000;
 
-/// Time from its beginning up to which a run that gave something is still a evidence, in milliseconds.
-const YOUNG: Millis = 400;
+/// Age of a run up to which its loss is evidence although it produced events, in milliseconds.
+const MAX_EVIDENCE_AGE: Millis = 400;
 
-/// How much a lost run says of its request.
+/// How strongly a lost run suggests that its request caused the crash.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CrashEvidence {
-    /// It had not begun, or had begun and given something.
+    /// The run had not started, or had started recently and produced events.
     Weak,
-    /// It had begun and given nothing.
+    /// The run had started and produced nothing.
     Strong,
 }
 
@@ -27,60 +27,61 @@
     }
 }
 
-/// What had come of a run when it was lost.
+/// How far a run had got when it was lost.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RunProgress {
-    /// Its answer comes as a whole, and had not come.
+    /// The response is not streamed, and had not arrived.
     Unary,
-    /// Its answer is a stream, which began at that time and had given so many events.
+    /// The response is a stream.
     Stream {
-        /// When its first replica began to run it; nothing where it had not.
+        /// When the first replica started to run the request; `None` if it had not.
         begun: Option<Millis>,
-        /// Events since.
+        /// Number of events received since then.
         events: u64,
     },
 }
 
 impl RunProgress {
-    /// What a run lost at `now` says of its request; nothing where it had gone on for long.
+    /// Returns the evidence that a run lost at `now` gives against its request, or `None` if it had produced events for too
+    /// long.
     pub fn evidence(self, now: Millis) -> Option<CrashEvidence> {
         match self {
             Self::Unary | Self::Stream { begun: Some(_), events: 0 } => Some(CrashEvidence::Strong),
             Self::Stream { begun: None, .. } => Some(CrashEvidence::Weak),
             Self::Stream { begun: Some(begun), .. } => {
-                (now.saturating_sub(begun) < YOUNG).then_some(CrashEvidence::Weak)
+                (now.saturating_sub(begun) < MAX_EVIDENCE_AGE).then_some(CrashEvidence::Weak)
             }
         }
     }
 }
 
-/// A run that was lost, and its replica with it. Times are by the own clock, which begins at 0: what others saw may lie
-/// before.
+/// A run that was lost in the crash of a replica. Times are by this relay's clock, which starts at 0; they are negative for
+/// what other relays observed before that.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct CrashRun {
-    /// The replica's life that ended.
+    /// The replica that crashed.
     pub life: ReplicaLife,
     /// When the request was sent there.
     pub sent: i64,
     /// When the run was lost.
     pub lost: i64,
-    /// What it says of the request.
+    /// Evidence against the request.
     pub evidence: CrashEvidence,
 }
 
-/// A run that was lost, whose replicas may turn out to have ended.
+/// A run that was lost, before it is known whether one of its replicas crashed.
 #[derive(Clone, Debug)]
 pub struct LostRun<'a> {
-    /// Replicas of its path.
+    /// Replicas of the path.
     pub lives: &'a [ReplicaLife],
-    /// When it was sent.
+    /// When the request was sent.
     pub sent: Millis,
-    /// What had come of it.
+    /// How far the run had got.
     pub progress: RunProgress,
 }
 
-/// Weight of the heaviest series of runs in which each was sent after the one before was lost. Runs are in order of their
-/// losses.
+/// Returns the weight of the heaviest chain of runs in which each was sent after the one before was lost. Expects the runs
+/// in the order of their losses.
 pub(super) fn chain_weight(runs: &[CrashRun]) -> u32 {
     let mut best: Vec<u32> = Vec::with_capacity(runs.len());
     for run in runs {
--- a/crates/router/tests/crash_model/mod.rs
+++ b/crates/router/tests/crash_model/mod.rs
@@ -306,7 +306,7 @@
         let lives = [life.clone()];
         let run = LostRun { lives: &lives, sent, progress };
         let mut change = self.tables[relay].record_lost(fingerprint(request), &run, now);
-        let found = self.tables[relay].record_ended(&lives[0], now);
+        let found = self.tables[relay].record_crash(&lives[0], now);
         change.is_urgent |= found.is_urgent;
         change.quarantined.extend(found.quarantined);
         self.take(relay, &change, now);
--- a/crates/router/tests/crashes.rs
+++ b/crates/router/tests/crashes.rs
@@ -38,7 +38,7 @@
 ) -> bool {
     let lives = [life(replica)];
     table.record_lost(request(of), &LostRun { lives: &lives, sent, progress }, lost);
-    table.record_ended(&lives[0], lost);
+    table.record_crash(&lives[0], lost);
     table.remaining(&request(of), lost).is_some()
 }
 
@@ -130,7 +130,7 @@
             let run = LostRun { lives: &lives, sent, progress: RunProgress::Unary };
             table.record_lost(request(of), &run, lost);
         }
-        table.record_ended(&lives[0], lost);
+        table.record_crash(&lives[0], lost);
         [1, 2].map(|of| table.remaining(&request(of), lost).is_some())
     };
     for replica in 0..3 {
