--- a/crates/relay/src/runs.rs
+++ b/crates/relay/src/runs.rs
@@ -9,7 +9,7 @@
 use switchfold_kernel::clock::now_millis;
 use switchfold_router::{
     Millis,
-    life::ReplicaLife,
+    instance::ReplicaInstance,
     path::PathStage,
     quarantine::{LostRun, RunProgress, SURVIVAL_TIME},
 };
@@ -24,7 +24,7 @@
 /// A run of a request at the replicas of its path.
 #[derive(Clone, Debug)]
 pub struct RunWatch {
-    lives: Vec<ReplicaLife>,
+    instances: Vec<ReplicaInstance>,
     sent: Millis,
     progress: RunProgress,
     is_lost: bool,
@@ -33,18 +33,18 @@
 
 impl RunWatch {
     /// Watches a run that is sent now to one replica, and whose answer comes as a whole.
-    pub fn at_replica(life: &ReplicaLife) -> Self {
-        Self::new(vec![life.clone()], RunProgress::Unary)
+    pub fn at_replica(instance: &ReplicaInstance) -> Self {
+        Self::new(vec![instance.clone()], RunProgress::Unary)
     }
 
     /// Watches a stream that is sent now over a path.
     pub fn over_path(path: &[PathStage]) -> Self {
-        let lives = path.iter().map(|part| part.life.clone()).collect();
-        Self::new(lives, RunProgress::Stream { begun: None, events: 0 })
+        let instances = path.iter().map(|part| part.instance.clone()).collect();
+        Self::new(instances, RunProgress::Stream { begun: None, events: 0 })
     }
 
-    fn new(lives: Vec<ReplicaLife>, progress: RunProgress) -> Self {
-        Self { lives, sent: now_millis(), progress, is_lost: false, is_proven: false }
+    fn new(instances: Vec<ReplicaInstance>, progress: RunProgress) -> Self {
+        Self { instances, sent: now_millis(), progress, is_lost: false, is_proven: false }
     }
 
     /// Notes that the first replica began to run it.
@@ -79,15 +79,15 @@
             event = "run-lost",
             request = request.marks.attempt_id,
             fingerprint = %request.fingerprint,
-            first = self.lives.first().map(ReplicaLife::to_string),
-            parts = self.lives.len(),
+            first = self.instances.first().map(ReplicaInstance::to_string),
+            parts = self.instances.len(),
             sent_ms = now - self.sent,
             ran_ms = begun.map(|begun| now - begun),
             events,
             sign = ?self.progress.evidence(now),
             why,
         );
-        let run = LostRun { lives: &self.lives, sent: self.sent, progress: self.progress };
+        let run = LostRun { instances: &self.instances, sent: self.sent, progress: self.progress };
         let change = {
             let mut beliefs = relay.beliefs.borrow_mut();
             beliefs.quarantine.record_lost(request.fingerprint, &run, now)
--- a/crates/router/src/backoff.rs
+++ b/crates/router/src/backoff.rs
@@ -12,7 +12,7 @@
 
 use std::collections::HashMap;
 
-use crate::{Millis, life::ReplicaLife};
+use crate::{Millis, instance::ReplicaInstance};
 
 /// Time that a trial request has to show whether a replica accepts requests again, in milliseconds: four times what the
 /// start of a response usually takes. After that another trial may be sent.
@@ -44,25 +44,25 @@
 
 impl BackoffTable {
     /// Records that a replica asked for a backoff of `duration` milliseconds. Of several backoffs the latest end counts.
-    pub fn record(&mut self, life: &ReplicaLife, duration: Millis, now: Millis) {
+    pub fn record(&mut self, instance: &ReplicaInstance, duration: Millis, now: Millis) {
         self.backoffs.retain(|_, backoff| now < backoff.until.saturating_add(RETENTION));
-        let backoff = self.backoffs.entry(life.id().to_owned()).or_default();
+        let backoff = self.backoffs.entry(instance.id().to_owned()).or_default();
         backoff.until = backoff.until.max(now.saturating_add(duration));
         backoff.tried = None;
     }
 
     /// Records that a replica responded and did not reject the request. Ends its backoff if that was on trial.
-    pub fn record_success(&mut self, life: &ReplicaLife, now: Millis) {
+    pub fn record_success(&mut self, instance: &ReplicaInstance, now: Millis) {
         // While the backoff lasts, a response can only be to a request sent before it, so it proves nothing.
         let is_over = |backoff: &Backoff| backoff.until <= now && backoff.tried.is_some();
-        if self.backoffs.get(life.id()).is_some_and(is_over) {
-            self.backoffs.remove(life.id());
+        if self.backoffs.get(instance.id()).is_some_and(is_over) {
+            self.backoffs.remove(instance.id());
         }
     }
 
     /// Returns the time for which nothing may be sent to a replica, in milliseconds, or `None` if requests may be sent.
-    pub fn remaining(&self, life: &ReplicaLife, now: Millis) -> Option<Millis> {
-        self.backoffs.get(life.id())?.remaining(now)
+    pub fn remaining(&self, instance: &ReplicaInstance, now: Millis) -> Option<Millis> {
+        self.backoffs.get(instance.id())?.remaining(now)
     }
 
     /// Starts sending a request to a replica, and returns whether it is the trial that the other requests wait for.
@@ -76,11 +76,11 @@
     /// If nothing may be sent to the replica, returns the time until it may, in milliseconds.
     pub fn begin_send(
         &mut self,
-        life: &ReplicaLife,
+        instance: &ReplicaInstance,
         is_trial: bool,
         now: Millis,
     ) -> Result<bool, Millis> {
-        let Some(backoff) = self.backoffs.get_mut(life.id()) else { return Ok(false) };
+        let Some(backoff) = self.backoffs.get_mut(instance.id()) else { return Ok(false) };
         if is_trial && backoff.until <= now {
             return Ok(true);
         }
--- a/crates/router/src/placement/mod.rs
+++ b/crates/router/src/placement/mod.rs
@@ -29,7 +29,7 @@
 pub use self::gaps::widest_gap;
 use crate::{
     fleet::LayerRange,
-    life::ReplicaLife,
+    instance::ReplicaInstance,
     placement::{
         capacity::LayoutMeter,
         scarcity::room_by_layer,
@@ -58,7 +58,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct LayerHolder {
     /// The replica.
-    pub life: ReplicaLife,
+    pub instance: ReplicaInstance,
     /// Memory of its accelerator in MB.
     pub memory_mb: f64,
     /// Requests that it takes as the first of their path; 0 stands for no limit.
@@ -89,7 +89,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct PlacementOrder {
     /// The replica.
-    pub life: ReplicaLife,
+    pub instance: ReplicaInstance,
     /// Layers that it is to hold.
     pub range: LayerRange,
     /// Why, for the logs.
@@ -182,7 +182,7 @@
     });
     let order = |after: LayerHolder| {
         let range = after.range.unwrap_or_default();
-        PlacementOrder { life: after.life, range, reason: PlacementReason::Search }
+        PlacementOrder { instance: after.instance, range, reason: PlacementReason::Search }
     };
     changed.map(|(_, after)| order(after)).collect()
 }
@@ -218,7 +218,10 @@
         let mut holders = holders.to_vec();
         // Largest first, so that small replicas fill what large ones leave.
         holders.sort_by(|left, right| {
-            right.memory_mb.total_cmp(&left.memory_mb).then_with(|| left.life.cmp(&right.life))
+            right
+                .memory_mb
+                .total_cmp(&left.memory_mb)
+                .then_with(|| left.instance.cmp(&right.instance))
         });
         let mut group =
             Self { holders, model, config, fill: config.usual_fill, orders: Vec::new() };
@@ -352,9 +355,9 @@
     fn order(&mut self, index: usize, range: LayerRange, reason: PlacementReason) {
         let holder = &mut self.holders[index];
         holder.range = Some(range);
-        let life = holder.life.clone();
-        self.orders.retain(|order| order.life != life);
-        self.orders.push(PlacementOrder { life, range, reason });
+        let instance = holder.instance.clone();
+        self.orders.retain(|order| order.instance != instance);
+        self.orders.push(PlacementOrder { instance, range, reason });
     }
 
     /// Gives one replica other layers, where that is worth a load.
--- a/crates/router/src/quarantine.rs
+++ b/crates/router/src/quarantine.rs
@@ -32,7 +32,9 @@
     record::{CrashReport, MAX_RUNS, QUARANTINE_WEIGHT},
     runs::{CrashEvidence, CrashRun, LostRun, RunProgress, SURVIVAL_TIME},
 };
-use crate::{Millis, fingerprint::RequestFingerprint, life::ReplicaLife, origin::NewsReach};
+use crate::{
+    Millis, fingerprint::RequestFingerprint, instance::ReplicaInstance, origin::UpdateAudience,
+};
 
 /// Replaces [`QUARANTINE_WEIGHT`] for a request that recently had a result, or each of whose crashes another request
 /// explains as well. The request that causes the crashes will cause more, while the others will have a result. A request
@@ -69,7 +71,7 @@
 #[derive(Clone, Debug)]
 struct PendingRun {
     fingerprint: RequestFingerprint,
-    lives: Vec<ReplicaLife>,
+    instances: Vec<ReplicaInstance>,
     sent: Millis,
     lost: Millis,
     evidence: CrashEvidence,
@@ -93,7 +95,7 @@
 pub struct QuarantineTable {
     pending: VecDeque<PendingRun>,
     /// Recent crashes of replicas, with the time at which each was detected.
-    crashes: VecDeque<(ReplicaLife, Millis)>,
+    crashes: VecDeque<(ReplicaInstance, Millis)>,
     records: HashMap<RequestFingerprint, RequestRecord>,
     completed: CompletedSet,
     /// Cleared requests that are still shared, with the time of each.
@@ -145,7 +147,7 @@
         let Some(evidence) = run.progress.evidence(now) else { return QuarantineChange::default() };
         let pending = PendingRun {
             fingerprint,
-            lives: run.lives.to_vec(),
+            instances: run.instances.to_vec(),
             sent: run.sent,
             lost: now,
             evidence,
@@ -153,9 +155,11 @@
         let is_recent =
             |at: Millis| now.saturating_sub(at) <= CRASH_RETENTION && pending.sent <= at;
         let mut crashes = self.crashes.iter().filter(|(_, at)| is_recent(*at));
-        if let Some((life, _)) = crashes.find(|(life, _)| pending.lives.contains(life)) {
-            let life = life.clone();
-            self.add_local(&pending, life, now);
+        if let Some((instance, _)) =
+            crashes.find(|(instance, _)| pending.instances.contains(instance))
+        {
+            let instance = instance.clone();
+            self.add_local(&pending, instance, now);
             return self.evaluate_local(now);
         }
         if self.pending.len() == MAX_PENDING {
@@ -166,21 +170,21 @@
     }
 
     /// Records that a replica was found to have ended unexpectedly.
-    pub fn record_crash(&mut self, life: &ReplicaLife, now: Millis) -> QuarantineChange {
-        if !self.crashes.iter().any(|(crashed, _)| crashed == life) {
+    pub fn record_crash(&mut self, instance: &ReplicaInstance, now: Millis) -> QuarantineChange {
+        if !self.crashes.iter().any(|(crashed, _)| crashed == instance) {
             if self.crashes.len() == MAX_CRASHES {
                 self.crashes.pop_front();
             }
-            self.crashes.push_back((life.clone(), now));
+            self.crashes.push_back((instance.clone(), now));
         }
         let (affected, pending): (VecDeque<PendingRun>, VecDeque<PendingRun>) =
-            self.pending.drain(..).partition(|run| run.lives.contains(life));
+            self.pending.drain(..).partition(|run| run.instances.contains(instance));
         self.pending = pending;
         let mut is_any_added = false;
         for run in
             affected.iter().filter(|run| now.saturating_sub(run.lost) <= CRASH_DETECTION_TIME)
         {
-            self.add_local(run, life.clone(), now);
+            self.add_local(run, instance.clone(), now);
             is_any_added = true;
         }
         if is_any_added { self.evaluate_local(now) } else { QuarantineChange::default() }
@@ -188,11 +192,11 @@
 
     /// Records that a replica that was found to have crashed responds after all. Drops the runs lost there, except those of
     /// requests that are already quarantined.
-    pub fn record_alive(&mut self, life: &ReplicaLife) {
-        self.crashes.retain(|(crashed, _)| crashed != life);
+    pub fn record_alive(&mut self, instance: &ReplicaInstance) {
+        self.crashes.retain(|(crashed, _)| crashed != instance);
         for record in self.records.values_mut().filter(|record| record.quarantined_until.is_none())
         {
-            record.runs.retain(|run| run.life != *life);
+            record.runs.retain(|run| run.instance != *instance);
         }
         self.records
             .retain(|_, record| record.quarantined_until.is_some() || !record.runs.is_empty());
@@ -295,10 +299,10 @@
     }
 
     /// Returns the reports to send to other relays now, heaviest first.
-    pub fn updates(&self, reach: NewsReach, now: Millis) -> Vec<CrashReport> {
+    pub fn updates(&self, audience: UpdateAudience, now: Millis) -> Vec<CrashReport> {
         let shares_all = now < self.share_all_until;
         let is_forwarded = |record: &RequestRecord| {
-            reach == NewsReach::Members && now.saturating_sub(record.changed) < SHARE_TIME
+            audience == UpdateAudience::Members && now.saturating_sub(record.changed) < SHARE_TIME
         };
         let shared = self.records.iter().filter(|(_, record)| {
             now < record.shared_until
@@ -396,13 +400,13 @@
         self.cleared.push_back((*fingerprint, now));
     }
 
-    fn add_local(&mut self, run: &PendingRun, life: ReplicaLife, now: Millis) {
+    fn add_local(&mut self, run: &PendingRun, instance: ReplicaInstance, now: Millis) {
         let record = self.records.entry(run.fingerprint).or_default();
         record.changed = now;
         record.shared_until = now + SHARE_TIME;
         record.is_local = true;
         let PendingRun { sent, lost, evidence, .. } = *run;
-        record.add(CrashRun { life, sent: sent as i64, lost: lost as i64, evidence });
+        record.add(CrashRun { instance, sent: sent as i64, lost: lost as i64, evidence });
         self.bound_records(now);
     }
 
@@ -464,14 +468,14 @@
         weights: &HashMap<RequestFingerprint, u32>,
     ) -> bool {
         let weight = weights[fingerprint];
-        let is_shared = |life: &ReplicaLife| {
+        let is_shared = |instance: &ReplicaInstance| {
             self.records.iter().any(|(other, record)| {
                 other != fingerprint
-                    && record.runs.iter().any(|run| run.life == *life)
+                    && record.runs.iter().any(|run| run.instance == *instance)
                     && weights[other] >= weight
             })
         };
-        self.records[fingerprint].runs.iter().all(|run| is_shared(&run.life))
+        self.records[fingerprint].runs.iter().all(|run| is_shared(&run.instance))
     }
 }
 
--- a/crates/router/src/quarantine/record.rs
+++ b/crates/router/src/quarantine/record.rs
@@ -54,7 +54,7 @@
 
     /// Adds a run and returns whether it is new. Of two reports of the same crash the first one received is kept.
     pub(super) fn add(&mut self, run: CrashRun) -> bool {
-        if self.runs.iter().any(|known| known.life == run.life) {
+        if self.runs.iter().any(|known| known.instance == run.instance) {
             return false;
         }
         self.runs.push(run);
--- a/crates/router/src/quarantine/runs.rs
+++ b/crates/router/src/quarantine/runs.rs
@@ -1,6 +1,6 @@
 //! Lost runs of requests, and how strongly they suggest that the request caused the crash.
 
-use crate::{Millis, life::ReplicaLife};
+use crate::{Millis, instance::ReplicaInstance};
 
 /// Time for which a run must produce events to count as a result, in milliseconds: ten times what a replica took to crash
 /// after it started the request that crashed it.
@@ -60,7 +60,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct CrashRun {
     /// The replica that crashed.
-    pub life: ReplicaLife,
+    pub instance: ReplicaInstance,
     /// When the request was sent there.
     pub sent: i64,
     /// When the run was lost.
@@ -73,7 +73,7 @@
 #[derive(Clone, Debug)]
 pub struct LostRun<'a> {
     /// Replicas of the path.
-    pub lives: &'a [ReplicaLife],
+    pub instances: &'a [ReplicaInstance],
     /// When the request was sent.
     pub sent: Millis,
     /// How far the run had got.
--- a/crates/router/src/stall.rs
+++ b/crates/router/src/stall.rs
@@ -20,8 +20,8 @@
 
 use crate::{
     Millis,
-    life::ReplicaLife,
-    origin::{NewsOrigin, NewsReach},
+    instance::ReplicaInstance,
+    origin::{UpdateAudience, UpdateOrigin},
     suspect::SuspectList,
 };
 
@@ -69,18 +69,18 @@
 /// Starts of responses by first replica, and the replicas found stalled.
 #[derive(Clone, Debug, Default)]
 pub struct StallDetector {
-    first_replicas: HashMap<ReplicaLife, FirstReplica>,
+    first_replicas: HashMap<ReplicaInstance, FirstReplica>,
     /// Recent delays from send to the start of the response.
     delays: VecDeque<Millis>,
     stalls: SuspectList,
     /// Stalls that other relays detected, by relay, each with the time until which it counts.
-    peer_stalls: HashMap<String, (NewsOrigin, Vec<(ReplicaLife, Millis)>)>,
+    peer_stalls: HashMap<String, (UpdateOrigin, Vec<(ReplicaInstance, Millis)>)>,
 }
 
 impl StallDetector {
     /// Records that a request was sent.
-    pub fn record_sent(&mut self, life: &ReplicaLife, now: Millis) {
-        let first = self.first_replicas.entry(life.clone()).or_default();
+    pub fn record_sent(&mut self, instance: &ReplicaInstance, now: Millis) {
+        let first = self.first_replicas.entry(instance.clone()).or_default();
         if first.waiting == 0 {
             first.silent_since = now;
         }
@@ -91,32 +91,32 @@
     /// `None` if the request was rejected. Returns whether this ends a stall that this relay detected.
     pub fn record_response(
         &mut self,
-        life: &ReplicaLife,
+        instance: &ReplicaInstance,
         delay: Option<Millis>,
         now: Millis,
     ) -> bool {
-        if let Some(first) = self.first_replicas.get_mut(life) {
+        if let Some(first) = self.first_replicas.get_mut(instance) {
             first.silent_since = now;
         }
-        self.record_abandoned(life);
+        self.record_abandoned(instance);
         let Some(delay) = delay else { return false };
         if self.delays.len() >= MAX_SAMPLES {
             self.delays.pop_front();
         }
         self.delays.push_back(delay);
-        let has_recovered = self.stalls.is_local(life, now) || self.is_trial_due(life, now);
+        let has_recovered = self.stalls.is_local(instance, now) || self.is_trial_due(instance, now);
         if has_recovered {
-            self.stalls.clear(life);
+            self.stalls.clear(instance);
         }
         has_recovered
     }
 
     /// Records that a request no longer waits at a replica.
-    pub fn record_abandoned(&mut self, life: &ReplicaLife) {
-        let Some(first) = self.first_replicas.get_mut(life) else { return };
+    pub fn record_abandoned(&mut self, instance: &ReplicaInstance) {
+        let Some(first) = self.first_replicas.get_mut(instance) else { return };
         first.waiting = first.waiting.saturating_sub(1);
         if first.waiting == 0 {
-            self.first_replicas.remove(life);
+            self.first_replicas.remove(instance);
         }
     }
 
@@ -143,43 +143,44 @@
     /// are not. Returns the duration of the suspicion in milliseconds if a new one starts.
     pub fn detect_stall(
         &mut self,
-        life: &ReplicaLife,
+        instance: &ReplicaInstance,
         threshold: Millis,
         now: Millis,
     ) -> Option<Millis> {
         let is_silent = |first: &FirstReplica| now.saturating_sub(first.silent_since) >= threshold;
-        let is_known = self.stalls.is_suspect(life, now) || self.is_stalled_at_peer(life, now);
-        if is_known || !self.first_replicas.get(life).is_some_and(is_silent) {
+        let is_known =
+            self.stalls.is_suspect(instance, now) || self.is_stalled_at_peer(instance, now);
+        if is_known || !self.first_replicas.get(instance).is_some_and(is_silent) {
             return None;
         }
         let silent = self.first_replicas.values().filter(|first| is_silent(first)).count();
         if silent > (self.first_replicas.len() / MAX_SILENT_ONE_IN).max(1) {
             return None;
         }
-        self.stalls.record_failure(life, now).map(|until| until - now)
+        self.stalls.record_failure(instance, now).map(|until| until - now)
     }
 
     /// Returns whether new requests should start at another replica.
-    pub fn is_stalled(&self, life: &ReplicaLife, now: Millis) -> bool {
-        if self.stalls.is_suspect(life, now) {
+    pub fn is_stalled(&self, instance: &ReplicaInstance, now: Millis) -> bool {
+        if self.stalls.is_suspect(instance, now) {
             return true;
         }
         // One trial request at a time. Other relays may echo the stall that this relay detected; that does not delay the
         // trial.
-        match self.is_trial_due(life, now) {
-            true => self.first_replicas.contains_key(life),
-            false => self.is_stalled_at_peer(life, now),
+        match self.is_trial_due(instance, now) {
+            true => self.first_replicas.contains_key(instance),
+            false => self.is_stalled_at_peer(instance, now),
         }
     }
 
     /// Returns whether a replica that this relay found stalled is due for a trial request.
-    fn is_trial_due(&self, life: &ReplicaLife, now: Millis) -> bool {
-        self.stalls.ended_recently(life, TRIAL_GRACE, now)
+    fn is_trial_due(&self, instance: &ReplicaInstance, now: Millis) -> bool {
+        self.stalls.ended_recently(instance, TRIAL_GRACE, now)
     }
 
-    fn is_stalled_at_peer(&self, life: &ReplicaLife, now: Millis) -> bool {
+    fn is_stalled_at_peer(&self, instance: &ReplicaInstance, now: Millis) -> bool {
         let mut stalls = self.peer_stalls.values().flat_map(|(_, stalls)| stalls);
-        stalls.any(|(stalled, until)| stalled == life && now < *until)
+        stalls.any(|(stalled, until)| stalled == instance && now < *until)
     }
 
     /// Replaces the stalls that another relay detected, each with the time in milliseconds for which it counts. Those that
@@ -187,12 +188,12 @@
     pub fn merge_stalls(
         &mut self,
         relay: &str,
-        origin: NewsOrigin,
-        stalls: impl Iterator<Item = (ReplicaLife, Millis)>,
+        origin: UpdateOrigin,
+        stalls: impl Iterator<Item = (ReplicaInstance, Millis)>,
         now: Millis,
     ) {
-        let stalls: Vec<(ReplicaLife, Millis)> =
-            stalls.map(|(life, remaining)| (life, now + remaining)).collect();
+        let stalls: Vec<(ReplicaInstance, Millis)> =
+            stalls.map(|(instance, remaining)| (instance, now + remaining)).collect();
         match stalls.is_empty() {
             true => drop(self.peer_stalls.remove(relay)),
             false => drop(self.peer_stalls.insert(relay.to_owned(), (origin, stalls))),
@@ -203,20 +204,21 @@
     /// that this relay detected, and those of other relays that they would otherwise not receive.
     pub fn shared_with(
         &self,
-        reach: NewsReach,
+        audience: UpdateAudience,
         now: Millis,
-    ) -> impl Iterator<Item = (&ReplicaLife, Millis)> {
-        let local = self.stalls.local(now).map(|(life, remaining)| (life, remaining + TRIAL_GRACE));
-        let peers = self.peer_stalls.values().filter(move |(origin, _)| reach.takes(*origin));
+    ) -> impl Iterator<Item = (&ReplicaInstance, Millis)> {
+        let local =
+            self.stalls.local(now).map(|(instance, remaining)| (instance, remaining + TRIAL_GRACE));
+        let peers = self.peer_stalls.values().filter(move |(origin, _)| audience.takes(*origin));
         let peers = peers.flat_map(|(_, stalls)| stalls);
-        let remaining = peers.map(move |(life, until)| (life, until.saturating_sub(now)));
+        let remaining = peers.map(move |(instance, until)| (instance, until.saturating_sub(now)));
         local.chain(remaining.filter(|(_, remaining)| *remaining > 0))
     }
 
     /// Removes a replica that has ended.
-    pub fn forget(&mut self, life: &ReplicaLife) {
-        self.stalls.clear(life);
-        self.first_replicas.remove(life);
+    pub fn forget(&mut self, instance: &ReplicaInstance) {
+        self.stalls.clear(instance);
+        self.first_replicas.remove(instance);
     }
 }
 
--- a/crates/router/src/suspect.rs
+++ b/crates/router/src/suspect.rs
@@ -7,8 +7,8 @@
 
 use crate::{
     Millis,
-    life::ReplicaLife,
-    origin::{NewsOrigin, NewsReach},
+    instance::ReplicaInstance,
+    origin::{UpdateAudience, UpdateOrigin},
 };
 
 /// Duration of a first suspicion, in milliseconds: about one heartbeat of the replica list.
@@ -29,24 +29,24 @@
     until: Millis,
     duration: Millis,
     /// Which relay observed the failure.
-    origin: NewsOrigin,
+    origin: UpdateOrigin,
 }
 
 /// Suspicions by replica.
 #[derive(Clone, Debug, Default)]
 pub struct SuspectList {
-    suspicions: HashMap<ReplicaLife, Suspicion>,
+    suspicions: HashMap<ReplicaInstance, Suspicion>,
 }
 
 impl SuspectList {
     /// Records a failure of a replica that this relay observed. Returns the end of the suspicion if a new one starts, and
     /// `None` if the replica is already suspected.
-    pub fn record_failure(&mut self, life: &ReplicaLife, now: Millis) -> Option<Millis> {
-        let known = self.suspicions.get(life).copied();
+    pub fn record_failure(&mut self, instance: &ReplicaInstance, now: Millis) -> Option<Millis> {
+        let known = self.suspicions.get(instance).copied();
         let duration = match known {
             Some(known) if now < known.until => {
                 self.suspicions
-                    .insert(life.clone(), Suspicion { origin: NewsOrigin::Own, ..known });
+                    .insert(instance.clone(), Suspicion { origin: UpdateOrigin::Own, ..known });
                 return None;
             }
             Some(known) if now < known.until + HISTORY_RETENTION => {
@@ -56,13 +56,13 @@
         };
         let until = now + duration;
         self.suspicions
-            .insert(life.clone(), Suspicion { until, duration, origin: NewsOrigin::Own });
+            .insert(instance.clone(), Suspicion { until, duration, origin: UpdateOrigin::Own });
         Some(until)
     }
 
     /// Merges a suspicion of another relay. The later end wins.
-    pub fn merge(&mut self, life: &ReplicaLife, until: Millis, origin: NewsOrigin) {
-        let entry = self.suspicions.entry(life.clone());
+    pub fn merge(&mut self, instance: &ReplicaInstance, until: Millis, origin: UpdateOrigin) {
+        let entry = self.suspicions.entry(instance.clone());
         let suspicion = entry.or_insert(Suspicion { until, duration: BASE_SUSPICION_TIME, origin });
         if suspicion.until < until {
             *suspicion = Suspicion { until, origin: suspicion.origin.max(origin), ..*suspicion };
@@ -70,53 +70,53 @@
     }
 
     /// Removes a replica's suspicion and its history, after the replica worked.
-    pub fn clear(&mut self, life: &ReplicaLife) {
-        self.suspicions.remove(life);
+    pub fn clear(&mut self, instance: &ReplicaInstance) {
+        self.suspicions.remove(instance);
     }
 
     /// Returns whether a replica is suspected.
-    pub fn is_suspect(&self, life: &ReplicaLife, now: Millis) -> bool {
-        self.suspicions.get(life).is_some_and(|suspicion| now < suspicion.until)
+    pub fn is_suspect(&self, instance: &ReplicaInstance, now: Millis) -> bool {
+        self.suspicions.get(instance).is_some_and(|suspicion| now < suspicion.until)
     }
 
     /// Returns whether a replica is suspected because of a failure that this relay observed itself.
-    pub fn is_local(&self, life: &ReplicaLife, now: Millis) -> bool {
+    pub fn is_local(&self, instance: &ReplicaInstance, now: Millis) -> bool {
         self.suspicions
-            .get(life)
-            .is_some_and(|suspicion| suspicion.origin == NewsOrigin::Own && now < suspicion.until)
+            .get(instance)
+            .is_some_and(|suspicion| suspicion.origin == UpdateOrigin::Own && now < suspicion.until)
     }
 
     /// Returns whether a suspicion for a failure that this relay observed itself ended within the last `period`
     /// milliseconds.
-    pub fn ended_recently(&self, life: &ReplicaLife, period: Millis, now: Millis) -> bool {
-        let known = self.suspicions.get(life).filter(|known| known.origin == NewsOrigin::Own);
+    pub fn ended_recently(&self, instance: &ReplicaInstance, period: Millis, now: Millis) -> bool {
+        let known = self.suspicions.get(instance).filter(|known| known.origin == UpdateOrigin::Own);
         known.is_some_and(|known| known.until <= now && now < known.until + period)
     }
 
     /// Returns the suspicions in force for failures that this relay observed itself, like [`SuspectList::current`].
     /// Suspicions of other relays are left out: each transit takes time, so relays that repeated each other's suspicions
     /// would prolong them beyond what any of them intended.
-    pub fn local(&self, now: Millis) -> impl Iterator<Item = (&ReplicaLife, Millis)> {
-        self.current(now).filter(move |(life, _)| self.is_local(life, now))
+    pub fn local(&self, now: Millis) -> impl Iterator<Item = (&ReplicaInstance, Millis)> {
+        self.current(now).filter(move |(instance, _)| self.is_local(instance, now))
     }
 
     /// Returns the suspicions to send to other relays, with the remaining time in milliseconds: those that they would
     /// otherwise not receive.
     pub fn shared_with(
         &self,
-        reach: NewsReach,
+        audience: UpdateAudience,
         now: Millis,
-    ) -> impl Iterator<Item = (&ReplicaLife, Millis)> {
-        let shared = self.suspicions.iter().filter(move |(_, known)| reach.takes(known.origin));
+    ) -> impl Iterator<Item = (&ReplicaInstance, Millis)> {
+        let shared = self.suspicions.iter().filter(move |(_, known)| audience.takes(known.origin));
         shared
-            .filter_map(move |(life, known)| Some((life, known.until.checked_sub(now)?)))
+            .filter_map(move |(instance, known)| Some((instance, known.until.checked_sub(now)?)))
             .filter(|(_, remaining)| *remaining >= MIN_SHARED_TIME)
     }
 
     /// Returns the suspicions in force, with the remaining time in milliseconds.
-    pub fn current(&self, now: Millis) -> impl Iterator<Item = (&ReplicaLife, Millis)> {
+    pub fn current(&self, now: Millis) -> impl Iterator<Item = (&ReplicaInstance, Millis)> {
         let all = self.suspicions.iter();
         all.filter(move |(_, suspicion)| now < suspicion.until)
-            .map(move |(life, suspicion)| (life, suspicion.until - now))
+            .map(move |(instance, suspicion)| (instance, suspicion.until - now))
     }
 }
--- a/crates/router/tests/stalls.rs
+++ b/crates/router/tests/stalls.rs
@@ -4,8 +4,8 @@
 use std::collections::VecDeque;
 
 use switchfold_router::{
-    life::ReplicaLife,
-    origin::{NewsOrigin, NewsReach},
+    instance::ReplicaInstance,
+    origin::{UpdateAudience, UpdateOrigin},
     stall::{StallDetector, TRIAL_GRACE, reroute_after},
 };
 
@@ -44,8 +44,8 @@
 /// Plays a load against one relay's own decisions; each request begins at the replica that is not mute and has been
 /// sent least.
 fn play(load: &Load, watches: bool) -> Outcome {
-    let lives: Vec<ReplicaLife> =
-        (0..load.replicas).map(|number| ReplicaLife::new(&format!("i-{number}"), 0)).collect();
+    let instances: Vec<ReplicaInstance> =
+        (0..load.replicas).map(|number| ReplicaInstance::new(&format!("i-{number}"), 0)).collect();
     let mut watch = StallDetector::default();
     let mut waiting: VecDeque<Waiting> = VecDeque::new();
     let mut outcome = Outcome::default();
@@ -54,12 +54,12 @@
     let mut send =
         |watch: &mut StallDetector, arrived: u64, avoid: Option<usize>, tries: u32, now: u64| {
             let cost = |number: &usize| {
-                (watches && watch.is_stalled(&lives[*number], now), sent_to[*number])
+                (watches && watch.is_stalled(&instances[*number], now), sent_to[*number])
             };
             let others = (0..load.replicas).filter(|number| Some(*number) != avoid);
             let replica = others.min_by_key(cost).expect("there are others");
             sent_to[replica] += 1;
-            watch.record_sent(&lives[replica], now);
+            watch.record_sent(&instances[replica], now);
             let hangs = replica < load.hanging && load.hangs.contains(&now);
             Waiting { arrived, sent: now, begins: (!hangs).then_some(now + takes), replica, tries }
         };
@@ -71,9 +71,9 @@
         }
         let mut left = Vec::new();
         waiting.retain(|request| {
-            let life = &lives[request.replica];
+            let instance = &instances[request.replica];
             if request.begins == Some(now) {
-                watch.record_response(life, Some(now - request.sent), now);
+                watch.record_response(instance, Some(now - request.sent), now);
                 outcome.late += u32::from(now - request.arrived > OBJECTIVE);
                 return false;
             }
@@ -82,10 +82,10 @@
                 return true;
             }
             let silent_after = watch.stall_threshold(OBJECTIVE);
-            watch.detect_stall(life, silent_after, now);
-            let is_mute = watches && watch.is_stalled(life, now) && waited >= silent_after;
+            watch.detect_stall(instance, silent_after, now);
+            let is_mute = watches && watch.is_stalled(instance, now) && waited >= silent_after;
             if is_mute || waited > reroute_after(OBJECTIVE) {
-                watch.record_abandoned(life);
+                watch.record_abandoned(instance);
                 left.push((request.arrived, request.replica));
                 return false;
             }
@@ -134,46 +134,46 @@
 /// A mute replica comes back by one request at a time of the relay that found it; others keep away until that ended.
 #[test]
 fn a_mute_replica_is_tried_by_one_request() {
-    let life = ReplicaLife::new("i-1", 0);
+    let instance = ReplicaInstance::new("i-1", 0);
     let (mut own, mut other) = (StallDetector::default(), StallDetector::default());
-    own.record_sent(&life, 0);
-    let lasts = own.detect_stall(&life, 150, 200).expect("it is silent");
+    own.record_sent(&instance, 0);
+    let lasts = own.detect_stall(&instance, 150, 200).expect("it is silent");
     let told: Vec<_> = own
-        .shared_with(NewsReach::Speakers, 200)
-        .map(|(life, lasts)| (life.clone(), lasts))
+        .shared_with(UpdateAudience::Speakers, 200)
+        .map(|(instance, lasts)| (instance.clone(), lasts))
         .collect();
-    assert_eq!(told, [(life.clone(), lasts + TRIAL_GRACE)]);
-    other.merge_stalls("own", NewsOrigin::Told, told.clone().into_iter(), 200);
+    assert_eq!(told, [(instance.clone(), lasts + TRIAL_GRACE)]);
+    other.merge_stalls("own", UpdateOrigin::Told, told.clone().into_iter(), 200);
     assert_eq!(
-        other.shared_with(NewsReach::Speakers, 200).count(),
+        other.shared_with(UpdateAudience::Speakers, 200).count(),
         0,
         "what was only heard is not repeated"
     );
-    own.record_abandoned(&life);
+    own.record_abandoned(&instance);
     let over = 200 + lasts;
-    assert!(own.is_stalled(&life, over - 1) && !own.is_stalled(&life, over));
-    own.record_sent(&life, over);
-    assert!(own.is_stalled(&life, over + 1), "one tries, the next one keeps away");
-    assert!(other.is_stalled(&life, over + 1));
-    assert!(own.record_response(&life, Some(70), over + 70), "it is back");
-    assert!(!own.is_stalled(&life, over + 71));
-    assert!(!other.is_stalled(&life, over + TRIAL_GRACE));
+    assert!(own.is_stalled(&instance, over - 1) && !own.is_stalled(&instance, over));
+    own.record_sent(&instance, over);
+    assert!(own.is_stalled(&instance, over + 1), "one tries, the next one keeps away");
+    assert!(other.is_stalled(&instance, over + 1));
+    assert!(own.record_response(&instance, Some(70), over + 70), "it is back");
+    assert!(!own.is_stalled(&instance, over + 71));
+    assert!(!other.is_stalled(&instance, over + TRIAL_GRACE));
     // What the one that found it tells no more has ended.
-    other.merge_stalls("own", NewsOrigin::Told, told.into_iter(), over);
-    assert!(other.is_stalled(&life, over + 1));
-    other.merge_stalls("own", NewsOrigin::Told, std::iter::empty(), over + 2);
-    assert!(!other.is_stalled(&life, over + 3));
+    other.merge_stalls("own", UpdateOrigin::Told, told.into_iter(), over);
+    assert!(other.is_stalled(&instance, over + 1));
+    other.merge_stalls("own", UpdateOrigin::Told, std::iter::empty(), over + 2);
+    assert!(!other.is_stalled(&instance, over + 3));
 }
 
 /// A queue goes on beginning answers, or refuses: neither is silence.
 #[test]
 fn a_replica_that_answers_others_is_not_mute() {
-    let life = ReplicaLife::new("i-1", 0);
+    let instance = ReplicaInstance::new("i-1", 0);
     let mut watch = StallDetector::default();
-    (0..3).for_each(|_| watch.record_sent(&life, 0));
-    watch.record_response(&life, Some(140), 140);
-    assert_eq!(watch.detect_stall(&life, 150, 200), None);
-    watch.record_response(&life, None, 280);
-    assert_eq!(watch.detect_stall(&life, 150, 400), None);
-    assert!(watch.detect_stall(&life, 150, 440).is_some());
+    (0..3).for_each(|_| watch.record_sent(&instance, 0));
+    watch.record_response(&instance, Some(140), 140);
+    assert_eq!(watch.detect_stall(&instance, 150, 200), None);
+    watch.record_response(&instance, None, 280);
+    assert_eq!(watch.detect_stall(&instance, 150, 400), None);
+    assert!(watch.detect_stall(&instance, 150, 440).is_some());
 }
