--- a/crates/router/tests/crash_model/mod.rs
+++ b/crates/router/tests/crash_model/mod.rs
@@ -309,7 +309,7 @@
         let instances = [instance.clone()];
         let run = LostRun { instances: &instances, sent, progress };
         let mut change = self.tables[relay].record_lost(fingerprint(request), &run, now);
-        let found = self.tables[relay].record_ended(&instances[0], now);
+        let found = self.tables[relay].record_crash(&instances[0], now);
         change.is_urgent |= found.is_urgent;
         change.quarantined.extend(found.quarantined);
         self.take(relay, &change, now);
