--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -38,7 +38,7 @@
 //! | [`suspect`] | which replicas are avoided for a while after a failure |
 //!
 //! The trade-off: a relay chooses alone, from what it last received. Two relays may choose the same replica at
-//! once; the safety margins of [`reservations`] and [`path`] absorb that.
+//! once; the memory and the slots that no path is planned to use absorb that.
 
 pub mod attempt;
 pub mod backoff;
--- a/crates/router/src/slowdown.rs
+++ b/crates/router/src/slowdown.rs
@@ -76,9 +76,9 @@
         audience: UpdateAudience,
         now: Millis,
     ) -> impl Iterator<Item = (&ReplicaInstance, f64)> {
-        let recent = self.paces.iter().filter(move |(_, known)| known.is_recent(now));
-        let told = recent.filter(move |(_, known)| reach.includes(known.origin));
-        told.map(|(instance, known)| (instance, known.factor))
+        let recent = self.slowdowns.iter().filter(move |(_, known)| known.is_recent(now));
+        let shared = recent.filter(move |(_, known)| audience.includes(known.origin));
+        shared.map(|(instance, known)| (instance, known.factor))
     }
 
     /// Removes an engine that is gone.
