--- a/crates/core/benches/decisions.rs
+++ b/crates/core/benches/decisions.rs
@@ -1,6 +1,6 @@
-//! Time of each decision at three sizes, up to the size to design for.
+//! Duration of each decision at three sizes, up to the largest size that the system is designed for.
 //!
-//! Run it with `cargo bench -p switchfold-core`.
+//! Run with `cargo bench -p switchfold-core`.
 
 use std::{hint::black_box, sync::Arc};
 
@@ -44,7 +44,7 @@
     group.finish();
 }
 
-fn bounds(criterion: &mut Criterion) {
+fn flows(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("flow_bound");
     group.sample_size(10);
     for count in [60_u32, 480, 2_200] {
@@ -118,10 +118,10 @@
     let mut position = 0;
     criterion.bench_function("step_gate", |bencher| {
         bencher.iter(|| {
-            let view =
+            let header =
                 StepHeader { attempt: 1, layer: 16, first_position: position, len: 1, resend: 0 };
             position += 1;
-            let decision = gate.decide(black_box(&view));
+            let decision = gate.decide(black_box(&header));
             gate.finish();
             decision
         });
@@ -185,9 +185,9 @@
 fn claims(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("claim_plan");
     group.sample_size(20);
-    for wishes in [1_u64, 50, 425] {
+    for count in [1_u64, 50, 425] {
         let shard = ClaimShard::new();
-        let asked: Vec<ClaimProposal> = (0..wishes)
+        let proposals: Vec<ClaimProposal> = (0..count)
             .map(|number| ClaimProposal {
                 key: ClaimKey::new("org", &number.to_string()),
                 request: id(number),
@@ -195,10 +195,10 @@
                 replaces: None,
             })
             .collect();
-        group.bench_function(BenchmarkId::from_parameter(wishes), |bencher| {
+        group.bench_function(BenchmarkId::from_parameter(count), |bencher| {
             bencher.iter_batched(
                 || shard.clone(),
-                |shard| shard.plan(black_box(&asked), 1),
+                |shard| shard.plan(black_box(&proposals), 1),
                 BatchSize::SmallInput,
             );
         });
@@ -207,6 +207,6 @@
 }
 
 criterion_group!(
-    benches, paths, bounds, queues, ledgers, steps, objects, subsets, placements, claims
+    benches, paths, flows, queues, ledgers, steps, objects, subsets, placements, claims
 );
 criterion_main!(benches);
--- a/crates/core/src/activation.rs
+++ b/crates/core/src/activation.rs
@@ -1,22 +1,24 @@
-//! What a stage remembers of its own output, so that a lost neighbour can be rebuilt.
+//! Log of a stage's output for a request, kept so that the next stage can be replaced.
 //!
-//! Each stage keeps the activations that it sent for a request, up to a bound in bytes. When the next
-//! stage is replaced, the log is played to the replacement, and no surviving stage runs anything
-//! twice. Past the bound the log gives up its front: a replay is then refused, and the entry starts a
-//! new attempt instead. Memory: at most the bound for each request, plus 4 bytes a position.
+//! Each stage keeps the activations that it sent for a request, up to a limit in bytes. When the next
+//! stage is replaced, the log is replayed to the replacement, so no surviving stage computes anything
+//! twice. Once the limit is exceeded, the log keeps only the newest output: a replay from position 0
+//! is then refused, and the entry starts a new attempt instead.
+//!
+//! Memory: at most the limit, or one output where that is larger, plus 4 bytes per position.
 
-/// One run of positions, as sent.
+/// Output of a stage for consecutive positions.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ActivationSpan {
-    /// First position.
+    /// Position of the first token.
     pub first_position: u32,
-    /// Tokens that entered the model at these positions.
+    /// Input tokens of the model at these positions.
     pub inputs: Vec<u32>,
-    /// Activations, the same count of bytes for each position.
+    /// Activations, with the same number of bytes for each position.
     pub bytes: Vec<u8>,
 }
 
-/// Output of one stage for one request.
+/// Output of one stage for one request, bounded in bytes.
 #[derive(Clone, Debug)]
 pub struct ActivationLog {
     limit: usize,
@@ -28,7 +30,7 @@
 }
 
 impl ActivationLog {
-    /// Makes an empty log that holds at most `limit` bytes of activations.
+    /// Creates an empty log that holds at most `limit` bytes of activations.
     pub fn new(limit: usize) -> Self {
         Self {
             limit,
@@ -40,7 +42,8 @@
         }
     }
 
-    /// Adds the output for the next positions.
+    /// Appends the output for the next positions. If the limit is exceeded, all earlier output is
+    /// discarded.
     pub fn push(&mut self, inputs: &[u32], bytes: &[u8]) {
         if self.bytes.len() + bytes.len() > self.limit {
             self.truncated = true;
@@ -55,22 +58,22 @@
         self.next_position += inputs.len() as u32;
     }
 
-    /// Bytes of activations held.
+    /// Returns the number of bytes of activations in the log.
     pub fn byte_len(&self) -> usize {
         self.bytes.len()
     }
 
-    /// Tells whether a whole replay is no longer possible.
+    /// Returns whether output was discarded, so that a replay from position 0 is not possible.
     pub fn is_truncated(&self) -> bool {
         self.truncated
     }
 
-    /// The last output alone, where there is one.
+    /// Returns the most recently pushed output, or `None` if nothing was pushed.
     pub fn last_output(&self) -> Option<ActivationSpan> {
         self.span(self.inputs.len().saturating_sub(self.last_len))
     }
 
-    /// All output from position 0, or nothing where it is empty or past its bound.
+    /// Returns all output from position 0, or `None` if the log is empty or truncated.
     pub fn full_output(&self) -> Option<ActivationSpan> {
         if self.truncated {
             return None;
@@ -83,8 +86,8 @@
         if inputs.is_empty() {
             return None;
         }
-        let width = self.bytes.len() / self.inputs.len();
-        let bytes = self.bytes.get(from * width..)?;
+        let bytes_per_position = self.bytes.len() / self.inputs.len();
+        let bytes = self.bytes.get(from * bytes_per_position..)?;
         let first_position = self.next_position - inputs.len() as u32;
         Some(ActivationSpan { first_position, inputs: inputs.to_vec(), bytes: bytes.to_vec() })
     }
--- a/crates/core/src/claim.rs
+++ b/crates/core/src/claim.rs
@@ -1,14 +1,16 @@
-//! Claims: at most one run for each key that a caller sends again.
+//! Idempotency keys: at most one run for each key, even if the caller sends the request again.
 //!
-//! A key is claimed for a request before the request is dispatched. Claims live in shards of the
-//! platform's store; a shard is a chain of segments, each an object well below the store's size limit.
-//! Only the last segment takes claims; a full one is sealed by the write that fills it, and the next
-//! is created by a conditional write that fails where it exists.
+//! A key is claimed for a request before the request is dispatched. Claims are stored in shards in the
+//! platform's store. A shard is a chain of segments, each an object well below the store's size limit.
+//! Only the last segment accepts claims. The write that fills a segment seals it, and the next segment
+//! is created by a conditional write that fails if the segment exists.
 //!
-//! Safety rests on the conditional write alone. A [`ClaimShard`] is a process's view of one shard; a
-//! view may be old, but then its write fails, it reads the segment again, and tries anew. A claim is
-//! granted only by [`ClaimShard::apply_write`], that is after the store said yes, or after the segment
-//! was read back and the claim was found in it. Memory: about 150 bytes a claim.
+//! Safety depends only on the conditional writes. A [`ClaimShard`] is a process's view of one shard. If
+//! the view is stale, its write fails; the process then reads the segment again and retries. A claim
+//! counts as granted only after [`ClaimShard::apply_write`], that is after the store accepted the
+//! write, or after the segment was read back and contains the claim.
+//!
+//! Memory: about 150 bytes per claim.
 
 use std::collections::{HashMap, HashSet};
 
@@ -16,13 +18,13 @@
 
 use crate::{Millis, hash::hash_bytes, id::RequestId};
 
-/// Shards that claims are spread over; bounds the writes a second at the store.
+/// Number of shards that claims are distributed over. Bounds the writes per second at the store.
 pub const CLAIM_SHARDS: u64 = 8;
 
-/// Claims in one segment; a full segment stays below 400 kB.
+/// Maximum number of claims in a segment. A full segment stays below 400 kB.
 pub const MAX_SEGMENT_CLAIMS: usize = 2_000;
 
-/// Hash of an organisation and the key that it chose.
+/// 128-bit hash of an organisation and an idempotency key that its caller chose.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct ClaimKey {
     high: u64,
@@ -30,68 +32,68 @@
 }
 
 impl ClaimKey {
-    /// Hashes an organisation and its key to 128 bits.
+    /// Hashes an organisation and its idempotency key.
     pub fn new(organisation: &str, key: &str) -> Self {
         let half = |seed| hash_bytes(hash_bytes(seed, organisation.as_bytes()), key.as_bytes());
         Self { high: half(1), low: half(2) }
     }
 
-    /// Both halves, to send.
+    /// Returns the high and low 64 bits, for messages.
     pub fn halves(&self) -> (u64, u64) {
         (self.high, self.low)
     }
 
-    /// From both halves, as received.
+    /// Creates a key from the high and low 64 bits of a message.
     pub fn from_halves(high: u64, low: u64) -> Self {
         Self { high, low }
     }
 
-    /// Shard of the key.
+    /// Returns the number of the shard that contains the key.
     pub fn shard(&self) -> u64 {
         self.high % CLAIM_SHARDS
     }
 }
 
-/// One claim, as stored.
+/// A claim, as stored.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ClaimRecord {
-    /// What is claimed.
+    /// Key that is claimed.
     pub key: ClaimKey,
-    /// Who holds it.
+    /// Request that holds the claim.
     pub request: RequestId,
-    /// Entry that issued the request, which knows its outcome.
+    /// Entry that issued the request and knows its outcome.
     pub entry: String,
-    /// When it was claimed, in milliseconds since the epoch.
+    /// Time of the claim, in milliseconds since the Unix epoch.
     pub at: Millis,
 }
 
-/// A segment, as stored.
+/// A segment of a shard, as stored.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClaimSegment {
     /// Claims, oldest first.
     pub claims: Vec<ClaimRecord>,
-    /// Takes no more claims; the next segment does.
+    /// Whether the segment is full. Further claims go to the next segment.
     pub sealed: bool,
 }
 
-/// A claim that is asked for.
+/// A claim that a request asks for.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ClaimProposal {
-    /// What is claimed.
+    /// Key to claim.
     pub key: ClaimKey,
-    /// Who wants it.
+    /// Request that is to hold the claim.
     pub request: RequestId,
     /// Entry that issued the request.
     pub entry: String,
-    /// Holder that is known never to have run, and may be replaced.
+    /// Current holder that is known never to have run, so that it may be replaced.
     pub replaces: Option<RequestId>,
 }
 
-/// A claim that somebody holds.
+/// Holder of a claim.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ClaimHolder {
-    /// Request that holds it.
+    /// Request that holds the claim.
     pub request: RequestId,
     /// Entry that issued the request.
     pub entry: String,
@@ -102,9 +104,9 @@
 pub struct ClaimWrite {
     /// Number of the segment.
     pub segment_number: u32,
-    /// Version that it must still have; 0 means that it must not exist.
+    /// Version that the segment must still have; 0 means that it must not exist.
     pub expected: u64,
-    /// New contents.
+    /// New contents of the segment.
     pub segment: ClaimSegment,
 }
 
@@ -118,35 +120,36 @@
 }
 
 impl ClaimShard {
-    /// Starts with no knowledge: segments are to be read from number 0 on.
+    /// Creates an empty view. The caller then reads the segments from number 0 on.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Number of the segment that is taken to be the last.
+    /// Returns the number of the segment to read or write next: the last one, as far as is known.
     pub fn segment_number(&self) -> u32 {
         self.number
     }
 
-    /// Count of claims known.
+    /// Returns the number of known claims.
     pub fn len(&self) -> usize {
         self.holders.len()
     }
 
-    /// Tells whether no claim is known.
+    /// Returns whether no claim is known.
     pub fn is_empty(&self) -> bool {
         self.holders.is_empty()
     }
 
-    /// Holder of a key, as far as is known.
+    /// Returns the holder of a key, or `None` if no claim is known. The view may be stale.
     pub fn holder(&self, key: ClaimKey) -> Option<ClaimHolder> {
         let record = self.holders.get(&key)?;
         Some(ClaimHolder { request: record.request, entry: record.entry.clone() })
     }
 
-    /// Takes in the segment as read at `version`. Returns whether another one follows.
+    /// Adds the claims of the last segment as read at `version`. Returns whether it is sealed, so that
+    /// the next segment must be read.
     ///
-    /// Segments are read in order; a later record for a key replaced an earlier one.
+    /// Segments must be read in order: a later record for a key replaces an earlier one.
     pub fn apply_segment(&mut self, version: u64, segment: ClaimSegment) -> bool {
         for record in &segment.claims {
             self.holders.insert(record.key, record.clone());
@@ -163,21 +166,21 @@
         sealed
     }
 
-    /// Plans the write that claims a group of keys; nothing where all of them are held already.
+    /// Returns the write that claims the keys of a group of proposals, or `None` if all keys are held.
     ///
-    /// The first wish for a key wins. After [`ClaimShard::apply_write`], or after reading the segment
-    /// again, [`ClaimShard::holder`] tells for each wish who holds its key.
-    pub fn plan(&self, wishes: &[ClaimProposal], now: Millis) -> Option<ClaimWrite> {
+    /// The first proposal for a key wins. After [`ClaimShard::apply_write`], or after reading the
+    /// segment again, [`ClaimShard::holder`] returns the holder of each key.
+    pub fn plan(&self, proposals: &[ClaimProposal], now: Millis) -> Option<ClaimWrite> {
         let mut segment = self.last.clone();
         let mut added: HashSet<ClaimKey> = HashSet::new();
-        for wish in wishes {
-            let holder = self.holders.get(&wish.key).map(|record| record.request);
-            let is_free = holder.is_none() || holder == wish.replaces;
-            if is_free && added.insert(wish.key) {
+        for proposal in proposals {
+            let holder = self.holders.get(&proposal.key).map(|record| record.request);
+            let is_free = holder.is_none() || holder == proposal.replaces;
+            if is_free && added.insert(proposal.key) {
                 segment.claims.push(ClaimRecord {
-                    key: wish.key,
-                    request: wish.request,
-                    entry: wish.entry.clone(),
+                    key: proposal.key,
+                    request: proposal.request,
+                    entry: proposal.entry.clone(),
                     at: now,
                 });
             }
@@ -187,7 +190,7 @@
         (!added.is_empty()).then_some(write)
     }
 
-    /// Notes that the store accepted a planned write at `version`.
+    /// Applies a planned write that the store accepted at `version`.
     pub fn apply_write(&mut self, write: ClaimWrite, version: u64) {
         self.apply_segment(version, write.segment);
     }
--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -1,8 +1,9 @@
-//! What operators configure, as stored objects.
+//! Operator configuration, as stored objects.
 //!
-//! Organisations do not fit one object at 13,000, so they go in shards by a hash of their name; each
-//! event, and each VM that drains, is an object of its own. Every object carries the id of the command
-//! that wrote it, so that an answer lost after the write is settled by reading the object back.
+//! 13,000 organisations do not fit into one object, so they are sharded by a hash of their name. Each
+//! event and each draining VM has an object of its own. Every object contains the id of the command
+//! that wrote it: if the answer to a write is lost, reading the object back shows whether the write
+//! succeeded.
 
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 
@@ -19,25 +20,25 @@
 /// Kind of objects that hold a placement plan.
 pub const PLAN_KIND: &str = "plan";
 
-/// Shards that organisations are spread over.
+/// Number of shards that organisations are distributed over.
 pub const ORGANISATION_SHARDS: u64 = 16;
 
-/// What an event is doing.
+/// State of an event.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum EventState {
-    /// Declared; requests are refused until it opens.
+    /// The event is declared; requests are refused until it opens.
     Planned,
-    /// Requests are taken.
+    /// Requests are accepted.
     Open,
-    /// New requests are refused; those in flight go on.
+    /// New requests are refused; those in flight continue.
     Paused,
-    /// Over.
+    /// The event has ended.
     Closed,
 }
 
 impl EventState {
-    /// Word used in the operators' language.
+    /// Returns the keyword of the state in the operator command language.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Planned => "planned",
@@ -52,26 +53,26 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClassConfig {
-    /// Name, as in the `Switchfold-Class` header.
+    /// Name of the class, as in the `Switchfold-Class` header.
     pub name: String,
-    /// Priority; a higher one goes first.
+    /// Priority; higher values are dispatched first.
     pub priority: u8,
-    /// Milliseconds from arrival within which the request must start.
+    /// Time from arrival within which the request must start, in milliseconds.
     pub deadline_ms: Millis,
-    /// Requests of this class must never be repeated.
+    /// Whether requests of this class must never be repeated.
     #[serde(default)]
     pub once: bool,
 }
 
-/// An opening window and who takes part.
+/// An event: a period in which organisations may send requests.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct EventConfig {
-    /// Name, as in the `Switchfold-Event` header.
+    /// Name of the event, as in the `Switchfold-Event` header.
     pub name: String,
-    /// What the event is doing.
+    /// Current state.
     pub state: EventState,
-    /// Start, in milliseconds since the epoch.
+    /// Start time, in milliseconds since the Unix epoch.
     #[serde(default)]
     pub start_ms: Millis,
     /// Organisations that take part; empty means all.
@@ -80,96 +81,97 @@
     /// Models and services that the event uses; empty means all.
     #[serde(default)]
     pub services: Vec<String>,
-    /// Expected requests a second at the opening.
+    /// Expected requests per second when the event opens.
     #[serde(default)]
     pub expected_per_s: u32,
     /// Classes of requests, at least one.
     pub classes: Vec<ClassConfig>,
-    /// Command that wrote this version.
+    /// Id of the command that wrote this version.
     #[serde(default)]
     pub command: String,
 }
 
 impl EventConfig {
-    /// Finds a class by name.
+    /// Returns the class with a name, or `None` if the event does not define it.
     pub fn class(&self, name: &str) -> Option<&ClassConfig> {
         self.classes.iter().find(|class| class.name == name)
     }
 
-    /// Tells whether an organisation takes part.
+    /// Returns whether the organisation takes part.
     pub fn admits(&self, organisation: &str) -> bool {
         self.organisations.is_empty() || self.organisations.iter().any(|name| name == organisation)
     }
 
-    /// Tells whether the event uses a model or service.
+    /// Returns whether the event uses the model or service.
     pub fn uses(&self, service: &str) -> bool {
         self.services.is_empty() || self.services.iter().any(|name| name == service)
     }
 }
 
-/// A caller's organisation.
+/// An organisation whose callers send requests.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct OrganisationConfig {
-    /// Name.
+    /// Name of the organisation.
     pub name: String,
     /// SHA-256 of its bearer token, in hexadecimal digits.
     pub token_sha256: String,
-    /// Share between organisations, at least 1.
-    #[serde(default = "one")]
+    /// Weight in the fair sharing between organisations, at least 1.
+    #[serde(default = "default_weight")]
     pub weight: u32,
-    /// Most requests a second over all entries; 0 means no limit.
+    /// Maximum requests per second over all entries; 0 means no limit.
     #[serde(default)]
     pub limit_per_s: u32,
 }
 
-/// Some of the organisations.
+/// One shard of the organisations, as stored.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct OrganisationShard {
     /// Organisations of this shard.
     pub organisations: Vec<OrganisationConfig>,
-    /// Command that wrote this version.
+    /// Id of the command that wrote this version.
     #[serde(default)]
     pub command: String,
 }
 
-/// An order to give a VM no new work.
+/// An operator's order to drain a VM: it gets no new work.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct DrainOrder {
     /// Name or address of the VM.
     pub vm: String,
-    /// Command that wrote this version.
+    /// Id of the command that wrote this version.
     #[serde(default)]
     pub command: String,
 }
 
-fn one() -> u32 {
+fn default_weight() -> u32 {
     1
 }
 
-/// Key of the shard that holds an organisation.
+/// Returns the key of the shard that contains an organisation.
 pub fn organisation_key(name: &str) -> ObjectKey {
     let shard = hash_bytes(0, name.as_bytes()) % ORGANISATION_SHARDS;
     ObjectKey::new(ORGANISATION_KIND, shard.to_string())
 }
 
-/// Key of an event.
+/// Returns the key of an event.
 pub fn event_key(name: &str) -> ObjectKey {
     ObjectKey::new(EVENT_KIND, name)
 }
 
-/// Key of an order to drain.
+/// Returns the key of the drain order for a VM.
 pub fn drain_key(vm: &str) -> ObjectKey {
     ObjectKey::new(DRAIN_KIND, vm)
 }
 
-/// Reads a stored object.
+/// Parses a stored object from JSON.
 ///
 /// # Errors
 ///
-/// Fails with [`ErrorKind::MalformedObject`], which names the object and the field.
+/// Returns [`ErrorKind::MalformedObject`] if the value is not valid JSON or a field is wrong. The error
+/// names the object and the field.
 pub fn parse_object<T: DeserializeOwned>(key: &ObjectKey, value: &[u8]) -> Result<T, Error> {
     serde_json::from_slice(value).map_err(|error| {
         let detail = format!("{} {:?}: {error}", key.kind, key.name);
@@ -177,11 +179,11 @@
     })
 }
 
-/// Writes a stored object.
+/// Serializes an object to JSON, as it is stored.
 ///
 /// # Panics
 ///
-/// Never for the types of this module, whose fields all have a JSON form.
+/// Panics if the value cannot be represented as JSON. The types of this module all can.
 pub fn render_object<T: Serialize>(value: &T) -> Vec<u8> {
-    serde_json::to_vec(value).expect("configuration has a JSON form")
+    serde_json::to_vec(value).expect("configuration can be represented as JSON")
 }
--- a/crates/core/src/ejection.rs
+++ b/crates/core/src/ejection.rs
@@ -1,22 +1,22 @@
-//! Keeping away from replicas that are slow, silent or failing.
+//! Outlier detection: temporary ejection of replicas that are slow or failing.
 //!
-//! A replica is judged against the others that hold the same layers, by the time its steps take and
-//! by how many of its requests failed. One that stands out is ejected, for longer each time, and then
-//! probed with a little work. Never is more than a set share of a group's capacity ejected: where
-//! everything is slow, nothing is an outlier.
+//! A replica is compared with the other replicas of the same layers by the duration of its steps, and
+//! ejected also after several failures in a row. Each further ejection lasts longer. At most a fixed
+//! share of a group is ejected at a time, so that replicas that are all slow or failing are not all
+//! taken out of service.
 
 use crate::Millis;
 
-/// Bounds of ejection.
+/// Thresholds and limits of ejection.
 #[derive(Clone, Copy, Debug)]
 pub struct EjectionConfig {
-    /// Ejected where the step time is above this many hundredths of the group's median.
+    /// A replica is ejected if its mean step duration is above this percentage of the group's median.
     pub slow_percent: u64,
-    /// Ejected after this many failures in a row.
+    /// A replica is ejected after this many failures in a row.
     pub consecutive_failures: u32,
-    /// First time out; doubles at each return to it, up to 8 times as long.
+    /// Duration of the first ejection. It doubles with each further ejection, up to 8 times as long.
     pub first_ejection_ms: Millis,
-    /// Most of a group's replicas that may be out, in hundredths.
+    /// Maximum percentage of a group's replicas that may be ejected at the same time.
     pub max_ejected_percent: usize,
 }
 
@@ -31,90 +31,92 @@
     }
 }
 
-/// What an entry observed of one replica.
+/// Observations of one replica at an entry.
 #[derive(Clone, Debug, Default)]
 pub struct ReplicaHealth {
-    step_micros: u64,
+    mean_step_micros: u64,
     samples: u64,
     failures: u32,
-    times_out: u32,
-    out_until: Millis,
+    ejections: u32,
+    ejected_until: Millis,
 }
 
-/// Weight of the newest sample, in sixteenths.
-const NEWEST_SIXTEENTHS: u64 = 4;
+/// Weight of the newest sample in the moving average of step durations, in sixteenths.
+const NEWEST_WEIGHT_SIXTEENTHS: u64 = 4;
 
-/// Samples without which a replica is not judged by its speed.
-const LEAST_SAMPLES: u64 = 8;
+/// Minimum number of samples for a replica's speed to be compared.
+const MIN_SAMPLES: u64 = 8;
 
-/// Doublings of the time out.
-const MOST_DOUBLINGS: u32 = 3;
+/// Maximum number of times that the duration of an ejection doubles.
+const MAX_DOUBLINGS: u32 = 3;
 
 impl ReplicaHealth {
-    /// Notes how long a step took, for each unit of expected time.
+    /// Records the duration of a step, in microseconds per unit of expected duration.
     pub fn record_step(&mut self, micros: u64) {
-        let old = self.step_micros * (16 - NEWEST_SIXTEENTHS);
-        self.step_micros = match self.samples {
+        let old = self.mean_step_micros * (16 - NEWEST_WEIGHT_SIXTEENTHS);
+        self.mean_step_micros = match self.samples {
             0 => micros,
-            _ => (old + micros * NEWEST_SIXTEENTHS) / 16,
+            _ => (old + micros * NEWEST_WEIGHT_SIXTEENTHS) / 16,
         };
         self.samples += 1;
     }
 
-    /// Notes a failure that was the replica's.
+    /// Records a failure caused by the replica.
     pub fn record_failure(&mut self) {
         self.failures = self.failures.saturating_add(1);
     }
 
-    /// Notes a whole answer; the record is clean again.
+    /// Records a complete answer. Resets the count of failures and, if the replica is not ejected now,
+    /// shortens its next ejection by one doubling.
     pub fn record_success(&mut self, now: Millis) {
         self.failures = 0;
-        if now >= self.out_until {
-            self.times_out = self.times_out.saturating_sub(1);
+        if now >= self.ejected_until {
+            self.ejections = self.ejections.saturating_sub(1);
         }
     }
 
-    /// Tells whether the replica is kept away from.
+    /// Returns whether the replica is ejected and should get no requests.
     pub fn is_ejected(&self, now: Millis) -> bool {
-        now < self.out_until
+        now < self.ejected_until
     }
 
     fn eject(&mut self, config: &EjectionConfig, now: Millis) {
-        let doublings = self.times_out.min(MOST_DOUBLINGS);
-        self.out_until = now + (config.first_ejection_ms << doublings);
-        self.times_out += 1;
+        let doublings = self.ejections.min(MAX_DOUBLINGS);
+        self.ejected_until = now + (config.first_ejection_ms << doublings);
+        self.ejections += 1;
         self.samples = 0;
         self.failures = 0;
     }
 }
 
-/// Judges the replicas of one group; returns the positions that were ejected now.
+/// Ejects the outliers among the replicas of one group. Returns the positions of those newly ejected.
 pub fn eject_outliers(
     group: &mut [&mut ReplicaHealth],
     config: &EjectionConfig,
     now: Millis,
 ) -> Vec<usize> {
-    let median = median_step(group);
-    let most_out = group.len() * config.max_ejected_percent / 100;
-    let mut out = group.iter().filter(|health| health.is_ejected(now)).count();
-    let mut ejected = Vec::new();
+    let median = median_step_micros(group);
+    let max_ejected = group.len() * config.max_ejected_percent / 100;
+    let mut ejected_count = group.iter().filter(|health| health.is_ejected(now)).count();
+    let mut newly_ejected = Vec::new();
     for (position, health) in group.iter_mut().enumerate() {
-        let slow = health.samples >= LEAST_SAMPLES
-            && median.is_some_and(|median| health.step_micros * 100 > median * config.slow_percent);
+        let slow = health.samples >= MIN_SAMPLES
+            && median
+                .is_some_and(|median| health.mean_step_micros * 100 > median * config.slow_percent);
         let failing = health.failures >= config.consecutive_failures;
-        if health.is_ejected(now) || out >= most_out || !(slow || failing) {
+        if health.is_ejected(now) || ejected_count >= max_ejected || !(slow || failing) {
             continue;
         }
         health.eject(config, now);
-        out += 1;
-        ejected.push(position);
+        ejected_count += 1;
+        newly_ejected.push(position);
     }
-    ejected
+    newly_ejected
 }
 
-fn median_step(group: &[&mut ReplicaHealth]) -> Option<u64> {
-    let judged = group.iter().filter(|health| health.samples >= LEAST_SAMPLES);
-    let mut steps: Vec<u64> = judged.map(|health| health.step_micros).collect();
+fn median_step_micros(group: &[&mut ReplicaHealth]) -> Option<u64> {
+    let sampled = group.iter().filter(|health| health.samples >= MIN_SAMPLES);
+    let mut steps: Vec<u64> = sampled.map(|health| health.mean_step_micros).collect();
     steps.sort_unstable();
     steps.get(steps.len().checked_sub(1)? / 2).copied()
 }
--- a/crates/core/src/error.rs
+++ b/crates/core/src/error.rs
@@ -1,29 +1,29 @@
-//! The one error of this crate.
+//! Error type of this crate.
 
 use derive_more::{Display, Error};
 
-/// What was wrong with an input.
+/// Category of an [`Error`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Display)]
 #[non_exhaustive]
 pub enum ErrorKind {
-    /// A layer range is empty or reversed.
+    /// The end of a layer range is not above its start.
     #[display("empty layer range")]
     EmptyRange,
-    /// The stages of a route leave a gap, overlap, or end early.
+    /// The stages of a route leave a gap, overlap, or do not end at the last layer.
     #[display("stages do not tile the model")]
     NotTiled,
-    /// A text is not a valid identifier.
+    /// A text is not a valid request identifier.
     #[display("malformed identifier")]
     MalformedId,
-    /// A stored object does not hold what its kind promises.
+    /// The contents of a stored object do not match its kind.
     #[display("malformed object")]
     MalformedObject,
-    /// A number lies outside its bounds.
+    /// A number or position is outside its bounds.
     #[display("out of bounds")]
     OutOfBounds,
 }
 
-/// An input that this crate does not accept, with the field at fault and what was expected.
+/// Rejection of an invalid input, with the field at fault and the expected value.
 #[derive(Clone, Debug, Display, Eq, Error, PartialEq)]
 #[display("{kind}: {detail}")]
 pub struct Error {
@@ -32,13 +32,13 @@
 }
 
 impl Error {
-    /// Makes an error of a kind; `detail` names the field and what is expected of it.
+    /// Creates an error. `detail` names the field and the expected value.
     pub fn new(kind: ErrorKind, detail: impl Into<String>) -> Self {
         let detail = detail.into();
         Self { kind, detail }
     }
 
-    /// Returns the kind.
+    /// Returns the category of the error.
     pub fn kind(&self) -> ErrorKind {
         self.kind
     }
--- a/crates/core/src/flow.rs
+++ b/crates/core/src/flow.rs
@@ -1,10 +1,11 @@
-//! The bound: the most that replicas and links can deliver.
+//! Maximum throughput of replicas and links, as a maximum flow.
 //!
-//! Each replica is an edge as wide as its rate; the links between data centres are edges as wide as
-//! theirs, one for each boundary between layer ranges. The maximum flow from the first layer to the
-//! last is the bound; the flow through each replica is its target share; and the minimum cut names
-//! what holds the event back. Aggregating links by pairs of data centres keeps the graph at
-//! `replicas + boundaries * data_centres^2` edges instead of the square of the replicas.
+//! Each replica is an edge whose capacity is the replica's rate. The links between data centres are
+//! edges with the capacity of the link, one for each boundary between layer ranges. The maximum flow
+//! from the first layer to the last is the upper bound of the throughput, the flow through each replica
+//! is its target share, and the minimum cut shows the bottleneck. Links are aggregated by pairs of data
+//! centres, so the graph has `replicas + boundaries * data_centres^2` edges instead of a number
+//! quadratic in the replicas.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -17,76 +18,80 @@
 
 use crate::route::LayerRange;
 
-/// A replica as the flow sees it.
+/// A replica in the flow network.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FlowReplica {
-    /// Name, for the cut.
+    /// Name, by which the minimum cut refers to the replica.
     pub name: String,
     /// Index of its data centre.
     pub data_centre: usize,
-    /// Layers it holds.
+    /// Layers that the replica holds.
     pub layers: LayerRange,
-    /// Tokens a thousand seconds that its engine and its own link can bear.
+    /// Tokens per thousand seconds that the replica's engine and its own link can handle.
     pub milli_rate: u64,
 }
 
-/// The width of the link from one data centre to another.
+/// Capacity of the link from one data centre to another.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FlowLink {
     /// Index of the sending data centre.
     pub from: usize,
     /// Index of the receiving data centre.
     pub to: usize,
-    /// Tokens a thousand seconds, in one boundary between stages.
+    /// Capacity in tokens per thousand seconds, at each boundary between stages.
     pub milli_rate: u64,
 }
 
-/// What limits the flow.
+/// An edge of the minimum cut: a part that limits the flow.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum CutPart {
-    /// A replica.
+    /// A replica, by name.
     Replica(String),
-    /// A link, by its data centres and the layer at which it is crossed.
+    /// A link between data centres at one boundary between stages.
     Link {
         /// Index of the sending data centre.
         from: usize,
         /// Index of the receiving data centre.
         to: usize,
-        /// Layer at which it is crossed.
+        /// First layer after the boundary.
         layer: u32,
     },
 }
 
-/// The result.
+/// Maximum flow and minimum cut.
 #[derive(Clone, Debug, Serialize)]
 pub struct FlowBound {
-    /// Tokens a thousand seconds.
+    /// Maximum flow in tokens per thousand seconds.
     pub milli_rate: u64,
-    /// Flow through each replica, in the order given.
+    /// Flow through each replica in tokens per thousand seconds, in the order of the replicas.
     pub shares: Vec<u64>,
-    /// The parts that limit it.
+    /// Edges of the minimum cut: the parts that limit the flow.
     pub cut: Vec<CutPart>,
 }
 
-/// Links wider than any flow.
+/// Capacity of unlimited links, above any possible flow.
 const UNLIMITED: u64 = u64::MAX / 1_024;
 
+/// Origin of an edge of the graph.
 #[derive(Clone, Debug)]
 enum FlowEdge {
-    Free,
+    Unlimited,
+    /// A replica, by its index.
     Replica(usize),
+    /// A link and the first layer after the boundary.
     Link(FlowLink, u32),
 }
 
 struct FlowGraph {
     graph: DiGraph<(), u64>,
+    /// Origin of each edge, by edge index.
     edges: Vec<FlowEdge>,
     source: NodeIndex,
     sink: NodeIndex,
 }
 
-/// Nodes where layers end and begin, by layer and data centre.
+/// Nodes at the ends or starts of layer ranges, by layer and data centre.
 type BoundaryNodes = BTreeMap<(u32, usize), NodeIndex>;
 
 impl FlowGraph {
@@ -97,7 +102,7 @@
         Self { graph, edges: Vec::new(), source, sink }
     }
 
-    fn connect(&mut self, from: NodeIndex, to: NodeIndex, rate: u64, edge: FlowEdge) {
+    fn add_edge(&mut self, from: NodeIndex, to: NodeIndex, rate: u64, edge: FlowEdge) {
         self.graph.add_edge(from, to, rate);
         self.edges.push(edge);
     }
@@ -122,7 +127,7 @@
                 end if end == layers => self.sink,
                 end => self.boundary(&mut ends, end, replica.data_centre),
             };
-            self.connect(from, to, replica.milli_rate, FlowEdge::Replica(index));
+            self.add_edge(from, to, replica.milli_rate, FlowEdge::Replica(index));
         }
         (ends, starts)
     }
@@ -130,34 +135,34 @@
     fn add_links(&mut self, ends: &BoundaryNodes, starts: &BoundaryNodes, links: &[FlowLink]) {
         for (&(layer, from), &end) in ends {
             for (&(_, to), &start) in starts.range((layer, 0)..=(layer, usize::MAX)) {
-                let mut known = links.iter().filter(|link| link.from == from && link.to == to);
-                match known.next() {
+                let mut matching = links.iter().filter(|link| link.from == from && link.to == to);
+                match matching.next() {
                     Some(link) => {
-                        self.connect(end, start, link.milli_rate, FlowEdge::Link(*link, layer))
+                        self.add_edge(end, start, link.milli_rate, FlowEdge::Link(*link, layer))
                     }
-                    None => self.connect(end, start, UNLIMITED, FlowEdge::Free),
+                    None => self.add_edge(end, start, UNLIMITED, FlowEdge::Unlimited),
                 }
             }
         }
     }
 
-    /// Nodes that can still be reached from the source once the flow is taken away.
+    /// Returns the nodes that can be reached from the source in the residual graph.
     fn reachable(&self, flows: &[u64]) -> BTreeSet<NodeIndex> {
-        let mut seen = BTreeSet::from([self.source]);
-        let mut waiting = VecDeque::from([self.source]);
-        while let Some(node) = waiting.pop_front() {
+        let mut visited = BTreeSet::from([self.source]);
+        let mut queue = VecDeque::from([self.source]);
+        while let Some(node) = queue.pop_front() {
             let forward =
                 self.graph.edges(node).filter(|edge| flows[edge.id().index()] < *edge.weight());
             let backward = self.graph.edges_directed(node, petgraph::Incoming);
             let backward = backward.filter(|edge| flows[edge.id().index()] > 0);
             let next = forward.map(|edge| edge.target()).chain(backward.map(|edge| edge.source()));
             for node in next {
-                if seen.insert(node) {
-                    waiting.push_back(node);
+                if visited.insert(node) {
+                    queue.push_back(node);
                 }
             }
         }
-        seen
+        visited
     }
 
     fn cut(&self, flows: &[u64], replicas: &[FlowReplica]) -> Vec<CutPart> {
@@ -168,7 +173,7 @@
                 continue;
             }
             match &self.edges[edge.id().index()] {
-                FlowEdge::Free => {}
+                FlowEdge::Unlimited => {}
                 FlowEdge::Replica(index) => {
                     parts.insert(CutPart::Replica(replicas[*index].name.clone()));
                 }
@@ -183,18 +188,19 @@
 
 /// Computes the maximum flow of a model with `layers` layers over replicas and links.
 ///
-/// Links that are not named are unlimited. Takes some milliseconds for thousands of replicas.
+/// Links that are not listed have unlimited capacity. Takes a few milliseconds for thousands of
+/// replicas.
 pub fn flow_bound(replicas: &[FlowReplica], links: &[FlowLink], layers: u32) -> FlowBound {
-    let mut flow = FlowGraph::new();
-    let (ends, starts) = flow.add_replicas(replicas, layers);
-    flow.add_links(&ends, &starts, links);
-    let (milli_rate, flows) = dinics(&flow.graph, flow.source, flow.sink);
+    let mut network = FlowGraph::new();
+    let (ends, starts) = network.add_replicas(replicas, layers);
+    network.add_links(&ends, &starts, links);
+    let (milli_rate, flows) = dinics(&network.graph, network.source, network.sink);
     let mut shares = vec![0; replicas.len()];
-    for (index, edge) in flow.edges.iter().enumerate() {
+    for (index, edge) in network.edges.iter().enumerate() {
         if let FlowEdge::Replica(replica) = edge {
             shares[*replica] = flows[EdgeIndex::<u32>::new(index).index()];
         }
     }
-    let cut = flow.cut(&flows, replicas);
+    let cut = network.cut(&flows, replicas);
     FlowBound { milli_rate, shares, cut }
 }
--- a/crates/core/src/id.rs
+++ b/crates/core/src/id.rs
@@ -1,8 +1,9 @@
-//! Identifiers of requests.
+//! Request identifiers.
 //!
-//! A [`RequestId`] names the run of the entry that issued it (its incarnation, made
-//! of the time it started at and its name) and a counter within that run. Both only grow, which is what lets a
-//! [`RequestLedger`](crate::ledger::RequestLedger) forget old ids without ever taking one for new.
+//! A [`RequestId`] consists of the incarnation of the entry that issued it (derived from the start time
+//! and the name of the process) and a counter within that incarnation. Both only grow, so a
+//! [`RequestLedger`](crate::ledger::RequestLedger) can evict old ids without ever treating an evicted
+//! one as new.
 
 use std::{fmt, str::FromStr};
 
@@ -10,15 +11,15 @@
 
 use crate::{Error, ErrorKind, Millis, hash::hash_bytes};
 
-/// Length of an identifier in its text form, in hexadecimal digits.
+/// Length of the text form of an identifier, in hexadecimal digits.
 pub const TEXT_LEN: usize = 32;
 
-/// A request, unique over all entries and their restarts.
+/// Identifier of a request, unique across all entries and their restarts.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct RequestId {
-    /// Run of the issuing entry, see [`process_incarnation`].
+    /// Incarnation of the issuing entry, see [`process_incarnation`].
     pub incarnation: u64,
-    /// Count of requests within that run, from 1.
+    /// Sequence number within the incarnation, from 1.
     pub counter: u64,
 }
 
@@ -47,18 +48,20 @@
     }
 }
 
-/// Bits of an incarnation that tell apart processes that start in the same millisecond.
+/// Low bits of an incarnation, taken from the hash of the process name. They distinguish processes
+/// that start in the same millisecond.
 const NAME_BITS: u32 = 22;
 
-/// Incarnation of a run of a process that starts `epoch_millis` after the epoch.
+/// Returns the incarnation of a process that starts `epoch_millis` milliseconds after the Unix epoch.
 ///
-/// It grows from run to run of one process, and differs between processes that start together.
+/// Incarnations of a process grow with each restart, and differ between processes that start in the
+/// same millisecond.
 pub fn process_incarnation(process: &str, epoch_millis: Millis) -> u64 {
     let name = hash_bytes(17, process.as_bytes()) & ((1 << NAME_BITS) - 1);
     (epoch_millis << NAME_BITS) | name
 }
 
-/// Issues the identifiers of one run of an entry.
+/// Issues the request identifiers of one incarnation of an entry.
 #[derive(Debug)]
 pub struct IdIssuer {
     incarnation: u64,
@@ -66,18 +69,18 @@
 }
 
 impl IdIssuer {
-    /// Starts counting for a run, see [`process_incarnation`].
+    /// Creates an issuer for an incarnation, see [`process_incarnation`]. Its counter starts at 1.
     pub fn new(incarnation: u64) -> Self {
         Self { incarnation, issued: 0 }
     }
 
-    /// Issues the next identifier.
+    /// Returns the next identifier.
     pub fn issue(&mut self) -> RequestId {
         self.issued += 1;
         RequestId { incarnation: self.incarnation, counter: self.issued }
     }
 
-    /// Tells whether this run issued `id`.
+    /// Returns whether this issuer has issued `id`.
     pub fn has_issued(&self, id: RequestId) -> bool {
         id.incarnation == self.incarnation && id.counter <= self.issued
     }
--- a/crates/core/src/ledger.rs
+++ b/crates/core/src/ledger.rs
@@ -1,68 +1,69 @@
-//! The memory of an agent about which requests it ran.
+//! Bounded record of the requests that an agent ran.
 //!
-//! It answers two questions, and never wrongly: may this request run here, and is it certain that it
-//! never did? It is bounded: past its capacity it forgets the oldest finished requests, and from then
-//! on treats every id of that entry run up to the forgotten one as *too old to tell*. Such an id is
-//! refused, and a void of it is answered [`VoidOutcome::Unknown`], so forgetting can cost a retry
-//! elsewhere but never a second run or a false "not run".
+//! The ledger answers two questions: whether a request may run here, and whether it is certain that
+//! it never did. Beyond its capacity it evicts the request that finished first, and from then on
+//! treats every id with the same incarnation and a counter up to the evicted one as *too old*: whether
+//! such a request ran is unknown. It is refused, and a void of it returns [`VoidOutcome::Unknown`].
+//! Eviction can thus cost a retry on another replica, but never a second run or a false "not run".
 //!
-//! Worst cases: `capacity` ids of 24 bytes plus the floors of `incarnations` runs of entries.
+//! Memory: `capacity` ids, plus one eviction mark for each of at most `incarnations` incarnations.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
 use crate::id::RequestId;
 
-/// Where a request stands.
+/// State of a request at this agent.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum LedgerState {
-    /// It was let in and is not over.
+    /// The request was admitted and has not finished.
     Running {
-        /// Attempt that runs.
+        /// Attempt that is running.
         attempt: u32,
     },
-    /// It ran, and is over.
+    /// The request ran and has finished.
     Finished {
         /// Last attempt that ran.
         attempt: u32,
     },
-    /// It never ran here and never will.
+    /// The request was voided before it ran: it never ran here and never will.
     Voided,
 }
 
-/// Answer to a request that wants to run.
+/// Result of [`RequestLedger::admit`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum LedgerAdmission {
-    /// It may run.
+    /// The request has not run here and may run.
     New,
-    /// It may run again: a later attempt of a request that may be repeated.
+    /// The request may run again: this is a later attempt, and the request may be repeated.
     Retry,
-    /// It ran or runs here.
+    /// The request is running or ran here, and this attempt must not run.
     Duplicate,
-    /// It was voided.
+    /// The request was voided.
     Voided,
-    /// Too old to tell whether it ran.
+    /// The record may have been evicted, so it is unknown whether the request ran.
     TooOld,
-    /// Every remembered request is running: there is no room.
+    /// The ledger is at capacity and all of its requests are running, so none can be evicted.
     Full,
 }
 
-/// Answer to a void.
+/// Result of [`RequestLedger::void`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum VoidOutcome {
-    /// It never ran here and never will.
+    /// The request never ran here and never will.
     NeverRan,
-    /// It ran or runs here.
+    /// The request is running or ran here.
     Ran,
-    /// Too old to tell.
+    /// It is unknown whether the request ran: its record may have been evicted, or the ledger is full.
     Unknown,
 }
 
-/// Bounds of a ledger.
+/// Size limits of a [`RequestLedger`].
 #[derive(Clone, Copy, Debug)]
 pub struct LedgerConfig {
-    /// Requests remembered.
+    /// Maximum number of requests.
     pub capacity: usize,
-    /// Runs of entries for which a floor is remembered.
+    /// Maximum number of entry incarnations for which the highest evicted counter is kept. Beyond
+    /// it, all requests of the oldest incarnations count as evicted.
     pub incarnations: usize,
 }
 
@@ -72,29 +73,33 @@
     }
 }
 
-/// Which requests ran here.
+/// Requests that ran, run or must not run at this agent.
 #[derive(Debug)]
 pub struct RequestLedger {
     config: LedgerConfig,
     states: HashMap<RequestId, LedgerState>,
-    closed: VecDeque<RequestId>,
-    floors: BTreeMap<u64, u64>,
+    /// Finished and voided requests, oldest first: the order of eviction.
+    eviction_order: VecDeque<RequestId>,
+    /// Highest evicted counter of each incarnation.
+    evicted_counters: BTreeMap<u64, u64>,
+    /// Requests of older incarnations count as evicted.
     oldest_incarnation: u64,
 }
 
 impl RequestLedger {
-    /// Makes an empty ledger.
+    /// Creates an empty ledger.
     pub fn new(config: LedgerConfig) -> Self {
         Self {
             config,
             states: HashMap::new(),
-            closed: VecDeque::new(),
-            floors: BTreeMap::new(),
+            eviction_order: VecDeque::new(),
+            evicted_counters: BTreeMap::new(),
             oldest_incarnation: 0,
         }
     }
 
-    /// Asks to run an attempt of a request; `once` marks one that must not be repeated.
+    /// Decides whether an attempt of a request may run, and records it as running if so. `once` marks
+    /// a request that must not be repeated.
     pub fn admit(&mut self, id: RequestId, attempt: u32, once: bool) -> LedgerAdmission {
         match self.states.get(&id).copied() {
             Some(LedgerState::Voided) => LedgerAdmission::Voided,
@@ -104,95 +109,96 @@
                 if once || attempt <= known {
                     return LedgerAdmission::Duplicate;
                 }
-                self.reopen(id, attempt);
+                self.restart(id, attempt);
                 LedgerAdmission::Retry
             }
-            None if self.is_forgotten(id) => LedgerAdmission::TooOld,
+            None if self.is_evicted(id) => LedgerAdmission::TooOld,
             None => self.insert_running(id, attempt),
         }
     }
 
-    /// Notes that a request is over.
+    /// Records that a running request has finished.
     pub fn finish(&mut self, id: RequestId) {
         if let Some(state) = self.states.get_mut(&id)
             && let LedgerState::Running { attempt } = *state
         {
             *state = LedgerState::Finished { attempt };
-            self.closed.push_back(id);
+            self.eviction_order.push_back(id);
         }
     }
 
-    /// Notes that a request never runs here, unless it did.
+    /// Bars a request from running here, unless it has run already.
     pub fn void(&mut self, id: RequestId) -> VoidOutcome {
         match self.states.get(&id).copied() {
             Some(LedgerState::Voided) => VoidOutcome::NeverRan,
             Some(_) => VoidOutcome::Ran,
-            None if self.is_forgotten(id) => VoidOutcome::Unknown,
-            None if !self.make_room() => VoidOutcome::Unknown,
+            None if self.is_evicted(id) => VoidOutcome::Unknown,
+            None if !self.ensure_capacity() => VoidOutcome::Unknown,
             None => {
                 self.states.insert(id, LedgerState::Voided);
-                self.closed.push_back(id);
+                self.eviction_order.push_back(id);
                 VoidOutcome::NeverRan
             }
         }
     }
 
-    /// State of a request, where it is remembered.
+    /// Returns the state of a request, or `None` if the ledger holds no record of it.
     pub fn state(&self, id: RequestId) -> Option<LedgerState> {
         self.states.get(&id).copied()
     }
 
-    /// Count of remembered requests, at most the capacity.
+    /// Returns the number of requests in the ledger, at most its capacity.
     pub fn len(&self) -> usize {
         self.states.len()
     }
 
-    /// Tells whether nothing is remembered.
+    /// Returns whether the ledger holds no requests.
     pub fn is_empty(&self) -> bool {
         self.states.is_empty()
     }
 
     fn insert_running(&mut self, id: RequestId, attempt: u32) -> LedgerAdmission {
-        if !self.make_room() {
+        if !self.ensure_capacity() {
             return LedgerAdmission::Full;
         }
-        // Making room may have raised the floor past this very id.
-        if self.is_forgotten(id) {
+        // The eviction may have raised the highest evicted counter past this id.
+        if self.is_evicted(id) {
             return LedgerAdmission::TooOld;
         }
         self.states.insert(id, LedgerState::Running { attempt });
         LedgerAdmission::New
     }
 
-    fn reopen(&mut self, id: RequestId, attempt: u32) {
-        self.closed.retain(|closed| *closed != id);
+    fn restart(&mut self, id: RequestId, attempt: u32) {
+        self.eviction_order.retain(|closed| *closed != id);
         self.states.insert(id, LedgerState::Running { attempt });
     }
 
-    fn is_forgotten(&self, id: RequestId) -> bool {
+    fn is_evicted(&self, id: RequestId) -> bool {
         if id.incarnation < self.oldest_incarnation {
             return true;
         }
-        let floor = self.floors.get(&id.incarnation);
-        floor.is_some_and(|floor| id.counter <= *floor)
+        let evicted = self.evicted_counters.get(&id.incarnation);
+        evicted.is_some_and(|evicted| id.counter <= *evicted)
     }
 
-    fn make_room(&mut self) -> bool {
+    /// Evicts closed requests until another one fits. Returns whether it does.
+    fn ensure_capacity(&mut self) -> bool {
         while self.states.len() >= self.config.capacity {
-            let Some(oldest) = self.closed.pop_front() else {
+            let Some(oldest) = self.eviction_order.pop_front() else {
                 return false;
             };
-            self.forget(oldest);
+            self.evict(oldest);
         }
         true
     }
 
-    fn forget(&mut self, id: RequestId) {
+    fn evict(&mut self, id: RequestId) {
         self.states.remove(&id);
-        let floor = self.floors.entry(id.incarnation).or_default();
-        *floor = (*floor).max(id.counter);
-        while self.floors.len() > self.config.incarnations {
-            if let Some((incarnation, _)) = self.floors.pop_first() {
+        let evicted = self.evicted_counters.entry(id.incarnation).or_default();
+        *evicted = (*evicted).max(id.counter);
+        while self.evicted_counters.len() > self.config.incarnations {
+            if let Some((incarnation, _)) = self.evicted_counters.pop_first() {
                 self.oldest_incarnation = self.oldest_incarnation.max(incarnation + 1);
             }
         }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,14 +1,13 @@
-//! Decisions of switchfold, and nothing else.
+//! Decision logic of switchfold, without I/O.
 //!
-//! Everything in this crate is a deterministic function of its arguments: time is a [`Millis`] that
-//! the caller passes in, and randomness is a generator that the caller seeds. There is no I/O, no
-//! clock and no task. That is the trade-off the whole project rests on: the processes around this
-//! crate are thin shells that turn messages into calls, so a property test or a benchmark drives the
-//! very code that runs in production, with any order of events it likes.
+//! Everything in this crate is a deterministic function of its arguments: the caller passes in the
+//! time as [`Millis`] and seeds the random generator. The crate performs no I/O, reads no clock and
+//! spawns no tasks. The processes around it only translate messages into calls, so property tests and
+//! benchmarks run the same code as production, with any order of events.
 //!
 //! # Example
 //!
-//! A stage of a pipeline runs a step once, whatever the network repeats:
+//! A stage of a pipeline runs each step once, even if the network delivers it again:
 //!
 //! ```
 //! use switchfold_core::step::{StepDecision, StepGate, StepHeader};
@@ -20,19 +19,19 @@
 //! assert!(matches!(gate.decide(&step), StepDecision::Drop(_)));
 //! ```
 //!
-//! # Layers of the crate
+//! # Modules
 //!
-//! | module | decides |
+//! | Modules | Decide |
 //! |---|---|
-//! | [`id`], [`route`], [`step`], [`activation`], [`assembly`] | what may run, in which order, and what the caller gets |
+//! | [`id`], [`route`], [`step`], [`activation`], [`assembly`] | what may run, in which order, and what the caller receives |
 //! | [`ledger`], [`claim`] | what must not run a second time |
-//! | [`queue`], [`retry`], [`share`], [`ejection`], [`credit`], [`window`] | what is admitted, repeated or kept away from |
-//! | [`flow`], [`path`], [`placement`], [`subset`], [`affinity`] | where work goes |
-//! | [`version`], [`config`] | what is in force |
+//! | [`queue`], [`retry`], [`share`], [`ejection`], [`credit`], [`window`] | what is admitted or retried, and which replicas are avoided |
+//! | [`flow`], [`path`], [`placement`], [`subset`], [`affinity`] | where work is sent |
+//! | [`version`], [`config`] | which configuration is in force |
 //!
 //! # Guarantees
 //!
-//! No function panics on any input that its types admit. Worst cases are stated on each module.
+//! No function panics on any input that its types allow. Each module documents its worst cases.
 
 pub mod activation;
 pub mod affinity;
@@ -59,5 +58,6 @@
 
 pub use error::{Error, ErrorKind};
 
-/// Milliseconds on a clock that only the caller reads; never negative, never going back.
+/// Time or duration in milliseconds. Points in time come from the caller's clock, which never goes
+/// back.
 pub type Millis = u64;
--- a/crates/core/src/path.rs
+++ b/crates/core/src/path.rs
@@ -1,36 +1,37 @@
-//! Which replica of each stage a request goes to.
+//! Load balancing: choice of a replica for each stage of a request.
 //!
-//! The maximum flow over replicas and links ([`flow`](crate::flow)) gives each replica the share of
-//! the work that the hardware can bear. [`PathPolicy::FlowCorrected`] samples by those shares and
-//! takes, of two samples, the one with less work for its share. Sampling matters: many entries that
-//! all take the minimum of the same stale reports send everything to the same replica.
+//! The maximum flow over replicas and links ([`flow`](crate::flow)) gives the share of the work that
+//! each replica can handle. [`PathPolicy::FlowCorrected`] draws two replicas by those shares and takes
+//! the one with less work relative to its share. Drawing at random matters: if many entries all took
+//! the least loaded replica according to the same stale reports, they would overload it.
 //!
-//! The other policies are kept because the choice is a measurement, and a measurement needs
-//! something to be better than. Each choice is linear in the candidates of one stage.
+//! The other policies are baselines for measurements. Each choice is linear in the candidates of one
+//! stage.
 
 use rand::{Rng, RngExt};
 use serde::{Deserialize, Serialize};
 
-/// A way of choosing.
+/// Policy by which a replica is chosen.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PathPolicy {
-    /// Any, evenly.
+    /// Uniformly at random.
     Random,
-    /// Each in turn.
+    /// Each replica in turn.
     RoundRobin,
-    /// The one with the fewest requests outstanding.
+    /// The replica with the fewest outstanding requests.
     LeastOutstanding,
-    /// Of two random ones, the one with fewer requests outstanding.
+    /// Of two random replicas, the one with fewer outstanding requests.
     TwoChoices,
-    /// Sampled by share of the maximum flow.
+    /// At random, weighted by the share of the maximum flow.
     FlowWeights,
-    /// Of two sampled by share, the one with less outstanding for its share.
+    /// Of two replicas drawn by their share of the maximum flow, the one with fewer outstanding
+    /// requests relative to its share.
     #[default]
     FlowCorrected,
 }
 
-/// All policies, for tables.
+/// All policies, for benchmarks and comparisons.
 pub const POLICIES: [PathPolicy; 6] = [
     PathPolicy::Random,
     PathPolicy::RoundRobin,
@@ -40,24 +41,24 @@
     PathPolicy::FlowCorrected,
 ];
 
-/// What is known of a replica that could run the stage.
+/// A replica that can run the stage, as the entry knows it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PathCandidate {
     /// Share of the maximum flow, not negative.
     pub weight: f64,
-    /// Requests there: as reported, plus those sent since.
+    /// Requests in flight at the replica: as last reported, plus those sent since.
     pub outstanding: u32,
-    /// Further requests that may be sent now.
+    /// Free slots: further requests that may be sent now.
     pub free: u32,
 }
 
-/// State between choices.
+/// State that the rotating policies keep between choices.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PathCursor {
     turn: usize,
 }
 
-/// Chooses among the candidates that have a free slot; nothing where none has.
+/// Returns the index of the chosen candidate, or `None` if no candidate has a free slot.
 pub fn choose_replica(
     policy: PathPolicy,
     candidates: &[PathCandidate],
@@ -68,10 +69,10 @@
     if free.is_empty() {
         return None;
     }
-    let any = |random: &mut dyn FnMut(usize) -> usize| free[random(free.len())];
+    let draw = |random: &mut dyn FnMut(usize) -> usize| free[random(free.len())];
     let mut pick = |len: usize| random.random_range(0..len);
     let chosen = match policy {
-        PathPolicy::Random => any(&mut pick),
+        PathPolicy::Random => draw(&mut pick),
         PathPolicy::RoundRobin => {
             cursor.turn += 1;
             free[cursor.turn % free.len()]
@@ -83,30 +84,30 @@
             *order.min_by_key(|i| candidates[**i].outstanding)?
         }
         PathPolicy::TwoChoices => {
-            let (left, right) = (any(&mut pick), any(&mut pick));
+            let (left, right) = (draw(&mut pick), draw(&mut pick));
             less_loaded(left, right, |i| f64::from(candidates[i].outstanding))
         }
-        PathPolicy::FlowWeights => sample(&free, candidates, random.random()),
+        PathPolicy::FlowWeights => sample_weighted(&free, candidates, random.random()),
         PathPolicy::FlowCorrected => {
-            let left = sample(&free, candidates, random.random());
-            let right = sample(&free, candidates, random.random());
-            less_loaded(left, right, |i| load(&candidates[i]))
+            let left = sample_weighted(&free, candidates, random.random());
+            let right = sample_weighted(&free, candidates, random.random());
+            less_loaded(left, right, |i| relative_load(&candidates[i]))
         }
     };
     Some(chosen)
 }
 
-fn less_loaded(left: usize, right: usize, load: impl Fn(usize) -> f64) -> usize {
-    if load(right) < load(left) { right } else { left }
+fn less_loaded(left: usize, right: usize, relative_load: impl Fn(usize) -> f64) -> usize {
+    if relative_load(right) < relative_load(left) { right } else { left }
 }
 
-/// Outstanding work for the replica's share, with the request to come.
-fn load(candidate: &PathCandidate) -> f64 {
+/// Returns the outstanding requests, including the new one, relative to the replica's share.
+fn relative_load(candidate: &PathCandidate) -> f64 {
     f64::from(candidate.outstanding + 1) / candidate.weight.max(f64::MIN_POSITIVE)
 }
 
-/// Samples by weight, for `point` in `[0, 1)`; evenly where all weights are 0.
-fn sample(free: &[usize], candidates: &[PathCandidate], point: f64) -> usize {
+/// Returns the candidate that `point` in `[0, 1)` selects by weight, or uniformly if all weights are 0.
+fn sample_weighted(free: &[usize], candidates: &[PathCandidate], point: f64) -> usize {
     let total: f64 = free.iter().map(|i| candidates[*i].weight).sum();
     if total <= 0.0 {
         let index = (point * free.len() as f64) as usize;
--- a/crates/core/src/queue.rs
+++ b/crates/core/src/queue.rs
@@ -1,12 +1,13 @@
-//! Admission: who goes next, and who is refused at once.
+//! Admission queue: which request is dispatched next.
 //!
-//! Three orders stand one inside the other: strict priority between classes, deficit round robin
-//! between the organisations of a class, and earliest deadline within an organisation. A request
-//! whose deadline cannot be met at the present service rate is refused when it arrives, which is when
-//! the refusal is worth most to the caller.
+//! Scheduling has three levels: strict priority between classes, deficit round robin between the
+//! organisations of a class, and earliest deadline first within an organisation. [`ServiceRate`]
+//! estimates the wait, so that a request whose deadline cannot be met is refused when it arrives, when
+//! the caller has the most time left to react.
 //!
-//! Worst cases: `push`, `pop` and `remove` take the logarithm of an organisation's queue, plus, for
-//! `pop`, one turn of the ring for each `quantum` that the cheapest head costs.
+//! Worst cases: `push`, `pop` and `remove` are logarithmic in the length of an organisation's queue.
+//! Emptying that queue is also linear in the organisations of the class, and `pop` makes one pass over
+//! them for each quantum that the cheapest head costs.
 
 use std::{
     cmp::Reverse,
@@ -16,25 +17,25 @@
 
 use crate::{Millis, id::RequestId};
 
-/// Cost that one organisation may use in one turn.
+/// Cost in tokens, per unit of weight, that an organisation may use in each round.
 pub const QUANTUM_TOKENS: u64 = 64;
 
-/// A request that waits.
+/// A waiting request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct QueueEntry {
-    /// The request.
+    /// Identifier of the request.
     pub id: RequestId,
     /// Organisation that sent it.
     pub organisation: Arc<str>,
     /// Priority of its class; a higher one goes first.
     pub priority: u8,
-    /// When it is of no use any more.
+    /// Time after which the request is no longer useful to the caller.
     pub deadline: Millis,
-    /// When it arrived.
+    /// Time of arrival.
     pub queued_at: Millis,
     /// Expected work, in tokens.
     pub cost: u64,
-    /// Share of the organisation, at least 1.
+    /// Weight of the organisation in the round robin; 0 counts as 1.
     pub weight: u64,
 }
 
@@ -53,11 +54,11 @@
 #[derive(Debug, Default)]
 struct ClassQueue {
     organisations: HashMap<Arc<str>, OrganisationQueue>,
-    ring: VecDeque<Arc<str>>,
+    round: VecDeque<Arc<str>>,
     len: usize,
 }
 
-/// Where a waiting request stands, to find it again.
+/// Location of a waiting request in the queues, for removal by id.
 #[derive(Clone, Debug)]
 struct EntryPlace {
     priority: u8,
@@ -65,7 +66,7 @@
     key: EntryKey,
 }
 
-/// Requests that wait for one model or service.
+/// Requests waiting for one model or service.
 #[derive(Debug, Default)]
 pub struct AdmissionQueue {
     classes: BTreeMap<Reverse<u8>, ClassQueue>,
@@ -73,12 +74,12 @@
 }
 
 impl AdmissionQueue {
-    /// Makes an empty queue.
+    /// Creates an empty queue.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Adds a request; one that waits already is left as it is.
+    /// Adds a request. Has no effect if a request with the same id is waiting.
     pub fn push(&mut self, entry: QueueEntry) {
         if self.places.contains_key(&entry.id) {
             return;
@@ -93,7 +94,7 @@
         self.classes.entry(Reverse(entry.priority)).or_default().push(key, entry);
     }
 
-    /// Takes the request whose turn it is.
+    /// Removes and returns the request to dispatch next, or `None` if the queue is empty.
     pub fn pop(&mut self) -> Option<QueueEntry> {
         let mut occupied = self.classes.values_mut();
         let class = occupied.find(|class| class.len > 0)?;
@@ -102,42 +103,44 @@
         Some(entry)
     }
 
-    /// Takes a request out, wherever it stands.
+    /// Removes a request, whatever its position. Returns `None` if it is not waiting.
     pub fn remove(&mut self, id: RequestId) -> Option<QueueEntry> {
         let place = self.places.remove(&id)?;
         let class = self.classes.get_mut(&Reverse(place.priority))?;
         class.remove(&place.organisation, &place.key)
     }
 
-    /// Takes out every request whose deadline has passed. Linear in organisations plus the result.
+    /// Removes and returns all requests whose deadline has passed. Linear in organisations plus the
+    /// result.
     pub fn expire(&mut self, now: Millis) -> Vec<QueueEntry> {
-        let mut late = Vec::new();
+        let mut expired = Vec::new();
         for class in self.classes.values() {
             for queue in class.organisations.values() {
                 let passed = queue.entries.values().take_while(|entry| entry.deadline <= now);
-                late.extend(passed.map(|entry| entry.id));
+                expired.extend(passed.map(|entry| entry.id));
             }
         }
-        late.into_iter().filter_map(|id| self.remove(id)).collect()
+        expired.into_iter().filter_map(|id| self.remove(id)).collect()
     }
 
-    /// Count of requests that wait.
+    /// Returns the number of waiting requests.
     pub fn len(&self) -> usize {
         self.places.len()
     }
 
-    /// Tells whether nothing waits.
+    /// Returns whether no request is waiting.
     pub fn is_empty(&self) -> bool {
         self.places.is_empty()
     }
 
-    /// Count of requests that go before one of this priority.
+    /// Returns the number of waiting requests with at least this priority: those that are dispatched
+    /// before a new one.
     pub fn ahead_of(&self, priority: u8) -> usize {
         let ahead = self.classes.range(..=Reverse(priority));
         ahead.map(|(_, class)| class.len).sum()
     }
 
-    /// Counts what waits, by organisation.
+    /// Returns the number of waiting requests of each organisation.
     pub fn by_organisation(&self) -> BTreeMap<Arc<str>, usize> {
         let mut counts = BTreeMap::new();
         for place in self.places.values() {
@@ -146,7 +149,7 @@
         counts
     }
 
-    /// Counts what waits, by priority.
+    /// Returns the number of waiting requests of each priority.
     pub fn by_priority(&self) -> BTreeMap<u8, usize> {
         self.classes.iter().map(|(priority, class)| (priority.0, class.len)).collect()
     }
@@ -157,7 +160,7 @@
         let organisation = Arc::clone(&entry.organisation);
         let queue = self.organisations.entry(Arc::clone(&organisation)).or_default();
         if queue.entries.is_empty() {
-            self.ring.push_back(organisation);
+            self.round.push_back(organisation);
         }
         queue.entries.insert(key, entry);
         self.len += 1;
@@ -165,7 +168,7 @@
 
     fn pop(&mut self) -> Option<QueueEntry> {
         loop {
-            let organisation = self.ring.front()?;
+            let organisation = self.round.front()?;
             let queue = self.organisations.get_mut(organisation)?;
             let head = queue.entries.first_entry()?;
             let cost = head.get().cost.max(1);
@@ -173,11 +176,11 @@
                 queue.deficit -= cost;
                 let entry = head.remove();
                 self.len -= 1;
-                self.close_if_empty(&entry.organisation);
+                self.remove_if_empty(&entry.organisation);
                 return Some(entry);
             }
             queue.deficit += QUANTUM_TOKENS * head.get().weight.max(1);
-            self.ring.rotate_left(1);
+            self.round.rotate_left(1);
         }
     }
 
@@ -185,27 +188,28 @@
         let queue = self.organisations.get_mut(organisation)?;
         let entry = queue.entries.remove(key)?;
         self.len -= 1;
-        self.close_if_empty(organisation);
+        self.remove_if_empty(organisation);
         Some(entry)
     }
 
-    /// An organisation with nothing waiting keeps no deficit: idling earns nothing.
-    fn close_if_empty(&mut self, organisation: &Arc<str>) {
+    /// Removes an organisation with no waiting requests from the round robin. Its deficit is dropped, so
+    /// an idle organisation does not accumulate credit.
+    fn remove_if_empty(&mut self, organisation: &Arc<str>) {
         let is_empty = |queue: &OrganisationQueue| queue.entries.is_empty();
         if self.organisations.get(organisation).is_some_and(is_empty) {
             self.organisations.remove(organisation);
-            self.ring.retain(|name| name != organisation);
+            self.round.retain(|name| name != organisation);
         }
     }
 }
 
-/// Weight of the newest interval in the mean, in thousandths.
-const NEWEST_THOUSANDTHS: u64 = 300;
+/// Weight of the newest interval in the exponential moving average, in thousandths.
+const NEWEST_WEIGHT_THOUSANDTHS: u64 = 300;
 
-/// How long one interval of the mean is.
-const INTERVAL: Millis = 250;
+/// Length of one interval of the moving average, in milliseconds.
+const INTERVAL_MS: Millis = 250;
 
-/// How many requests a second are being served, as a moving mean.
+/// Exponential moving average of the rate at which requests are served.
 #[derive(Clone, Debug, Default)]
 pub struct ServiceRate {
     interval_start: Millis,
@@ -214,21 +218,22 @@
 }
 
 impl ServiceRate {
-    /// Notes that `count` requests were served, while others waited.
+    /// Records that `count` requests were served while others were waiting.
     pub fn record(&mut self, now: Millis, count: u64) {
         self.advance(now);
         self.served += count;
     }
 
-    /// Requests a thousand seconds, or nothing before the first whole interval.
+    /// Returns the rate in requests per thousand seconds, or `None` before the first complete interval
+    /// in which requests were served.
     pub fn milli_per_s(&self) -> Option<u64> {
         self.milli_per_s
     }
 
-    /// Ends the interval where it has passed.
+    /// Updates the average if the current interval has ended.
     pub fn advance(&mut self, now: Millis) {
         let passed = now.saturating_sub(self.interval_start);
-        if passed < INTERVAL {
+        if passed < INTERVAL_MS {
             return;
         }
         let newest = self.served * 1_000_000 / passed;
@@ -236,15 +241,16 @@
             None if self.served == 0 => None,
             None => Some(newest),
             Some(mean) => {
-                let old = mean * (1_000 - NEWEST_THOUSANDTHS);
-                Some((old + newest * NEWEST_THOUSANDTHS) / 1_000)
+                let old = mean * (1_000 - NEWEST_WEIGHT_THOUSANDTHS);
+                Some((old + newest * NEWEST_WEIGHT_THOUSANDTHS) / 1_000)
             }
         };
         self.served = 0;
         self.interval_start = now;
     }
 
-    /// How long a request waits that has `ahead` others before it, where the rate is known.
+    /// Returns the expected wait of a request with `ahead` others before it, or `None` while the rate is
+    /// unknown.
     pub fn estimated_wait(&self, ahead: usize) -> Option<Millis> {
         let rate = self.milli_per_s?;
         Some((ahead as u64 * 1_000_000) / rate.max(1))
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -1,21 +1,22 @@
-//! A budget for repeating work, so that a fault does not double the load.
+//! Retry budget and back-off.
 //!
-//! Each success earns a share of a retry; each retry costs one. In a long fault nothing is earned, and
-//! what is sent stays below `1 + share` times what is offered, plus the initial reserve.
+//! The budget keeps retries from multiplying the load during an outage. Each success adds a fraction
+//! of a retry; each retry costs one. During a long outage nothing is added, so the total load stays
+//! below `1 + fraction` times the offered load, plus the initial reserve.
 
 use rand::{Rng, RngExt};
 
 use crate::Millis;
 
-/// Parts of one retry, so that the balance is a whole number.
-const PARTS: u64 = 1_000;
+/// Parts per retry: the balance is counted in thousandths of a retry, so that it is an integer.
+const PARTS_PER_RETRY: u64 = 1_000;
 
-/// Bounds of a budget.
+/// Parameters of a [`RetryBudget`].
 #[derive(Clone, Copy, Debug)]
 pub struct RetryConfig {
-    /// Retries earned by a thousand successes.
+    /// Retries that a thousand successes add.
     pub per_thousand: u64,
-    /// Retries that may be saved up, and that are there at the start.
+    /// Maximum balance in retries, and also the initial balance.
     pub reserve: u64,
 }
 
@@ -25,7 +26,7 @@
     }
 }
 
-/// What may still be repeated.
+/// Balance of retries that may still be made.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     config: RetryConfig,
@@ -33,56 +34,57 @@
 }
 
 impl RetryBudget {
-    /// Makes a budget with its reserve full.
+    /// Creates a budget with a full reserve.
     pub fn new(config: RetryConfig) -> Self {
-        Self { config, parts: config.reserve * PARTS }
+        Self { config, parts: config.reserve * PARTS_PER_RETRY }
     }
 
-    /// Notes a success.
+    /// Adds the fraction of a retry that a success is worth, up to the reserve.
     pub fn record_success(&mut self) {
-        let most = self.config.reserve * PARTS;
-        self.parts = (self.parts + self.config.per_thousand).min(most);
+        let max_parts = self.config.reserve * PARTS_PER_RETRY;
+        self.parts = (self.parts + self.config.per_thousand).min(max_parts);
     }
 
-    /// Takes one retry; returns whether there was one.
+    /// Takes one retry from the balance. Returns whether there was one.
     pub fn try_spend(&mut self) -> bool {
-        let enough = self.parts >= PARTS;
+        let enough = self.parts >= PARTS_PER_RETRY;
         if enough {
-            self.parts -= PARTS;
+            self.parts -= PARTS_PER_RETRY;
         }
         enough
     }
 }
 
-/// First wait of a back-off.
-const FIRST_WAIT: Millis = 20;
+/// Upper bound of the first wait of a back-off, in milliseconds.
+const INITIAL_BACKOFF_MS: Millis = 20;
 
-/// Longest wait of a back-off.
-const LONGEST_WAIT: Millis = 5_000;
+/// Maximum wait of a back-off, in milliseconds.
+const MAX_BACKOFF_MS: Millis = 5_000;
 
-/// Waits between tries: each up to twice the last one, with full jitter, so that processes that lost
-/// a service together do not come back to it together.
+/// Exponential back-off. Each wait is drawn at random between half of its upper bound and the bound,
+/// so that processes that lost a service at the same time do not return to it at the same time.
 #[derive(Debug)]
 pub struct Backoff<R> {
     random: R,
-    most: Millis,
+    max_wait: Millis,
 }
 
 impl<R: Rng> Backoff<R> {
-    /// Starts with short waits.
+    /// Creates a back-off at its initial wait, with `random` as the source of jitter.
     pub fn new(random: R) -> Self {
-        Self { random, most: FIRST_WAIT }
+        Self { random, max_wait: INITIAL_BACKOFF_MS }
     }
 
-    /// Milliseconds to wait before the next try.
+    /// Returns the time to wait before the next try, in milliseconds, and doubles the bound of the next
+    /// wait up to the maximum.
     pub fn next_wait(&mut self) -> Millis {
-        let wait = self.random.random_range(self.most / 2..=self.most);
-        self.most = (self.most * 2).min(LONGEST_WAIT);
+        let wait = self.random.random_range(self.max_wait / 2..=self.max_wait);
+        self.max_wait = (self.max_wait * 2).min(MAX_BACKOFF_MS);
         wait
     }
 
-    /// Goes back to short waits, after a success.
+    /// Returns to the initial wait, after a success.
     pub fn reset(&mut self) {
-        self.most = FIRST_WAIT;
+        self.max_wait = INITIAL_BACKOFF_MS;
     }
 }
--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -1,7 +1,7 @@
-//! Routes: which stage runs which layers of a request.
+//! Routes: the stages that run the layers of a request.
 //!
-//! A [`PipelineRoute`] can only be made from stages that tile `[0, layers)` exactly, so a route with
-//! a skipped or doubled layer cannot be written down.
+//! A [`PipelineRoute`] can only be constructed from stages that tile `[0, layers)` exactly, so no
+//! route skips or repeats a layer.
 
 use std::fmt;
 
@@ -17,11 +17,11 @@
 }
 
 impl LayerRange {
-    /// Makes the range `[first, end)`.
+    /// Creates the range of layers from `first` up to, but not including, `end`.
     ///
     /// # Errors
     ///
-    /// Fails with [`ErrorKind::EmptyRange`] where `end` is not above `first`.
+    /// Returns [`ErrorKind::EmptyRange`] if `end` is not above `first`.
     pub fn new(first: u32, end: u32) -> Result<Self, Error> {
         if end <= first {
             let detail = format!("layers [{first}, {end}): end must be above first");
@@ -30,17 +30,17 @@
         Ok(Self { first, end })
     }
 
-    /// First layer of the range.
+    /// Returns the first layer of the range.
     pub fn first(&self) -> u32 {
         self.first
     }
 
-    /// Layer after the last one of the range.
+    /// Returns the layer after the last one of the range.
     pub fn end(&self) -> u32 {
         self.end
     }
 
-    /// Number of layers, at least 1.
+    /// Returns the number of layers, at least 1.
     pub fn count(&self) -> u32 {
         self.end - self.first
     }
@@ -57,69 +57,75 @@
 pub struct RouteStage {
     /// Address of the stage's agent.
     pub address: String,
-    /// Name of the stage's agent.
+    /// Process name of the stage's agent.
     pub process: String,
     /// Layers that the stage runs.
     pub layers: LayerRange,
-    /// Attempt in which the stage joined the route.
+    /// Attempt of the request in which this stage was added to the route.
     pub joined_attempt: u32,
 }
 
-/// Stages that tile a model exactly.
+/// Stages that together run every layer of a model once, in order.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct PipelineRoute {
     stages: Vec<RouteStage>,
 }
 
 impl PipelineRoute {
-    /// Makes a route from stages in order.
+    /// Creates a route from the stages of a model with `layers` layers, in order.
     ///
     /// # Errors
     ///
-    /// Fails with [`ErrorKind::NotTiled`] where the stages leave a gap, overlap, or do not end at
-    /// layer `layers`.
+    /// Returns [`ErrorKind::NotTiled`] if the stages leave a gap, overlap, or do not end at layer
+    /// `layers`.
     pub fn new(stages: Vec<RouteStage>, layers: u32) -> Result<Self, Error> {
-        let mut cursor = 0;
+        let mut next_layer = 0;
         for stage in &stages {
-            if stage.layers.first() != cursor {
-                let detail =
-                    format!("stage {} has {}, expected {cursor}", stage.address, stage.layers);
+            if stage.layers.first() != next_layer {
+                let detail = format!(
+                    "stage {} has layers {}, expected to start at {next_layer}",
+                    stage.address, stage.layers
+                );
                 return Err(Error::new(ErrorKind::NotTiled, detail));
             }
-            cursor = stage.layers.end();
+            next_layer = stage.layers.end();
         }
-        if cursor != layers || stages.is_empty() {
-            let detail = format!("stages end at layer {cursor}, expected {layers}");
+        if next_layer != layers || stages.is_empty() {
+            let detail = format!("stages end at layer {next_layer}, expected {layers}");
             return Err(Error::new(ErrorKind::NotTiled, detail));
         }
         Ok(Self { stages })
     }
 
-    /// Stages in order, at least one.
+    /// Returns the stages in order, at least one.
     pub fn stages(&self) -> &[RouteStage] {
         &self.stages
     }
 
-    /// Position of the stage with an address.
+    /// Returns the position of the stage at an address, or `None` if the route does not use it.
     pub fn position(&self, address: &str) -> Option<usize> {
         self.stages.iter().position(|stage| stage.address == address)
     }
 
-    /// Puts another replica in the place of stage `position`, joining in `attempt`.
+    /// Replaces the stage at `position` by another replica of the same layers.
     ///
     /// # Errors
     ///
-    /// Fails with [`ErrorKind::OutOfBounds`] where there is no such stage, or the replica holds
-    /// other layers.
-    pub fn replace(&mut self, position: usize, place: RouteStage) -> Result<(), Error> {
+    /// Returns [`ErrorKind::OutOfBounds`] if there is no such stage, or the layers of the replacement
+    /// differ.
+    pub fn replace(&mut self, position: usize, replacement: RouteStage) -> Result<(), Error> {
         let Some(stage) = self.stages.get_mut(position) else {
-            return Err(Error::new(ErrorKind::OutOfBounds, format!("no stage {position}")));
+            return Err(Error::new(
+                ErrorKind::OutOfBounds,
+                format!("no stage at position {position}"),
+            ));
         };
-        if stage.layers != place.layers {
-            let detail = format!("replacement has {}, expected {}", place.layers, stage.layers);
+        if stage.layers != replacement.layers {
+            let detail =
+                format!("replacement has layers {}, expected {}", replacement.layers, stage.layers);
             return Err(Error::new(ErrorKind::OutOfBounds, detail));
         }
-        *stage = place;
+        *stage = replacement;
         Ok(())
     }
 }
--- a/crates/core/src/share.rs
+++ b/crates/core/src/share.rs
@@ -1,40 +1,43 @@
-//! Shares of an organisation's limit over many entries.
+//! Distribution of an organisation's rate limit over the entries.
 //!
-//! The organisation's home entry hears what each entry wants and deals out the limit by water
-//! filling: nobody gets more than it wants while another goes short, and what is left goes round
-//! evenly. An entry out of touch with the home falls back step by step to the even share, so the sum
-//! over all entries returns to the limit by itself.
+//! One entry, the owner of the organisation, collects the demand of each entry and splits the limit by
+//! max-min fairness (water filling): no entry gets more than its demand while another is short, and
+//! the rest is divided evenly. The share of an entry that has lost contact with the owner decays step
+//! by step to the even share, so that the sum over all entries converges to the limit.
 
 use crate::Millis;
 
-/// Deals out `limit` by demand; the result is in the order of the demands and never sums above it.
+/// Splits `limit` over the demands by max-min fairness. The result is in the order of the demands and
+/// its sum never exceeds `limit`.
 ///
-/// Sorts the demands, so `n log n`.
+/// Takes `O(n log n)`, to sort the demands.
 pub fn split_limit(limit: u64, demands: &[u64]) -> Vec<u64> {
     let mut shares = vec![0; demands.len()];
     let mut order: Vec<usize> = (0..demands.len()).collect();
     order.sort_by_key(|index| (demands[*index], *index));
-    let mut left = limit;
-    for (served, index) in order.iter().enumerate() {
-        let waiting = (demands.len() - served) as u64;
-        let share = demands[*index].min(left / waiting);
+    let mut remaining = limit;
+    for (position, index) in order.iter().enumerate() {
+        let unserved = (demands.len() - position) as u64;
+        let share = demands[*index].min(remaining / unserved);
         shares[*index] = share;
-        left -= share;
+        remaining -= share;
     }
     let Some(count) = u64::try_from(demands.len()).ok().filter(|count| *count > 0) else {
         return shares;
     };
-    let (even, rest) = (left / count, left % count);
+    let (even, rest) = (remaining / count, remaining % count);
     for (index, share) in shares.iter_mut().enumerate() {
         *share += even + u64::from((index as u64) < rest);
     }
     shares
 }
 
-/// How long a share holds without word from the home.
+/// Time for which a share stays in force without contact with the owner, in milliseconds. After
+/// that its excess over the even share halves with each lease.
 pub const SHARE_LEASE_MS: Millis = 5_000;
 
-/// Share in force `since` milliseconds after the home's last word.
+/// Returns the share in force `since` milliseconds after the last contact with the owner: `share`
+/// within the lease, then decaying to the even share of `limit`.
 pub fn decayed_share(share: u64, limit: u64, entries: u64, since: Millis) -> u64 {
     let even = limit / entries.max(1);
     if since <= SHARE_LEASE_MS || share <= even {
@@ -44,38 +47,39 @@
     even + ((share - even) >> leases)
 }
 
-/// Tokens of a bucket are counted in thousandths.
-const PARTS: u64 = 1_000;
+/// Parts per request: the balance of a bucket is counted in thousandths of a request.
+const PARTS_PER_REQUEST: u64 = 1_000;
 
-/// A rate limit at one entry, refilled by its share.
+/// Token bucket that enforces a rate limit at one entry.
 #[derive(Clone, Debug)]
 pub struct RateBucket {
     parts: u64,
-    filled: Millis,
+    refilled_at: Millis,
 }
 
 impl RateBucket {
-    /// Makes a bucket that is full for `per_s`.
+    /// Creates a full bucket for a rate of `per_s` requests per second.
     pub fn new(per_s: u64, now: Millis) -> Self {
-        Self { parts: per_s * PARTS, filled: now }
+        Self { parts: per_s * PARTS_PER_REQUEST, refilled_at: now }
     }
 
-    /// Takes one where there is one; `per_s` is the share now in force, and also the burst.
+    /// Takes one request from the bucket. Returns whether there was one. `per_s` is the rate now in
+    /// force in requests per second, and also the largest burst.
     pub fn try_take(&mut self, per_s: u64, now: Millis) -> bool {
-        let passed = now.saturating_sub(self.filled);
-        let most = per_s.max(1) * PARTS;
-        self.parts = (self.parts + passed * per_s).min(most);
-        self.filled = self.filled.max(now);
-        let enough = self.parts >= PARTS;
+        let passed = now.saturating_sub(self.refilled_at);
+        let max_parts = per_s.max(1) * PARTS_PER_REQUEST;
+        self.parts = (self.parts + passed * per_s).min(max_parts);
+        self.refilled_at = self.refilled_at.max(now);
+        let enough = self.parts >= PARTS_PER_REQUEST;
         if enough {
-            self.parts -= PARTS;
+            self.parts -= PARTS_PER_REQUEST;
         }
         enough
     }
 
-    /// Milliseconds until the next one.
+    /// Returns the time until the next request is allowed, in milliseconds.
     pub fn time_to_next(&self, per_s: u64) -> Millis {
-        let missing = PARTS.saturating_sub(self.parts);
+        let missing = PARTS_PER_REQUEST.saturating_sub(self.parts);
         missing.div_ceil(per_s.max(1))
     }
 }
--- a/crates/core/src/step.rs
+++ b/crates/core/src/step.rs
@@ -1,65 +1,66 @@
-//! The rule by which a stage runs each position of a request once, in order.
+//! Exactly-once, in-order execution of the positions of a request at a stage.
 //!
-//! A stage keeps one [`StepGate`] for each request. Steps may be repeated, late, or overlap what has
-//! run (a replay after a neighbour was replaced): the gate lets through only positions that have not
-//! run, and only where none is missing before them. Constant memory, constant time.
+//! A stage keeps one [`StepGate`] for each request. Steps may arrive repeatedly or late, or overlap
+//! positions that have run (a replay after a neighbouring stage was replaced). The gate admits only
+//! positions that have not run, and only if no earlier position is missing. Constant memory, constant
+//! time.
 
-/// What a gate needs to know of an arriving step.
+/// Header of an arriving step: all that a gate needs to decide on it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct StepHeader {
-    /// Attempt that the sender knows of.
+    /// Attempt of the request to which the sender assigned the step.
     pub attempt: u32,
-    /// Layer that the step's activations enter.
+    /// First layer to run on the step's activations.
     pub layer: u32,
-    /// First position that the step carries.
+    /// First position of the step.
     pub first_position: u32,
-    /// Count of positions, at least 1.
+    /// Number of positions; a valid step has at least 1.
     pub len: u32,
-    /// How many further stages may answer from their last output.
+    /// Number of further stages that may respond with their last output if the step is a repetition.
     pub resend: u32,
 }
 
-/// Why a step was dropped. The request goes on without it.
+/// Reason to drop a step silently. The request continues without it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum DropReason {
-    /// It belongs to an attempt that was given up.
+    /// The step belongs to an earlier attempt, which was abandoned.
     StaleAttempt,
-    /// All of its positions have run, or are running now.
+    /// All positions of the step have run or are running.
     Repeated,
-    /// It carries no position.
+    /// The step has no positions.
     Empty,
 }
 
-/// Why a step was refused. The sender has to be told.
+/// Reason to refuse a step and report it to the sender.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum StepRefusal {
-    /// The step enters a layer at which this stage does not start.
+    /// The step is for a layer other than the first layer of this stage.
     WrongLayer,
-    /// Positions before the step's first one have not run here.
+    /// Positions before the step's first one have not run at this stage.
     Gap {
-        /// Position that is expected next.
+        /// Next position to run.
         expected: u32,
     },
 }
 
-/// What to do with a step.
+/// Decision on a step.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum StepDecision {
-    /// Run it, leaving out the first `skip` positions, which have run.
+    /// Run the step without its first `skip` positions, which have run.
     Run {
-        /// Count of positions to leave out.
+        /// Number of positions to skip.
         skip: u32,
     },
-    /// All of it has run, and the sender asks for the output again: answer it from the last output,
-    /// which may be a later step's.
+    /// All positions have run and the sender asks for the output again. Send the last output, which
+    /// may be that of a later step.
     ResendOutput,
-    /// Ignore it.
+    /// Ignore the step.
     Drop(DropReason),
-    /// Refuse it.
+    /// Refuse the step and report the reason to the sender.
     Refuse(StepRefusal),
 }
 
-/// Order of the steps of one request at one stage.
+/// State of one request at one stage, which decides on each arriving step.
 #[derive(Clone, Debug)]
 pub struct StepGate {
     first_layer: u32,
@@ -69,31 +70,32 @@
 }
 
 impl StepGate {
-    /// Starts at position 0 of an attempt, for a stage whose range starts at `first_layer`.
+    /// Creates a gate at position 0 of an attempt, for a stage whose range starts at `first_layer`.
     pub fn new(first_layer: u32, attempt: u32) -> Self {
         Self { first_layer, attempt, next_position: 0, running: 0 }
     }
 
-    /// Attempt that is in force.
+    /// Returns the current attempt. Steps of earlier attempts are dropped.
     pub fn attempt(&self) -> u32 {
         self.attempt
     }
 
-    /// Position that is expected next: all before it have run or are running.
+    /// Returns the next position to run: all positions before it have run or are running.
     pub fn next_position(&self) -> u32 {
         self.next_position
     }
 
-    /// Raises the attempt in force; a lower one changes nothing. Returns whether it rose.
+    /// Raises the current attempt to `attempt`; a lower or equal one has no effect. Returns whether the
+    /// attempt was raised.
     pub fn raise_attempt(&mut self, attempt: u32) -> bool {
-        let rises = attempt > self.attempt;
-        if rises {
+        let is_higher = attempt > self.attempt;
+        if is_higher {
             self.attempt = attempt;
         }
-        rises
+        is_higher
     }
 
-    /// Decides on a step, and takes its positions as running where it may run.
+    /// Decides on a step. If it is to run, its positions count as running from now on.
     pub fn decide(&mut self, step: &StepHeader) -> StepDecision {
         if step.attempt < self.attempt {
             return StepDecision::Drop(DropReason::StaleAttempt);
@@ -122,7 +124,7 @@
         StepDecision::Drop(DropReason::Repeated)
     }
 
-    /// Notes that a step which was let through has run.
+    /// Records that a step which was decided to run has finished.
     pub fn finish(&mut self) {
         self.running = self.running.saturating_sub(1);
     }
--- a/crates/core/src/subset.rs
+++ b/crates/core/src/subset.rs
@@ -1,16 +1,16 @@
-//! Which replicas an entry keeps links to, and who does a shared job.
+//! Subsetting of replicas, and assignment of keys and push trees to members.
 //!
-//! With hundreds of entries and thousands of replicas, every entry holding a link to every replica
-//! would cost each of them more than it may spend on control. Each entry takes a subset of the
-//! replicas of every layer range. Two ways are kept, to be measured against each other: rendezvous
-//! hashing, which moves least when members change, and [`balanced_subset`], which deals replicas so that
-//! every one is used by the same number of entries, give or take one.
+//! With hundreds of entries and thousands of replicas, a link from every entry to every replica would
+//! exceed the budget for control traffic. Each entry therefore connects to a subset of the replicas
+//! of every layer range. There are two algorithms, so that they can be compared by measurement:
+//! [`rendezvous_subset`], which changes least when members change, and [`balanced_subset`], which
+//! assigns every replica to the same number of entries, give or take one.
 
 use crate::hash::{hash_bytes, hash_pair};
 
-/// Position of the member with the highest rendezvous weight for a key.
+/// Returns the member that owns a key, by rendezvous hashing, or `None` if there are no members.
 ///
-/// Every process that knows the same members agrees on it, whatever their order.
+/// Processes that know the same members agree on the owner, whatever the order of the members.
 pub fn rendezvous_owner<'a>(
     key: &str,
     members: impl IntoIterator<Item = &'a str>,
@@ -18,7 +18,7 @@
     members.into_iter().max_by_key(|member| (hash_pair(key, member), *member))
 }
 
-/// The `count` members with the highest rendezvous weights for a key, highest first.
+/// Returns the `count` members with the highest rendezvous weights for a key, highest first.
 pub fn rendezvous_subset<'a>(key: &str, members: &[&'a str], count: usize) -> Vec<&'a str> {
     let mut ranked: Vec<(u64, &str)> =
         members.iter().map(|member| (hash_pair(key, member), *member)).collect();
@@ -31,21 +31,22 @@
     ranked.into_iter().map(|(_, member)| member).collect()
 }
 
-/// The members that entry number `entry` of `entries` uses, `count` of them, dealt evenly.
+/// Returns the `count` members that an entry uses, by deterministic subsetting. `entry` is the index
+/// of the entry in the sorted list of entries.
 ///
-/// Entries form rounds; each round deals its own shuffle of the members, so that within a round no
-/// member is dealt twice before all are dealt once. `entry` is the entry's place in the sorted list
-/// of entries. Members keep their place in a shuffle when others go, so one lost member changes each
-/// subset by at most one or two.
+/// Consecutive entries take consecutive slices of a shuffled list of the members. Each round through
+/// the members uses a different shuffle, so that no member is assigned twice before all are assigned
+/// once. Members keep their relative order in a shuffle when others leave, so one lost member changes
+/// each subset by at most one or two.
 pub fn balanced_subset<'a>(entry: usize, members: &[&'a str], count: usize) -> Vec<&'a str> {
     let count = count.min(members.len());
     if count == 0 {
         return Vec::new();
     }
-    let dealt = entry * count;
+    let assigned = entry * count;
     let mut chosen = Vec::with_capacity(count);
-    let mut round = dealt / members.len();
-    let mut offset = dealt % members.len();
+    let mut round = assigned / members.len();
+    let mut offset = assigned % members.len();
     while chosen.len() < count {
         let shuffled = shuffle(round as u64, members);
         for member in shuffled.into_iter().skip(offset) {
@@ -65,10 +66,10 @@
     order
 }
 
-/// Children of a process in a push tree of bounded fan-out rooted at `root`.
+/// Returns the children of the process `own` in a push tree with bounded fan-out and root `root`.
 ///
-/// The tree is laid over the members in an order that depends on the root, so the load of inner
-/// nodes goes round. `members` need not be sorted; all processes that know the same members agree.
+/// The order of the members in the tree depends on the root, which spreads the load of inner nodes.
+/// `members` need not be sorted; processes that know the same members agree on the tree.
 pub fn tree_children<'a>(
     root: &str,
     own: &str,
@@ -77,12 +78,12 @@
 ) -> Vec<&'a str> {
     let mut order: Vec<&str> = members.iter().copied().filter(|member| *member != root).collect();
     order.sort_by_cached_key(|member| (hash_pair(root, member), *member));
-    let place = match order.iter().position(|member| *member == own) {
+    let index = match order.iter().position(|member| *member == own) {
         Some(position) => position + 1,
         None if own == root => 0,
         None => return Vec::new(),
     };
-    let first = place * fan_out;
+    let first = index * fan_out;
     let last = (first + fan_out).min(order.len());
     order.get(first..last).map(<[&str]>::to_vec).unwrap_or_default()
 }
--- a/crates/core/src/window.rs
+++ b/crates/core/src/window.rs
@@ -1,36 +1,38 @@
-//! How many requests an engine should hold at once.
+//! Adaptive concurrency limit: how many requests an engine should hold at once.
 //!
-//! A pipeline's request is at one stage at a time, so a stage must hold several batches' worth of
+//! A request is at one stage of its pipeline at a time, so a stage must hold several batches' worth of
 //! requests to stay busy; how many depends on the speed of the other stages. Too few leave the engine
-//! idle, too many only wait in its queue, and every token gets later. What can be seen at the stage
-//! itself is how many steps are there (running or waiting): one full batch that runs and one that waits is
-//! enough, whatever the other stages are like. [`SlotWindow`] steers the count of requests so that
-//! the steps settle there. Waiting then happens in the entries' queues, where priorities hold.
+//! idle; too many queue at the engine and delay every token. The stage can observe how many steps it
+//! has, running or queued: one full batch that runs and one that waits is enough, whatever the speed of
+//! the other stages. [`SlotWindow`] adjusts the number of requests towards that target. Further
+//! requests then wait in the entries' queues, where priorities apply.
 //!
-//! It needs no model of the other stages and no clock. Its worst case is a load that changes faster
-//! than some intervals: it is then off by the change until the next ones.
+//! The controller needs no model of the other stages and no clock. Its worst case is a load that
+//! changes faster than a few intervals: the limit then lags behind by that change.
 
-/// Steps that are wanted, in hundredths of a full batch.
+/// Default target for the number of steps, in percent of a full batch.
 pub const DEFAULT_TARGET_PERCENT: u32 = 200;
 
-/// Share of the way to the wanted limit that one interval goes.
+/// Fraction of the difference to the target limit that one interval corrects.
 const GAIN: f64 = 0.3;
 
-/// The limit is judged only where it binds: at least this share of it is in use.
-const BINDING: f64 = 0.85;
+/// The limit is adjusted only if at least this fraction of it is in use: otherwise the load, and not
+/// the limit, determines the number of steps.
+const MIN_UTILIZATION: f64 = 0.85;
 
-/// Bounds of a window.
+/// Limits of a [`SlotWindow`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct WindowConfig {
-    /// Sequences of a full batch.
+    /// Number of sequences in a full batch.
     pub max_batch: u32,
-    /// Most requests, by the engine's memory.
+    /// Maximum number of requests that fit into the engine's memory.
     pub max_requests: u32,
-    /// Steps that are wanted, in hundredths of a full batch; 0 means that only memory limits.
+    /// Target for the number of steps, in hundredths of a full batch. With 0 the limit is always
+    /// `max_requests`.
     pub target_hundredths: u32,
 }
 
-/// The count of requests that an engine holds at once.
+/// Controls how many requests an engine holds at once.
 #[derive(Clone, Debug)]
 pub struct SlotWindow {
     config: WindowConfig,
@@ -39,19 +41,19 @@
     samples: u64,
 }
 
-/// Batches' worth of requests to start with.
-const FIRST_BATCHES: u32 = 4;
+/// Initial limit, in full batches.
+const INITIAL_BATCHES: u32 = 4;
 
 impl SlotWindow {
-    /// Starts with some batches' worth.
+    /// Creates a window whose limit starts at a few full batches, within the bounds of `config`.
     pub fn new(config: WindowConfig) -> Self {
-        let first = config.max_batch.saturating_mul(FIRST_BATCHES);
-        let mut window = Self { config, limit: f64::from(first), steps: 0, samples: 0 };
+        let initial = config.max_batch.saturating_mul(INITIAL_BATCHES);
+        let mut window = Self { config, limit: f64::from(initial), steps: 0, samples: 0 };
         window.clamp();
         window
     }
 
-    /// Requests that may be held now, at least 1.
+    /// Returns the number of requests that the engine may hold now, at least 1.
     pub fn limit(&self) -> u32 {
         if self.config.target_hundredths == 0 {
             return self.config.max_requests.max(1);
@@ -59,29 +61,32 @@
         self.limit.round() as u32
     }
 
-    /// Notes how many steps there are, as a step arrives.
+    /// Records the number of steps at the engine, running or queued. Called when a step arrives.
     pub fn sample(&mut self, steps: usize) {
         self.steps += steps as u64;
         self.samples += 1;
     }
 
-    /// Ends an interval in which `in_use` requests were held.
+    /// Ends an interval in which the engine held `in_use` requests, and adjusts the limit.
+    ///
+    /// The limit stays if there were fewer samples than a full batch has sequences, or if it was not
+    /// nearly reached.
     pub fn adjust(&mut self, in_use: usize) {
         let (steps, samples) = (std::mem::take(&mut self.steps), std::mem::take(&mut self.samples));
         let in_use = in_use as f64;
-        if samples < u64::from(self.config.max_batch) || in_use < self.limit * BINDING {
+        if samples < u64::from(self.config.max_batch) || in_use < self.limit * MIN_UTILIZATION {
             return;
         }
-        let mean = steps as f64 / samples as f64;
-        let target = f64::from(self.config.max_batch * self.config.target_hundredths) / 100.0;
-        let wanted = in_use * target / mean.max(1.0);
-        self.limit += (wanted - self.limit) * GAIN;
+        let mean_steps = steps as f64 / samples as f64;
+        let target_steps = f64::from(self.config.max_batch * self.config.target_hundredths) / 100.0;
+        let target_limit = in_use * target_steps / mean_steps.max(1.0);
+        self.limit += (target_limit - self.limit) * GAIN;
         self.clamp();
     }
 
     fn clamp(&mut self) {
-        let most = f64::from(self.config.max_requests.max(1));
-        let least = f64::from(self.config.max_batch.max(1)).min(most);
-        self.limit = self.limit.clamp(least, most);
+        let upper = f64::from(self.config.max_requests.max(1));
+        let lower = f64::from(self.config.max_batch.max(1)).min(upper);
+        self.limit = self.limit.clamp(lower, upper);
     }
 }
--- a/crates/core/tests/claims.rs
+++ b/crates/core/tests/claims.rs
@@ -1,8 +1,8 @@
-//! Claims as a protocol: at most one run for a key, and never a false "not run".
+//! The claim protocol: at most one request holds a key, and a granted claim is never lost.
 //!
-//! The small case is walked through in all its interleavings: two homes that disagree, each with a
-//! request for the same key, over a store that accepts a conditional write and may lose its answer,
-//! with a crash possible at every step.
+//! A model checker explores all interleavings of a small case: two owners that disagree, each with a
+//! request for the same key, and a store that performs conditional writes and may lose its responses.
+//! Either owner can crash at every step.
 
 use std::collections::HashSet;
 
@@ -12,7 +12,7 @@
     id::RequestId,
 };
 
-/// One shard in the store: segments with their versions.
+/// Model of one shard in the store: its segments with their versions.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct StoreModel {
     segments: Vec<(u64, ClaimSegment)>,
@@ -22,8 +22,8 @@
 impl StoreModel {
     fn write(&mut self, write: &ClaimWrite) -> Option<u64> {
         let number = write.segment_number as usize;
-        let held = self.segments.get(number).map_or(0, |(version, _)| *version);
-        if held != write.expected || number > self.segments.len() {
+        let version = self.segments.get(number).map_or(0, |(version, _)| *version);
+        if version != write.expected || number > self.segments.len() {
             return None;
         }
         self.revision += 1;
@@ -47,172 +47,181 @@
     }
 }
 
-/// Where a home stands with its one request.
+/// State of an owner's only request.
 #[derive(Clone, Debug, PartialEq)]
-enum HomeState {
+enum OwnerState {
     Start,
     Loaded,
     Planned(ClaimWrite),
-    /// The write was sent; the answer was lost, and it may yet land.
-    Unclear(ClaimWrite),
+    /// The write was sent and the response was lost; the write may still take effect.
+    Unknown(ClaimWrite),
     Granted,
-    Held,
+    Rejected,
     Crashed,
 }
 
 #[derive(Clone, Debug)]
-struct Home {
-    wish: ClaimProposal,
+struct Owner {
+    proposal: ClaimProposal,
     shard: ClaimShard,
-    state: HomeState,
+    state: OwnerState,
 }
 
 #[derive(Clone, Debug)]
-struct World {
+struct ModelState {
     store: StoreModel,
-    homes: Vec<Home>,
-    /// Writes whose answers were lost and that have not landed yet.
-    late: Vec<ClaimWrite>,
+    owners: Vec<Owner>,
+    /// Writes whose responses were lost and that have not taken effect yet.
+    delayed_writes: Vec<ClaimWrite>,
 }
 
 fn request(counter: u64) -> RequestId {
     RequestId { incarnation: 1, counter }
 }
 
-fn wish(counter: u64, replaces: Option<RequestId>) -> ClaimProposal {
+fn proposal(counter: u64, replaces: Option<RequestId>) -> ClaimProposal {
     let key = ClaimKey::new("northcatch", "settlement-7");
     ClaimProposal { key, request: request(counter), entry: format!("entry-{counter}"), replaces }
 }
 
-/// All that can happen next to one home.
-fn next_states(world: &World, index: usize) -> Vec<World> {
+/// Returns the successor states in which one owner has made a step.
+fn next_states(model: &ModelState, index: usize) -> Vec<ModelState> {
     let mut next = Vec::new();
-    let home = &world.homes[index];
-    let mut step = |change: &dyn Fn(&mut World)| {
-        let mut changed = world.clone();
+    let owner = &model.owners[index];
+    let mut step = |change: &dyn Fn(&mut ModelState)| {
+        let mut changed = model.clone();
         change(&mut changed);
         next.push(changed);
     };
-    match &home.state {
-        HomeState::Start | HomeState::Unclear(_) => step(&|world| {
-            let store = world.store.clone();
-            let home = &mut world.homes[index];
-            store.load(&mut home.shard);
-            home.state = HomeState::Loaded;
+    match &owner.state {
+        OwnerState::Start | OwnerState::Unknown(_) => step(&|model| {
+            let store = model.store.clone();
+            let owner = &mut model.owners[index];
+            store.load(&mut owner.shard);
+            owner.state = OwnerState::Loaded;
         }),
-        HomeState::Loaded => step(&|world| {
-            let home = &mut world.homes[index];
-            home.state = match home.shard.plan(std::slice::from_ref(&home.wish), 5) {
-                Some(write) => HomeState::Planned(write),
-                None if home
+        OwnerState::Loaded => step(&|model| {
+            let owner = &mut model.owners[index];
+            owner.state = match owner.shard.plan(std::slice::from_ref(&owner.proposal), 5) {
+                Some(write) => OwnerState::Planned(write),
+                None if owner
                     .shard
-                    .holder(home.wish.key)
-                    .is_some_and(|holder| holder.request == home.wish.request) =>
+                    .holder(owner.proposal.key)
+                    .is_some_and(|holder| holder.request == owner.proposal.request) =>
                 {
-                    HomeState::Granted
+                    OwnerState::Granted
                 }
-                None => HomeState::Held,
+                None => OwnerState::Rejected,
             };
         }),
-        HomeState::Planned(write) => {
-            step(&|world| {
-                let answer = world.store.write(write);
-                let home = &mut world.homes[index];
-                home.state = match answer {
+        OwnerState::Planned(write) => {
+            step(&|model| {
+                let answer = model.store.write(write);
+                let owner = &mut model.owners[index];
+                owner.state = match answer {
                     Some(version) => {
-                        home.shard.apply_write(write.clone(), version);
-                        HomeState::Granted
+                        owner.shard.apply_write(write.clone(), version);
+                        OwnerState::Granted
                     }
-                    None => HomeState::Start,
+                    None => OwnerState::Start,
                 };
             });
-            // The answer is lost: the write took effect, or lands later, or never.
-            step(&|world| {
-                let _lost = world.store.write(write);
-                world.homes[index].state = HomeState::Unclear(write.clone());
+            // The response is lost. The write takes effect now, later, or never.
+            step(&|model| {
+                let _lost = model.store.write(write);
+                model.owners[index].state = OwnerState::Unknown(write.clone());
             });
-            step(&|world| {
-                world.late.push(write.clone());
-                world.homes[index].state = HomeState::Unclear(write.clone());
+            step(&|model| {
+                model.delayed_writes.push(write.clone());
+                model.owners[index].state = OwnerState::Unknown(write.clone());
             });
         }
-        HomeState::Granted | HomeState::Held | HomeState::Crashed => {}
+        OwnerState::Granted | OwnerState::Rejected | OwnerState::Crashed => {}
     }
-    if !matches!(home.state, HomeState::Granted | HomeState::Held | HomeState::Crashed) {
-        step(&|world| world.homes[index].state = HomeState::Crashed);
+    if !matches!(owner.state, OwnerState::Granted | OwnerState::Rejected | OwnerState::Crashed) {
+        step(&|model| model.owners[index].state = OwnerState::Crashed);
     }
     next
 }
 
 #[test]
-fn every_interleaving_of_two_homes_grants_at_most_one() {
-    let home = |counter| Home {
-        wish: wish(counter, None),
+fn every_interleaving_of_two_owners_grants_at_most_one_claim() {
+    let owner = |counter| Owner {
+        proposal: proposal(counter, None),
         shard: ClaimShard::new(),
-        state: HomeState::Start,
+        state: OwnerState::Start,
+    };
+    let start = ModelState {
+        store: StoreModel::default(),
+        owners: vec![owner(1), owner(2)],
+        delayed_writes: Vec::new(),
     };
-    let start =
-        World { store: StoreModel::default(), homes: vec![home(1), home(2)], late: Vec::new() };
     let mut seen = HashSet::new();
-    let mut waiting = vec![(start, 0)];
-    let mut ends = 0;
-    while let Some((world, depth)) = waiting.pop() {
-        let granted = world.homes.iter().filter(|home| home.state == HomeState::Granted).count();
-        assert!(granted <= 1, "two homes hold the claim: {world:?}");
-        if depth >= 14 || !seen.insert(format!("{world:?}")) {
+    let mut unexplored = vec![(start, 0)];
+    let mut final_states = 0;
+    while let Some((model, depth)) = unexplored.pop() {
+        let granted =
+            model.owners.iter().filter(|owner| owner.state == OwnerState::Granted).count();
+        assert!(granted <= 1, "two owners hold the claim: {model:?}");
+        if depth >= 14 || !seen.insert(format!("{model:?}")) {
             continue;
         }
-        let before = waiting.len();
-        for index in 0..world.homes.len() {
-            waiting.extend(next_states(&world, index).into_iter().map(|next| (next, depth + 1)));
+        let before = unexplored.len();
+        for index in 0..model.owners.len() {
+            unexplored.extend(next_states(&model, index).into_iter().map(|next| (next, depth + 1)));
         }
-        for late in 0..world.late.len() {
-            let mut landed = world.clone();
-            let write = landed.late.remove(late);
-            let _answer_goes_nowhere = landed.store.write(&write);
-            waiting.push((landed, depth + 1));
+        for index in 0..model.delayed_writes.len() {
+            let mut successor = model.clone();
+            let write = successor.delayed_writes.remove(index);
+            let _response_lost = successor.store.write(&write);
+            unexplored.push((successor, depth + 1));
         }
-        ends += u64::from(waiting.len() == before);
+        final_states += u64::from(unexplored.len() == before);
     }
-    assert!(seen.len() > 500 && ends > 0, "{} states, {ends} ends", seen.len());
+    assert!(
+        seen.len() > 500 && final_states > 0,
+        "{} states, {final_states} final states",
+        seen.len()
+    );
 }
 
 #[test]
-fn a_claim_of_one_that_never_ran_is_taken_over_once() {
+fn claim_of_request_that_never_ran_is_replaced_once() {
     let mut store = StoreModel::default();
     let mut shard = ClaimShard::new();
-    let first = shard.plan(&[wish(1, None)], 5).expect("free");
+    let first = shard.plan(&[proposal(1, None)], 5).expect("the key is free");
     let version = store.write(&first).expect("accepted");
     shard.apply_write(first, version);
-    assert!(shard.plan(&[wish(2, None)], 6).is_none(), "held, and not given up");
-    let takeover =
-        shard.plan(&[wish(3, Some(request(1))), wish(4, Some(request(1)))], 7).expect("given up");
+    assert!(shard.plan(&[proposal(2, None)], 6).is_none(), "held by a request that may have run");
+    let takeover = shard
+        .plan(&[proposal(3, Some(request(1))), proposal(4, Some(request(1)))], 7)
+        .expect("the holder never ran");
     let version = store.write(&takeover).expect("accepted");
     shard.apply_write(takeover, version);
-    assert_eq!(shard.holder(wish(3, None).key).map(|holder| holder.request), Some(request(3)));
-    assert!(shard.plan(&[wish(4, Some(request(1)))], 8).is_none(), "the holder has changed");
+    assert_eq!(shard.holder(proposal(3, None).key).map(|holder| holder.request), Some(request(3)));
+    assert!(shard.plan(&[proposal(4, Some(request(1)))], 8).is_none(), "the holder has changed");
     let mut fresh = ClaimShard::new();
     store.load(&mut fresh);
-    assert_eq!(fresh.holder(wish(3, None).key).map(|holder| holder.request), Some(request(3)));
+    assert_eq!(fresh.holder(proposal(3, None).key).map(|holder| holder.request), Some(request(3)));
 }
 
 #[test]
-fn full_segments_are_sealed_and_the_chain_goes_on() {
+fn full_segments_are_sealed_and_followed_by_new_ones() {
     let mut store = StoreModel::default();
     let mut shard = ClaimShard::new();
     let total = 2 * MAX_SEGMENT_CLAIMS + 10;
     for group in 0..total.div_ceil(100) {
-        let wishes: Vec<ClaimProposal> = (0..100)
+        let proposals: Vec<ClaimProposal> = (0..100)
             .map(|number| {
                 let counter = (group * 100 + number) as u64;
                 ClaimProposal {
                     key: ClaimKey::new("org", &counter.to_string()),
-                    ..wish(counter, None)
+                    ..proposal(counter, None)
                 }
             })
             .collect();
-        let write = shard.plan(&wishes, 1).expect("all are new");
-        let version = store.write(&write).expect("nobody else writes");
+        let write = shard.plan(&proposals, 1).expect("all are new");
+        let version = store.write(&write).expect("there is no concurrent writer");
         shard.apply_write(write, version);
     }
     assert_eq!(shard.segment_number(), 2);
@@ -228,8 +237,8 @@
 }
 
 proptest! {
-    /// Many homes, many keys, any order of loads, writes and lost answers: a key has one holder, and
-    /// once granted it stays.
+    /// Several owners and keys, with loads, writes and lost responses in any order: a key has at most
+    /// one holder, and a granted claim stays granted.
     #[test]
     fn granted_claims_stay_granted(
         steps in prop::collection::vec((0_usize..3, 0_u64..6, 0_u8..4), 1..120)
@@ -237,33 +246,33 @@
         let mut store = StoreModel::default();
         let mut shards = vec![ClaimShard::new(); 3];
         let mut granted: std::collections::HashMap<u64, RequestId> = std::collections::HashMap::new();
-        for (turn, (home, key, fate)) in steps.into_iter().enumerate() {
-            if fate == 0 {
-                store.load(&mut shards[home]);
+        for (turn, (owner, key, outcome)) in steps.into_iter().enumerate() {
+            if outcome == 0 {
+                store.load(&mut shards[owner]);
                 continue;
             }
-            let asked = RequestId { incarnation: home as u64 + 1, counter: turn as u64 };
-            let wish = ClaimProposal {
+            let request_id = RequestId { incarnation: owner as u64 + 1, counter: turn as u64 };
+            let proposal = ClaimProposal {
                 key: ClaimKey::new("org", &key.to_string()),
-                request: asked,
+                request: request_id,
                 entry: "entry".to_owned(),
                 replaces: None,
             };
-            let Some(write) = shards[home].plan(std::slice::from_ref(&wish), 1) else {
+            let Some(write) = shards[owner].plan(std::slice::from_ref(&proposal), 1) else {
                 continue;
             };
-            match (store.write(&write), fate) {
+            match (store.write(&write), outcome) {
                 (Some(version), 1 | 2) => {
-                    shards[home].apply_write(write, version);
-                    let before = granted.insert(key, asked);
+                    shards[owner].apply_write(write, version);
+                    let before = granted.insert(key, request_id);
                     prop_assert!(before.is_none(), "key {} granted twice", key);
                 }
-                // The answer was lost: the home reads back and finds its own claim.
+                // The response was lost: the owner reads the segment back and finds its claim.
                 (Some(_), _) => {
-                    store.load(&mut shards[home]);
-                    let holder = shards[home].holder(wish.key).map(|holder| holder.request);
-                    prop_assert_eq!(holder, Some(asked));
-                    prop_assert!(granted.insert(key, asked).is_none());
+                    store.load(&mut shards[owner]);
+                    let holder = shards[owner].holder(proposal.key).map(|holder| holder.request);
+                    prop_assert_eq!(holder, Some(request_id));
+                    prop_assert!(granted.insert(key, request_id).is_none());
                 }
                 (None, _) => {}
             }
--- a/crates/core/tests/ledgers.rs
+++ b/crates/core/tests/ledgers.rs
@@ -1,4 +1,4 @@
-//! The ledger: never a second run, never a false "not run", also past its bound.
+//! The request ledger never allows a second run or reports a false "not run", even after evictions.
 
 use std::collections::{HashMap, HashSet};
 
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn identifiers_read_back_and_refuse_what_is_malformed() {
+fn identifiers_round_trip_and_malformed_ones_are_rejected() {
     let mut issuer = IdIssuer::new(77);
     let first = issuer.issue();
     assert_eq!(first.to_string().parse::<RequestId>(), Ok(first));
@@ -25,10 +25,10 @@
     }
 }
 
-/// Entries of one site start together: in a run of the northcatch profile two of three shared an
-/// incarnation, and their requests were taken for each other's.
+/// The entries of a site start at the same time. When two of three entries shared an incarnation in a
+/// run of the northcatch profile, their requests were confused with each other.
 #[test]
-fn processes_that_start_together_have_incarnations_of_their_own() {
+fn processes_that_start_together_have_different_incarnations() {
     let names: Vec<String> = (0..370).map(|number| format!("entry-{number}")).collect();
     let incarnations: std::collections::HashSet<u64> =
         names.iter().map(|name| process_incarnation(name, 1_796_000_000_000)).collect();
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_void_and_a_run_exclude_each_other() {
+fn void_and_run_exclude_each_other() {
     let mut ledger = RequestLedger::new(LedgerConfig::default());
     assert_eq!(ledger.void(id(1, 1)), VoidOutcome::NeverRan);
     assert_eq!(ledger.admit(id(1, 1), 1, false), LedgerAdmission::Voided);
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_ledger_full_of_running_requests_refuses_and_does_not_forget() {
+fn full_ledger_refuses_and_keeps_running_requests() {
     let mut ledger = RequestLedger::new(LedgerConfig { capacity: 2, incarnations: 4 });
     assert_eq!(ledger.admit(id(1, 1), 1, true), LedgerAdmission::New);
     assert_eq!(ledger.admit(id(1, 2), 1, true), LedgerAdmission::New);
@@ -62,10 +62,10 @@
     assert_eq!(ledger.admit(id(1, 1), 2, true), LedgerAdmission::Duplicate);
 }
 
-/// Found by `forgetting_costs_no_promise`: the floor of an old run that came back late lowered the
-/// floor of all runs, and a voided request of a newer run was let in.
+/// Found by `evictions_keep_the_guarantees`: when a request of an old incarnation was evicted late, it
+/// lowered the eviction mark of all incarnations, and a voided request of a newer one was admitted.
 #[test]
-fn a_late_old_run_does_not_lower_the_floor() {
+fn late_eviction_of_old_incarnation_does_not_lower_the_mark() {
     let mut ledger = RequestLedger::new(LedgerConfig { capacity: 3, incarnations: 1 });
     assert_eq!(ledger.admit(id(1, 1), 1, false), LedgerAdmission::New);
     assert_eq!(ledger.admit(id(1, 2), 1, false), LedgerAdmission::New);
@@ -74,7 +74,7 @@
     }
     ledger.finish(id(1, 1));
     ledger.finish(id(1, 2));
-    // These forget a request of run 6, and then one of run 1.
+    // These evict a request of incarnation 6, and then one of incarnation 1.
     assert_eq!(ledger.void(id(7, 1)), VoidOutcome::NeverRan);
     assert_eq!(ledger.void(id(8, 1)), VoidOutcome::NeverRan);
     assert_eq!(ledger.admit(id(3, 1), 1, false), LedgerAdmission::TooOld);
@@ -98,26 +98,26 @@
 }
 
 proptest! {
-    /// A tiny ledger under any order of calls: what it forgot it never takes for new.
+    /// With any order of calls, a small ledger never treats an evicted request as new.
     #[test]
-    fn forgetting_costs_no_promise(steps in prop::collection::vec(ledger_step(), 1..200)) {
+    fn evictions_keep_the_guarantees(steps in prop::collection::vec(ledger_step(), 1..200)) {
         let mut ledger = RequestLedger::new(LedgerConfig { capacity: 4, incarnations: 2 });
         let mut ran: HashMap<RequestId, u32> = HashMap::new();
-        let mut never: HashSet<RequestId> = HashSet::new();
+        let mut voided: HashSet<RequestId> = HashSet::new();
         for step in steps {
             match step {
                 LedgerStep::Admit(id, attempt, once) => {
                     let admission = ledger.admit(id, attempt, once);
                     if matches!(admission, LedgerAdmission::New | LedgerAdmission::Retry) {
-                        prop_assert!(!never.contains(&id), "ran after a void said never");
+                        prop_assert!(!voided.contains(&id), "admitted after a void returned NeverRan");
                         let before = ran.insert(id, attempt);
                         prop_assert!(before.is_none_or(|before| !once && attempt > before));
                     }
                 }
                 LedgerStep::Void(id) => {
                     if ledger.void(id) == VoidOutcome::NeverRan {
-                        prop_assert!(!ran.contains_key(&id), "said never of one that ran");
-                        never.insert(id);
+                        prop_assert!(!ran.contains_key(&id), "void returned NeverRan for a request that ran");
+                        voided.insert(id);
                     }
                 }
                 LedgerStep::Finish(id) => ledger.finish(id),
--- a/crates/core/tests/objects.rs
+++ b/crates/core/tests/objects.rs
@@ -1,4 +1,4 @@
-//! Objects that merge by version: no process goes back, all converge.
+//! Merging of versioned objects: versions never regress, and all processes converge.
 
 use std::sync::Arc;
 
@@ -16,21 +16,21 @@
 }
 
 #[derive(Clone, Debug)]
-enum SpreadStep {
-    /// A node takes one copy, in any order and as often as it likes.
+enum GossipStep {
+    /// A node receives a copy. Copies arrive in any order and any number of times.
     Deliver { node: usize, object: usize, version: u64 },
-    /// A node sends all it has to another.
+    /// A node sends all its copies to another node.
     Exchange { from: usize, to: usize },
-    /// A node starts with nothing.
+    /// A node restarts without any objects.
     Restart { node: usize },
 }
 
-fn spread_step() -> impl Strategy<Value = SpreadStep> {
+fn gossip_step() -> impl Strategy<Value = GossipStep> {
     prop_oneof![
         (0_usize..4, 0_usize..3, 1_u64..20)
-            .prop_map(|(node, object, version)| SpreadStep::Deliver { node, object, version }),
-        (0_usize..4, 0_usize..4).prop_map(|(from, to)| SpreadStep::Exchange { from, to }),
-        (0_usize..4).prop_map(|node| SpreadStep::Restart { node }),
+            .prop_map(|(node, object, version)| GossipStep::Deliver { node, object, version }),
+        (0_usize..4, 0_usize..4).prop_map(|(from, to)| GossipStep::Exchange { from, to }),
+        (0_usize..4).prop_map(|node| GossipStep::Restart { node }),
     ]
 }
 
@@ -48,26 +48,26 @@
 
 proptest! {
     #[test]
-    fn no_node_goes_back_and_all_converge(steps in prop::collection::vec(spread_step(), 1..120)) {
+    fn versions_never_regress_and_nodes_converge(steps in prop::collection::vec(gossip_step(), 1..120)) {
         let mut nodes = vec![VersionedObjects::new(); 4];
         for step in steps {
             let before: Vec<Vec<u64>> =
                 nodes.iter().map(|node| (0..3).map(|object| node.version(&key(object))).collect()).collect();
             let mut restarted = None;
             match step {
-                SpreadStep::Deliver { node, object, version } => {
+                GossipStep::Deliver { node, object, version } => {
                     nodes[node].merge(&key(object), copy(version));
                 }
-                SpreadStep::Exchange { from, to } => exchange(&mut nodes, from, to),
-                SpreadStep::Restart { node } => {
+                GossipStep::Exchange { from, to } => exchange(&mut nodes, from, to),
+                GossipStep::Restart { node } => {
                     nodes[node] = VersionedObjects::new();
                     restarted = Some(node);
                 }
             }
-            for (number, node) in nodes.iter().enumerate() {
-                for (object, version) in before[number].iter().enumerate() {
-                    let kept = node.version(&key(object)) >= *version;
-                    prop_assert!(kept || restarted == Some(number));
+            for (index, node) in nodes.iter().enumerate() {
+                for (object, version) in before[index].iter().enumerate() {
+                    let has_not_regressed = node.version(&key(object)) >= *version;
+                    prop_assert!(has_not_regressed || restarted == Some(index));
                 }
             }
         }
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn tombstones_win_by_version_and_are_not_listed() {
+fn tombstones_merge_by_version_and_are_not_listed() {
     let mut objects = VersionedObjects::new();
     assert!(objects.merge(&key(1), copy(4)));
     assert!(objects.merge(&key(1), copy(5)));
@@ -104,10 +104,10 @@
         (r#"{"name":"dawn","state":"ajar","classes":[]}"#, "ajar"),
         (r#"{"name":"dawn","state":"open","classes":[],"colour":1}"#, "colour"),
     ];
-    for (text, named) in table {
+    for (text, expected) in table {
         let error = parse_object::<EventConfig>(&event_key("dawn"), text.as_bytes()).unwrap_err();
         assert_eq!(error.kind(), ErrorKind::MalformedObject);
         let message = error.to_string();
-        assert!(message.contains(named) && message.contains("dawn"), "{message}");
+        assert!(message.contains(expected) && message.contains("dawn"), "{message}");
     }
 }
--- a/crates/core/tests/queues.rs
+++ b/crates/core/tests/queues.rs
@@ -1,4 +1,4 @@
-//! Admission: priority, fairness, deadlines, limits, credits, retries.
+//! Admission: priorities, fairness, deadlines, rate limits, credits, retries and concurrency windows.
 
 use std::{collections::HashMap, sync::Arc};
 
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn classes_go_by_priority_and_organisations_by_deadline() {
+fn requests_leave_by_priority_then_deadline() {
     let mut queue = AdmissionQueue::new();
     queue.push(entry(1, "a", 1, 100, 10, 1));
     queue.push(entry(2, "a", 5, 900, 10, 1));
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_heavy_organisation_cannot_starve_small_ones() {
+fn heavy_organisation_does_not_starve_small_ones() {
     let mut queue = AdmissionQueue::new();
     let mut number = 0;
     let mut fill = |queue: &mut AdmissionQueue, organisation: &str, count: u64, cost: u64| {
@@ -62,18 +62,18 @@
     let mut served: HashMap<String, u64> = HashMap::new();
     let mut total = 0;
     while total < 24_000 {
-        let entry = queue.pop().expect("plenty waits");
+        let entry = queue.pop().expect("requests are waiting");
         *served.entry(entry.organisation.to_string()).or_default() += entry.cost;
         total += entry.cost;
     }
     for (organisation, cost) in served {
         let share = cost as f64 / total as f64;
-        assert!((share - 1.0 / 3.0).abs() < 0.1 / 3.0, "{organisation} got {share}");
+        assert!((share - 1.0 / 3.0).abs() < 0.1 / 3.0, "{organisation} got a share of {share}");
     }
 }
 
 #[test]
-fn weights_set_the_shares() {
+fn shares_follow_weights() {
     let mut queue = AdmissionQueue::new();
     for number in 0..2_000 {
         let (organisation, weight) = if number % 2 == 0 { ("double", 2) } else { ("single", 1) };
@@ -81,17 +81,17 @@
     }
     let served: Vec<QueueEntry> = (0..600).filter_map(|_| queue.pop()).collect();
     let double = served.iter().filter(|entry| &*entry.organisation == "double").count();
-    assert!((390..=410).contains(&double), "{double} of 600");
+    assert!((390..=410).contains(&double), "{double} of 600 requests");
 }
 
 #[test]
-fn late_requests_leave_and_the_wait_is_foretold() {
+fn late_requests_expire_and_the_wait_is_estimated() {
     let mut queue = AdmissionQueue::new();
     for number in 0..10 {
         queue.push(entry(number, "a", 1, 100 * (number + 1), 1, 1));
     }
-    let late: Vec<u64> = queue.expire(300).into_iter().map(|entry| entry.id.counter).collect();
-    assert_eq!(late, [0, 1, 2]);
+    let expired: Vec<u64> = queue.expire(300).into_iter().map(|entry| entry.id.counter).collect();
+    assert_eq!(expired, [0, 1, 2]);
     assert!(queue.remove(RequestId { incarnation: 1, counter: 9 }).is_some());
     assert_eq!(queue.len(), 6);
 
@@ -101,13 +101,13 @@
         rate.record(tick * 50, 5);
     }
     let wait = rate.estimated_wait(100).expect("the rate is known");
-    assert!((900..=1_100).contains(&wait), "{wait} ms for 100 at 100 a second");
+    assert!((900..=1_100).contains(&wait), "{wait} ms for 100 requests at 100 per second");
 }
 
 proptest! {
-    /// Nothing is lost and nothing comes out twice, whatever the order of calls.
+    /// Every request leaves the queue exactly once, by expiry or in order of priority.
     #[test]
-    fn queues_keep_what_they_are_given(
+    fn every_request_leaves_the_queue_once(
         pushes in prop::collection::vec((0_u64..40, 0_u8..4, 0_u8..3, 1_u64..500, 0_u64..300), 1..60),
         expire_at in 0_u64..500,
     ) {
@@ -118,9 +118,9 @@
                 queue.push(entry(number, &organisation.to_string(), priority, deadline, cost, 1));
             }
         }
-        for late in queue.expire(expire_at) {
-            prop_assert!(late.deadline <= expire_at);
-            prop_assert!(waiting.remove(&late.id.counter));
+        for expired in queue.expire(expire_at) {
+            prop_assert!(expired.deadline <= expire_at);
+            prop_assert!(waiting.remove(&expired.id.counter));
         }
         let mut priority = u8::MAX;
         while let Some(next) = queue.pop() {
@@ -133,7 +133,7 @@
         prop_assert_eq!(queue.len(), 0);
     }
 
-    /// Credits never add up to more than the slots, and nobody loses what it uses.
+    /// The credits add up to the slots, and no entry loses a slot that it uses.
     #[test]
     fn credits_stay_within_slots(
         demands in prop::collection::vec((0_u32..8, 0_u32..20), 1..12),
@@ -150,21 +150,21 @@
         }
     }
 
-    /// Shares never add up to more than the limit; whoever gets less than it wants gets the most
-    /// that anybody gets, give or take one.
+    /// The shares never add up to more than the limit, and an entry whose demand is not met gets as much
+    /// as any other entry, give or take one.
     #[test]
-    fn limits_are_split_fairly(limit in 0_u64..10_000, demands in prop::collection::vec(0_u64..2_000, 1..30)) {
+    fn limits_are_split_by_max_min_fairness(limit in 0_u64..10_000, demands in prop::collection::vec(0_u64..2_000, 1..30)) {
         let shares = split_limit(limit, &demands);
         prop_assert!(shares.iter().sum::<u64>() <= limit);
-        let most = shares.iter().copied().max().unwrap_or(0);
+        let largest = shares.iter().copied().max().unwrap_or(0);
         for (share, demand) in shares.iter().zip(&demands) {
-            prop_assert!(share >= demand || share + 1 >= most, "{share} of {demand}, most {most}");
+            prop_assert!(share >= demand || share + 1 >= largest, "{share} of {demand}, largest share {largest}");
         }
     }
 
-    /// Out of touch, a share goes back to the even one and never below it.
+    /// Without contact to the owner, a share decays to the even share and not below it.
     #[test]
-    fn shares_decay_to_even(share in 0_u64..1_000, limit in 1_u64..1_000, entries in 1_u64..50) {
+    fn shares_decay_to_the_even_share(share in 0_u64..1_000, limit in 1_u64..1_000, entries in 1_u64..50) {
         let even = limit / entries;
         prop_assert_eq!(decayed_share(share, limit, entries, 400_000), share.min(even.max(share.min(even))));
         let mut before = decayed_share(share, limit, entries, 0);
@@ -177,28 +177,31 @@
 }
 
 #[test]
-fn retries_stay_within_their_share() {
+fn retries_stay_within_the_budget() {
     let mut budget = RetryBudget::new(RetryConfig { per_thousand: 100, reserve: 10 });
     let mut retries = 0;
     for _ in 0..10_000 {
         budget.record_success();
         retries += u64::from(budget.try_spend());
     }
-    assert!((990..=1_010).contains(&retries), "{retries} for 10000 successes");
-    let in_a_long_fault = (0..1_000).filter(|_| budget.try_spend()).count();
-    assert!(in_a_long_fault <= 10, "{in_a_long_fault}");
+    assert!((990..=1_010).contains(&retries), "{retries} retries for 10000 successes");
+    let retries_in_outage = (0..1_000).filter(|_| budget.try_spend()).count();
+    assert!(retries_in_outage <= 10, "{retries_in_outage} retries without a success");
 }
 
 #[test]
-fn buckets_hold_their_rate() {
+fn rate_buckets_enforce_their_rate() {
     let mut bucket = RateBucket::new(50, 0);
     let taken = (0..10_000_u64).filter(|millis| bucket.try_take(50, *millis)).count();
-    assert!((540..=551).contains(&taken), "{taken} in 10 s at 50 a second with a full start");
+    assert!(
+        (540..=551).contains(&taken),
+        "{taken} requests in 10 s at 50 per second, starting with a full bucket"
+    );
     assert!(bucket.time_to_next(50) <= 20);
 }
 
 #[test]
-fn back_off_grows_and_differs_between_processes() {
+fn back_off_grows_and_differs_between_seeds() {
     let waits = |seed| -> Vec<u64> {
         let mut backoff = Backoff::new(ChaCha8Rng::seed_from_u64(seed));
         (0..12).map(|_| backoff.next_wait()).collect()
@@ -209,10 +212,10 @@
     assert!(waits(1)[11] >= 2_500);
 }
 
-/// An engine whose steps grow with the requests that it holds, as in a pipeline of `stages` equal
-/// stages: the window settles where the steps are what was asked for.
+/// The number of steps at an engine is proportional to the requests that it holds, as in a pipeline of
+/// `stages` equal stages. The window converges to the limit that gives the target number of steps.
 #[test]
-fn windows_settle_at_their_target() {
+fn windows_converge_to_their_target() {
     for (stages, slots) in [(1, 400), (3, 400), (6, 400)] {
         let config = WindowConfig { max_batch: 16, max_requests: slots, target_hundredths: 200 };
         let mut window = SlotWindow::new(config);
@@ -233,7 +236,7 @@
 }
 
 #[test]
-fn windows_learn_nothing_where_they_do_not_bind() {
+fn windows_do_not_change_while_the_limit_is_not_reached() {
     let config = WindowConfig { max_batch: 8, max_requests: 100, target_hundredths: 200 };
     let mut window = SlotWindow::new(config);
     let before = window.limit();
--- a/crates/core/tests/routes.rs
+++ b/crates/core/tests/routes.rs
@@ -1,4 +1,4 @@
-//! Routes, the bound, paths, placements, subsets, ejection.
+//! Routes, maximum flow, path policies, placements, subsets, push trees, ejection and affinity.
 
 use assert_matches::assert_matches;
 use proptest::prelude::*;
@@ -15,7 +15,7 @@
     subset::{balanced_subset, rendezvous_owner, rendezvous_subset, tree_children},
 };
 
-fn place(first: u32, end: u32) -> RouteStage {
+fn stage(first: u32, end: u32) -> RouteStage {
     let layers = LayerRange::new(first, end).expect("not empty");
     RouteStage {
         address: format!("{first}"),
@@ -26,14 +26,14 @@
 }
 
 #[test]
-fn routes_that_do_not_tile_cannot_be_made() {
-    assert!(PipelineRoute::new(vec![place(0, 4), place(4, 9)], 9).is_ok());
+fn routes_that_do_not_tile_the_model_are_rejected() {
+    assert!(PipelineRoute::new(vec![stage(0, 4), stage(4, 9)], 9).is_ok());
     let table = [
-        ("gap", vec![place(0, 4), place(5, 9)]),
-        ("overlap", vec![place(0, 5), place(4, 9)]),
-        ("short", vec![place(0, 4)]),
-        ("long", vec![place(0, 10)]),
-        ("late", vec![place(1, 9)]),
+        ("gap", vec![stage(0, 4), stage(5, 9)]),
+        ("overlap", vec![stage(0, 5), stage(4, 9)]),
+        ("short", vec![stage(0, 4)]),
+        ("long", vec![stage(0, 10)]),
+        ("late", vec![stage(1, 9)]),
         ("empty", vec![]),
     ];
     for (name, stages) in table {
@@ -41,8 +41,8 @@
         assert_eq!(error.kind(), ErrorKind::NotTiled, "{name}");
     }
     assert_matches!(LayerRange::new(3, 3), Err(error) if error.kind() == ErrorKind::EmptyRange);
-    let mut route = PipelineRoute::new(vec![place(0, 4), place(4, 9)], 9).expect("tiles");
-    assert!(route.replace(1, place(4, 8)).is_err() && route.replace(2, place(4, 9)).is_err());
+    let mut route = PipelineRoute::new(vec![stage(0, 4), stage(4, 9)], 9).expect("tiles");
+    assert!(route.replace(1, stage(4, 8)).is_err() && route.replace(2, stage(4, 9)).is_err());
 }
 
 fn replica(name: &str, data_centre: usize, first: u32, end: u32, rate: u64) -> FlowReplica {
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn the_cut_names_what_holds_back() {
+fn minimum_cut_contains_the_bottlenecks() {
     let replicas =
         [replica("a", 0, 0, 2, 50), replica("b", 1, 2, 4, 90), replica("c", 1, 0, 2, 20)];
     let links = [FlowLink { from: 0, to: 1, milli_rate: 30 }];
@@ -63,37 +63,37 @@
     assert_eq!(flow_bound(&replicas[..1], &[], 4).milli_rate, 0);
 }
 
-/// Most that gets through, by trying every cut: for each set of replicas on the near side.
-fn brute_force(replicas: &[FlowReplica], layers: u32) -> u64 {
-    // Without limited links, a cut is a set of replicas whose loss leaves no tiling.
-    let mut least = u64::MAX;
+/// Returns the capacity of the minimum cut, by trying every set of replicas.
+fn minimum_cut_by_brute_force(replicas: &[FlowReplica], layers: u32) -> u64 {
+    // Without limited links, a cut is a set of replicas without which the others do not tile the model.
+    let mut lowest = u64::MAX;
     for cut in 0_u32..1 << replicas.len() {
         let kept = |index: &usize| cut & (1 << index) == 0;
-        let mut reach = vec![false; layers as usize + 1];
-        reach[0] = true;
+        let mut reachable = vec![false; layers as usize + 1];
+        reachable[0] = true;
         for layer in 0..layers as usize {
-            if reach[layer] {
+            if reachable[layer] {
                 for index in (0..replicas.len()).filter(kept) {
                     if replicas[index].layers.first() as usize == layer {
-                        reach[replicas[index].layers.end() as usize] = true;
+                        reachable[replicas[index].layers.end() as usize] = true;
                     }
                 }
             }
         }
-        if !reach[layers as usize] {
-            let width = (0..replicas.len())
+        if !reachable[layers as usize] {
+            let capacity = (0..replicas.len())
                 .filter(|index| !kept(index))
                 .map(|index| replicas[index].milli_rate)
                 .sum();
-            least = least.min(width);
+            lowest = lowest.min(capacity);
         }
     }
-    least
+    lowest
 }
 
 proptest! {
     #[test]
-    fn the_bound_equals_brute_force(
+    fn maximum_flow_equals_minimum_cut_by_brute_force(
         rows in prop::collection::vec((0_u32..4, 1_u32..5, 1_u64..100), 1..9)
     ) {
         let replicas: Vec<FlowReplica> = rows
@@ -103,7 +103,7 @@
             .map(|(index, (first, len, rate))| replica(&format!("r{index}"), 0, *first, first + len, *rate))
             .collect();
         let bound = flow_bound(&replicas, &[], 4);
-        prop_assert_eq!(bound.milli_rate, brute_force(&replicas, 4));
+        prop_assert_eq!(bound.milli_rate, minimum_cut_by_brute_force(&replicas, 4));
         for (replica, share) in replicas.iter().zip(&bound.shares) {
             prop_assert!(*share <= replica.milli_rate);
         }
@@ -112,9 +112,9 @@
         prop_assert_eq!(through, bound.milli_rate);
     }
 
-    /// No policy chooses a replica without a free slot, and each chooses one where there is one.
+    /// Every policy chooses a replica with a free slot if there is one, and none otherwise.
     #[test]
-    fn policies_choose_only_what_is_free(
+    fn policies_choose_only_replicas_with_free_slots(
         rows in prop::collection::vec((0.0_f64..10.0, 0_u32..50, 0_u32..3), 1..12), seed in any::<u64>()
     ) {
         let candidates: Vec<PathCandidate> = rows
@@ -130,9 +130,10 @@
         }
     }
 
-    /// A placement holds every layer on some VM, within memory, and its first entries tile the model.
+    /// A placement assigns every VM, its first entries tile the model, and the search is deterministic and
+    /// never worse than the proportional split.
     #[test]
-    fn placements_hold_every_layer(
+    fn placements_use_every_vm_and_start_with_a_tiling(
         rates in prop::collection::vec(1.0_f64..100.0, 4..24), layers in 8_u32..64, stages in 1_usize..5
     ) {
         let vms: Vec<PlacementVm> = rates
@@ -156,19 +157,19 @@
         prop_assert!(plan_rate(&searched, &vms) >= plan_rate(&proportional, &vms) * 0.999_999);
     }
 
-    /// Push trees reach every member exactly once, whatever the root.
+    /// A push tree reaches every member exactly once, for any root and fan-out.
     #[test]
-    fn push_trees_reach_everyone_once(count in 1_usize..60, root in 0_usize..60, fan_out in 1_usize..6) {
+    fn push_trees_reach_every_member_once(count in 1_usize..60, root in 0_usize..60, fan_out in 1_usize..6) {
         let names: Vec<String> = (0..count).map(|index| format!("entry-{index}")).collect();
         let members: Vec<&str> = names.iter().map(String::as_str).collect();
         let root = members[root % count];
         let mut reached = vec![root];
-        let mut waiting = vec![root];
-        while let Some(own) = waiting.pop() {
+        let mut unvisited = vec![root];
+        while let Some(own) = unvisited.pop() {
             let children = tree_children(root, own, &members, fan_out);
             prop_assert!(children.len() <= fan_out);
             reached.extend(&children);
-            waiting.extend(children);
+            unvisited.extend(children);
         }
         reached.sort_unstable();
         let mut expected = members.clone();
@@ -178,7 +179,7 @@
 }
 
 #[test]
-fn flow_shares_are_followed_and_corrected() {
+fn flow_policies_follow_weights_and_avoid_loaded_replicas() {
     let mut random = ChaCha8Rng::seed_from_u64(3);
     let mut count = |policy, candidates: &[PathCandidate]| -> Vec<usize> {
         let mut counts = vec![0; candidates.len()];
@@ -197,7 +198,7 @@
 }
 
 #[test]
-fn too_few_vms_or_layers_are_an_error() {
+fn too_few_vms_or_layers_are_rejected() {
     let vm = PlacementVm { name: "vm".to_owned(), layer_rate: 1.0, max_layers: 8 };
     for (vms, layers, stages) in
         [(vec![vm.clone()], 8, 2), (vec![vm.clone(), vm.clone()], 1, 2), (vec![vm], 8, 0)]
@@ -208,7 +209,7 @@
 }
 
 #[test]
-fn subsets_are_even_and_agree_on_homes() {
+fn subsets_are_balanced_and_independent_of_member_order() {
     let names: Vec<String> = (0..120).map(|index| format!("engine-{index}")).collect();
     let members: Vec<&str> = names.iter().map(String::as_str).collect();
     let mut uses = std::collections::HashMap::new();
@@ -231,7 +232,7 @@
 }
 
 #[test]
-fn slow_and_failing_replicas_are_ejected_up_to_the_floor() {
+fn slow_and_failing_replicas_are_ejected_up_to_the_limit() {
     let config = EjectionConfig::default();
     let mut group: Vec<ReplicaHealth> = vec![ReplicaHealth::default(); 6];
     for (index, health) in group.iter_mut().enumerate() {
@@ -239,30 +240,30 @@
             health.record_step(if index < 1 { 50_000 } else { 9_000 });
         }
     }
-    let judge = |group: &mut [ReplicaHealth], now| {
+    let eject = |group: &mut [ReplicaHealth], now| {
         let mut views: Vec<&mut ReplicaHealth> = group.iter_mut().collect();
         eject_outliers(&mut views, &config, now)
     };
-    assert_eq!(judge(&mut group, 100), [0]);
+    assert_eq!(eject(&mut group, 100), [0]);
     assert!(group[0].is_ejected(100) && !group[0].is_ejected(100 + config.first_ejection_ms));
     for health in &mut group[1..] {
         (0..config.consecutive_failures).for_each(|_| health.record_failure());
     }
-    // All others fail too: only half of the group may be out at once.
-    assert_eq!(judge(&mut group, 200).len(), 2);
+    // All others fail too, but at most half of the group may be ejected at the same time.
+    assert_eq!(eject(&mut group, 200).len(), 2);
     assert_eq!(group.iter().filter(|health| health.is_ejected(200)).count(), 3);
 }
 
 #[test]
-fn affinity_keeps_to_its_home_until_it_is_loaded() {
+fn affinity_keeps_its_choice_until_that_replica_is_overloaded() {
     let candidate =
         |name_hash, outstanding| AffinityCandidate { name_hash, weight: 1.0, outstanding, free: 5 };
     let mut candidates: Vec<AffinityCandidate> = (0..8).map(|name| candidate(name, 2)).collect();
-    let home = choose_by_affinity(99, &candidates, 150).expect("free");
-    assert_eq!(choose_by_affinity(99, &candidates, 150), Some(home));
-    candidates[home].outstanding = 20;
+    let preferred = choose_by_affinity(99, &candidates, 150).expect("free");
+    assert_eq!(choose_by_affinity(99, &candidates, 150), Some(preferred));
+    candidates[preferred].outstanding = 20;
     let next = choose_by_affinity(99, &candidates, 150).expect("free");
-    assert_ne!(next, home);
+    assert_ne!(next, preferred);
     candidates.iter_mut().for_each(|candidate| candidate.free = 0);
     assert_eq!(choose_by_affinity(99, &candidates, 150), None);
 }
--- a/crates/core/tests/steps.rs
+++ b/crates/core/tests/steps.rs
@@ -1,4 +1,4 @@
-//! Steps, answers and logs under repetition, loss and reordering.
+//! Step gates, answer assembly and activation logs under repetition, loss and reordering.
 
 use assert_matches::assert_matches;
 use proptest::prelude::*;
@@ -8,22 +8,22 @@
     step::{DropReason, StepDecision, StepGate, StepHeader, StepRefusal},
 };
 
-fn view(attempt: u32, first_position: u32, len: u32, resend: u32) -> StepHeader {
+fn header(attempt: u32, first_position: u32, len: u32, resend: u32) -> StepHeader {
     StepHeader { attempt, layer: 8, first_position, len, resend }
 }
 
 #[test]
-fn gate_decides_by_the_table() {
+fn gate_decides_on_each_kind_of_step() {
     let mut gate = StepGate::new(8, 2);
-    assert_eq!(gate.decide(&view(2, 0, 4, 0)), StepDecision::Run { skip: 0 });
+    assert_eq!(gate.decide(&header(2, 0, 4, 0)), StepDecision::Run { skip: 0 });
     let table = [
-        ("old attempt", view(1, 4, 1, 0), StepDecision::Drop(DropReason::StaleAttempt)),
-        ("repeated while it runs", view(2, 0, 4, 6), StepDecision::Drop(DropReason::Repeated)),
-        ("gap", view(2, 5, 1, 0), StepDecision::Refuse(StepRefusal::Gap { expected: 4 })),
-        ("nothing", view(2, 4, 0, 0), StepDecision::Drop(DropReason::Empty)),
+        ("old attempt", header(1, 4, 1, 0), StepDecision::Drop(DropReason::StaleAttempt)),
+        ("repeated while it runs", header(2, 0, 4, 6), StepDecision::Drop(DropReason::Repeated)),
+        ("gap", header(2, 5, 1, 0), StepDecision::Refuse(StepRefusal::Gap { expected: 4 })),
+        ("empty", header(2, 4, 0, 0), StepDecision::Drop(DropReason::Empty)),
         (
             "wrong layer",
-            StepHeader { layer: 0, ..view(2, 4, 1, 0) },
+            StepHeader { layer: 0, ..header(2, 4, 1, 0) },
             StepDecision::Refuse(StepRefusal::WrongLayer),
         ),
     ];
@@ -31,21 +31,21 @@
         assert_eq!(gate.decide(&step), expected, "{name}");
     }
     gate.finish();
-    assert_eq!(gate.decide(&view(2, 0, 4, 0)), StepDecision::Drop(DropReason::Repeated));
-    assert_eq!(gate.decide(&view(3, 0, 4, 1)), StepDecision::ResendOutput);
-    assert_eq!(gate.decide(&view(3, 2, 4, 1)), StepDecision::Run { skip: 2 });
+    assert_eq!(gate.decide(&header(2, 0, 4, 0)), StepDecision::Drop(DropReason::Repeated));
+    assert_eq!(gate.decide(&header(3, 0, 4, 1)), StepDecision::ResendOutput);
+    assert_eq!(gate.decide(&header(3, 2, 4, 1)), StepDecision::Run { skip: 2 });
     assert_eq!(gate.attempt(), 3);
 }
 
 #[test]
-fn gate_takes_the_largest_position_without_overflow() {
+fn gate_handles_the_largest_position_without_overflow() {
     let mut gate = StepGate::new(8, 1);
-    assert_eq!(gate.decide(&view(1, 0, u32::MAX, 0)), StepDecision::Run { skip: 0 });
-    assert_matches!(gate.decide(&view(1, u32::MAX - 1, 5, 0)), StepDecision::Drop(_));
+    assert_eq!(gate.decide(&header(1, 0, u32::MAX, 0)), StepDecision::Run { skip: 0 });
+    assert_matches!(gate.decide(&header(1, u32::MAX - 1, 5, 0)), StepDecision::Drop(_));
 }
 
 proptest! {
-    /// Whatever arrives, the positions that run are 0, 1, 2, … without gap or repetition.
+    /// For any sequence of steps, the positions that run are 0, 1, 2, … without gaps or repetitions.
     #[test]
     fn positions_run_once_in_order(
         steps in prop::collection::vec((1_u32..4, 0_u32..12, 1_u32..5, 0_u32..3, any::<bool>()), 1..60)
@@ -53,7 +53,7 @@
         let mut gate = StepGate::new(8, 1);
         let mut ran = Vec::new();
         for (attempt, first, len, resend, finish) in steps {
-            if let StepDecision::Run { skip } = gate.decide(&view(attempt, first, len, resend)) {
+            if let StepDecision::Run { skip } = gate.decide(&header(attempt, first, len, resend)) {
                 prop_assert!(attempt >= 1);
                 ran.extend(first + skip..first + len);
             }
@@ -65,9 +65,9 @@
         prop_assert_eq!(ran, expected);
     }
 
-    /// Whatever order tokens come in, the caller gets each once, in order, and no other.
+    /// For any order of arrival, the caller gets each token once, in order.
     #[test]
-    fn answers_are_a_prefix_in_order(
+    fn answers_are_delivered_in_order(
         order in prop::collection::vec(0_u32..20, 0..80),
         total in 1_u32..20,
     ) {
@@ -87,9 +87,9 @@
         }
     }
 
-    /// A log gives back what was put in, or says that it cannot.
+    /// A log returns all output that was pushed, or `None` if its limit was exceeded.
     #[test]
-    fn logs_replay_what_was_sent(lens in prop::collection::vec(1_usize..6, 1..10), limit in 0_usize..200) {
+    fn logs_return_what_was_pushed(lens in prop::collection::vec(1_usize..6, 1..10), limit in 0_usize..200) {
         let mut log = ActivationLog::new(limit);
         let mut all = Vec::new();
         for (round, len) in lens.iter().enumerate() {
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn a_new_attempt_forgets_what_waited_out_of_order() {
+fn new_attempt_discards_tokens_received_out_of_order() {
     let mut assembly = AnswerAssembly::new(8);
     assert_eq!(assembly.accept(0, 10), [10]);
     assert!(assembly.accept(2, 12).is_empty());
--- a/crates/kernel/src/clock.rs
+++ b/crates/kernel/src/clock.rs
@@ -1,4 +1,4 @@
-//! Reading the clock: the one place where time enters.
+//! Clocks of the process, from which callers take the time for all decisions.
 
 use std::{
     sync::OnceLock,
@@ -7,13 +7,16 @@
 
 use nix::time::{ClockId, clock_gettime};
 
-/// Milliseconds since the process first asked; never goes back, and goes on while the VM is suspended. By the steady
-/// clock, which stands then, a configuration of before a pause of six seconds counted as a second old, and keys that had
-/// been removed meanwhile were let in.
+/// Returns the milliseconds since the first call in this process. Never goes back, and counts the time
+/// during which the VM is suspended.
+///
+/// It reads `CLOCK_BOOTTIME`, because `CLOCK_MONOTONIC` stops during a suspension. With the latter, a
+/// configuration from before a pause of 6 s counted as 1 s old, and keys that had been removed in the
+/// meantime were still accepted.
 ///
 /// # Panics
 ///
-/// Panics where the system has no such clock; every Linux has.
+/// Panics if the system has no `CLOCK_BOOTTIME`. Every supported Linux kernel has it.
 pub fn now_millis() -> u64 {
     static START: OnceLock<Duration> = OnceLock::new();
     let now = since_boot();
@@ -22,15 +25,15 @@
 }
 
 fn since_boot() -> Duration {
-    clock_gettime(ClockId::CLOCK_BOOTTIME).expect("Linux has this clock").into()
+    clock_gettime(ClockId::CLOCK_BOOTTIME).expect("Linux provides CLOCK_BOOTTIME").into()
 }
 
-/// Milliseconds since the epoch, by the VM's clock.
+/// Returns the milliseconds since the Unix epoch by the VM's wall clock, which may be adjusted.
 pub fn epoch_millis() -> u64 {
     since_epoch().as_millis() as u64
 }
 
-/// Microseconds since the epoch, by the VM's clock.
+/// Returns the microseconds since the Unix epoch by the VM's wall clock, which may be adjusted.
 pub fn epoch_micros() -> u64 {
     since_epoch().as_micros() as u64
 }
--- a/crates/kernel/src/exit.rs
+++ b/crates/kernel/src/exit.rs
@@ -1,17 +1,17 @@
-//! Exit codes of all programs.
+//! Exit codes shared by all programs.
 
 use std::process::ExitCode;
 
-/// All went well.
+/// Success.
 pub const OK: u8 = 0;
-/// The work was done, and what it found is bad: a violated promise, a refused command.
+/// The program ran, with a negative result: a violated guarantee or a refused command.
 pub const FAILED: u8 = 1;
-/// The command line or the settings are wrong; nothing was started.
+/// The command line or the settings are invalid; nothing was started.
 pub const USAGE: u8 = 2;
-/// Something outside the process failed: an address in use, a peer that cannot be reached.
+/// Something outside the process failed, such as an address in use or an unreachable peer.
 pub const UNAVAILABLE: u8 = 3;
 
-/// Prints an error for a person and gives the exit code.
+/// Prints an error to standard error and returns the exit code.
 pub fn fail(code: u8, error: &dyn std::fmt::Display) -> ExitCode {
     eprintln!("error: {error}");
     ExitCode::from(code)
--- a/crates/kernel/src/http.rs
+++ b/crates/kernel/src/http.rs
@@ -1,8 +1,9 @@
-//! HTTP by `hyper`, both sides, with every limit set.
+//! HTTP server and client on `hyper`, with limits on time and size.
 //!
-//! The server is given a closure that answers requests; it bounds connections, headers, bodies and
-//! idle time, and stops in order: no new connection, then each connection ends after the request it
-//! is serving. The client bounds time and bodies.
+//! The server passes requests to a handler. It limits connections, headers and idle time, and
+//! [`read_body`] limits bodies. On shutdown it goes on serving for a second, then accepts no further
+//! connections and closes each one after the current request. The client limits the time and size of
+//! each response.
 
 use std::{convert::Infallible, future::Future, sync::Arc, time::Duration};
 
@@ -26,19 +27,19 @@
 /// Body of every response.
 pub type ResponseBody = BoxBody<Bytes, Infallible>;
 
-/// A response with a whole or streamed body.
+/// Response with a complete or streamed body.
 pub type HttpResponse = Response<ResponseBody>;
 
-/// What a server allows.
+/// Limits of a server.
 #[derive(Clone, Copy, Debug)]
 pub struct HttpLimits {
-    /// Connections at once; more wait in the listen queue.
+    /// Maximum number of concurrent connections. Further ones wait in the listen queue.
     pub max_connections: usize,
-    /// Bytes of a request's line and headers.
+    /// Maximum size of the request line and headers, in bytes. At least 8192 are allowed.
     pub max_header_bytes: usize,
-    /// Headers of a request.
+    /// Maximum number of headers of a request.
     pub max_headers: usize,
-    /// Time for headers to arrive, and for a kept connection to stay idle.
+    /// Time in which the headers of a request must arrive, and for which a connection may stay idle.
     pub idle_timeout: Duration,
 }
 
@@ -53,23 +54,28 @@
     }
 }
 
-/// A handler gave up the connection instead of answering.
+/// Returned by a handler to close the connection without a response.
 #[derive(Clone, Copy, Debug, Display, Error)]
-#[display("connection given up")]
+#[display("connection dropped without a response")]
 pub struct ConnectionDropped;
 
-/// How long a stopping server goes on taking connections and requests, so that its handler can refuse
-/// them properly. A caller that reuses a kept connection at the moment at which it is closed could not
-/// tell whether its request ran.
-const LINGER: Duration = Duration::from_secs(1);
+/// Time for which a server goes on accepting connections and requests after the shutdown signal, so
+/// that its handler can refuse them. If a connection is closed at the moment at which a caller reuses
+/// it, the caller cannot tell whether its request ran.
+const SHUTDOWN_GRACE: Duration = Duration::from_secs(1);
 
-/// Time that a caller keeps a connection that rests: half of [`LINGER`]. A stopping server closes what rested for that long,
-/// and a request written at that moment ended as one that may have run: one of 105, beside a load average of 28. The other
-/// half is for callers that are late themselves.
-const KEPT_IDLE: Duration = Duration::from_millis(LINGER.as_millis() as u64 / 2);
+/// Time for which the client keeps an idle connection: half of [`SHUTDOWN_GRACE`].
+///
+/// A stopping server closes connections that were idle for the grace period. A request written at that
+/// moment ends without a response and may have run; this happened to one request of 105 at a load
+/// average of 28. The other half of the grace period is a margin for clients that are delayed.
+const POOL_IDLE_TIMEOUT: Duration = Duration::from_millis(SHUTDOWN_GRACE.as_millis() as u64 / 2);
 
-/// Serves requests. Once the signal is raised it goes on for a second, each answer then closing its
-/// connection; then it ends the idle connections, and returns when the last request is answered.
+/// Serves requests until shutdown.
+///
+/// After the signal is raised, the server goes on for a second, and each response then closes its
+/// connection. After that it closes the idle connections, and returns when the last request has been
+/// answered.
 pub async fn serve<F, R>(
     listener: TcpListener,
     limits: HttpLimits,
@@ -86,7 +92,7 @@
         };
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            () = lingered(&shutdown) => break,
+            () = grace_period_over(&shutdown) => break,
         };
         let Ok((stream, _)) = accepted else {
             time::sleep(Duration::from_millis(10)).await;
@@ -98,15 +104,15 @@
             drop(permit);
         });
     }
-    // All permits are back once the last connection has ended.
+    // All permits are available again once the last connection has ended.
     let all = u32::try_from(limits.max_connections).unwrap_or(u32::MAX);
     let _all_ended = permits.acquire_many(all).await;
 }
 
-/// Waits until the signal was raised a while ago.
-async fn lingered(shutdown: &ShutdownSignal) {
+/// Waits until the grace period after the signal is over.
+async fn grace_period_over(shutdown: &ShutdownSignal) {
     shutdown.raised().await;
-    time::sleep(LINGER).await;
+    time::sleep(SHUTDOWN_GRACE).await;
 }
 
 async fn serve_connection<F, R>(
@@ -118,16 +124,16 @@
     F: Fn(Request<Incoming>) -> R,
     R: Future<Output = Result<HttpResponse, ConnectionDropped>>,
 {
-    let _without_delay = stream.set_nodelay(true);
-    let closing = |mut answer: HttpResponse| {
+    let _ignored = stream.set_nodelay(true);
+    let close_on_shutdown = |mut response: HttpResponse| {
         if shutdown.is_raised() {
-            answer.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
+            response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
         }
-        answer
+        response
     };
     let service = service_fn(|request| {
-        let answer = handler(request);
-        async move { answer.await.map(closing) }
+        let response = handler(request);
+        async move { response.await.map(close_on_shutdown) }
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
@@ -136,41 +142,42 @@
         .max_buf_size(limits.max_header_bytes.max(8_192))
         .serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
-    let ended = tokio::select! {
-        ended = connection.as_mut() => Some(ended),
-        () = lingered(shutdown) => None,
+    let finished = tokio::select! {
+        finished = connection.as_mut() => Some(finished),
+        () = grace_period_over(shutdown) => None,
     };
-    if ended.is_none() {
+    if finished.is_none() {
         connection.as_mut().graceful_shutdown();
-        let _ended = connection.await;
+        let _result = connection.await;
     }
 }
 
-/// Why a body was not read.
+/// Failure to read a body.
 #[derive(Clone, Copy, Debug, Display, Eq, Error, PartialEq)]
 pub enum BodyError {
-    /// It is larger than allowed.
+    /// The body is larger than allowed.
     #[display("body is larger than {limit} bytes")]
     TooLarge {
-        /// The limit in bytes.
+        /// Maximum size in bytes.
         limit: usize,
     },
-    /// The connection ended before it did.
-    #[display("body ended early")]
+    /// The connection ended before the body was complete.
+    #[display("connection ended before the body was complete")]
     Truncated,
 }
 
-/// A body that is too large is read on, and thrown away, up to this many times its limit: a caller
-/// that is still sending would not read the refusal.
+/// A body that is too large is read and discarded up to this multiple of its limit, because a caller
+/// that is still sending would not read the error response.
 const DISCARD_FACTOR: usize = 4;
 
-/// Reads a whole body of at most `limit` bytes.
+/// Reads a complete body of at most `limit` bytes.
 ///
 /// # Errors
 ///
-/// Fails where it is larger, or ends early.
+/// Returns [`BodyError::TooLarge`] if the body is larger, and [`BodyError::Truncated`] if the connection
+/// ends before the body does.
 pub async fn read_body(mut body: Incoming, limit: usize) -> Result<Bytes, BodyError> {
-    let mut whole = BytesMut::new();
+    let mut buffer = BytesMut::new();
     let mut total = 0;
     while let Some(frame) = body.frame().await {
         let Ok(data) = frame.map_err(|_| BodyError::Truncated)?.into_data() else {
@@ -178,7 +185,7 @@
         };
         total += data.len();
         if total <= limit {
-            whole.extend_from_slice(&data);
+            buffer.extend_from_slice(&data);
         } else if total > limit.saturating_mul(DISCARD_FACTOR) {
             break;
         }
@@ -186,23 +193,23 @@
     if total > limit {
         return Err(BodyError::TooLarge { limit });
     }
-    Ok(whole.freeze())
+    Ok(buffer.freeze())
 }
 
-/// Makes a response with a whole body.
+/// Creates a response with a complete body.
 pub fn full_response(
     status: StatusCode,
     content_type: &'static str,
     body: impl Into<Bytes>,
 ) -> HttpResponse {
-    let mut answer = Response::new(Full::new(body.into()).boxed());
-    *answer.status_mut() = status;
+    let mut response = Response::new(Full::new(body.into()).boxed());
+    *response.status_mut() = status;
     let value = HeaderValue::from_static(content_type);
-    answer.headers_mut().insert(header::CONTENT_TYPE, value);
-    answer
+    response.headers_mut().insert(header::CONTENT_TYPE, value);
+    response
 }
 
-/// Makes a response from a value's JSON form.
+/// Creates a response with a value serialized as JSON, or with status 500 if that fails.
 pub fn json_response<T: serde::Serialize>(status: StatusCode, value: &T) -> HttpResponse {
     match serde_json::to_vec(value) {
         Ok(body) => full_response(status, "application/json", body),
@@ -212,31 +219,31 @@
     }
 }
 
-/// Adds a header whose value may come from outside; one that is not valid is left out.
-pub fn set_header(answer: &mut HttpResponse, name: &'static str, value: &str) {
+/// Sets a header. Has no effect if the value, which may come from a caller, is not a valid header value.
+pub fn set_header(response: &mut HttpResponse, name: &'static str, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
-        answer.headers_mut().insert(HeaderName::from_static(name), value);
+        response.headers_mut().insert(HeaderName::from_static(name), value);
     }
 }
 
-/// Why a call got no answer.
+/// Failure of a call.
 #[derive(Clone, Debug, Display, Eq, Error, PartialEq)]
 pub enum CallError {
-    /// The connection was not made: nothing was sent.
+    /// The connection could not be established, so nothing was sent.
     #[display("not connected: {detail}")]
     NotConnected {
-        /// What the library said.
+        /// Error of the HTTP library.
         detail: String,
     },
-    /// The call was sent, at least in part, and no whole answer came.
-    #[display("no answer: {detail}")]
+    /// The request was sent, at least in part, but no complete response arrived.
+    #[display("no response: {detail}")]
     NoResponse {
-        /// What the library said.
+        /// Error of the HTTP library.
         detail: String,
     },
 }
 
-/// A whole answer.
+/// Response with its complete body.
 #[derive(Clone, Debug)]
 pub struct FullResponse {
     /// Status code.
@@ -247,7 +254,7 @@
     pub body: Bytes,
 }
 
-/// Calls other servers over kept connections.
+/// Client with a pool of persistent connections.
 #[derive(Clone, Debug)]
 pub struct HttpClient {
     client: Client<HttpConnector, Full<Bytes>>,
@@ -256,29 +263,31 @@
 }
 
 impl HttpClient {
-    /// Makes a client that waits `timeout` for each answer and reads at most `body_limit` bytes.
+    /// Creates a client that waits at most `timeout` for the headers and for the body of each response,
+    /// and reads at most `body_limit` bytes of the body.
     pub fn new(timeout: Duration, body_limit: usize) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         connector.set_connect_timeout(Some(timeout.min(Duration::from_secs(2))));
         let client = Client::builder(TokioExecutor::new())
-            .pool_idle_timeout(KEPT_IDLE)
+            .pool_idle_timeout(POOL_IDLE_TIMEOUT)
             .retry_canceled_requests(false)
             .build(connector);
         Self { client, body_limit, timeout }
     }
 
-    /// Sends a request and gives the response as it arrives.
+    /// Sends a request and returns the response when its headers have arrived.
     ///
     /// # Errors
     ///
-    /// Tells whether anything can have reached the other side.
+    /// Returns [`CallError::NotConnected`] if the server cannot have received anything, and
+    /// [`CallError::NoResponse`] if it may have received the request.
     pub async fn send(
         &self,
         request: Request<Full<Bytes>>,
     ) -> Result<Response<Incoming>, CallError> {
         match time::timeout(self.timeout, self.client.request(request)).await {
-            Ok(Ok(answer)) => Ok(answer),
+            Ok(Ok(response)) => Ok(response),
             Ok(Err(error)) if error.is_connect() => {
                 Err(CallError::NotConnected { detail: error.to_string() })
             }
@@ -287,14 +296,14 @@
         }
     }
 
-    /// Sends a request and reads the whole answer.
+    /// Sends a request and reads the complete response.
     ///
     /// # Errors
     ///
-    /// As [`HttpClient::send`].
+    /// See [`HttpClient::send`].
     pub async fn call(&self, request: Request<Full<Bytes>>) -> Result<FullResponse, CallError> {
-        let answer = self.send(request).await?;
-        let (parts, body) = answer.into_parts();
+        let response = self.send(request).await?;
+        let (parts, body) = response.into_parts();
         match time::timeout(self.timeout, read_body(body, self.body_limit)).await {
             Ok(Ok(body)) => Ok(FullResponse { status: parts.status, headers: parts.headers, body }),
             Ok(Err(error)) => Err(CallError::NoResponse { detail: error.to_string() }),
--- a/crates/kernel/src/lib.rs
+++ b/crates/kernel/src/lib.rs
@@ -1,8 +1,8 @@
-//! The micro-kernel under every process of switchfold.
+//! Runtime support shared by all processes of switchfold.
 //!
 //! A process is a set of services, each an [`xtra`] actor, that find each other by name in a
-//! [`ServiceRegistry`](registry::ServiceRegistry). The kernel brings what all of them need and nothing else: settings that are
-//! checked as a whole, logs, metrics, and a shutdown that runs in order.
+//! [`ServiceRegistry`](registry::ServiceRegistry). This crate provides what all processes need:
+//! validated settings, logs, metrics, HTTP, clocks and graceful shutdown.
 //!
 //! ```
 //! use switchfold_kernel::registry::{ServiceName, ServiceRegistry};
--- a/crates/kernel/src/listen.rs
+++ b/crates/kernel/src/listen.rs
@@ -1,24 +1,24 @@
-//! Binding the addresses of the settings.
+//! Binding of the listen addresses from the settings.
 
 use derive_more::{Display, Error};
 use tokio::net::TcpListener;
 
-/// The process cannot listen at an address.
+/// Failure to listen on an address.
 #[derive(Debug, Display, Error)]
-#[display("{address}: {source}")]
+#[display("cannot listen on {address}: {source}")]
 pub struct ListenError {
-    /// The address.
+    /// Address, as configured.
     pub address: String,
-    /// What the system said.
+    /// Error of the operating system.
     pub source: std::io::Error,
 }
 
-/// Binds an address.
+/// Binds a TCP listener to an address.
 ///
 /// # Errors
 ///
-/// Fails where it is malformed, in use, or not this VM's.
+/// Returns an error if the address is malformed, in use, or not assigned to this VM.
 pub async fn bind(address: &str) -> Result<TcpListener, ListenError> {
-    let bound = TcpListener::bind(address).await;
-    bound.map_err(|source| ListenError { address: address.to_owned(), source })
+    let listener = TcpListener::bind(address).await;
+    listener.map_err(|source| ListenError { address: address.to_owned(), source })
 }
--- a/crates/kernel/src/logs.rs
+++ b/crates/kernel/src/logs.rs
@@ -1,11 +1,11 @@
-//! Logs: one line for each change of state, in `key=value` form.
+//! Logging: one line of `key=value` pairs for each change of state.
 //!
-//! What happens often is counted in [`metrics`](crate::metrics) and not logged.
+//! Frequent events are counted in [`metrics`](crate::metrics) and not logged.
 
 use log::LevelFilter;
 use simplelog::{ConfigBuilder, WriteLogger};
 
-/// Starts logging to standard error. A second call in one process changes nothing.
+/// Starts logging to standard error. A second call in the same process has no effect.
 pub fn start(level: LevelFilter) {
     let mut builder = ConfigBuilder::new();
     builder.set_time_format_rfc3339();
--- a/crates/kernel/src/metrics.rs
+++ b/crates/kernel/src/metrics.rs
@@ -1,9 +1,9 @@
-//! Metrics by `opentelemetry`, read as Prometheus text.
+//! Metrics recorded with `opentelemetry` and exported as Prometheus text.
 //!
-//! Each process has a [`MetricsHub`] of its own, not a global one, so that several can run in one
-//! process. Label values are bounded: with thousands of organisations, the first
-//! `limit` busiest keep their names and the rest go together under
-//! [`OTHER_LABEL`].
+//! Each service process creates its own [`MetricsHub`] instead of using a global one, so that several
+//! of them can run in one operating-system process. The number of label values is bounded: with
+//! thousands of organisations, a limited number of the busiest keep their names, and the rest share
+//! the label [`OTHER_LABEL`].
 
 use std::collections::HashMap;
 
@@ -12,22 +12,22 @@
 use opentelemetry_sdk::{error::OTelSdkError, metrics::SdkMeterProvider};
 use prometheus::{Encoder, Registry, TextEncoder};
 
-/// Label of all values past the bound.
+/// Label value shared by all names that a [`LabelBudget`] does not keep.
 pub const OTHER_LABEL: &str = "other";
 
-/// Why metrics could not be set up or read.
+/// Failure to set up or export metrics.
 #[derive(Debug, Display, Error)]
 pub enum MetricsError {
-    /// The exporter could not be made.
-    #[display("metrics exporter: {source}")]
+    /// The exporter could not be created.
+    #[display("cannot create the metrics exporter: {source}")]
     Exporter {
-        /// What the library said.
+        /// Error of the library.
         source: OTelSdkError,
     },
-    /// The metrics could not be written as text.
-    #[display("metrics text: {source}")]
+    /// The metrics could not be encoded as text.
+    #[display("cannot encode metrics as text: {source}")]
     Text {
-        /// What the library said.
+        /// Error of the library.
         source: prometheus::Error,
     },
 }
@@ -44,7 +44,7 @@
     ///
     /// # Errors
     ///
-    /// Fails where the exporter cannot be made.
+    /// Returns [`MetricsError::Exporter`] if the exporter cannot be created.
     pub fn new() -> Result<Self, MetricsError> {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter().with_registry(registry.clone()).build();
@@ -56,16 +56,16 @@
         Ok(Self { registry, provider })
     }
 
-    /// Meter under which instruments are made.
+    /// Returns the meter that creates instruments.
     pub fn meter(&self) -> Meter {
         self.provider.meter("switchfold")
     }
 
-    /// All metrics as Prometheus text.
+    /// Returns all metrics in the Prometheus text format.
     ///
     /// # Errors
     ///
-    /// Fails where a metric has no text form.
+    /// Returns [`MetricsError::Text`] if a metric cannot be encoded.
     pub fn render(&self) -> Result<Vec<u8>, MetricsError> {
         let mut text = Vec::new();
         let encoded = TextEncoder::new().encode(&self.registry.gather(), &mut text);
@@ -76,26 +76,28 @@
     }
 }
 
-/// Bounds the values of one label.
+/// Bounds the number of distinct values of one label.
 ///
-/// Names are kept by how often they are seen: a new name takes the place of none, but counts up in a
-/// fixed table of candidates until it is seen more often than `promote`. Memory: twice
-/// the limit.
+/// Up to `limit` names become label values of their own, and stay so. A new name is first counted in a
+/// bounded table of candidates, and becomes a label value once it has been seen `promote_after` times. All
+/// other names share [`OTHER_LABEL`].
+///
+/// Memory: at most `2 * limit` names.
 #[derive(Debug)]
 pub struct LabelBudget {
     limit: usize,
-    promote: u64,
+    promote_after: u64,
     named: HashMap<String, u64>,
     candidates: HashMap<String, u64>,
 }
 
 impl LabelBudget {
-    /// Makes a budget of `limit` names; a name is kept once it was seen `promote` times.
-    pub fn new(limit: usize, promote: u64) -> Self {
-        Self { limit, promote, named: HashMap::new(), candidates: HashMap::new() }
+    /// Creates a budget for `limit` names. A name is kept once it has been seen `promote_after` times.
+    pub fn new(limit: usize, promote_after: u64) -> Self {
+        Self { limit, promote_after, named: HashMap::new(), candidates: HashMap::new() }
     }
 
-    /// Label for a name: itself, or [`OTHER_LABEL`].
+    /// Records an occurrence of a name and returns its label: the name itself, or [`OTHER_LABEL`].
     pub fn label<'a>(&mut self, name: &'a str) -> &'a str {
         if let Some(seen) = self.named.get_mut(name) {
             *seen += 1;
@@ -105,7 +107,7 @@
             return OTHER_LABEL;
         }
         let seen = self.count_candidate(name);
-        if seen < self.promote {
+        if seen < self.promote_after {
             return OTHER_LABEL;
         }
         self.candidates.remove(name);
@@ -113,17 +115,18 @@
         name
     }
 
-    /// Count of names that are kept.
+    /// Returns the number of names that are kept.
     pub fn len(&self) -> usize {
         self.named.len()
     }
 
-    /// Tells whether no name is kept.
+    /// Returns whether no name is kept.
     pub fn is_empty(&self) -> bool {
         self.named.is_empty()
     }
 
-    /// Counts a candidate; where the table is full, all counts go down and the empty ones go.
+    /// Counts an occurrence of a candidate. If the table is full, decrements all counts instead and
+    /// removes the candidates that reach 0 (the Misra-Gries algorithm).
     fn count_candidate(&mut self, name: &str) -> u64 {
         if let Some(seen) = self.candidates.get_mut(name) {
             *seen += 1;
--- a/crates/kernel/src/registry.rs
+++ b/crates/kernel/src/registry.rs
@@ -1,4 +1,4 @@
-//! Services that find each other by name.
+//! Registry of the services of a process, which find each other by name.
 
 use std::{
     any::Any,
@@ -9,34 +9,34 @@
 use derive_more::{Display, Error};
 use xtra::{Actor, Address};
 
-/// Name of a service within a process.
+/// Name of a service, unique within a process.
 #[derive(Clone, Copy, Debug, Display, Eq, Hash, PartialEq)]
 pub struct ServiceName(pub &'static str);
 
-/// Why a service was not registered or found.
+/// Failure to register or find a service.
 #[derive(Clone, Copy, Debug, Display, Error, Eq, PartialEq)]
 pub enum RegistryError {
-    /// The name is taken.
-    #[display("service {_0} is registered already")]
+    /// A service with this name is already registered.
+    #[display("service {_0} is already registered")]
     AlreadyRegistered(#[error(not(source))] ServiceName),
-    /// No service has the name.
+    /// No service with this name is registered.
     #[display("service {_0} is not registered")]
     NotRegistered(#[error(not(source))] ServiceName),
-    /// The service of that name is of another type.
-    #[display("service {_0} is of another type")]
+    /// The service with this name has another type.
+    #[display("service {_0} has another type")]
     WrongType(#[error(not(source))] ServiceName),
 }
 
 type ServiceMap = HashMap<ServiceName, Box<dyn Any + Send + Sync>>;
 
-/// The services of one process.
+/// The services of one process. Clones share their contents.
 #[derive(Clone, Default)]
 pub struct ServiceRegistry {
     services: Arc<RwLock<ServiceMap>>,
 }
 
 impl ServiceRegistry {
-    /// Makes an empty registry.
+    /// Creates an empty registry.
     pub fn new() -> Self {
         Self::default()
     }
@@ -45,11 +45,11 @@
     ///
     /// # Errors
     ///
-    /// Fails with [`RegistryError::AlreadyRegistered`] where the name has a service.
+    /// Returns [`RegistryError::AlreadyRegistered`] if a service with this name is registered.
     ///
     /// # Panics
     ///
-    /// Panics where another thread panicked inside the registry, which it never does.
+    /// Panics if the lock is poisoned. No code panics while it holds the lock.
     pub fn register<A: Actor>(
         &self,
         name: ServiceName,
@@ -67,11 +67,12 @@
     ///
     /// # Errors
     ///
-    /// Fails with [`RegistryError::NotRegistered`] or [`RegistryError::WrongType`].
+    /// Returns [`RegistryError::NotRegistered`] if no service has this name, and
+    /// [`RegistryError::WrongType`] if it is of another type.
     ///
     /// # Panics
     ///
-    /// Panics where another thread panicked inside the registry, which it never does.
+    /// Panics if the lock is poisoned. No code panics while it holds the lock.
     pub fn find<A: Actor>(&self, name: ServiceName) -> Result<Address<A>, RegistryError> {
         let services = self.services.read().expect("registry lock is never poisoned");
         let service = services.get(&name).ok_or(RegistryError::NotRegistered(name))?;
@@ -79,11 +80,11 @@
         address.cloned().ok_or(RegistryError::WrongType(name))
     }
 
-    /// Forgets all services, which stops those that nobody else holds.
+    /// Removes all services. A service with no other address in use then stops.
     ///
     /// # Panics
     ///
-    /// Panics where another thread panicked inside the registry, which it never does.
+    /// Panics if the lock is poisoned. No code panics while it holds the lock.
     pub fn clear(&self) {
         self.services.write().expect("registry lock is never poisoned").clear();
     }
