--- a/crates/kernel/src/settings.rs
+++ b/crates/kernel/src/settings.rs
@@ -1,7 +1,8 @@
-//! Settings in JSON, checked as a whole.
+//! JSON settings with complete validation.
 //!
-//! A person who mends a settings file wants to see every fault at once, so a file is first checked
-//! against a table of [`FieldRule`]s, which collects all of them, and only then read into its type.
+//! All errors of a settings file are reported together, so that an operator can correct them in one
+//! pass. A file is therefore first validated against a table of [`FieldRule`]s, which collects all
+//! errors, and only then deserialized into its type.
 
 use std::{fs, path::Path};
 
@@ -9,22 +10,22 @@
 use serde::de::DeserializeOwned;
 use serde_json::{Map, Value};
 
-/// What a field must hold.
+/// Type and bounds of a field.
 #[derive(Clone, Copy, Debug)]
 pub enum FieldKind {
-    /// A non-empty text.
+    /// A non-empty string.
     Text,
     /// An IP address with a port, such as `127.0.0.1:7000`.
     Address,
-    /// A whole number between two bounds, both included.
+    /// An integer between two bounds, both inclusive.
     Integer(u64, u64),
-    /// A number between two bounds, both included, with or without a fraction.
+    /// A number between two bounds, both inclusive, with or without a fraction.
     Decimal(f64, f64),
     /// `true` or `false`.
     Bool,
-    /// One of some words.
+    /// One of the listed strings.
     OneOf(&'static [&'static str]),
-    /// An object with fields of its own.
+    /// An object with its own fields.
     Object(&'static [FieldRule]),
     /// A list of objects.
     Objects(&'static [FieldRule]),
@@ -32,76 +33,77 @@
     Addresses,
 }
 
-/// One field of a settings object.
+/// Validation rule for one field of a settings object.
 #[derive(Clone, Copy, Debug)]
 pub struct FieldRule {
     /// Name of the field.
     pub name: &'static str,
-    /// What it must hold.
+    /// Type and bounds of the value.
     pub kind: FieldKind,
-    /// Whether it must be there.
+    /// Whether the field must be present.
     pub required: bool,
-    /// What it is for, printed with a fault.
+    /// Purpose of the field, printed with each error.
     pub help: &'static str,
 }
 
-/// One fault in a settings file.
+/// One validation error of a settings file.
 #[derive(Clone, Debug, Display, Eq, PartialEq)]
 #[display("{path}: {problem}; expected {expected}")]
 pub struct FieldError {
     /// Path of the field, such as `models[0].layers`.
     pub path: String,
-    /// What is wrong.
+    /// Description of the error, such as the value found.
     pub problem: String,
-    /// What would be right.
+    /// Description of a valid value.
     pub expected: String,
 }
 
-/// Why settings were not read.
+/// Failure to load settings.
 #[derive(Debug, Display, Error)]
 pub enum SettingsError {
     /// The file cannot be read.
     #[display("{path}: {source}")]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// What the system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The file is not JSON.
-    #[display("{path}: not JSON: {source}")]
+    /// The file is not valid JSON, or does not match the settings type.
+    #[display("{path}: cannot be parsed: {source}")]
     NotJson {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// Where it stops being JSON.
+        /// Parse error with its position.
         source: serde_json::Error,
     },
-    /// Fields are wrong; all of them are listed.
-    #[display("{path}: {} fault(s)\n{}", errors.len(), render(errors))]
+    /// Fields are invalid; all errors are listed.
+    #[display("{path}: {} error(s)\n{}", errors.len(), render_errors(errors))]
     Invalid {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// Every fault.
+        /// All validation errors.
         errors: Vec<FieldError>,
     },
 }
 
-/// A type of settings.
+/// Settings that can be validated and loaded.
 pub trait CheckedSettings: DeserializeOwned {
-    /// Rules of its fields.
+    /// Rules of the top-level fields. Fields without a rule are rejected.
     const RULES: &'static [FieldRule];
 
-    /// Finds errors that concern several fields at once.
+    /// Returns validation errors that concern several fields at once.
     fn cross_check(&self) -> Vec<FieldError> {
         Vec::new()
     }
 }
 
-/// Reads and checks a settings file.
+/// Reads and validates a settings file.
 ///
 /// # Errors
 ///
-/// Fails with every fault that was found; see [`SettingsError`].
+/// Returns [`SettingsError::Unreadable`] if the file cannot be read, [`SettingsError::NotJson`] if it is
+/// not valid JSON, and [`SettingsError::Invalid`] with all validation errors otherwise.
 pub fn load_settings<T: CheckedSettings>(path: &Path) -> Result<T, SettingsError> {
     let name = path.display().to_string();
     let text = match fs::read(path) {
@@ -111,11 +113,12 @@
     parse_settings(&name, &text)
 }
 
-/// Reads and checks settings from bytes; `name` stands for the file in errors.
+/// Parses and validates settings from bytes. `name` is reported as the path in errors.
 ///
 /// # Errors
 ///
-/// As [`load_settings`].
+/// Returns [`SettingsError::NotJson`] if the text is not valid JSON, and [`SettingsError::Invalid`] with
+/// all validation errors otherwise.
 pub fn parse_settings<T: CheckedSettings>(name: &str, text: &[u8]) -> Result<T, SettingsError> {
     let path = name.to_owned();
     let value: Value = match serde_json::from_slice(text) {
@@ -138,7 +141,7 @@
     Ok(settings)
 }
 
-fn render(errors: &[FieldError]) -> String {
+fn render_errors(errors: &[FieldError]) -> String {
     let lines: Vec<String> = errors.iter().map(|fault| format!("  {fault}")).collect();
     lines.join("\n")
 }
@@ -146,15 +149,15 @@
 fn check_object(prefix: &str, value: &Value, rules: &[FieldRule], errors: &mut Vec<FieldError>) {
     let Value::Object(fields) = value else {
         let path = if prefix.is_empty() { "(whole file)" } else { prefix };
-        push(errors, path, &format!("found {}", describe(value)), "an object");
+        push_error(errors, path, &format!("found {}", describe_value(value)), "an object");
         return;
     };
     check_unknown(prefix, fields, rules, errors);
     for rule in rules {
-        let path = join(prefix, rule.name);
+        let path = join_path(prefix, rule.name);
         match fields.get(rule.name) {
             Some(value) => check_field(&path, value, rule, errors),
-            None if rule.required => push(errors, &path, "missing", &expected(rule)),
+            None if rule.required => push_error(errors, &path, "missing", &describe_expected(rule)),
             None => {}
         }
     }
@@ -170,13 +173,13 @@
         if !rules.iter().any(|rule| rule.name == name) {
             let known: Vec<&str> = rules.iter().map(|rule| rule.name).collect();
             let expected = format!("one of {}", known.join(", "));
-            push(errors, &join(prefix, name), "unknown field", &expected);
+            push_error(errors, &join_path(prefix, name), "unknown field", &expected);
         }
     }
 }
 
 fn check_field(path: &str, value: &Value, rule: &FieldRule, errors: &mut Vec<FieldError>) {
-    let good = match (rule.kind, value) {
+    let is_valid = match (rule.kind, value) {
         (FieldKind::Object(rules), value) => {
             check_object(path, value, rules, errors);
             return;
@@ -188,8 +191,8 @@
             return;
         }
         (FieldKind::Text, Value::String(text)) => !text.is_empty(),
-        (FieldKind::Address, value) => is_address(value),
-        (FieldKind::Addresses, Value::Array(items)) => items.iter().all(is_address),
+        (FieldKind::Address, value) => is_socket_address(value),
+        (FieldKind::Addresses, Value::Array(items)) => items.iter().all(is_socket_address),
         (FieldKind::Integer(least, most), Value::Number(number)) => {
             number.as_u64().is_some_and(|number| (least..=most).contains(&number))
         }
@@ -200,16 +203,21 @@
         (FieldKind::OneOf(words), Value::String(text)) => words.contains(&text.as_str()),
         _ => false,
     };
-    if !good {
-        push(errors, path, &format!("found {}", describe(value)), &expected(rule));
+    if !is_valid {
+        push_error(
+            errors,
+            path,
+            &format!("found {}", describe_value(value)),
+            &describe_expected(rule),
+        );
     }
 }
 
-fn is_address(value: &Value) -> bool {
+fn is_socket_address(value: &Value) -> bool {
     value.as_str().is_some_and(|text| text.parse::<std::net::SocketAddr>().is_ok())
 }
 
-fn expected(rule: &FieldRule) -> String {
+fn describe_expected(rule: &FieldRule) -> String {
     let kind = match rule.kind {
         FieldKind::Text => "a text".to_owned(),
         FieldKind::Address => "an IP address with a port, such as 127.0.0.1:7000".to_owned(),
@@ -224,7 +232,7 @@
     format!("{kind} ({})", rule.help)
 }
 
-fn describe(value: &Value) -> String {
+fn describe_value(value: &Value) -> String {
     match value {
         Value::Null => "null".to_owned(),
         Value::Bool(flag) => flag.to_string(),
@@ -235,11 +243,11 @@
     }
 }
 
-fn join(prefix: &str, name: &str) -> String {
+fn join_path(prefix: &str, name: &str) -> String {
     if prefix.is_empty() { name.to_owned() } else { format!("{prefix}.{name}") }
 }
 
-fn push(errors: &mut Vec<FieldError>, path: &str, problem: &str, expected: &str) {
+fn push_error(errors: &mut Vec<FieldError>, path: &str, problem: &str, expected: &str) {
     errors.push(FieldError {
         path: path.to_owned(),
         problem: problem.to_owned(),
--- a/crates/kernel/src/shutdown.rs
+++ b/crates/kernel/src/shutdown.rs
@@ -1,21 +1,22 @@
-//! Shutdown in order, by guards.
+//! Graceful shutdown.
 //!
-//! A [`ShutdownSignal`] is raised once. Whoever has work to finish holds a [`WorkGuard`]; dropping it
-//! is the release. [`ShutdownSignal::drained`] resolves once the last guard is gone.
+//! A [`ShutdownSignal`] is raised once. A task that has work to finish holds a [`WorkGuard`].
+//! [`ShutdownSignal::drained`] resolves when the last guard has been dropped.
 
 use std::sync::Arc;
 
 use tokio::sync::watch;
 use tokio_util::sync::CancellationToken;
 
-/// Tells a process to stop, and waits for its work.
+/// Signal that stops a process, with a count of the work that must finish first. Clones share their
+/// state.
 #[derive(Clone, Debug)]
 pub struct ShutdownSignal {
     token: CancellationToken,
     work: Arc<watch::Sender<usize>>,
 }
 
-/// A piece of work that a planned stop waits for. Dropping it releases.
+/// Unit of work that a graceful shutdown waits for, until the guard is dropped.
 #[derive(Debug)]
 pub struct WorkGuard {
     work: Arc<watch::Sender<usize>>,
@@ -29,41 +30,41 @@
 }
 
 impl ShutdownSignal {
-    /// Makes a signal that is not raised.
+    /// Creates a signal that is not raised and has no work.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Raises the signal.
+    /// Raises the signal. Raising it again has no effect.
     pub fn raise(&self) {
         self.token.cancel();
     }
 
-    /// Tells whether it is raised.
+    /// Returns whether the signal is raised.
     pub fn is_raised(&self) -> bool {
         self.token.is_cancelled()
     }
 
-    /// Waits until it is raised.
+    /// Waits until the signal is raised. Returns at once if it already is.
     pub async fn raised(&self) {
         self.token.cancelled().await;
     }
 
-    /// Notes a piece of work.
+    /// Registers a unit of work that [`drained`](Self::drained) waits for.
     pub fn guard(&self) -> WorkGuard {
         self.work.send_modify(|count| *count += 1);
         WorkGuard { work: Arc::clone(&self.work) }
     }
 
-    /// Count of guards held.
+    /// Returns the number of guards that have not been dropped.
     pub fn pending(&self) -> usize {
         *self.work.borrow()
     }
 
-    /// Waits until no guard is held.
+    /// Waits until all guards have been dropped.
     pub async fn drained(&self) {
         let mut receiver = self.work.subscribe();
-        // The sender lives in `self`, so the wait cannot fail.
+        // `self` keeps the sender alive, so the wait cannot fail.
         let _ = receiver.wait_for(|count| *count == 0).await;
     }
 }
@@ -74,11 +75,11 @@
     }
 }
 
-/// Waits for the operator's or the platform's request to stop.
+/// Waits for SIGTERM or SIGINT, by which the platform or an operator asks the process to stop.
 ///
 /// # Errors
 ///
-/// Fails where the process cannot listen for signals.
+/// Returns an error if the signal handlers cannot be installed.
 pub async fn wait_for_stop_signal() -> std::io::Result<()> {
     use tokio::signal::unix::{SignalKind, signal};
     let mut terminate = signal(SignalKind::terminate())?;
@@ -90,14 +91,20 @@
     Ok(())
 }
 
-/// A signal that is raised when the operator or the platform asks the process to stop. A process that
-/// cannot listen for signals stops at once, rather than never in order.
+/// Returns a signal that is raised when the process receives SIGTERM or SIGINT.
+///
+/// If the signal handlers cannot be installed, the signal is raised at once: otherwise the process
+/// could never be stopped gracefully.
+///
+/// # Panics
+///
+/// Panics outside of a Tokio runtime.
 pub fn shutdown_on_signal() -> ShutdownSignal {
     let shutdown = ShutdownSignal::new();
-    let raised = shutdown.clone();
+    let signal = shutdown.clone();
     tokio::spawn(async move {
-        let _no_signals_means_stop = wait_for_stop_signal().await;
-        raised.raise();
+        let _error_also_stops = wait_for_stop_signal().await;
+        signal.raise();
     });
     shutdown
 }
--- a/crates/kernel/tests/calls.rs
+++ b/crates/kernel/tests/calls.rs
@@ -1,8 +1,9 @@
-//! Calls over kept connections.
+//! Reuse of pooled connections by the client.
 //!
-//! A caller that had rested for longer than a stopping entry lingers wrote its next request on the connection that the
-//! entry had just closed, and did not know yet: its task had not run, beside a load average of 28. Whether such a request
-//! ran nobody can tell, so the call ended as one that may have run. One line told it:
+//! A client that was idle for longer than the grace period of a stopping entry wrote its next request
+//! to a connection that the entry had just closed. The client had not noticed, because its task had
+//! not run yet at a load average of 28. Such a request may or may not have run, so the call ended as
+//! unknown:
 //!
 //! ```text
 //! unknown: no answer: client error (SendRequest)
@@ -21,7 +22,7 @@
 use http_body_util::Full;
 use switchfold_kernel::http::HttpClient;
 
-/// Reads one request, and answers it.
+/// Reads the headers of one request and sends a response.
 fn answer(stream: &mut TcpStream) {
     let mut head = Vec::new();
     let mut byte = [0];
@@ -31,19 +32,22 @@
         }
         head.push(byte[0]);
     }
-    stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok").expect("the caller reads");
+    stream
+        .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+        .expect("the client reads the response");
 }
 
-/// Answers one request, closes its connection once told to, and answers the next one on another connection.
-fn closes_between(closes: mpsc::Receiver<()>, closed: mpsc::Sender<()>) -> SocketAddr {
+/// Starts a server that answers one request, closes the connection when the test asks for it, and
+/// answers the next request on a new connection.
+fn start_server(close_requests: mpsc::Receiver<()>, close_done: mpsc::Sender<()>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free loopback port");
     let address = listener.local_addr().expect("a bound address");
     thread::spawn(move || {
         let (mut first, _) = listener.accept().expect("a connection");
         answer(&mut first);
-        closes.recv().expect("the test goes on");
+        close_requests.recv().expect("the test is running");
         drop(first);
-        closed.send(()).expect("the test goes on");
+        close_done.send(()).expect("the test is running");
         let (mut second, _) = listener.accept().expect("a connection");
         answer(&mut second);
     });
@@ -54,20 +58,22 @@
     Request::get(format!("http://{address}/")).body(Full::default()).expect("a request")
 }
 
-/// Time for which the caller rests: the time for which a stopping server answers on, before it closes what rests.
-const RESTS: Duration = Duration::from_secs(1);
+/// Time for which the client is idle: the grace period after which a stopping server closes idle
+/// connections.
+const IDLE: Duration = Duration::from_secs(1);
 
-/// A caller that rested for as long as a stopping server lingers does not use the connection that this closes then.
+/// A client that was idle for the grace period of a stopping server does not reuse the connection that
+/// the server closes then.
 #[tokio::test]
-async fn a_connection_that_rested_is_not_used() {
-    let (close, closes) = mpsc::channel();
-    let (closed, is_closed) = mpsc::channel();
-    let address = closes_between(closes, closed);
+async fn idle_connection_is_not_reused() {
+    let (close, close_requests) = mpsc::channel();
+    let (close_done, close_results) = mpsc::channel();
+    let address = start_server(close_requests, close_done);
     let client = HttpClient::new(Duration::from_secs(20), 1 << 10);
     assert_eq!(client.call(request(address)).await.expect("an answer").status, StatusCode::OK);
-    // Blocks the one thread, so that the client cannot hear of the close before it calls again.
-    thread::sleep(RESTS);
-    close.send(()).expect("the server goes on");
-    is_closed.recv().expect("the server goes on");
+    // Blocks the only thread, so that the client cannot notice the close before its next call.
+    thread::sleep(IDLE);
+    close.send(()).expect("the server is running");
+    close_results.recv().expect("the server is running");
     assert_eq!(client.call(request(address)).await.expect("an answer").status, StatusCode::OK);
 }
--- a/crates/kernel/tests/kernel.rs
+++ b/crates/kernel/tests/kernel.rs
@@ -1,4 +1,4 @@
-//! Services by name, shutdown by guards, bounded labels, HTTP within its limits.
+//! Service registry, shutdown, metrics labels, and the limits of the HTTP server and client.
 
 use std::time::Duration;
 
@@ -35,7 +35,7 @@
 }
 
 #[tokio::test]
-async fn a_stop_waits_for_guards() {
+async fn shutdown_waits_for_guards() {
     let signal = ShutdownSignal::new();
     let guards = [signal.guard(), signal.guard()];
     assert_eq!(signal.pending(), 2);
@@ -46,13 +46,13 @@
     tokio::task::yield_now().await;
     assert!(!waiting.is_finished());
     drop(guards);
-    waiting.await.expect("it resolves");
+    waiting.await.expect("the wait ends when no guard is left");
     signal.raise();
     signal.raised().await;
 }
 
 #[test]
-fn labels_are_bounded_and_the_busiest_are_named() {
+fn labels_are_bounded_and_the_busiest_names_are_kept() {
     let mut budget = LabelBudget::new(3, 5);
     for round in 0..2_000 {
         budget.label("heavy");
@@ -78,7 +78,7 @@
     );
 }
 
-async fn start(limits: HttpLimits) -> (String, ShutdownSignal) {
+async fn start_server(limits: HttpLimits) -> (String, ShutdownSignal) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("bound").to_string();
     let signal = ShutdownSignal::new();
@@ -105,7 +105,8 @@
 
 #[tokio::test]
 async fn bodies_headers_and_connections_are_limited() {
-    let (address, signal) = start(HttpLimits { max_headers: 8, ..HttpLimits::default() }).await;
+    let (address, signal) =
+        start_server(HttpLimits { max_headers: 8, ..HttpLimits::default() }).await;
     let http = HttpClient::new(Duration::from_secs(10), 1_000);
     assert_eq!(http.call(post(&address, 100)).await.expect("answered").status, StatusCode::OK);
     let large = http.call(post(&address, 101)).await.expect("answered");
@@ -121,12 +122,14 @@
     tokio::task::yield_now().await;
 }
 
-/// A caller that sends its headers too slowly is cut off, and holds no connection.
+/// The server closes the connection of a caller that sends its headers too slowly.
 #[tokio::test]
-async fn idle_connections_end() {
-    let (address, _signal) =
-        start(HttpLimits { idle_timeout: Duration::from_millis(50), ..HttpLimits::default() })
-            .await;
+async fn idle_connections_are_closed() {
+    let (address, _signal) = start_server(HttpLimits {
+        idle_timeout: Duration::from_millis(50),
+        ..HttpLimits::default()
+    })
+    .await;
     let mut stream = TcpStream::connect(&address).await.expect("connected");
     stream.write_all(b"POST / HTTP/1.1\r\n").await.expect("sent");
     let mut rest = Vec::new();
@@ -135,16 +138,16 @@
 }
 
 #[tokio::test]
-async fn the_client_tells_whether_anything_was_sent() {
+async fn client_reports_whether_anything_was_sent() {
     let http = HttpClient::new(Duration::from_secs(5), 1_000);
-    let unbound = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = unbound.local_addr().expect("bound").to_string();
-    drop(unbound);
+    let dropped = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    let address = dropped.local_addr().expect("bound").to_string();
+    drop(dropped);
     assert!(matches!(http.call(post(&address, 1)).await, Err(CallError::NotConnected { .. })));
-    let mute = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = mute.local_addr().expect("bound").to_string();
+    let silent = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    let address = silent.local_addr().expect("bound").to_string();
     tokio::spawn(async move {
-        let (mut stream, _) = mute.accept().await.expect("connected");
+        let (mut stream, _) = silent.accept().await.expect("connected");
         let mut buffer = [0; 16];
         let _read = stream.read(&mut buffer).await;
     });
--- a/crates/kernel/tests/settings.rs
+++ b/crates/kernel/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings: every fault at once, with its path and what is expected.
+//! Settings validation: all errors are reported together, with their paths and the expected values.
 
 use assert_matches::assert_matches;
 use serde::Deserialize;
@@ -57,27 +57,27 @@
 
     fn cross_check(&self) -> Vec<FieldError> {
         let total: u64 = self.parts.iter().map(|part| part.size).sum();
-        let fault = FieldError {
+        let error = FieldError {
             path: "parts".to_owned(),
             problem: format!("sizes add up to {total}"),
             expected: format!("at most 12 for {}", self.name),
         };
-        if total > 12 { vec![fault] } else { Vec::new() }
+        if total > 12 { vec![error] } else { Vec::new() }
     }
 }
 
-fn faults(text: &str) -> Vec<FieldError> {
+fn field_errors(text: &str) -> Vec<FieldError> {
     match parse_settings::<Sample>("sample.json", text.as_bytes()) {
-        Err(SettingsError::Invalid { errors: faults, .. }) => faults,
+        Err(SettingsError::Invalid { errors: field_errors, .. }) => field_errors,
         other => panic!("{text}: {other:?}"),
     }
 }
 
 #[test]
-fn all_faults_are_listed_at_once() {
+fn all_errors_are_reported_together() {
     let text = r#"{"nme": "x", "listen": "localhost", "peers": ["1.2.3.4:5", "6"], "fast": 1, "mode": "c",
                    "parts": [{"size": 3}, {"size": 0, "colour": 2}, {}, 7]}"#;
-    let listed: Vec<String> = faults(text).into_iter().map(|fault| fault.path).collect();
+    let paths: Vec<String> = field_errors(text).into_iter().map(|error| error.path).collect();
     let expected = [
         "nme",
         "name",
@@ -90,11 +90,11 @@
         "parts[2].size",
         "parts[3]",
     ];
-    assert_eq!(listed, expected);
+    assert_eq!(paths, expected);
 }
 
 #[test]
-fn faults_say_what_is_expected() {
+fn errors_describe_the_expected_value() {
     let table = [
         (r#"{"name": ""}"#, "name", "a text"),
         (r#"{"name": "x", "listen": "x:1"}"#, "listen", "127.0.0.1:7000"),
@@ -105,14 +105,14 @@
         ("[]", "(whole file)", "an object"),
     ];
     for (text, path, expected) in table {
-        let fault = &faults(text)[0];
-        assert_eq!(fault.path, path, "{text}");
-        assert!(fault.to_string().contains(expected), "{text}: {fault}");
+        let error = &field_errors(text)[0];
+        assert_eq!(error.path, path, "{text}");
+        assert!(error.to_string().contains(expected), "{text}: {error}");
     }
 }
 
 #[test]
-fn what_is_not_json_is_said_so() {
+fn malformed_json_is_reported() {
     assert_matches!(parse_settings::<Sample>("f", b"{"), Err(SettingsError::NotJson { .. }));
     assert_matches!(parse_settings::<Sample>("f", b"\xff"), Err(SettingsError::NotJson { .. }));
     assert!(parse_settings::<Sample>("f", br#"{"name": "x"}"#).is_ok());
--- a/crates/kernel/tests/suspended.rs
+++ b/crates/kernel/tests/suspended.rs
@@ -1,6 +1,7 @@
-//! A VM is suspended: the steady clock does not count the pause, and every age must.
+//! The clock counts the time during which a VM is suspended; the monotonic clock does not.
 //!
-//! The program of this test has clocks of its own, as a suspended VM has them: the steady ones stand while [`SUSPENDED`] grows.
+//! This test program replaces `clock_gettime`, to simulate a suspended VM: its monotonic clocks lag
+//! behind by [`SUSPENDED`].
 
 use std::{
     ffi::c_int,
@@ -17,22 +18,22 @@
 
 const NANOS: i64 = 1_000_000_000;
 
-/// Sum of the pauses so far, in nanoseconds.
+/// Total simulated suspension so far, in nanoseconds.
 static SUSPENDED: AtomicI64 = AtomicI64::new(0);
 
-/// Reads a clock of this program.
+/// Replaces the function of the C library in this program.
 ///
 /// # Safety
 ///
-/// As the system's own: `time` points to a `timespec` that may be written.
-// SAFETY: it stands for the system's function of this name in this program alone, with the system's signature.
+/// As for the original function, `time` must point to a `timespec` that may be written.
+// SAFETY: the function replaces the one of the C library in this program only, with the same signature.
 #[unsafe(no_mangle)]
 unsafe extern "C" fn clock_gettime(clock: clockid_t, time: *mut timespec) -> c_int {
-    // SAFETY: the arguments are passed on as they came.
+    // SAFETY: the arguments are passed on unchanged.
     let result = unsafe { libc::syscall(SYS_clock_gettime, clock, time) } as c_int;
-    let steady = [CLOCK_MONOTONIC, CLOCK_MONOTONIC_COARSE, CLOCK_MONOTONIC_RAW];
-    if result == 0 && steady.contains(&clock) {
-        // SAFETY: the call above succeeded, so it wrote there.
+    let monotonic = [CLOCK_MONOTONIC, CLOCK_MONOTONIC_COARSE, CLOCK_MONOTONIC_RAW];
+    if result == 0 && monotonic.contains(&clock) {
+        // SAFETY: the call above succeeded, so `time` points to a valid `timespec`.
         let time = unsafe { &mut *time };
         let nanos = time.tv_sec * NANOS + time.tv_nsec - SUSPENDED.load(Ordering::Relaxed);
         (time.tv_sec, time.tv_nsec) = (nanos / NANOS, nanos % NANOS);
@@ -40,16 +41,17 @@
     result
 }
 
-/// Ages that were counted by the steady clock looked younger than they were by the whole pause: a relay let in keys that had been
-/// taken away while its VM was suspended, by a configuration that it took for a second old.
+/// When ages were measured with the monotonic clock, they were too low by the duration of a suspension:
+/// a relay took its old configuration for 1 s old and accepted keys that had been removed while its VM
+/// was suspended.
 #[test]
-fn the_clock_counts_the_time_that_a_vm_was_suspended() {
+fn clock_counts_the_time_of_a_suspension() {
     const PAUSE: Duration = Duration::from_millis(300);
-    let (steady, before) = (Instant::now(), now_millis());
+    let (monotonic, before) = (Instant::now(), now_millis());
     sleep(PAUSE);
     SUSPENDED.store(PAUSE.as_nanos() as i64, Ordering::Relaxed);
-    let (stood, after) = (steady.elapsed(), now_millis());
+    let (monotonic_elapsed, after) = (monotonic.elapsed(), now_millis());
     assert!(after >= before + PAUSE.as_millis() as u64, "{before} ms before, {after} ms after");
     SUSPENDED.store(2 * PAUSE.as_nanos() as i64, Ordering::Relaxed);
-    assert!(steady.elapsed() < stood, "the steady clock of this program stands");
+    assert!(monotonic.elapsed() < monotonic_elapsed, "the monotonic clock did not lag behind");
 }
