--- a/crates/relay/src/flow.rs
+++ b/crates/relay/src/flow.rs
@@ -12,9 +12,9 @@
 use switchfold_kernel::clock::now_millis;
 use switchfold_platform::{
     events::EventFramer,
-    headers::{AnswerMarks, read_answer},
+    headers::{ResponseHeaders, read_response_headers},
 };
-use switchfold_router::{Millis, chain::PathPart};
+use switchfold_router::{Millis, path::PathStage};
 use tokio::time::{Instant, sleep_until};
 
 mod recovery;
@@ -58,8 +58,8 @@
     tried: TriedReplicas,
     body: Incoming,
     link: Option<BusyLink>,
-    marks: AnswerMarks,
-    path: Vec<PathPart>,
+    marks: ResponseHeaders,
+    path: Vec<PathStage>,
     room: RoomGuard,
     run: RunWatch,
     framer: EventFramer,
@@ -89,8 +89,8 @@
 ) -> RelayBody {
     let flow = StreamFlow {
         alarms_seen: relay.alarms.get(),
-        framer: EventFramer::after(request.marks.last_event),
-        marks: read_answer(&opened.head.headers),
+        framer: EventFramer::after(request.marks.last_event_id),
+        marks: read_response_headers(&opened.head.headers),
         body: opened.body,
         link: Some(opened.link),
         path: opened.path,
@@ -190,7 +190,7 @@
 
     /// Pause between events that makes an answer late.
     fn longest_gap(&self) -> Millis {
-        match self.permit.route.event_gap {
+        match self.permit.route.max_event_gap {
             0 => DEFAULT_GAP,
             gap => gap,
         }
@@ -216,9 +216,9 @@
             longest_pause_ms = self.longest_pause,
             events = self.framer.events(),
             parts = self.path.len(),
-            first = %self.path[0].life,
+            first = %self.path[0].instance,
         );
-        if let Some(link) = self.link.take().filter(|_| !self.marks.closes) {
+        if let Some(link) = self.link.take().filter(|_| !self.marks.closes_connection) {
             link.give_back(&self.relay.pool, self.marks.keep_alive);
         }
     }
--- a/crates/relay/src/placer/groups.rs
+++ b/crates/relay/src/placer/groups.rs
@@ -3,10 +3,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use switchfold_router::{
-    access::RoutingConfig,
-    cover::LayerHolder,
     fleet::{FleetView, LayerRange},
     groups::{group_count, group_of, is_planned_by},
+    placement::LayerHolder,
+    routing::RoutingConfig,
 };
 
 /// Replicas that are planned together.
@@ -69,7 +69,7 @@
             part,
         };
         for holder in holders {
-            let part = group_of(&holder.life, count);
+            let part = group_of(&holder.instance, count);
             groups.entry(name(part)).or_default().push(holder);
         }
     }
--- a/crates/relay/tests/snapshots.rs
+++ b/crates/relay/tests/snapshots.rs
@@ -11,17 +11,17 @@
 use serde_json::json;
 use switchfold_platform::{CONFIG_KIND, CONFIG_NAME, ENTRY_KIND, REPLICA_KIND};
 use switchfold_platform_standin::{
-    Reply, SeenRequest, StandinReplica, StandinStore, StoreMood, answer,
+    ReceivedRequest, Reply, StandinReplica, StandinStore, StoreBehaviour, answer,
     samples::{self, KEY, desk_entry},
 };
 use switchfold_relay::{
-    news::{LifeRecord, LoadNews, LoadRecord, PeerMessage, StateNews, encode_state},
+    news::{InstanceRecord, LoadNews, LoadRecord, PeerMessage, StateNews, encode_state},
     snapshot::{RelayRecord, Snapshot, SnapshotBody, read_target, write_target},
     store_calls::CallKind,
 };
 use tokio::net::UdpSocket;
 
-fn well(request: &SeenRequest) -> Reply {
+fn well(request: &ReceivedRequest) -> Reply {
     answer(request, 200, "well")
 }
 
@@ -77,7 +77,7 @@
         let first = BoundRelay::new("relay-1", store.clone(), lasting.clone()).await.run();
         first.wait_ready(StatusCode::OK).await;
         let second = BoundRelay::new("relay-2", store.clone(), lasting).await;
-        store.set_mood(StoreMood::Busy);
+        store.set_behaviour(StoreBehaviour::Unavailable);
         second.meet(&first).await;
         let second = second.run();
         second.wait_ready(StatusCode::OK).await;
@@ -106,9 +106,10 @@
             store.put(CONFIG_KIND, CONFIG_NAME, samples::config(1, &ROUTES, &[KEY]));
             store.put(REPLICA_KIND, "i-1", desk_entry(replica.address()));
             let text = bytes.clone();
-            let liar =
-                StandinReplica::start(move |request: &SeenRequest| bytes_answer(request, &text))
-                    .await;
+            let liar = StandinReplica::start(move |request: &ReceivedRequest| {
+                bytes_answer(request, &text)
+            })
+            .await;
             let relay = BoundRelay::new("relay-1", store.clone(), bounds()).await;
             let told = tell_as_reader(liar.address(), relay.peers());
             let relay = relay.run();
@@ -129,7 +130,7 @@
     value.and_then(|value| value.parse().ok()).unwrap_or(0)
 }
 
-fn bytes_answer(request: &SeenRequest, body: &[u8]) -> Reply {
+fn bytes_answer(request: &ReceivedRequest, body: &[u8]) -> Reply {
     let Reply::Bytes(whole) = answer(request, 200, &"x".repeat(body.len())) else {
         panic!("answers are bytes")
     };
@@ -236,10 +237,10 @@
         name: "relay-1".to_owned(),
         stamp: (7, 1_000),
         load: LoadNews::Gathered(LoadRecord {
-            room: vec![(LifeRecord("i-1".to_owned(), 5), 40)],
+            room: vec![(InstanceRecord("i-1".to_owned(), 5), 40)],
             ..LoadRecord::default()
         }),
-        mutes: vec![(LifeRecord("i-2".to_owned(), 0), 600)],
+        mutes: vec![(InstanceRecord("i-2".to_owned(), 0), 600)],
         ..StateNews::default()
     };
     let written = encode_state(&news);
