--- a/crates/core/benches/decisions.rs
+++ b/crates/core/benches/decisions.rs
@@ -1,4 +1,5 @@
-//! Duration of each decision at three sizes, up to the largest size that the system is designed for.
+//! Duration of each decision at three sizes, up to the largest size that the system is designed
+//! for.
 //!
 //! Run with `cargo bench -p switchfold-core`.
 
--- a/crates/core/src/activation.rs
+++ b/crates/core/src/activation.rs
@@ -1,9 +1,9 @@
 //! Log of a stage's output for a request, kept so that the next stage can be replaced.
 //!
-//! Each stage keeps the activations that it sent for a request, up to a limit in bytes. When the next
-//! stage is replaced, the log is replayed to the replacement, so no surviving stage computes anything
-//! twice. Once the limit is exceeded, the log keeps only the newest output: a replay from position 0
-//! is then refused, and the entry starts a new attempt instead.
+//! Each stage keeps the activations that it sent for a request, up to a limit in bytes. When the
+//! next stage is replaced, the log is replayed to the replacement, so no surviving stage computes
+//! anything twice. Once the limit is exceeded, the log keeps only the newest output: a replay from
+//! position 0 is then refused, and the entry starts a new attempt instead.
 //!
 //! Memory: at most the limit, or one output where that is larger, plus 4 bytes per position.
 
--- a/crates/core/src/affinity.rs
+++ b/crates/core/src/affinity.rs
@@ -1,8 +1,8 @@
 //! Prefix-cache affinity with bounded loads.
 //!
 //! Weighted rendezvous hashing ranks the replicas of the first stage for each prompt prefix of an
-//! organisation. The highest-ranked replica whose load is within the bound is chosen. Affinity affects
-//! only latency: a replica with a cold cache gives the same answer, later.
+//! organisation. The highest-ranked replica whose load is within the bound is chosen. Affinity
+//! affects only latency: a replica with a cold cache gives the same answer, later.
 
 use crate::hash::hash_bytes;
 
--- a/crates/core/src/assembly.rs
+++ b/crates/core/src/assembly.rs
@@ -13,8 +13,8 @@
 
 /// Reorder buffer for the answer to one request: each index is delivered once, in order.
 ///
-/// Memory: the delivered tokens, which a new attempt needs as its prefix, and the tokens that wait for
-/// an earlier one; together at most `limit`.
+/// Memory: the delivered tokens, which a new attempt needs as its prefix, and the tokens that wait
+/// for an earlier one; together at most `limit`.
 #[derive(Clone, Debug)]
 pub struct AnswerAssembly {
     limit: u32,
@@ -55,7 +55,8 @@
         self.delivered.get(before..).unwrap_or_default()
     }
 
-    /// Sets the length of the answer, as the end marker gives it. Only the first call has an effect.
+    /// Sets the length of the answer, as the end marker gives it. Only the first call has an
+    /// effect.
     pub fn set_total(&mut self, total: u32) {
         if self.total.is_none() {
             self.total = Some(total.min(self.limit));
--- a/crates/core/src/claim.rs
+++ b/crates/core/src/claim.rs
@@ -1,14 +1,14 @@
 //! Idempotency keys: at most one run for each key, even if the caller sends the request again.
 //!
-//! A key is claimed for a request before the request is dispatched. Claims are stored in shards in the
-//! platform's store. A shard is a chain of segments, each an object well below the store's size limit.
-//! Only the last segment accepts claims. The write that fills a segment seals it, and the next segment
-//! is created by a conditional write that fails if the segment exists.
+//! A key is claimed for a request before the request is dispatched. Claims are stored in shards in
+//! the platform's store. A shard is a chain of segments, each an object well below the store's size
+//! limit. Only the last segment accepts claims. The write that fills a segment seals it, and the
+//! next segment is created by a conditional write that fails if the segment exists.
 //!
-//! Safety depends only on the conditional writes. A [`ClaimShard`] is a process's view of one shard. If
-//! the view is stale, its write fails; the process then reads the segment again and retries. A claim
-//! counts as granted only after [`ClaimShard::apply_write`], that is after the store accepted the
-//! write, or after the segment was read back and contains the claim.
+//! Safety depends only on the conditional writes. A [`ClaimShard`] is a process's view of one
+//! shard. If the view is stale, its write fails; the process then reads the segment again and
+//! retries. A claim counts as granted only after [`ClaimShard::apply_write`], that is after the
+//! store accepted the write, or after the segment was read back and contains the claim.
 //!
 //! Memory: about 150 bytes per claim.
 
@@ -146,8 +146,8 @@
         Some(ClaimHolder { request: record.request, entry: record.entry.clone() })
     }
 
-    /// Adds the claims of the last segment as read at `version`. Returns whether it is sealed, so that
-    /// the next segment must be read.
+    /// Adds the claims of the last segment as read at `version`. Returns whether it is sealed, so
+    /// that the next segment must be read.
     ///
     /// Segments must be read in order: a later record for a key replaces an earlier one.
     pub fn apply_segment(&mut self, version: u64, segment: ClaimSegment) -> bool {
@@ -166,7 +166,8 @@
         sealed
     }
 
-    /// Returns the write that claims the keys of a group of proposals, or `None` if all keys are held.
+    /// Returns the write that claims the keys of a group of proposals, or `None` if all keys are
+    /// held.
     ///
     /// The first proposal for a key wins. After [`ClaimShard::apply_write`], or after reading the
     /// segment again, [`ClaimShard::holder`] returns the holder of each key.
--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -1,9 +1,9 @@
 //! Operator configuration, as stored objects.
 //!
-//! 13,000 organisations do not fit into one object, so they are sharded by a hash of their name. Each
-//! event and each draining VM has an object of its own. Every object contains the id of the command
-//! that wrote it: if the answer to a write is lost, reading the object back shows whether the write
-//! succeeded.
+//! 13,000 organisations do not fit into one object, so they are sharded by a hash of their name.
+//! Each event and each draining VM has an object of its own. Every object contains the id of the
+//! command that wrote it: if the answer to a write is lost, reading the object back shows whether
+//! the write succeeded.
 
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 
@@ -170,8 +170,8 @@
 ///
 /// # Errors
 ///
-/// Returns [`ErrorKind::MalformedObject`] if the value is not valid JSON or a field is wrong. The error
-/// names the object and the field.
+/// Returns [`ErrorKind::MalformedObject`] if the value is not valid JSON or a field is wrong. The
+/// error names the object and the field.
 pub fn parse_object<T: DeserializeOwned>(key: &ObjectKey, value: &[u8]) -> Result<T, Error> {
     serde_json::from_slice(value).map_err(|error| {
         let detail = format!("{} {:?}: {error}", key.kind, key.name);
--- a/crates/core/src/ejection.rs
+++ b/crates/core/src/ejection.rs
@@ -1,20 +1,22 @@
 //! Outlier detection: temporary ejection of replicas that are slow or failing.
 //!
-//! A replica is compared with the other replicas of the same layers by the duration of its steps, and
-//! ejected also after several failures in a row. Each further ejection lasts longer. At most a fixed
-//! share of a group is ejected at a time, so that replicas that are all slow or failing are not all
-//! taken out of service.
+//! A replica is compared with the other replicas of the same layers by the duration of its steps,
+//! and ejected also after several failures in a row. Each further ejection lasts longer. At most a
+//! fixed share of a group is ejected at a time, so that replicas that are all slow or failing are
+//! not all taken out of service.
 
 use crate::Millis;
 
 /// Thresholds and limits of ejection.
 #[derive(Clone, Copy, Debug)]
 pub struct EjectionConfig {
-    /// A replica is ejected if its mean step duration is above this percentage of the group's median.
+    /// A replica is ejected if its mean step duration is above this percentage of the group's
+    /// median.
     pub slow_percent: u64,
     /// A replica is ejected after this many failures in a row.
     pub consecutive_failures: u32,
-    /// Duration of the first ejection. It doubles with each further ejection, up to 8 times as long.
+    /// Duration of the first ejection. It doubles with each further ejection, up to 8 times as
+    /// long.
     pub first_ejection_ms: Millis,
     /// Maximum percentage of a group's replicas that may be ejected at the same time.
     pub max_ejected_percent: usize,
@@ -66,8 +68,8 @@
         self.failures = self.failures.saturating_add(1);
     }
 
-    /// Records a complete answer. Resets the count of failures and, if the replica is not ejected now,
-    /// shortens its next ejection by one doubling.
+    /// Records a complete answer. Resets the count of failures and, if the replica is not ejected
+    /// now, shortens its next ejection by one doubling.
     pub fn record_success(&mut self, now: Millis) {
         self.failures = 0;
         if now >= self.ejected_until {
@@ -89,7 +91,8 @@
     }
 }
 
-/// Ejects the outliers among the replicas of one group. Returns the positions of those newly ejected.
+/// Ejects the outliers among the replicas of one group. Returns the positions of those newly
+/// ejected.
 pub fn eject_outliers(
     group: &mut [&mut ReplicaHealth],
     config: &EjectionConfig,
--- a/crates/core/src/error.rs
+++ b/crates/core/src/error.rs
@@ -2,7 +2,7 @@
 
 use derive_more::{Display, Error};
 
-/// Category of an [`Error`].
+/// Category of an [`Error`](struct@Error).
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Display)]
 #[non_exhaustive]
 pub enum ErrorKind {
--- a/crates/core/src/flow.rs
+++ b/crates/core/src/flow.rs
@@ -1,11 +1,11 @@
 //! Maximum throughput of replicas and links, as a maximum flow.
 //!
 //! Each replica is an edge whose capacity is the replica's rate. The links between data centres are
-//! edges with the capacity of the link, one for each boundary between layer ranges. The maximum flow
-//! from the first layer to the last is the upper bound of the throughput, the flow through each replica
-//! is its target share, and the minimum cut shows the bottleneck. Links are aggregated by pairs of data
-//! centres, so the graph has `replicas + boundaries * data_centres^2` edges instead of a number
-//! quadratic in the replicas.
+//! edges with the capacity of the link, one for each boundary between layer ranges. The maximum
+//! flow from the first layer to the last is the upper bound of the throughput, the flow through
+//! each replica is its target share, and the minimum cut shows the bottleneck. Links are aggregated
+//! by pairs of data centres, so the graph has `replicas + boundaries * data_centres^2` edges
+//! instead of a number quadratic in the replicas.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
--- a/crates/core/src/hash.rs
+++ b/crates/core/src/hash.rs
@@ -1,4 +1,5 @@
-//! Seeded hash function whose results are identical on every VM and in every version of the program.
+//! Seeded hash function whose results are identical on every VM and in every version of the
+//! program.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
--- a/crates/core/src/id.rs
+++ b/crates/core/src/id.rs
@@ -1,9 +1,9 @@
 //! Request identifiers.
 //!
-//! A [`RequestId`] consists of the incarnation of the entry that issued it (derived from the start time
-//! and the name of the process) and a counter within that incarnation. Both only grow, so a
-//! [`RequestLedger`](crate::ledger::RequestLedger) can evict old ids without ever treating an evicted
-//! one as new.
+//! A [`RequestId`] consists of the incarnation of the entry that issued it (derived from the start
+//! time and the name of the process) and a counter within that incarnation. Both only grow, so a
+//! [`RequestLedger`](crate::ledger::RequestLedger) can evict old ids without ever treating an
+//! evicted one as new.
 
 use std::{fmt, str::FromStr};
 
@@ -52,7 +52,8 @@
 /// that start in the same millisecond.
 const NAME_BITS: u32 = 22;
 
-/// Returns the incarnation of a process that starts `epoch_millis` milliseconds after the Unix epoch.
+/// Returns the incarnation of a process that starts `epoch_millis` milliseconds after the Unix
+/// epoch.
 ///
 /// Incarnations of a process grow with each restart, and differ between processes that start in the
 /// same millisecond.
--- a/crates/core/src/ledger.rs
+++ b/crates/core/src/ledger.rs
@@ -2,9 +2,10 @@
 //!
 //! The ledger answers two questions: whether a request may run here, and whether it is certain that
 //! it never did. Beyond its capacity it evicts the request that finished first, and from then on
-//! treats every id with the same incarnation and a counter up to the evicted one as *too old*: whether
-//! such a request ran is unknown. It is refused, and a void of it returns [`VoidOutcome::Unknown`].
-//! Eviction can thus cost a retry on another replica, but never a second run or a false "not run".
+//! treats every id with the same incarnation and a counter up to the evicted one as *too old*:
+//! whether such a request ran is unknown. It is refused, and a void of it returns
+//! [`VoidOutcome::Unknown`]. Eviction can thus cost a retry on another replica, but never a second
+//! run or a false "not run".
 //!
 //! Memory: `capacity` ids, plus one eviction mark for each of at most `incarnations` incarnations.
 
@@ -53,7 +54,8 @@
     NeverRan,
     /// The request is running or ran here.
     Ran,
-    /// It is unknown whether the request ran: its record may have been evicted, or the ledger is full.
+    /// It is unknown whether the request ran: its record may have been evicted, or the ledger is
+    /// full.
     Unknown,
 }
 
@@ -98,8 +100,8 @@
         }
     }
 
-    /// Decides whether an attempt of a request may run, and records it as running if so. `once` marks
-    /// a request that must not be repeated.
+    /// Decides whether an attempt of a request may run, and records it as running if so. `once`
+    /// marks a request that must not be repeated.
     pub fn admit(&mut self, id: RequestId, attempt: u32, once: bool) -> LedgerAdmission {
         match self.states.get(&id).copied() {
             Some(LedgerState::Voided) => LedgerAdmission::Voided,
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -2,8 +2,8 @@
 //!
 //! Everything in this crate is a deterministic function of its arguments: the caller passes in the
 //! time as [`Millis`] and seeds the random generator. The crate performs no I/O, reads no clock and
-//! spawns no tasks. The processes around it only translate messages into calls, so property tests and
-//! benchmarks run the same code as production, with any order of events.
+//! spawns no tasks. The processes around it only translate messages into calls, so property tests
+//! and benchmarks run the same code as production, with any order of events.
 //!
 //! # Example
 //!
--- a/crates/core/src/path.rs
+++ b/crates/core/src/path.rs
@@ -1,12 +1,13 @@
 //! Load balancing: choice of a replica for each stage of a request.
 //!
-//! The maximum flow over replicas and links ([`flow`](crate::flow)) gives the share of the work that
-//! each replica can handle. [`PathPolicy::FlowCorrected`] draws two replicas by those shares and takes
-//! the one with less work relative to its share. Drawing at random matters: if many entries all took
-//! the least loaded replica according to the same stale reports, they would overload it.
+//! The maximum flow over replicas and links ([`flow`](crate::flow)) gives the share of the work
+//! that each replica can handle. [`PathPolicy::FlowCorrected`] draws two replicas by those shares
+//! and takes the one with less work relative to its share. Drawing at random matters: if many
+//! entries all took the least loaded replica according to the same stale reports, they would
+//! overload it.
 //!
-//! The other policies are baselines for measurements. Each choice is linear in the candidates of one
-//! stage.
+//! The other policies are baselines for measurements. Each choice is linear in the candidates of
+//! one stage.
 
 use rand::{Rng, RngExt};
 use serde::{Deserialize, Serialize};
@@ -106,7 +107,8 @@
     f64::from(candidate.outstanding + 1) / candidate.weight.max(f64::MIN_POSITIVE)
 }
 
-/// Returns the candidate that `point` in `[0, 1)` selects by weight, or uniformly if all weights are 0.
+/// Returns the candidate that `point` in `[0, 1)` selects by weight, or uniformly if all weights
+/// are 0.
 fn sample_weighted(free: &[usize], candidates: &[PathCandidate], point: f64) -> usize {
     let total: f64 = free.iter().map(|i| candidates[*i].weight).sum();
     if total <= 0.0 {
--- a/crates/core/src/placement.rs
+++ b/crates/core/src/placement.rs
@@ -1,14 +1,14 @@
 //! Assignment of model layers to VMs.
 //!
 //! A placement splits the model into stages and assigns each VM to one stage. The throughput of a
-//! pipeline is that of its slowest stage, so a placement is scored by the lowest stage rate: the sum
-//! of the rates of the stage's VMs. There are three algorithms, so that they can be compared by
+//! pipeline is that of its slowest stage, so a placement is scored by the lowest stage rate: the
+//! sum of the rates of the stage's VMs. There are three algorithms, so that they can be compared by
 //! measurement: [`even_split`], [`proportional_split`] and [`searched_split`], a local search that
 //! starts from the proportional split and moves or swaps VMs between stages, or moves stage
 //! boundaries, while the lowest stage rate increases.
 //!
-//! The search is deterministic, so entries that plan at the same time produce the same plan. Its worst
-//! case is `rounds * stages * VMs^2` evaluations of constant cost.
+//! The search is deterministic, so entries that plan at the same time produce the same plan. Its
+//! worst case is `rounds * stages * VMs^2` evaluations of constant cost.
 
 use serde::{Deserialize, Serialize};
 
@@ -36,8 +36,8 @@
 
 /// Layers assigned to every VM, in loading order.
 ///
-/// The first entries, one of each stage, tile the model, so that a complete pipeline exists as early
-/// as possible.
+/// The first entries, one of each stage, tile the model, so that a complete pipeline exists as
+/// early as possible.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct PlacementPlan {
     /// Assignments in loading order.
@@ -195,8 +195,8 @@
 }
 
 /// Returns the splits that differ from `split` by one change: one boundary moved by one layer (with
-/// the VMs assigned anew), one VM moved to the slowest stage, or one VM of the slowest stage swapped
-/// with a VM of another stage.
+/// the VMs assigned anew), one VM moved to the slowest stage, or one VM of the slowest stage
+/// swapped with a VM of another stage.
 fn neighbours<'a>(
     split: &'a StageSplit,
     vms: &'a [PlacementVm],
--- a/crates/core/src/queue.rs
+++ b/crates/core/src/queue.rs
@@ -2,12 +2,12 @@
 //!
 //! Scheduling has three levels: strict priority between classes, deficit round robin between the
 //! organisations of a class, and earliest deadline first within an organisation. [`ServiceRate`]
-//! estimates the wait, so that a request whose deadline cannot be met is refused when it arrives, when
-//! the caller has the most time left to react.
+//! estimates the wait, so that a request whose deadline cannot be met is refused when it arrives,
+//! when the caller has the most time left to react.
 //!
-//! Worst cases: `push`, `pop` and `remove` are logarithmic in the length of an organisation's queue.
-//! Emptying that queue is also linear in the organisations of the class, and `pop` makes one pass over
-//! them for each quantum that the cheapest head costs.
+//! Worst cases: `push`, `pop` and `remove` are logarithmic in the length of an organisation's
+//! queue. Emptying that queue is also linear in the organisations of the class, and `pop` makes one
+//! pass over them for each quantum that the cheapest head costs.
 
 use std::{
     cmp::Reverse,
@@ -133,8 +133,8 @@
         self.places.is_empty()
     }
 
-    /// Returns the number of waiting requests with at least this priority: those that are dispatched
-    /// before a new one.
+    /// Returns the number of waiting requests with at least this priority: those that are
+    /// dispatched before a new one.
     pub fn ahead_of(&self, priority: u8) -> usize {
         let ahead = self.classes.range(..=Reverse(priority));
         ahead.map(|(_, class)| class.len).sum()
@@ -192,8 +192,8 @@
         Some(entry)
     }
 
-    /// Removes an organisation with no waiting requests from the round robin. Its deficit is dropped, so
-    /// an idle organisation does not accumulate credit.
+    /// Removes an organisation with no waiting requests from the round robin. Its deficit is
+    /// dropped, so an idle organisation does not accumulate credit.
     fn remove_if_empty(&mut self, organisation: &Arc<str>) {
         let is_empty = |queue: &OrganisationQueue| queue.entries.is_empty();
         if self.organisations.get(organisation).is_some_and(is_empty) {
@@ -224,8 +224,8 @@
         self.served += count;
     }
 
-    /// Returns the rate in requests per thousand seconds, or `None` before the first complete interval
-    /// in which requests were served.
+    /// Returns the rate in requests per thousand seconds, or `None` before the first complete
+    /// interval in which requests were served.
     pub fn milli_per_s(&self) -> Option<u64> {
         self.milli_per_s
     }
@@ -249,8 +249,8 @@
         self.interval_start = now;
     }
 
-    /// Returns the expected wait of a request with `ahead` others before it, or `None` while the rate is
-    /// unknown.
+    /// Returns the expected wait of a request with `ahead` others before it, or `None` while the
+    /// rate is unknown.
     pub fn estimated_wait(&self, ahead: usize) -> Option<Millis> {
         let rate = self.milli_per_s?;
         Some((ahead as u64 * 1_000_000) / rate.max(1))
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -1,8 +1,8 @@
 //! Retry budget and back-off.
 //!
-//! The budget keeps retries from multiplying the load during an outage. Each success adds a fraction
-//! of a retry; each retry costs one. During a long outage nothing is added, so the total load stays
-//! below `1 + fraction` times the offered load, plus the initial reserve.
+//! The budget keeps retries from multiplying the load during an outage. Each success adds a
+//! fraction of a retry; each retry costs one. During a long outage nothing is added, so the total
+//! load stays below `1 + fraction` times the offered load, plus the initial reserve.
 
 use rand::{Rng, RngExt};
 
@@ -61,8 +61,9 @@
 /// Maximum wait of a back-off, in milliseconds.
 const MAX_BACKOFF_MS: Millis = 5_000;
 
-/// Exponential back-off. Each wait is drawn at random between half of its upper bound and the bound,
-/// so that processes that lost a service at the same time do not return to it at the same time.
+/// Exponential back-off. Each wait is drawn at random between half of its upper bound and the
+/// bound, so that processes that lost a service at the same time do not return to it at the same
+/// time.
 #[derive(Debug)]
 pub struct Backoff<R> {
     random: R,
@@ -75,8 +76,8 @@
         Self { random, max_wait: INITIAL_BACKOFF_MS }
     }
 
-    /// Returns the time to wait before the next try, in milliseconds, and doubles the bound of the next
-    /// wait up to the maximum.
+    /// Returns the time to wait before the next try, in milliseconds, and doubles the bound of the
+    /// next wait up to the maximum.
     pub fn next_wait(&mut self) -> Millis {
         let wait = self.random.random_range(self.max_wait / 2..=self.max_wait);
         self.max_wait = (self.max_wait * 2).min(MAX_BACKOFF_MS);
--- a/crates/core/src/route.rs
+++ b/crates/core/src/route.rs
@@ -111,8 +111,8 @@
     ///
     /// # Errors
     ///
-    /// Returns [`ErrorKind::OutOfBounds`] if there is no such stage, or the layers of the replacement
-    /// differ.
+    /// Returns [`ErrorKind::OutOfBounds`] if there is no such stage, or the layers of the
+    /// replacement differ.
     pub fn replace(&mut self, position: usize, replacement: RouteStage) -> Result<(), Error> {
         let Some(stage) = self.stages.get_mut(position) else {
             return Err(Error::new(
--- a/crates/core/src/share.rs
+++ b/crates/core/src/share.rs
@@ -1,14 +1,14 @@
 //! Distribution of an organisation's rate limit over the entries.
 //!
-//! One entry, the owner of the organisation, collects the demand of each entry and splits the limit by
-//! max-min fairness (water filling): no entry gets more than its demand while another is short, and
-//! the rest is divided evenly. The share of an entry that has lost contact with the owner decays step
-//! by step to the even share, so that the sum over all entries converges to the limit.
+//! One entry, the owner of the organisation, collects the demand of each entry and splits the limit
+//! by max-min fairness (water filling): no entry gets more than its demand while another is short,
+//! and the rest is divided evenly. The share of an entry that has lost contact with the owner
+//! decays step by step to the even share, so that the sum over all entries converges to the limit.
 
 use crate::Millis;
 
-/// Splits `limit` over the demands by max-min fairness. The result is in the order of the demands and
-/// its sum never exceeds `limit`.
+/// Splits `limit` over the demands by max-min fairness. The result is in the order of the demands
+/// and its sum never exceeds `limit`.
 ///
 /// Takes `O(n log n)`, to sort the demands.
 pub fn split_limit(limit: u64, demands: &[u64]) -> Vec<u64> {
--- a/crates/core/src/step.rs
+++ b/crates/core/src/step.rs
@@ -2,8 +2,8 @@
 //!
 //! A stage keeps one [`StepGate`] for each request. Steps may arrive repeatedly or late, or overlap
 //! positions that have run (a replay after a neighbouring stage was replaced). The gate admits only
-//! positions that have not run, and only if no earlier position is missing. Constant memory, constant
-//! time.
+//! positions that have not run, and only if no earlier position is missing. Constant memory,
+//! constant time.
 
 /// Header of an arriving step: all that a gate needs to decide on it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -16,7 +16,8 @@
     pub first_position: u32,
     /// Number of positions; a valid step has at least 1.
     pub len: u32,
-    /// Number of further stages that may respond with their last output if the step is a repetition.
+    /// Number of further stages that may respond with their last output if the step is a
+    /// repetition.
     pub resend: u32,
 }
 
@@ -85,8 +86,8 @@
         self.next_position
     }
 
-    /// Raises the current attempt to `attempt`; a lower or equal one has no effect. Returns whether the
-    /// attempt was raised.
+    /// Raises the current attempt to `attempt`; a lower or equal one has no effect. Returns whether
+    /// the attempt was raised.
     pub fn raise_attempt(&mut self, attempt: u32) -> bool {
         let is_higher = attempt > self.attempt;
         if is_higher {
--- a/crates/core/src/subset.rs
+++ b/crates/core/src/subset.rs
@@ -1,10 +1,11 @@
 //! Subsetting of replicas, and assignment of keys and push trees to members.
 //!
-//! With hundreds of entries and thousands of replicas, a link from every entry to every replica would
-//! exceed the budget for control traffic. Each entry therefore connects to a subset of the replicas
-//! of every layer range. There are two algorithms, so that they can be compared by measurement:
-//! [`rendezvous_subset`], which changes least when members change, and [`balanced_subset`], which
-//! assigns every replica to the same number of entries, give or take one.
+//! With hundreds of entries and thousands of replicas, a link from every entry to every replica
+//! would exceed the budget for control traffic. Each entry therefore connects to a subset of the
+//! replicas of every layer range. There are two algorithms, so that they can be compared by
+//! measurement: [`rendezvous_subset`], which changes least when members change, and
+//! [`balanced_subset`], which assigns every replica to the same number of entries, give or take
+//! one.
 
 use crate::hash::{hash_bytes, hash_pair};
 
@@ -31,13 +32,13 @@
     ranked.into_iter().map(|(_, member)| member).collect()
 }
 
-/// Returns the `count` members that an entry uses, by deterministic subsetting. `entry` is the index
-/// of the entry in the sorted list of entries.
+/// Returns the `count` members that an entry uses, by deterministic subsetting. `entry` is the
+/// index of the entry in the sorted list of entries.
 ///
-/// Consecutive entries take consecutive slices of a shuffled list of the members. Each round through
-/// the members uses a different shuffle, so that no member is assigned twice before all are assigned
-/// once. Members keep their relative order in a shuffle when others leave, so one lost member changes
-/// each subset by at most one or two.
+/// Consecutive entries take consecutive slices of a shuffled list of the members. Each round
+/// through the members uses a different shuffle, so that no member is assigned twice before all are
+/// assigned once. Members keep their relative order in a shuffle when others leave, so one lost
+/// member changes each subset by at most one or two.
 pub fn balanced_subset<'a>(entry: usize, members: &[&'a str], count: usize) -> Vec<&'a str> {
     let count = count.min(members.len());
     if count == 0 {
--- a/crates/core/src/version.rs
+++ b/crates/core/src/version.rs
@@ -1,9 +1,9 @@
 //! Replicated objects that merge by highest version.
 //!
-//! Every process keeps the objects that it has received in a [`VersionedObjects`]. A copy replaces the
-//! current one only if its version is higher, whatever its source and the order of arrival. Versions
-//! therefore never regress, and all processes that receive the same copies converge on the same
-//! objects. A deleted object leaves a tombstone with a version of its own.
+//! Every process keeps the objects that it has received in a [`VersionedObjects`]. A copy replaces
+//! the current one only if its version is higher, whatever its source and the order of arrival.
+//! Versions therefore never regress, and all processes that receive the same copies converge on the
+//! same objects. A deleted object leaves a tombstone with a version of its own.
 
 use std::{collections::BTreeMap, sync::Arc};
 
--- a/crates/core/src/window.rs
+++ b/crates/core/src/window.rs
@@ -1,11 +1,11 @@
 //! Adaptive concurrency limit: how many requests an engine should hold at once.
 //!
-//! A request is at one stage of its pipeline at a time, so a stage must hold several batches' worth of
-//! requests to stay busy; how many depends on the speed of the other stages. Too few leave the engine
-//! idle; too many queue at the engine and delay every token. The stage can observe how many steps it
-//! has, running or queued: one full batch that runs and one that waits is enough, whatever the speed of
-//! the other stages. [`SlotWindow`] adjusts the number of requests towards that target. Further
-//! requests then wait in the entries' queues, where priorities apply.
+//! A request is at one stage of its pipeline at a time, so a stage must hold several batches' worth
+//! of requests to stay busy; how many depends on the speed of the other stages. Too few leave the
+//! engine idle; too many queue at the engine and delay every token. The stage can observe how many
+//! steps it has, running or queued: one full batch that runs and one that waits is enough, whatever
+//! the speed of the other stages. [`SlotWindow`] adjusts the number of requests towards that
+//! target. Further requests then wait in the entries' queues, where priorities apply.
 //!
 //! The controller needs no model of the other stages and no clock. Its worst case is a load that
 //! changes faster than a few intervals: the limit then lags behind by that change.
@@ -16,8 +16,8 @@
 /// Fraction of the difference to the target limit that one interval corrects.
 const GAIN: f64 = 0.3;
 
-/// The limit is adjusted only if at least this fraction of it is in use: otherwise the load, and not
-/// the limit, determines the number of steps.
+/// The limit is adjusted only if at least this fraction of it is in use: otherwise the load, and
+/// not the limit, determines the number of steps.
 const MIN_UTILIZATION: f64 = 0.85;
 
 /// Limits of a [`SlotWindow`].
@@ -69,8 +69,8 @@
 
     /// Ends an interval in which the engine held `in_use` requests, and adjusts the limit.
     ///
-    /// The limit stays if there were fewer samples than a full batch has sequences, or if it was not
-    /// nearly reached.
+    /// The limit stays if there were fewer samples than a full batch has sequences, or if it was
+    /// not nearly reached.
     pub fn adjust(&mut self, in_use: usize) {
         let (steps, samples) = (std::mem::take(&mut self.steps), std::mem::take(&mut self.samples));
         let in_use = in_use as f64;
--- a/crates/core/tests/claims.rs
+++ b/crates/core/tests/claims.rs
@@ -1,8 +1,8 @@
 //! The claim protocol: at most one request holds a key, and a granted claim is never lost.
 //!
-//! A model checker explores all interleavings of a small case: two owners that disagree, each with a
-//! request for the same key, and a store that performs conditional writes and may lose its responses.
-//! Either owner can crash at every step.
+//! A model checker explores all interleavings of a small case: two owners that disagree, each with
+//! a request for the same key, and a store that performs conditional writes and may lose its
+//! responses. Either owner can crash at every step.
 
 use std::collections::HashSet;
 
@@ -237,8 +237,8 @@
 }
 
 proptest! {
-    /// Several owners and keys, with loads, writes and lost responses in any order: a key has at most
-    /// one holder, and a granted claim stays granted.
+    /// Several owners and keys, with loads, writes and lost responses in any order: a key has at
+    /// most one holder, and a granted claim stays granted.
     #[test]
     fn granted_claims_stay_granted(
         steps in prop::collection::vec((0_usize..3, 0_u64..6, 0_u8..4), 1..120)
--- a/crates/core/tests/ledgers.rs
+++ b/crates/core/tests/ledgers.rs
@@ -25,8 +25,8 @@
     }
 }
 
-/// The entries of a site start at the same time. When two of three entries shared an incarnation in a
-/// run of the northcatch profile, their requests were confused with each other.
+/// The entries of a site start at the same time. When two of three entries shared an incarnation in
+/// a run of the northcatch profile, their requests were confused with each other.
 #[test]
 fn processes_that_start_together_have_different_incarnations() {
     let names: Vec<String> = (0..370).map(|number| format!("entry-{number}")).collect();
@@ -62,8 +62,9 @@
     assert_eq!(ledger.admit(id(1, 1), 2, true), LedgerAdmission::Duplicate);
 }
 
-/// Found by `evictions_keep_the_guarantees`: when a request of an old incarnation was evicted late, it
-/// lowered the eviction mark of all incarnations, and a voided request of a newer one was admitted.
+/// Found by `evictions_keep_the_guarantees`: when a request of an old incarnation was evicted late,
+/// it lowered the eviction mark of all incarnations, and a voided request of a newer one was
+/// admitted.
 #[test]
 fn late_eviction_of_old_incarnation_does_not_lower_the_mark() {
     let mut ledger = RequestLedger::new(LedgerConfig { capacity: 3, incarnations: 1 });
@@ -109,14 +110,14 @@
                 LedgerStep::Admit(id, attempt, once) => {
                     let admission = ledger.admit(id, attempt, once);
                     if matches!(admission, LedgerAdmission::New | LedgerAdmission::Retry) {
-                        prop_assert!(!voided.contains(&id), "admitted after a void returned NeverRan");
+                        prop_assert!(!voided.contains(&id), "admitted after NeverRan");
                         let before = ran.insert(id, attempt);
                         prop_assert!(before.is_none_or(|before| !once && attempt > before));
                     }
                 }
                 LedgerStep::Void(id) => {
                     if ledger.void(id) == VoidOutcome::NeverRan {
-                        prop_assert!(!ran.contains_key(&id), "void returned NeverRan for a request that ran");
+                        prop_assert!(!ran.contains_key(&id), "NeverRan for a request that ran");
                         voided.insert(id);
                     }
                 }
--- a/crates/core/tests/queues.rs
+++ b/crates/core/tests/queues.rs
@@ -1,4 +1,5 @@
-//! Admission: priorities, fairness, deadlines, rate limits, credits, retries and concurrency windows.
+//! Admission: priorities, fairness, deadlines, rate limits, credits, retries and concurrency
+//! windows.
 
 use std::{collections::HashMap, sync::Arc};
 
@@ -150,15 +151,15 @@
         }
     }
 
-    /// The shares never add up to more than the limit, and an entry whose demand is not met gets as much
-    /// as any other entry, give or take one.
+    /// The shares never add up to more than the limit, and an entry whose demand is not met gets as
+    /// much as any other entry, give or take one.
     #[test]
     fn limits_are_split_by_max_min_fairness(limit in 0_u64..10_000, demands in prop::collection::vec(0_u64..2_000, 1..30)) {
         let shares = split_limit(limit, &demands);
         prop_assert!(shares.iter().sum::<u64>() <= limit);
         let largest = shares.iter().copied().max().unwrap_or(0);
         for (share, demand) in shares.iter().zip(&demands) {
-            prop_assert!(share >= demand || share + 1 >= largest, "{share} of {demand}, largest share {largest}");
+            prop_assert!(share >= demand || share + 1 >= largest, "{share} of {demand}, max {largest}");
         }
     }
 
@@ -212,8 +213,9 @@
     assert!(waits(1)[11] >= 2_500);
 }
 
-/// The number of steps at an engine is proportional to the requests that it holds, as in a pipeline of
-/// `stages` equal stages. The window converges to the limit that gives the target number of steps.
+/// The number of steps at an engine is proportional to the requests that it holds, as in a pipeline
+/// of `stages` equal stages. The window converges to the limit that gives the target number of
+/// steps.
 #[test]
 fn windows_converge_to_their_target() {
     for (stages, slots) in [(1, 400), (3, 400), (6, 400)] {
--- a/crates/core/tests/routes.rs
+++ b/crates/core/tests/routes.rs
@@ -65,7 +65,8 @@
 
 /// Returns the capacity of the minimum cut, by trying every set of replicas.
 fn minimum_cut_by_brute_force(replicas: &[FlowReplica], layers: u32) -> u64 {
-    // Without limited links, a cut is a set of replicas without which the others do not tile the model.
+    // Without limited links, a cut is a set of replicas without which the others do not tile the
+    // model.
     let mut lowest = u64::MAX;
     for cut in 0_u32..1 << replicas.len() {
         let kept = |index: &usize| cut & (1 << index) == 0;
@@ -130,8 +131,8 @@
         }
     }
 
-    /// A placement assigns every VM, its first entries tile the model, and the search is deterministic and
-    /// never worse than the proportional split.
+    /// A placement assigns every VM, its first entries tile the model, and the search is
+    /// deterministic and never worse than the proportional split.
     #[test]
     fn placements_use_every_vm_and_start_with_a_tiling(
         rates in prop::collection::vec(1.0_f64..100.0, 4..24), layers in 8_u32..64, stages in 1_usize..5
--- a/crates/core/tests/steps.rs
+++ b/crates/core/tests/steps.rs
@@ -45,7 +45,8 @@
 }
 
 proptest! {
-    /// For any sequence of steps, the positions that run are 0, 1, 2, … without gaps or repetitions.
+    /// For any sequence of steps, the positions that run are 0, 1, 2, … without gaps or
+    /// repetitions.
     #[test]
     fn positions_run_once_in_order(
         steps in prop::collection::vec((1_u32..4, 0_u32..12, 1_u32..5, 0_u32..3, any::<bool>()), 1..60)
--- a/crates/kernel/src/clock.rs
+++ b/crates/kernel/src/clock.rs
@@ -7,12 +7,12 @@
 
 use nix::time::{ClockId, clock_gettime};
 
-/// Returns the milliseconds since the first call in this process. Never goes back, and counts the time
-/// during which the VM is suspended.
+/// Returns the milliseconds since the first call in this process. Never goes back, and counts the
+/// time during which the VM is suspended.
 ///
-/// It reads `CLOCK_BOOTTIME`, because `CLOCK_MONOTONIC` stops during a suspension. With the latter, a
-/// configuration from before a pause of 6 s counted as 1 s old, and keys that had been removed in the
-/// meantime were still accepted.
+/// It reads `CLOCK_BOOTTIME`, because `CLOCK_MONOTONIC` stops during a suspension. With the latter,
+/// a configuration from before a pause of 6 s counted as 1 s old, and keys that had been removed in
+/// the meantime were still accepted.
 ///
 /// # Panics
 ///
--- a/crates/kernel/src/http.rs
+++ b/crates/kernel/src/http.rs
@@ -1,9 +1,9 @@
 //! HTTP server and client on `hyper`, with limits on time and size.
 //!
 //! The server passes requests to a handler. It limits connections, headers and idle time, and
-//! [`read_body`] limits bodies. On shutdown it goes on serving for a second, then accepts no further
-//! connections and closes each one after the current request. The client limits the time and size of
-//! each response.
+//! [`read_body`] limits bodies. On shutdown it goes on serving for a second, then accepts no
+//! further connections and closes each one after the current request. The client limits the time
+//! and size of each response.
 
 use std::{convert::Infallible, future::Future, sync::Arc, time::Duration};
 
@@ -39,7 +39,8 @@
     pub max_header_bytes: usize,
     /// Maximum number of headers of a request.
     pub max_headers: usize,
-    /// Time in which the headers of a request must arrive, and for which a connection may stay idle.
+    /// Time in which the headers of a request must arrive, and for which a connection may stay
+    /// idle.
     pub idle_timeout: Duration,
 }
 
@@ -60,22 +61,22 @@
 pub struct ConnectionDropped;
 
 /// Time for which a server goes on accepting connections and requests after the shutdown signal, so
-/// that its handler can refuse them. If a connection is closed at the moment at which a caller reuses
-/// it, the caller cannot tell whether its request ran.
+/// that its handler can refuse them. If a connection is closed at the moment at which a caller
+/// reuses it, the caller cannot tell whether its request ran.
 const SHUTDOWN_GRACE: Duration = Duration::from_secs(1);
 
 /// Time for which the client keeps an idle connection: half of [`SHUTDOWN_GRACE`].
 ///
-/// A stopping server closes connections that were idle for the grace period. A request written at that
-/// moment ends without a response and may have run; this happened to one request of 105 at a load
-/// average of 28. The other half of the grace period is a margin for clients that are delayed.
+/// A stopping server closes connections that were idle for the grace period. A request written at
+/// that moment ends without a response and may have run; this happened to one request of 105 at a
+/// load average of 28. The other half of the grace period is a margin for clients that are delayed.
 const POOL_IDLE_TIMEOUT: Duration = Duration::from_millis(SHUTDOWN_GRACE.as_millis() as u64 / 2);
 
 /// Serves requests until shutdown.
 ///
 /// After the signal is raised, the server goes on for a second, and each response then closes its
-/// connection. After that it closes the idle connections, and returns when the last request has been
-/// answered.
+/// connection. After that it closes the idle connections, and returns when the last request has
+/// been answered.
 pub async fn serve<F, R>(
     listener: TcpListener,
     limits: HttpLimits,
@@ -166,16 +167,16 @@
     Truncated,
 }
 
-/// A body that is too large is read and discarded up to this multiple of its limit, because a caller
-/// that is still sending would not read the error response.
+/// A body that is too large is read and discarded up to this multiple of its limit, because a
+/// caller that is still sending would not read the error response.
 const DISCARD_FACTOR: usize = 4;
 
 /// Reads a complete body of at most `limit` bytes.
 ///
 /// # Errors
 ///
-/// Returns [`BodyError::TooLarge`] if the body is larger, and [`BodyError::Truncated`] if the connection
-/// ends before the body does.
+/// Returns [`BodyError::TooLarge`] if the body is larger, and [`BodyError::Truncated`] if the
+/// connection ends before the body does.
 pub async fn read_body(mut body: Incoming, limit: usize) -> Result<Bytes, BodyError> {
     let mut buffer = BytesMut::new();
     let mut total = 0;
@@ -219,7 +220,8 @@
     }
 }
 
-/// Sets a header. Has no effect if the value, which may come from a caller, is not a valid header value.
+/// Sets a header. Has no effect if the value, which may come from a caller, is not a valid header
+/// value.
 pub fn set_header(response: &mut HttpResponse, name: &'static str, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         response.headers_mut().insert(HeaderName::from_static(name), value);
@@ -263,8 +265,8 @@
 }
 
 impl HttpClient {
-    /// Creates a client that waits at most `timeout` for the headers and for the body of each response,
-    /// and reads at most `body_limit` bytes of the body.
+    /// Creates a client that waits at most `timeout` for the headers and for the body of each
+    /// response, and reads at most `body_limit` bytes of the body.
     pub fn new(timeout: Duration, body_limit: usize) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
--- a/crates/kernel/src/metrics.rs
+++ b/crates/kernel/src/metrics.rs
@@ -1,9 +1,9 @@
 //! Metrics recorded with `opentelemetry` and exported as Prometheus text.
 //!
-//! Each service process creates its own [`MetricsHub`] instead of using a global one, so that several
-//! of them can run in one operating-system process. The number of label values is bounded: with
-//! thousands of organisations, a limited number of the busiest keep their names, and the rest share
-//! the label [`OTHER_LABEL`].
+//! Each service process creates its own [`MetricsHub`] instead of using a global one, so that
+//! several of them can run in one operating-system process. The number of label values is bounded:
+//! with thousands of organisations, a limited number of the busiest keep their names, and the rest
+//! share the label [`OTHER_LABEL`].
 
 use std::collections::HashMap;
 
@@ -78,9 +78,9 @@
 
 /// Bounds the number of distinct values of one label.
 ///
-/// Up to `limit` names become label values of their own, and stay so. A new name is first counted in a
-/// bounded table of candidates, and becomes a label value once it has been seen `promote_after` times. All
-/// other names share [`OTHER_LABEL`].
+/// Up to `limit` names become label values of their own, and stay so. A new name is first counted
+/// in a bounded table of candidates, and becomes a label value once it has been seen
+/// `promote_after` times. All other names share [`OTHER_LABEL`].
 ///
 /// Memory: at most `2 * limit` names.
 #[derive(Debug)]
@@ -92,7 +92,8 @@
 }
 
 impl LabelBudget {
-    /// Creates a budget for `limit` names. A name is kept once it has been seen `promote_after` times.
+    /// Creates a budget for `limit` names. A name is kept once it has been seen `promote_after`
+    /// times.
     pub fn new(limit: usize, promote_after: u64) -> Self {
         Self { limit, promote_after, named: HashMap::new(), candidates: HashMap::new() }
     }
--- a/crates/kernel/src/settings.rs
+++ b/crates/kernel/src/settings.rs
@@ -102,8 +102,8 @@
 ///
 /// # Errors
 ///
-/// Returns [`SettingsError::Unreadable`] if the file cannot be read, [`SettingsError::NotJson`] if it is
-/// not valid JSON, and [`SettingsError::Invalid`] with all validation errors otherwise.
+/// Returns [`SettingsError::Unreadable`] if the file cannot be read, [`SettingsError::NotJson`] if
+/// it is not valid JSON, and [`SettingsError::Invalid`] with all validation errors otherwise.
 pub fn load_settings<T: CheckedSettings>(path: &Path) -> Result<T, SettingsError> {
     let name = path.display().to_string();
     let text = match fs::read(path) {
@@ -117,8 +117,8 @@
 ///
 /// # Errors
 ///
-/// Returns [`SettingsError::NotJson`] if the text is not valid JSON, and [`SettingsError::Invalid`] with
-/// all validation errors otherwise.
+/// Returns [`SettingsError::NotJson`] if the text is not valid JSON, and [`SettingsError::Invalid`]
+/// with all validation errors otherwise.
 pub fn parse_settings<T: CheckedSettings>(name: &str, text: &[u8]) -> Result<T, SettingsError> {
     let path = name.to_owned();
     let value: Value = match serde_json::from_slice(text) {
--- a/crates/kernel/tests/calls.rs
+++ b/crates/kernel/tests/calls.rs
@@ -1,9 +1,9 @@
 //! Reuse of pooled connections by the client.
 //!
-//! A client that was idle for longer than the grace period of a stopping entry wrote its next request
-//! to a connection that the entry had just closed. The client had not noticed, because its task had
-//! not run yet at a load average of 28. Such a request may or may not have run, so the call ended as
-//! unknown:
+//! A client that was idle for longer than the grace period of a stopping entry wrote its next
+//! request to a connection that the entry had just closed. The client had not noticed, because its
+//! task had not run yet at a load average of 28. Such a request may or may not have run, so the
+//! call ended as unknown:
 //!
 //! ```text
 //! unknown: no answer: client error (SendRequest)
@@ -62,8 +62,8 @@
 /// connections.
 const IDLE: Duration = Duration::from_secs(1);
 
-/// A client that was idle for the grace period of a stopping server does not reuse the connection that
-/// the server closes then.
+/// A client that was idle for the grace period of a stopping server does not reuse the connection
+/// that the server closes then.
 #[tokio::test]
 async fn idle_connection_is_not_reused() {
     let (close, close_requests) = mpsc::channel();
--- a/crates/kernel/tests/suspended.rs
+++ b/crates/kernel/tests/suspended.rs
@@ -26,7 +26,8 @@
 /// # Safety
 ///
 /// As for the original function, `time` must point to a `timespec` that may be written.
-// SAFETY: the function replaces the one of the C library in this program only, with the same signature.
+// SAFETY: the function replaces the one of the C library in this program only, with the same
+// signature.
 #[unsafe(no_mangle)]
 unsafe extern "C" fn clock_gettime(clock: clockid_t, time: *mut timespec) -> c_int {
     // SAFETY: the arguments are passed on unchanged.
@@ -41,9 +42,9 @@
     result
 }
 
-/// When ages were measured with the monotonic clock, they were too low by the duration of a suspension:
-/// a relay took its old configuration for 1 s old and accepted keys that had been removed while its VM
-/// was suspended.
+/// When ages were measured with the monotonic clock, they were too low by the duration of a
+/// suspension: a relay took its old configuration for 1 s old and accepted keys that had been
+/// removed while its VM was suspended.
 #[test]
 fn clock_counts_the_time_of_a_suspension() {
     const PAUSE: Duration = Duration::from_millis(300);
