--- a/crates/relay/src/peers.rs
+++ b/crates/relay/src/peers.rs
@@ -113,7 +113,7 @@
         }
         let mutes =
             news.mutes.iter().map(|(instance, lasts)| (instance.into(), Millis::from(*lasts)));
-        beliefs.heads.merge_stalls(&news.name, origin, mutes, now);
+        beliefs.heads.merge_peer(&news.name, origin, mutes, now);
         lost = take_suspects(beliefs, news, origin, now);
     }
     hear_limits(relay, &news.limits, &news.name, written);
@@ -140,7 +140,7 @@
         let instance = ReplicaInstance::from(instance);
         let is_current = beliefs.fleet.view.get_current(&instance).is_some();
         if is_current && !beliefs.suspects.is_suspect(&instance, now) {
-            beliefs.suspects.merge(&instance, now + Millis::from(*lasts), origin);
+            beliefs.suspects.merge_peer(&instance, now + Millis::from(*lasts), origin);
             tracing::info!(event = "suspect-heard", replica = %instance, from = news.name, lasts);
             lost.push(instance);
         }
--- a/crates/router/src/stall.rs
+++ b/crates/router/src/stall.rs
@@ -185,7 +185,7 @@
 
     /// Replaces the stalls that another relay detected, each with the time in milliseconds for which it counts. Those that
     /// the relay no longer sends have ended.
-    pub fn merge_stalls(
+    pub fn merge_peer(
         &mut self,
         relay: &str,
         origin: UpdateOrigin,
--- a/crates/router/src/suspect.rs
+++ b/crates/router/src/suspect.rs
@@ -61,7 +61,7 @@
     }
 
     /// Merges a suspicion of another relay. The later end wins.
-    pub fn merge(&mut self, instance: &ReplicaInstance, until: Millis, origin: UpdateOrigin) {
+    pub fn merge_peer(&mut self, instance: &ReplicaInstance, until: Millis, origin: UpdateOrigin) {
         let entry = self.suspicions.entry(instance.clone());
         let suspicion = entry.or_insert(Suspicion { until, duration: BASE_SUSPICION_TIME, origin });
         if suspicion.until < until {
--- a/crates/router/tests/fingerprints.rs
+++ b/crates/router/tests/fingerprints.rs
@@ -1,4 +1,4 @@
-//! Which requests are one and the same.
+//! Fingerprints of requests: what they depend on, and their text form.
 
 use switchfold_router::fingerprint::{RequestFingerprint, RequestParts};
 
@@ -11,7 +11,7 @@
 };
 
 #[test]
-fn whatever_differs_makes_another_request() {
+fn every_part_of_a_request_changes_its_fingerprint() {
     let rows = [
         ("the same", PARTS, true),
         ("host in capitals", RequestParts { host: "Sample.Example", ..PARTS }, true),
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn digits_are_read_back() {
+fn hexadecimal_digits_round_trip() {
     let known = RequestFingerprint::of(&PARTS);
     assert_eq!(RequestFingerprint::parse(&known.to_string()), Some(known));
     for digits in ["", "00", "zz000000000000000000000000000000", "é00000000000000000000000000000"]
--- a/crates/router/tests/gossip_model/mod.rs
+++ b/crates/router/tests/gossip_model/mod.rs
@@ -351,7 +351,7 @@
         let mut is_news = false;
         for (instance, left) in &message.suspects {
             if !own.suspects.is_suspect(instance, now) {
-                own.suspects.merge(instance, now + left, origin);
+                own.suspects.merge_peer(instance, now + left, origin);
                 is_news = true;
             }
         }
--- a/crates/router/tests/state.rs
+++ b/crates/router/tests/state.rs
@@ -295,7 +295,7 @@
             let now = round * TELL_EVERY;
             for (_, to, lasts) in on_the_way.extract_if(.., |(arrives, ..)| *arrives <= now) {
                 if !entries[to].is_suspect(&instance("x"), now) {
-                    entries[to].merge(&instance("x"), now + lasts, UpdateOrigin::Told);
+                    entries[to].merge_peer(&instance("x"), now + lasts, UpdateOrigin::Told);
                 }
             }
             for from in 0..entries.len() {
