--- a/crates/router/benches/plans.rs
+++ b/crates/router/benches/plans.rs
@@ -1,7 +1,7 @@
-//! Time of the planner's decisions and of a path choice, for groups up to the size to design for.
+//! Benchmarks of planning layouts, choosing paths and the look-ups for each choice, up to the largest size designed for.
 //!
-//! Run it with `cargo bench -p switchfold-router`. A data centre of today has 13 replicas; 2,200 over 12
-//! data centres make 180 each.
+//! Run it with `cargo bench -p switchfold-router`. A present data centre has 13 replicas; the
+//! design target of 2,200 over 12 data centres makes 180 each.
 
 use std::{hint::black_box, net::Ipv4Addr};
 
@@ -20,19 +20,20 @@
 
 const MODEL: ModelShape = ModelShape { layers: 80, layer_mb: 1_750.0, request_mb: 0.0 };
 
-/// Replicas of a data centre: today's, a grown one's, a tenth and a twelfth of the size to design for, the most that are
-/// planned together, and those of a data centre of 100 VMs with ten replicas each.
+/// Numbers of replicas in a group: a present data centre and a grown one (13, 20), a tenth and a twelfth of the sizes
+/// designed for (44, 180), the target size of a planning group (64), and a data centre of 100 VMs with ten replicas each.
 const GROUPS: [usize; 6] = [13, 20, 44, 64, 180, 1_000];
 
 fn empty_group(count: usize) -> Vec<LayerHolder> {
     let kinds = [(72_000.0, 2.4), (14_400.0, 5.3), (21_600.0, 16.0)];
     let holder = |index: usize| {
-        let (memory_mb, pace) = kinds[if index.is_multiple_of(10) { 0 } else { 1 + index % 2 }];
+        let (memory_mb, step_factor) =
+            kinds[if index.is_multiple_of(10) { 0 } else { 1 + index % 2 }];
         LayerHolder {
             instance: ReplicaInstance::new(&format!("r{index:03}"), 0),
             memory_mb,
             slots: 0,
-            layer_ms: 1.02 * pace / f64::from(MODEL.layers),
+            layer_ms: 1.02 * step_factor / f64::from(MODEL.layers),
             range: None,
             held: None,
             can_order: true,
@@ -85,7 +86,7 @@
     let mut group = criterion.benchmark_group("choose_path");
     for (data_centres, count) in [(3, 13), (12, 180)] {
         let offers: Vec<StageOffer> =
-            (0..data_centres).flat_map(|place| offers(place, count)).collect();
+            (0..data_centres).flat_map(|data_centre| offers(data_centre, count)).collect();
         let request = PathRequest {
             layers: MODEL.layers,
             tokens: 1_000.0,
@@ -115,18 +116,18 @@
     laid_out(count).into_iter().map(offer).collect()
 }
 
-/// Sums of what 300 entries promised, for all of 3,000 replicas: once for each choice of a path.
-fn sums(criterion: &mut Criterion) {
-    const ENTRIES: usize = 300;
+/// Reads the total reservations of 300 relays at each of 3,000 replicas, as each choice of a path does.
+fn reservations(criterion: &mut Criterion) {
+    const RELAYS: usize = 300;
     const HELD: usize = 100;
     let instances: Vec<ReplicaInstance> =
         (0..3_000).map(|number| ReplicaInstance::new(&format!("i-{number:010x}"), 0)).collect();
     let mut ledger = ReservationLedger::default();
-    for entry in 0..ENTRIES {
+    for relay in 0..RELAYS {
         let held =
-            (0..HELD).map(|number| instances[(entry * 37 + number * 29) % instances.len()].clone());
+            (0..HELD).map(|number| instances[(relay * 37 + number * 29) % instances.len()].clone());
         ledger.merge_peer(
-            &format!("edge-{entry}"),
+            &format!("edge-{relay}"),
             held.map(|instance| (instance, 900.0)).collect(),
             0,
         );
@@ -138,20 +139,21 @@
     });
 }
 
-/// Whether each of 3,000 replicas is held back, where none, one or a third of them asked for time: once for each choice. It
-/// takes 7 us, 65 us and 69 us of a core, beside a hunt; the sums of room above take 67 us.
-fn held_back(criterion: &mut Criterion) {
+/// Looks up whether each of 3,000 replicas asked this VM to back off, as each choice of a path does, with none, one or a
+/// third of them asking. It takes 7 us, 65 us and 69 us of a core, measured beside a running scenario search; reading
+/// the reservations above takes 67 us.
+fn backoffs(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("held_back");
     let instances: Vec<ReplicaInstance> =
         (0..3_000).map(|number| ReplicaInstance::new(&format!("i-{number:010x}"), 0)).collect();
-    for asked in [0, 1, 1_000] {
+    for backing_off in [0, 1, 1_000] {
         let mut table = BackoffTable::default();
         instances
             .iter()
             .step_by(3)
-            .take(asked)
+            .take(backing_off)
             .for_each(|instance| table.record(instance, 3_000, 0));
-        group.bench_function(BenchmarkId::new("3000 replicas", asked), |bencher| {
+        group.bench_function(BenchmarkId::new("3000 replicas", backing_off), |bencher| {
             bencher.iter(|| {
                 instances
                     .iter()
@@ -163,7 +165,8 @@
     group.finish();
 }
 
-/// Whether each of 3,000 replicas is held back by a limit, where none and where all of them named one: once for each choice.
+/// Looks up whether each of 3,000 replicas is held back by its rate limit, as each choice of a path does, with none and
+/// with all of them limited.
 fn limits(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("limits");
     let ids: Vec<String> = (0..3_000).map(|number| format!("i-{number:010x}")).collect();
@@ -184,7 +187,7 @@
     group.finish();
 }
 
-/// Taking over a list of 3,000 replicas, all of them known.
+/// Applies a list of 3,000 replicas, all of them known.
 fn lists(criterion: &mut Criterion) {
     let entry = |number: u32| ReplicaEntry {
         instance: ReplicaInstance::new(&format!("i-{number:010x}"), 0),
@@ -212,5 +215,5 @@
     });
 }
 
-criterion_group!(benches, plans, searches, paths, sums, held_back, limits, lists);
+criterion_group!(benches, plans, searches, paths, reservations, backoffs, limits, lists);
 criterion_main!(benches);
--- a/crates/router/tests/attempts.rs
+++ b/crates/router/tests/attempts.rs
@@ -1,4 +1,4 @@
-//! The table of attempts, and what must hold of it whatever happened.
+//! Tests of what follows from the outcome of an attempt.
 
 use assert_matches::assert_matches;
 use proptest::prelude::*;
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn table() {
+fn next_step_by_outcome() {
     use AttemptEnd::{Answered, Broken, NotSent, Rejected};
     use NextStep::{AnswerNotRun, AnswerUnknown, PassOn, TryElsewhere};
     let rows = [
@@ -41,7 +41,7 @@
     }
 }
 
-fn ends() -> impl Strategy<Value = AttemptEnd> {
+fn outcome() -> impl Strategy<Value = AttemptEnd> {
     prop_oneof![
         Just(AttemptEnd::NotSent),
         Just(AttemptEnd::Rejected),
@@ -50,23 +50,23 @@
     ]
 }
 
-fn may_run(end: AttemptEnd) -> bool {
+fn counts_as_run(end: AttemptEnd) -> bool {
     matches!(end, AttemptEnd::Answered(_) | AttemptEnd::Broken)
 }
 
 proptest! {
-    /// Over any course of attempts, a request that may not be repeated is never sent after one that may
-    /// have run, and "not run" is said only where none may have.
+    /// In any sequence of attempts, a request that may not be repeated is not sent again after an attempt that may
+    /// have run it, and the caller is told "not run" only if no attempt may have run it.
     #[test]
-    fn unrepeatable_requests_run_once(
+    fn unrepeatable_requests_run_at_most_once(
         repeatable: bool,
         can_repeat in prop::collection::vec(any::<bool>(), 8),
-        course in prop::collection::vec(ends(), 8),
+        outcomes in prop::collection::vec(outcome(), 8),
     ) {
         let mut may_have_run = false;
-        for (end, can_repeat) in course.into_iter().zip(can_repeat) {
+        for (end, can_repeat) in outcomes.into_iter().zip(can_repeat) {
             let next = decide_next(AttemptState { repeatable, may_have_run, can_repeat }, end);
-            may_have_run |= may_run(end);
+            may_have_run |= counts_as_run(end);
             match next {
                 NextStep::TryElsewhere => prop_assert!(repeatable || !may_have_run),
                 NextStep::AnswerNotRun => prop_assert!(!may_have_run),
--- a/crates/router/tests/groups.rs
+++ b/crates/router/tests/groups.rs
@@ -1,4 +1,4 @@
-//! Replicas that are planned together: bounded groups that a join or a loss hardly changes.
+//! Tests of planning groups: their size, their stability and their planners.
 
 use std::collections::BTreeMap;
 
@@ -29,7 +29,7 @@
         instances(replicas)
             .iter()
             .for_each(|instance| *sizes.entry(group_of(instance, count)).or_default() += 1);
-        assert_eq!(sizes.len(), count as usize, "{replicas}: none is empty");
+        assert_eq!(sizes.len(), count as usize, "{replicas}: a group is empty");
         assert!(
             sizes.values().all(|size| *size <= TARGET_GROUP_SIZE * 3 / 2),
             "{replicas}: {sizes:?}"
@@ -37,7 +37,7 @@
     }
 }
 
-/// Where the count of groups doubles, each is split in two: no replica changes to another group's part.
+/// When the number of groups doubles, each is split in two; no replica moves to a part of another group.
 #[test]
 fn groups_are_split_in_two() {
     for instance in instances(500) {
@@ -51,7 +51,7 @@
         assert_eq!(
             group_of(&instance, 8),
             group_of(&instance.restarted_at(5), 8),
-            "a restart stays in its group"
+            "a restart changed the group"
         );
     }
 }
@@ -69,13 +69,14 @@
     for (groups, relays, planners) in rows {
         assert_eq!(planner_count(groups, relays), planners, "{groups} {relays}");
         for group in 0..groups {
-            let owners = (0..planners).filter(|rank| is_planned_by(group, *rank, planners)).count();
-            assert_eq!(owners, 1, "{group}");
+            let matching =
+                (0..planners).filter(|rank| is_planned_by(group, *rank, planners)).count();
+            assert_eq!(matching, 1, "{group}");
         }
     }
 }
 
-/// Groups of a data centre of 1,000 replicas of three kinds each cover the model by themselves.
+/// Each group of a data centre of 1,000 replicas of three kinds covers the model by itself.
 #[test]
 fn every_group_covers_the_model() {
     let model = ModelShape { layers: 80, layer_mb: 1_750.0, request_mb: 0.0 };
@@ -83,20 +84,20 @@
     let count = group_count(1_000);
     let mut groups: BTreeMap<u32, Vec<LayerHolder>> = BTreeMap::new();
     for (number, instance) in instances(1_000).into_iter().enumerate() {
-        let (memory_mb, pace) = kinds[[0, 1, 1, 1, 2, 2, 2, 2, 2, 2][number % 10]];
-        let part = group_of(&instance, count);
+        let (memory_mb, step_factor) = kinds[[0, 1, 1, 1, 2, 2, 2, 2, 2, 2][number % 10]];
+        let group = group_of(&instance, count);
         let holder = LayerHolder {
             instance,
             memory_mb,
             slots: 0,
-            layer_ms: 1.02 * pace / 80.0,
+            layer_ms: 1.02 * step_factor / 80.0,
             range: None,
             held: None,
             can_order: true,
         };
-        groups.entry(part).or_default().push(holder);
+        groups.entry(group).or_default().push(holder);
     }
-    for (part, mut holders) in groups {
+    for (group, mut holders) in groups {
         for order in plan_group(&holders, model, &PlacementConfig::default()) {
             let holder =
                 holders.iter_mut().find(|holder| holder.instance == order.instance).expect("one");
@@ -106,6 +107,6 @@
         for range in holders.iter().filter_map(|holder| holder.range) {
             (range.from..range.to).for_each(|layer| counts[layer as usize] += 1);
         }
-        assert_eq!(widest_gap(&counts), None, "group {part}");
+        assert_eq!(widest_gap(&counts), None, "group {group}");
     }
 }
--- a/crates/router/tests/layouts.rs
+++ b/crates/router/tests/layouts.rs
@@ -1,4 +1,4 @@
-//! Layouts are compared by what they carry, now and after a loss, and found by a bounded search.
+//! Tests of layouts: how they are scored, and what the greedy plan, the search and rebalancing make of a group.
 
 use proptest::prelude::*;
 use switchfold_router::{
@@ -12,13 +12,13 @@
 
 const MODEL: ModelShape = ModelShape { layers: 80, layer_mb: 1_750.0, request_mb: 0.0 };
 
-/// A kind of accelerator, and the layers that one of it holds.
-type HeldPart = ((f64, f64), Option<(u32, u32)>);
+/// Memory in MB and step factor of a replica's accelerator, and the layers that the replica holds.
+type ReplicaLayers = ((f64, f64), Option<(u32, u32)>);
 
-/// Time of a token step over all layers at pace 1, in milliseconds.
+/// Time of a token step over all layers at a step factor of 1, in milliseconds.
 const STEP_MS: f64 = 1.02;
 
-/// Memory in MB and pace of three kinds of accelerators.
+/// Memory in MB and step factor of three kinds of accelerators.
 const LARGE: (f64, f64) = (72_000.0, 2.4);
 const SMALL: (f64, f64) = (14_400.0, 5.3);
 const SLOW: (f64, f64) = (21_600.0, 16.0);
@@ -42,12 +42,12 @@
     all.enumerate().map(|(id, kind)| holder(id, kind, None)).collect()
 }
 
-/// The group once its orders are carried out.
-fn carried_out(holders: &[LayerHolder]) -> Vec<LayerHolder> {
+/// Returns the group after its planned orders were carried out.
+fn planned(holders: &[LayerHolder]) -> Vec<LayerHolder> {
     apply(holders, plan_group(holders, MODEL, &PlacementConfig::default()))
 }
 
-/// The group once a search improved it.
+/// Returns the group after a search improved its layout.
 fn searched(holders: &[LayerHolder]) -> Vec<LayerHolder> {
     apply(holders, improve_group(holders, MODEL, &PlacementConfig::default()))
 }
@@ -71,8 +71,8 @@
     widest_gap(&counts)
 }
 
-/// The layout that the greedy plan made of two large, four small and four slow replicas, on a calm day.
-/// One replica held the first layers for all requests, and was full before the others were half full.
+/// Returns the layout that a greedy plan made of two large, four small and four slow replicas under low load. One
+/// replica held the first layers for all requests, and was full before the others were half full.
 fn greedy_layout() -> Vec<LayerHolder> {
     let parts = [
         (LARGE, 0, 28),
@@ -91,101 +91,97 @@
 }
 
 #[test]
-fn a_searched_layout_carries_more_than_a_greedy_one() {
-    let searched = searched(&carried_out(&empty_group(2, 4, 4)));
+fn a_searched_layout_scores_higher_than_a_greedy_one() {
+    let searched = searched(&planned(&empty_group(2, 4, 4)));
     assert_eq!(gap(&searched), None);
     let (greedy, searched) =
         (layout_score(&greedy_layout(), MODEL), layout_score(&searched, MODEL));
     assert!(searched > greedy * 1.05, "{searched} against {greedy}");
 }
 
-/// Table of layouts of two replicas, the better one first.
+/// Pairs of layouts of two replicas, the better one first.
 #[test]
-fn layouts_compare_by_speed_room_and_loss() {
+fn layouts_score_by_speed_memory_and_redundancy() {
     let fast = (200_000.0, 1.0);
     let slow = (200_000.0, 4.0);
     let whole = Some((0, 80));
     let half = |id: usize| if id == 0 { Some((0, 40)) } else { Some((40, 80)) };
     let layouts = [
         (
-            "faster ones carry more",
+            "faster replicas score higher",
             [(fast, half(0)), (fast, half(1))],
             [(slow, half(0)), (slow, half(1))],
         ),
         (
-            "more room carries more",
+            "more memory scores higher",
             [(fast, half(0)), (fast, half(1))],
             [((160_000.0, 1.0), half(0)), ((160_000.0, 1.0), half(1))],
         ),
+        ("redundancy scores higher", [(fast, whole), (slow, whole)], [(fast, whole), (slow, None)]),
         (
-            "a spare replica outlives a loss",
-            [(fast, whole), (slow, whole)],
-            [(fast, whole), (slow, None)],
-        ),
-        (
-            "a gap carries nothing",
+            "a layout with a gap scores nothing",
             [(fast, whole), (slow, None)],
             [(fast, half(0)), (slow, half(0))],
         ),
     ];
     for (case, better, worse) in layouts {
-        let worth = |parts: [HeldPart; 2]| {
+        let score = |parts: [ReplicaLayers; 2]| {
             let holders = parts.into_iter().enumerate();
             let holders: Vec<LayerHolder> =
                 holders.map(|(id, (kind, range))| holder(id, kind, range)).collect();
             layout_score(&holders, MODEL)
         };
-        assert!(worth(better) > worth(worse), "{case}: {} {}", worth(better), worth(worse));
+        assert!(score(better) > score(worse), "{case}: {} {}", score(better), score(worse));
     }
 }
 
-/// A replica that was stretched far into a gap has little room. Once its neighbour is back, balancing
-/// gives the layers to those that can serve them.
+/// A replica that was extended far into a gap has little memory for requests. After its neighbour is back,
+/// rebalancing gives the layers to replicas with more memory, and then settles.
 #[test]
-fn a_stretched_replica_is_relieved() {
-    let mut holders = searched(&carried_out(&empty_group(1, 6, 6)));
-    let stretched = holders.iter().position(|holder| holder.memory_mb == SLOW.0).expect("one");
-    let range = holders[stretched].range.expect("it holds layers");
+fn rebalancing_relieves_an_overextended_replica() {
+    let mut holders = searched(&planned(&empty_group(1, 6, 6)));
+    let extended = holders.iter().position(|holder| holder.memory_mb == SLOW.0).expect("a holder");
+    let range = holders[extended].range.expect("the replica holds layers");
     let from = range.from.saturating_sub(11 - range.len());
-    holders[stretched].range = Some(LayerRange { from, to: from + 11 });
-    holders[stretched].held = holders[stretched].range;
+    holders[extended].range = Some(LayerRange { from, to: from + 11 });
+    holders[extended].held = holders[extended].range;
     let before = layout_score(&holders, MODEL);
     for _ in 0..10 {
-        holders = carried_out(&holders);
+        holders = planned(&holders);
     }
     assert!(layout_score(&holders, MODEL) >= before);
     assert_eq!(plan_group(&holders, MODEL, &PlacementConfig::default()), []);
 }
 
-/// An accelerator that holds no layer at all gets none, whatever the search tries.
+/// An accelerator with less memory than one layer takes gets no layers, neither planned nor searched.
 #[test]
-fn an_accelerator_below_one_layer_gets_none() {
+fn an_accelerator_too_small_for_a_layer_gets_none() {
     let mut group = empty_group(2, 4, 4);
     group.push(holder(90, (1_700.0, 1.0), None));
-    let planned = searched(&carried_out(&group));
-    assert_eq!(planned.last().and_then(|holder| holder.range), None);
-    assert_eq!(gap(&planned), None);
+    let layout = searched(&planned(&group));
+    assert_eq!(layout.last().and_then(|holder| holder.range), None);
+    assert_eq!(gap(&layout), None);
     assert_eq!(plan_group(&group[10..], MODEL, &PlacementConfig::default()), []);
 }
 
-/// A large group is planned in bounded steps, and whole.
+/// A group of 180 replicas is covered without a gap.
 #[test]
 fn a_large_group_is_covered() {
-    let planned = searched(&carried_out(&empty_group(20, 90, 70)));
-    assert_eq!(gap(&planned), None);
+    let layout = searched(&planned(&empty_group(20, 90, 70)));
+    assert_eq!(gap(&layout), None);
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(24))]
 
-    /// Any group that can hold the model is covered by its first layout, within its memory; the same group
-    /// gets the same layout; balancing never opens a gap and comes to an end.
+    /// Any group that can hold the model is covered by its first layout, within its memory. The same group always gets
+    /// the same layout. Rebalancing never opens a gap, raises the score each time and comes to an end.
     #[test]
-    fn first_layouts_cover_and_settle(large in 1usize..4, small in 0usize..8, slow in 2usize..8) {
+    fn first_layouts_cover_the_model_and_settle(large in 1usize..4, small in 0usize..8, slow in 2usize..8) {
         let group = empty_group(large, small, slow);
-        let most: f64 = group.iter().map(|holder| (holder.memory_mb * 0.6 / MODEL.layer_mb).floor()).sum();
-        prop_assume!(most >= 80.0);
-        let greedy = carried_out(&group);
+        let held: f64 = group.iter().map(|holder| (holder.memory_mb * 0.6 / MODEL.layer_mb).floor()).sum();
+        prop_assume!(held >= 80.0);
+        let greedy = planned(&group);
         prop_assert_eq!(gap(&greedy), None);
         let mut holders = searched(&greedy);
         prop_assert_eq!(&holders, &searched(&greedy));
@@ -198,7 +194,7 @@
                 return Ok(());
             }
             let before = layout_score(&holders, MODEL);
-            holders = carried_out(&holders);
+            holders = planned(&holders);
             prop_assert!(layout_score(&holders, MODEL) > before);
             prop_assert_eq!(gap(&holders), None);
             for holder in &holders {
@@ -206,12 +202,12 @@
                 prop_assert!(f64::from(len) * MODEL.layer_mb <= holder.memory_mb);
             }
         }
-        prop_assert!(false, "balancing does not end");
+        prop_assert!(false, "rebalancing does not settle in 30 rounds");
     }
 }
 
-/// A group of three kinds, with places for 192 requests each that begin there, once it is laid out.
-fn laid_out_with_places(request_mb: f64) -> Vec<LayerHolder> {
+/// Returns the layout of a group of three kinds of accelerators, with 192 slots at each replica.
+fn laid_out_with_slots(request_mb: f64) -> Vec<LayerHolder> {
     let kinds = [(72_000.0, 2.4), (43_200.0, 5.6), (21_600.0, 16.0)];
     let counts = [3, 4, 9];
     let model = ModelShape { request_mb, ..MODEL };
@@ -224,18 +220,18 @@
     apply(&holders, improve_group(&holders, model, &config))
 }
 
-/// The load: 240 requests a second that run for three seconds, over three such data centres. Counted by memory alone,
-/// two replicas of this one held the first layer.
+/// Guards against layouts with too few slots at the first layer. Under 240 requests a second that run for three seconds,
+/// over three such data centres, layouts that were scored by memory alone had two replicas with the first layer.
 #[test]
-fn first_layers_have_places_for_the_requests_that_run() {
-    let places = |holders: &[LayerHolder]| -> u32 {
+fn first_layers_have_slots_for_the_running_requests() {
+    let first_slots = |holders: &[LayerHolder]| -> u32 {
         let first =
             holders.iter().filter(|holder| holder.range.is_some_and(|range| range.from == 0));
         first.map(|holder| holder.slots).sum()
     };
-    let [by_memory, by_places] = [0.0, 4.7].map(laid_out_with_places);
-    assert_eq!((places(&by_memory), places(&by_places)), (384, 576));
+    let [by_memory, by_slots] = [0.0, 4.7].map(laid_out_with_slots);
+    assert_eq!((first_slots(&by_memory), first_slots(&by_slots)), (384, 576));
     let model = ModelShape { request_mb: 4.7, ..MODEL };
-    let worths = [&by_memory, &by_places].map(|holders| layout_score(holders, model));
-    assert!(worths[1] > 1.05 * worths[0], "{worths:?}");
+    let scores = [&by_memory, &by_slots].map(|holders| layout_score(holders, model));
+    assert!(scores[1] > 1.05 * scores[0], "{scores:?}");
 }
--- a/crates/router/tests/paths.rs
+++ b/crates/router/tests/paths.rs
@@ -1,4 +1,4 @@
-//! Paths tile the model; covers hold no more than memory allows.
+//! Tests of paths, which run each layer once, and of plans, which respect the memory of each replica.
 
 use proptest::prelude::*;
 use switchfold_router::{
@@ -38,57 +38,61 @@
 }
 
 #[test]
-fn stays_inside_a_data_centre_where_it_can() {
+fn paths_stay_inside_a_data_centre_if_possible() {
     let offers = [offer(0, 0, 40, 0, 1.0), offer(1, 40, 80, 0, 1.0), offer(2, 40, 80, 1, 0.5)];
     let path = choose_path(&request(), &offers, &PathCosts::default()).expect("a path");
     let ids: Vec<&str> = path.iter().map(|part| part.instance.id()).collect();
     assert_eq!(ids, ["r0", "r1"]);
 }
 
-/// When a request began, at which relay, and with which first replica.
-type Begun = (u64, usize, usize);
+/// When a request started, at which relay, and with which first replica.
+type StartedRequest = (u64, usize, usize);
 
 /// Time that a request runs, in milliseconds.
-const RUNS: u64 = 1_500;
-
-fn running(begun: &[Begun], first: usize, now: u64) -> impl Iterator<Item = Begun> {
-    begun.iter().filter(move |(at, _, of)| now < at + RUNS && *of == first).copied()
+const RUN_TIME: u64 = 1_500;
+
+fn running(
+    started: &[StartedRequest],
+    first: usize,
+    now: u64,
+) -> impl Iterator<Item = StartedRequest> {
+    started.iter().filter(move |(at, _, of)| now < at + RUN_TIME && *of == first).copied()
 }
 
-/// Requests as they come while half of the large first replicas are lost: 324 a second over 20 relays, each of which
-/// runs for a second and a half and hears of the others' after 0.3 s on average. One of the first replicas left is
-/// far cheaper than the others; all three together have places for 576.
+/// Guards against overloading a cheap first replica while half of the large ones are lost. The load: 324 requests per
+/// second over 20 relays. Each request runs for 1.5 s, and relays hear of the others' requests after 0.3 s on average.
+/// One of the three remaining first replicas is far cheaper than the others; together they have 576 slots.
 #[test]
-fn a_cheap_first_replica_is_not_given_more_than_its_places() {
+fn a_cheap_first_replica_gets_no_more_requests_than_it_accepts() {
     const SLOTS: u32 = 192;
-    /// Requests that wait at a replica beyond its places; more are rejected.
+    /// Requests that a replica queues beyond its slots; more are rejected.
     const QUEUE: usize = 96;
     const RELAYS: usize = 20;
-    const BETWEEN: u64 = 3;
-    const HEARD: u64 = 300;
+    const INTERVAL_MS: u64 = 3;
+    const PEER_DELAY_MS: u64 = 300;
     let costs = [0.1, 0.3, 0.3];
-    let mut begun: Vec<Begun> = Vec::new();
-    let mut most = [0; 3];
-    for now in (0..12_000_u64).step_by(BETWEEN as usize) {
-        let relay = (now / BETWEEN) as usize % RELAYS;
+    let mut started: Vec<StartedRequest> = Vec::new();
+    let mut peaks = [0; 3];
+    for now in (0..12_000_u64).step_by(INTERVAL_MS as usize) {
+        let relay = (now / INTERVAL_MS) as usize % RELAYS;
         let offers = [0, 1, 2].map(|first| {
-            let is_seen = |(at, by, _): &Begun| *by == relay || at + HEARD <= now;
-            let seen = running(&begun, first, now).filter(|one| is_seen(one)).count();
-            let start_cost = start_cost(seen as f64, SLOTS);
+            let is_known = |(at, by, _): &StartedRequest| *by == relay || at + PEER_DELAY_MS <= now;
+            let known = running(&started, first, now).filter(|request| is_known(request)).count();
+            let start_cost = start_cost(known as f64, SLOTS);
             StageOffer { start_cost, ..offer(first, 0, LAYERS, first, costs[first]) }
         });
         let path = choose_path(&request(), &offers, &PathCosts::default());
-        let path = path.expect("there are places for all");
+        let path = path.expect("a path");
         let first =
             offers.iter().position(|offer| offer.instance == path[0].instance).expect("an offer");
-        begun.push((now, relay, first));
-        most[first] = most[first].max(running(&begun, first, now).count());
+        started.push((now, relay, first));
+        peaks[first] = peaks[first].max(running(&started, first, now).count());
     }
-    assert!(most.iter().all(|most| *most <= SLOTS as usize + QUEUE), "{most:?}");
+    assert!(peaks.iter().all(|peak| *peak <= SLOTS as usize + QUEUE), "{peaks:?}");
 }
 
 #[test]
-fn nothing_begins_where_no_place_is_left() {
+fn no_path_starts_at_a_replica_without_free_slots() {
     let mut full = offer(0, 0, LAYERS, 0, 0.1);
     full.start_cost = start_cost(192.0, 192);
     let dear = offer(1, 0, LAYERS, 1, 2.0);
@@ -96,17 +100,17 @@
     let path = choose_path(&request(), &[full.clone(), dear], &costs).expect("a path");
     assert_eq!(path[0].instance.id(), "r1");
     assert_eq!(choose_path(&request(), &[full.clone()], &costs), None);
-    // A request that runs there goes on there.
-    let runs =
+    // A request that runs there continues there.
+    let running =
         PathRequest { first: Some((&ReplicaInstance::new("r0", 0), full.range)), ..request() };
-    assert!(choose_path(&runs, &[full], &costs).is_some());
-    // A replica without a limit of its own is always open, and emptier ones are cheaper.
+    assert!(choose_path(&running, &[full], &costs).is_some());
+    // A replica without a slot limit never counts as full, and emptier replicas are cheaper.
     assert_eq!(start_cost(5_000.0, 0), Some(0.0));
     assert!(start_cost(10.0, 192) < start_cost(20.0, 192));
 }
 
 #[test]
-fn crosses_only_where_it_may() {
+fn paths_cross_data_centres_only_if_allowed() {
     let offers = [offer(1, 0, 40, 0, 1.0), offer(2, 40, 80, 1, 1.0)];
     let costs = PathCosts::default();
     assert!(choose_path(&request(), &offers, &costs).is_some());
@@ -115,7 +119,7 @@
 }
 
 #[test]
-fn crosses_once_where_a_layer_is_missing() {
+fn paths_cross_once_if_the_local_data_centre_lacks_layers() {
     let offers = [offer(0, 0, 40, 0, 1.0), offer(1, 48, 80, 0, 1.0), offer(2, 30, 80, 1, 1.0)];
     let path = choose_path(&request(), &offers, &PathCosts::default()).expect("a path");
     let ids: Vec<&str> = path.iter().map(|part| part.instance.id()).collect();
@@ -124,7 +128,7 @@
 }
 
 #[test]
-fn keeps_the_first_part_of_a_running_request() {
+fn a_changed_path_keeps_the_first_stage_of_a_running_request() {
     let offers = [offer(0, 0, 40, 0, 9.0), offer(1, 0, 40, 0, 1.0), offer(2, 30, 80, 0, 1.0)];
     let instance = ReplicaInstance::new("r0", 0);
     let first = Some((&instance, LayerRange { from: 0, to: 35 }));
@@ -136,7 +140,7 @@
 }
 
 #[test]
-fn full_replicas_are_passed_by() {
+fn paths_avoid_replicas_without_free_memory() {
     let mut full = offer(0, 0, 80, 0, 0.1);
     full.free_token_layers = 100.0;
     let offers = [full, offer(1, 0, 80, 0, 5.0)];
@@ -145,7 +149,7 @@
 }
 
 #[test]
-fn a_gap_has_no_path() {
+fn no_path_exists_across_a_gap() {
     let offers = [offer(0, 0, 40, 0, 1.0), offer(1, 41, 80, 0, 1.0)];
     assert_eq!(choose_path(&request(), &offers, &PathCosts::default()), None);
 }
@@ -165,9 +169,9 @@
 }
 
 proptest! {
-    /// Any path runs each layer once, in order, names no replica twice and stays within what each holds.
+    /// Any path runs each layer once, in order, contains no replica twice and uses only layers that each holds.
     #[test]
-    fn paths_tile(offers in offers()) {
+    fn paths_run_each_layer_once(offers in offers()) {
         let Some(path) = choose_path(&request(), &offers, &PathCosts::default()) else {
             return Ok(());
         };
@@ -179,9 +183,9 @@
         }
     }
 
-    /// A path is found wherever the offers of one data centre leave no gap.
+    /// A path is found whenever the offers of one data centre leave no gap.
     #[test]
-    fn whole_cover_has_a_path(mut offers in offers()) {
+    fn complete_offers_have_a_path(mut offers in offers()) {
         offers.push(offer(30, 0, 27, 2, 3.0));
         offers.push(offer(31, 27, 54, 2, 3.0));
         offers.push(offer(32, 54, 80, 2, 3.0));
@@ -204,8 +208,8 @@
 
 const MODEL: ModelShape = ModelShape { layers: LAYERS, layer_mb: 1_750.0, request_mb: 0.0 };
 
-/// Ranges after the orders were carried out.
-fn after(holders: &[LayerHolder]) -> Vec<LayerHolder> {
+/// Returns the group after one round of planned orders was carried out.
+fn planned(holders: &[LayerHolder]) -> Vec<LayerHolder> {
     let orders = plan_group(holders, MODEL, &PlacementConfig::default());
     let mut holders = holders.to_vec();
     for order in orders {
@@ -217,16 +221,16 @@
     holders
 }
 
-/// Ranges after as many rounds of orders as it takes.
+/// Returns the group after rounds of orders until a plan has none.
 fn settle(mut holders: Vec<LayerHolder>) -> Vec<LayerHolder> {
-    const MOST_ROUNDS: usize = 20;
-    for _ in 0..MOST_ROUNDS {
+    const MAX_ROUNDS: usize = 20;
+    for _ in 0..MAX_ROUNDS {
         if plan_group(&holders, MODEL, &PlacementConfig::default()).is_empty() {
             return holders;
         }
-        holders = after(&holders);
+        holders = planned(&holders);
     }
-    panic!("orders go on: {holders:?}");
+    panic!("the plan does not settle in {MAX_ROUNDS} rounds: {holders:?}");
 }
 
 fn counts(holders: &[LayerHolder]) -> Vec<u32> {
@@ -237,7 +241,7 @@
     counts
 }
 
-/// Two large, four middle and seven small accelerators.
+/// Returns a group of two large, four medium and seven small accelerators without any layers.
 fn mixed_group() -> Vec<LayerHolder> {
     let sizes = [36_000.0; 2].into_iter().chain([21_600.0; 4]).chain([14_400.0; 7]);
     sizes.enumerate().map(|(id, memory)| holder(id, memory, None)).collect()
@@ -245,13 +249,13 @@
 
 #[test]
 fn an_empty_group_is_covered() {
-    assert_eq!(widest_gap(&counts(&after(&mixed_group()))), None);
+    assert_eq!(widest_gap(&counts(&planned(&mixed_group()))), None);
 }
 
-/// A lost large replica: spare small ones move into the gap, so that nobody is stretched until it has
-/// room for a third of the usual requests only.
+/// After the loss of a large replica, redundant small ones move into the gap. Otherwise its neighbours would be
+/// extended until they had memory for a third of the usual requests only.
 #[test]
-fn a_wide_gap_leaves_room_at_every_layer() {
+fn closing_a_wide_gap_leaves_free_memory_at_every_layer() {
     let mut holders = vec![
         holder(0, 36_000.0, Some((0, 14))),
         holder(1, 21_600.0, Some((28, 36))),
@@ -264,7 +268,7 @@
         holders.push(holder(11 + 2 * pair, 14_400.0, Some((from, from + 5))));
     }
     holders.push(holder(20, 14_400.0, Some((75, 80))));
-    let repaired = after(&holders);
+    let repaired = planned(&holders);
     assert_eq!(widest_gap(&counts(&repaired)), None);
     for holder in &repaired {
         let len = f64::from(holder.range.expect("all hold layers").len());
@@ -273,7 +277,7 @@
     }
 }
 
-/// While a gap is open, an order does not wait for requests that cannot move away either.
+/// While there is a gap, an order does not wait for requests: they cannot move to other replicas either.
 #[test]
 fn only_orders_that_close_gaps_cut_requests() {
     for reason in [PlacementReason::Gap, PlacementReason::Move] {
@@ -285,33 +289,33 @@
 }
 
 #[test]
-fn a_settled_group_is_left_alone() {
+fn a_settled_group_gets_no_orders() {
     let settled = settle(mixed_group());
     assert_eq!(plan_group(&settled, MODEL, &PlacementConfig::default()), []);
 }
 
 #[test]
-fn any_one_loss_is_closed() {
+fn the_gap_after_any_single_loss_is_closed() {
     let settled = settle(mixed_group());
     for lost in 0..settled.len() {
         let mut left = settled.clone();
         left.remove(lost);
-        let repaired = after(&left);
+        let repaired = planned(&left);
         assert_eq!(widest_gap(&counts(&repaired)), None, "lost {lost}: {repaired:?}");
     }
 }
 
-/// Neighbours alone cannot close what two lost neighbours leave; all replicas together can.
+/// The neighbours alone cannot close the gap that two adjacent lost replicas leave; all replicas together can.
 #[test]
-fn any_two_losses_are_closed() {
+fn the_gap_after_any_two_losses_is_closed() {
     let settled = settle(mixed_group());
     for first in 0..settled.len() {
         for second in first + 1..settled.len() {
             let mut left = settled.clone();
             left.remove(second);
             left.remove(first);
-            let most: f64 = left.iter().map(|holder| holder.memory_mb * 0.9 / MODEL.layer_mb).sum();
-            if most < 92.0 {
+            let held: f64 = left.iter().map(|holder| holder.memory_mb * 0.9 / MODEL.layer_mb).sum();
+            if held < 92.0 {
                 continue;
             }
             let repaired = settle(left);
@@ -324,12 +328,12 @@
     }
 }
 
-/// A replica stretched for a lost neighbour has little room; spare ones come to its help.
+/// A replica that was extended for a lost neighbour has little free memory; redundant replicas take layers over.
 #[test]
-fn stretched_layers_are_relieved() {
+fn redundant_replicas_relieve_overextended_ones() {
     let mut holders = settle(mixed_group());
     let lost =
-        holders.iter().position(|holder| holder.memory_mb == 21_600.0).expect("a middle one");
+        holders.iter().position(|holder| holder.memory_mb == 21_600.0).expect("a medium one");
     holders.remove(lost);
     holders.push(holder(20, 14_400.0, Some((0, 5))));
     holders.push(holder(21, 14_400.0, Some((5, 10))));
@@ -342,9 +346,9 @@
     }
 }
 
-/// What others are only about to hold is no reason to give layers up.
+/// A replica does not unload layers that others have been ordered to load but do not hold yet.
 #[test]
-fn nothing_is_given_up_for_what_is_not_there_yet() {
+fn layers_are_not_unloaded_before_others_hold_them() {
     let mut holders = vec![
         holder(0, 72_000.0, Some((0, 36))),
         holder(1, 72_000.0, Some((36, 72))),
@@ -355,10 +359,10 @@
     assert_eq!(plan_group(&holders, MODEL, &PlacementConfig::default()), []);
 }
 
-/// The same for a replica that would be moved into a gap: its layers are ordered elsewhere, not held.
-/// Found in an incident: requests could not leave it, and its load waited twelve seconds for them.
+/// A replica is not moved into a gap while others have only been ordered to load its layers. In an incident, requests
+/// could not leave such a replica, and its load waited twelve seconds for them.
 #[test]
-fn nothing_is_moved_away_from_what_is_not_there_yet() {
+fn a_replica_is_not_moved_before_others_hold_its_layers() {
     let mut holders = vec![
         holder(0, 36_000.0, Some((0, 14))),
         holder(1, 21_600.0, Some((14, 22))),
@@ -375,10 +379,11 @@
     let orders = plan_group(&holders, MODEL, &PlacementConfig::default());
     let moved = orders.iter().find(|order| order.instance.id() == "r02");
     assert!(moved.is_none_or(|order| order.reason != PlacementReason::Move), "{orders:?}");
-    assert_eq!(widest_gap(&counts(&after(&holders))), None);
+    assert_eq!(widest_gap(&counts(&planned(&holders))), None);
 }
 
-/// Seed 9212 of the property below: three replicas can cover a fifth of the model, and one of them takes no orders.
+/// Found with seed 9212 of the property below: three replicas can cover a fifth of the model, and one of them accepts
+/// no orders.
 #[test]
 fn a_gap_that_cannot_be_closed_is_not_widened() {
     let mut holders = vec![
@@ -387,19 +392,19 @@
         holder(2, 14_400.0, Some((1, 5))),
     ];
     holders[2].can_order = false;
-    let gaps =
+    let unheld =
         |holders: &[LayerHolder]| counts(holders).iter().filter(|count| **count == 0).count();
     for _ in 0..4 {
-        let planned = after(&holders);
-        assert!(gaps(&planned) <= gaps(&holders), "{planned:?}");
-        holders = planned;
+        let next = planned(&holders);
+        assert!(unheld(&next) <= unheld(&holders), "{next:?}");
+        holders = next;
     }
 }
 
 proptest! {
-    /// No order asks for more layers than memory holds, and what is whole stays whole.
+    /// No order asks for more layers than fit into the replica's memory, and no plan increases the number of unheld layers.
     #[test]
-    fn covers_stay_within_memory(
+    fn plans_stay_within_memory(
         parts in prop::collection::vec(
             (prop_oneof![Just(14_400.0), Just(21_600.0), Just(36_000.0), Just(72_000.0)],
              prop::option::of((0u32..70, 1u32..8)), any::<bool>()),
@@ -414,7 +419,7 @@
                 LayerHolder { can_order, ..holder(id, memory, range) }
             })
             .collect();
-        let mut gaps = counts(&holders).iter().filter(|count| **count == 0).count();
+        let mut unheld = counts(&holders).iter().filter(|count| **count == 0).count();
         for _ in 0..4 {
             let orders = plan_group(&holders, MODEL, &PlacementConfig::default());
             for order in &orders {
@@ -426,8 +431,8 @@
                 holder.held = holder.range;
             }
             let now = counts(&holders).iter().filter(|count| **count == 0).count();
-            prop_assert!(now <= gaps);
-            gaps = now;
+            prop_assert!(now <= unheld);
+            unheld = now;
         }
     }
 }
