--- a/crates/router/tests/limit_model/mod.rs
+++ b/crates/router/tests/limit_model/mod.rs
@@ -1,7 +1,7 @@
-//! A model of relays in three data centres, of replicas that name limits, and of callers, in virtual time.
+//! Simulation in virtual time of relays in three data centres, replicas that report rate limits, and callers.
 //!
-//! Relays are the router's own tables; what is between them is messages that may be late or lost. Two simpler ways to share a
-//! limit stand beside the one that is built, so that they can be compared on the same days.
+//! Relays use the router's local tables and exchange messages that may be late or lost. Two simpler strategies to share a
+//! limit are simulated besides grants, so that all three can be compared on the same scenarios.
 
 #![allow(dead_code, reason = "tests and benchmark each use a part")]
 
@@ -23,67 +23,70 @@
     membership::{PeerStamp, PeerState, PeerTable},
 };
 
-/// Time after a replica first names a limit from which what it gets counts, and the window it is counted in.
-pub(crate) const CONTACT: u64 = 3_000;
+/// Time after the first request under a limit from which excess requests count, and the window they are counted in, in
+/// milliseconds.
+pub(crate) const GRACE_TIME: u64 = 3_000;
 pub(crate) const WINDOW: u64 = 4_000;
 
-/// Time for which the demand is held against the limit.
-pub(crate) const SPAN: u64 = 10_000;
+/// Time over which the use of a limit is measured, in milliseconds.
+pub(crate) const USE_SPAN: u64 = 10_000;
 
 const DATA_CENTRES: usize = 3;
-const LOOK_EVERY: u64 = 25;
-const TELL_EVERY: u64 = 200;
-const ANSWERS_AFTER: u64 = 50;
-const PATIENCE: u64 = 300;
+const TICK: u64 = 25;
+const SYNC_INTERVAL: u64 = 200;
+const RESPONSE_DELAY: u64 = 50;
+const REQUEST_TIMEOUT: u64 = 300;
 
 /// How relays share a limit.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Way {
-    /// Grants of the relay that keeps the limit.
+pub(crate) enum LimitSharing {
+    /// Grants issued by the coordinator of the limit.
     Grants,
-    /// Each the same part.
+    /// An equal share for each relay.
     Even,
-    /// Each a part by the demand that the others told.
+    /// A share by the demand that the relays reported to each other.
     Demand,
 }
 
-/// Where requests come in.
+/// Distribution of the requests over relays and time.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Demand {
+    /// Random, at any relay.
     Even,
-    One(usize),
-    /// At another relay each second.
+    /// All requests at one relay.
+    Single(usize),
+    /// At a different relay each second.
     Moving,
-    /// All of a second at once.
+    /// All requests of a second at once.
     Bursts,
 }
 
-/// What happens to relays and messages.
+/// Faults of relays and links.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum Trouble {
-    /// Of messages so many in a hundred are lost, and as many come up to a second late.
-    BadLinks(u32),
-    /// Data centres do not hear each other.
-    Cut,
-    /// A relay stands still.
-    Frozen(usize),
-    /// A relay starts again and knows nothing.
+pub(crate) enum Fault {
+    /// The given percentage of messages is lost, and 5% of the others are up to a second late.
+    LossyLinks(u32),
+    /// Data centres are partitioned from each other.
+    Partition,
+    /// A relay is paused.
+    Paused(usize),
+    /// A relay is down, and restarts with empty state at the end of the fault.
     Restarted(usize),
-    /// A relay is gone for good.
-    Gone(usize),
+    /// A relay stops and does not return.
+    Stopped(usize),
 }
 
 #[derive(Clone, Debug)]
-pub(crate) struct Day {
-    pub(crate) way: Way,
+pub(crate) struct Scenario {
+    pub(crate) sharing: LimitSharing,
     pub(crate) relays: usize,
-    /// What each replica names from some moment on.
+    /// Limit that each replica reports, by the time from which it applies.
     pub(crate) limits: Vec<Vec<(u64, Option<f64>)>>,
-    /// Requests a second that want each replica.
+    /// Requests per second for each replica.
     pub(crate) per_second: f64,
     pub(crate) demand: Demand,
-    /// From, until, what.
-    pub(crate) troubles: Vec<(u64, u64, Trouble)>,
+    /// Start, end and kind of each fault.
+    pub(crate) faults: Vec<(u64, u64, Fault)>,
     pub(crate) length: u64,
 }
 
@@ -91,34 +94,50 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Arrival {
     pub(crate) at: u64,
-    /// Whether its relay had passed on an answer that names a limit half a second before.
-    is_told: bool,
-    /// Whether its relay started again, stood still or was cut off, and has heard nothing of the limit yet: the users' pages
-    /// excuse it.
+    /// Whether its relay had received a response that names the limit at least half a second before.
+    is_informed: bool,
+    /// Whether its relay was restarted, paused or partitioned and has not learnt the limit yet. The users' requirements
+    /// allow these.
     is_excused: bool,
 }
 
-/// What a day showed.
+/// What was observed in a scenario.
 #[derive(Debug, Default)]
-pub(crate) struct Seen {
+pub(crate) struct Observed {
     pub(crate) arrivals: Vec<Vec<Arrival>>,
-    pub(crate) wanted: usize,
-    /// Asks and grants that were sent.
+    /// Number of requests sent by callers.
+    pub(crate) requests: usize,
+    /// Grant requests and grants sent between relays.
     pub(crate) messages: usize,
 }
 
 enum Body {
-    Ask { replica: usize, word: Option<f64>, age: i64, stamp: PeerStamp, asked: GrantRequest },
-    Grants { replica: usize, word: Option<f64>, age: i64, stamp: PeerStamp, issued: IssuedGrants },
-    Limits { words: Vec<(usize, LimitReport)>, stamp: PeerStamp },
+    Request {
+        replica: usize,
+        limit: Option<f64>,
+        age: i64,
+        stamp: PeerStamp,
+        request: GrantRequest,
+    },
+    Grants {
+        replica: usize,
+        limit: Option<f64>,
+        age: i64,
+        stamp: PeerStamp,
+        issued: IssuedGrants,
+    },
+    Limits {
+        reports: Vec<(usize, LimitReport)>,
+        stamp: PeerStamp,
+    },
 }
 
 enum Step {
-    Look(usize),
-    Tell(usize, u64),
+    Tick(usize),
+    Sync(usize, u64),
     Request(usize, usize),
-    Try { relay: usize, replica: usize, until: u64, is_waiting: bool },
-    Answer { relay: usize, replica: usize, sent: u64, named: Option<f64> },
+    Retry { relay: usize, replica: usize, deadline: u64, is_waiting: bool },
+    Response { relay: usize, replica: usize, sent: u64, limit: Option<f64> },
     Message { to: usize, from: usize, body: Body },
     Restart(usize),
 }
@@ -126,368 +145,397 @@
 #[derive(Default)]
 struct Relay {
     name: String,
-    born: u64,
+    started_at: u64,
     limits: LimitTable,
     grants: HeldGrants,
     issuer: GrantIssuer,
     peers: PeerTable,
     clocks: PeerClocks,
-    /// When it passed on an answer that names a limit first, by replica.
-    told: BTreeMap<usize, u64>,
-    /// The simpler ways: when the next request may go, own requests, and what others told of theirs.
-    next: BTreeMap<usize, f64>,
-    recent: BTreeMap<usize, VecDeque<u64>>,
-    others: BTreeMap<(usize, usize), usize>,
+    /// Time of the first response that named a limit, by replica.
+    informed_at: BTreeMap<usize, u64>,
+    /// State of the simpler strategies: time at which the next request may be sent, this relay's recent requests, and the
+    /// counts that other relays reported.
+    next_send: BTreeMap<usize, f64>,
+    recent_requests: BTreeMap<usize, VecDeque<u64>>,
+    peer_requests: BTreeMap<(usize, usize), usize>,
 }
 
-struct Model<'a> {
-    day: &'a Day,
-    random: ChaCha8Rng,
+struct Simulation<'a> {
+    scenario: &'a Scenario,
+    rng: ChaCha8Rng,
     relays: Vec<Relay>,
-    heap: BinaryHeap<Reverse<(u64, u64)>>,
+    queue: BinaryHeap<Reverse<(u64, u64)>>,
     steps: BTreeMap<u64, Step>,
-    count: u64,
-    seen: Seen,
+    step_count: u64,
+    observed: Observed,
 }
 
-fn place(relay: usize) -> String {
+fn data_centre_of(relay: usize) -> String {
     format!("d{}", relay % DATA_CENTRES)
 }
 
-fn id(replica: usize) -> String {
+fn replica_id(replica: usize) -> String {
     format!("i-{replica}")
 }
 
-impl Day {
-    pub(crate) fn named(&self, replica: usize, now: u64) -> Option<f64> {
+impl Scenario {
+    pub(crate) fn limit_at(&self, replica: usize, now: u64) -> Option<f64> {
         let rows = self.limits[replica].iter().rev();
         rows.filter(|(from, _)| *from <= now).map(|(_, limit)| *limit).next().flatten()
     }
 
-    fn is_in(&self, now: u64, holds: impl Fn(&Trouble) -> bool) -> bool {
-        let now_on = self.troubles.iter().filter(|(from, to, _)| (*from..*to).contains(&now));
-        now_on.map(|(_, _, trouble)| trouble).any(holds)
+    fn has_fault(&self, now: u64, holds: impl Fn(&Fault) -> bool) -> bool {
+        let active = self.faults.iter().filter(|(from, to, _)| (*from..*to).contains(&now));
+        active.map(|(_, _, fault)| fault).any(holds)
     }
 
-    fn is_still(&self, relay: usize, now: u64) -> bool {
-        let is = |trouble: &Trouble| matches!(trouble, Trouble::Frozen(at) | Trouble::Restarted(at) if *at == relay);
-        self.is_in(now, is) || self.is_gone(relay, now)
+    fn is_down(&self, relay: usize, now: u64) -> bool {
+        let affects_relay = |fault: &Fault| matches!(fault, Fault::Paused(at) | Fault::Restarted(at) if *at == relay);
+        self.has_fault(now, affects_relay) || self.is_stopped(relay, now)
     }
 
-    fn was_out(&self, relay: usize, now: u64) -> bool {
-        let before = self.troubles.iter().filter(|(from, _, _)| *from <= now);
-        before.map(|(_, _, trouble)| trouble).any(|trouble| match trouble {
-            Trouble::Frozen(at) | Trouble::Restarted(at) => *at == relay,
-            Trouble::Cut => true,
-            Trouble::BadLinks(_) | Trouble::Gone(_) => false,
+    fn was_disrupted(&self, relay: usize, now: u64) -> bool {
+        let before = self.faults.iter().filter(|(from, _, _)| *from <= now);
+        before.map(|(_, _, fault)| fault).any(|fault| match fault {
+            Fault::Paused(at) | Fault::Restarted(at) => *at == relay,
+            Fault::Partition => true,
+            Fault::LossyLinks(_) | Fault::Stopped(_) => false,
         })
     }
 
-    fn is_gone(&self, relay: usize, now: u64) -> bool {
-        let gone = |row: &&(u64, u64, Trouble)| matches!(row.2, Trouble::Gone(at) if at == relay);
-        self.troubles.iter().filter(gone).any(|(from, _, _)| *from <= now)
+    fn is_stopped(&self, relay: usize, now: u64) -> bool {
+        let is_stop = |row: &&(u64, u64, Fault)| matches!(row.2, Fault::Stopped(at) if at == relay);
+        self.faults.iter().filter(is_stop).any(|(from, _, _)| *from <= now)
     }
 
-    fn is_cut(&self, from: usize, to: usize, now: u64) -> bool {
+    fn is_partitioned(&self, from: usize, to: usize, now: u64) -> bool {
         from % DATA_CENTRES != to % DATA_CENTRES
-            && self.is_in(now, |trouble| matches!(trouble, Trouble::Cut))
+            && self.has_fault(now, |fault| matches!(fault, Fault::Partition))
     }
 }
 
-/// Plays a day.
-pub(crate) fn play(day: &Day, seed: u64) -> Seen {
-    let relays =
-        (0..day.relays).map(|number| Relay { name: format!("r{number:03}"), ..Relay::default() });
-    let mut model = Model {
-        day,
-        random: ChaCha8Rng::seed_from_u64(seed),
+/// Simulates a scenario.
+pub(crate) fn simulate(scenario: &Scenario, seed: u64) -> Observed {
+    let relays = (0..scenario.relays)
+        .map(|number| Relay { name: format!("r{number:03}"), ..Relay::default() });
+    let mut simulation = Simulation {
+        scenario,
+        rng: ChaCha8Rng::seed_from_u64(seed),
         relays: relays.collect(),
-        heap: BinaryHeap::new(),
+        queue: BinaryHeap::new(),
         steps: BTreeMap::new(),
-        count: 0,
-        seen: Seen { arrivals: vec![Vec::new(); day.limits.len()], ..Seen::default() },
+        step_count: 0,
+        observed: Observed {
+            arrivals: vec![Vec::new(); scenario.limits.len()],
+            ..Observed::default()
+        },
     };
-    model.begin();
-    while let Some(Reverse((now, number))) = model.heap.pop().filter(|step| step.0.0 < day.length) {
-        let step = model.steps.remove(&number).expect("each step runs once");
-        model.run(step, now);
+    simulation.start();
+    while let Some(Reverse((now, number))) =
+        simulation.queue.pop().filter(|step| step.0.0 < scenario.length)
+    {
+        let step = simulation.steps.remove(&number).expect("each step runs once");
+        simulation.execute(step, now);
     }
-    model.seen
+    simulation.observed
 }
 
-impl Model<'_> {
-    fn at(&mut self, time: u64, step: Step) {
-        self.count += 1;
-        self.heap.push(Reverse((time, self.count)));
-        self.steps.insert(self.count, step);
+impl Simulation<'_> {
+    fn schedule(&mut self, time: u64, step: Step) {
+        self.step_count += 1;
+        self.queue.push(Reverse((time, self.step_count)));
+        self.steps.insert(self.step_count, step);
     }
 
-    fn begin(&mut self) {
-        for relay in 0..self.day.relays {
-            self.meet(relay, 0);
-            let (look, tell) =
-                (self.random.random_range(0..LOOK_EVERY), self.random.random_range(0..TELL_EVERY));
-            self.at(look, Step::Look(relay));
-            self.at(tell, Step::Tell(relay, 0));
+    fn start(&mut self) {
+        for relay in 0..self.scenario.relays {
+            self.introduce_peers(relay, 0);
+            let (first_tick, first_sync) =
+                (self.rng.random_range(0..TICK), self.rng.random_range(0..SYNC_INTERVAL));
+            self.schedule(first_tick, Step::Tick(relay));
+            self.schedule(first_sync, Step::Sync(relay, 0));
         }
-        for (_, to, trouble) in self.day.troubles.clone() {
-            if let Trouble::Restarted(relay) = trouble {
-                self.at(to, Step::Restart(relay));
+        for (_, to, fault) in self.scenario.faults.clone() {
+            if let Fault::Restarted(relay) = fault {
+                self.schedule(to, Step::Restart(relay));
             }
         }
-        // Callers come once the relays have heard of each other, as on any day that has begun.
-        for replica in 0..self.day.limits.len() {
-            for number in
-                0..((self.day.length - CONTACT) as f64 / 1_000.0 * self.day.per_second) as u64
+        // Callers start once the relays know each other.
+        for replica in 0..self.scenario.limits.len() {
+            for number in 0..((self.scenario.length - GRACE_TIME) as f64 / 1_000.0
+                * self.scenario.per_second) as u64
             {
-                let mut time = CONTACT + (number as f64 * 1_000.0 / self.day.per_second) as u64;
-                let relay = match self.day.demand {
-                    Demand::Even => self.random.random_range(0..self.day.relays),
-                    Demand::One(relay) => relay,
-                    Demand::Moving => (time / 1_000) as usize % self.day.relays,
+                let mut time =
+                    GRACE_TIME + (number as f64 * 1_000.0 / self.scenario.per_second) as u64;
+                let relay = match self.scenario.demand {
+                    Demand::Even => self.rng.random_range(0..self.scenario.relays),
+                    Demand::Single(relay) => relay,
+                    Demand::Moving => (time / 1_000) as usize % self.scenario.relays,
                     Demand::Bursts => {
                         time = time / 1_000 * 1_000;
-                        self.random.random_range(0..self.day.relays)
+                        self.rng.random_range(0..self.scenario.relays)
                     }
                 };
-                self.at(time, Step::Request(relay, replica));
+                self.schedule(time, Step::Request(relay, replica));
             }
         }
     }
 
-    /// Lets a relay know where the others are, as the store tells.
-    fn meet(&mut self, relay: usize, now: u64) {
+    /// Adds all other relays to the peer table of a relay, as the store would.
+    fn introduce_peers(&mut self, relay: usize, now: u64) {
         let address = "10.0.0.1:7000".parse().expect("an address");
-        for other in (0..self.day.relays).filter(|other| *other != relay) {
+        for other in (0..self.scenario.relays).filter(|other| *other != relay) {
             let name = self.relays[other].name.clone();
-            self.relays[relay].peers.upsert(&name, address, &place(other), now);
+            self.relays[relay].peers.upsert(&name, address, &data_centre_of(other), now);
         }
     }
 
-    fn run(&mut self, step: Step, now: u64) {
+    fn execute(&mut self, step: Step, now: u64) {
         match step {
-            Step::Look(relay) => {
-                if !self.day.is_still(relay, now) {
-                    self.issue(relay, now);
-                    self.ask(relay, now);
+            Step::Tick(relay) => {
+                if !self.scenario.is_down(relay, now) {
+                    self.issue_grants(relay, now);
+                    self.request_grants(relay, now);
                 }
-                self.at(now + LOOK_EVERY, Step::Look(relay));
+                self.schedule(now + TICK, Step::Tick(relay));
             }
-            Step::Tell(relay, round) => {
-                if !self.day.is_still(relay, now) {
-                    self.tell(relay, round, now);
+            Step::Sync(relay, round) => {
+                if !self.scenario.is_down(relay, now) {
+                    self.sync(relay, round, now);
                 }
-                self.at(now + TELL_EVERY, Step::Tell(relay, round + 1));
+                self.schedule(now + SYNC_INTERVAL, Step::Sync(relay, round + 1));
             }
-            Step::Request(relay, replica) if !self.day.is_still(relay, now) => {
-                self.seen.wanted += 1;
-                self.relays[relay].recent.entry(replica).or_default().push_back(now);
-                self.attempt(relay, replica, now + PATIENCE, false, now);
+            Step::Request(relay, replica) if !self.scenario.is_down(relay, now) => {
+                self.observed.requests += 1;
+                self.relays[relay].recent_requests.entry(replica).or_default().push_back(now);
+                self.try_send(relay, replica, now + REQUEST_TIMEOUT, false, now);
             }
-            Step::Try { relay, replica, until, is_waiting } => {
-                self.attempt(relay, replica, until, is_waiting, now);
+            Step::Retry { relay, replica, deadline, is_waiting } => {
+                self.try_send(relay, replica, deadline, is_waiting, now);
             }
-            Step::Answer { relay, replica, sent, named } if !self.day.is_still(relay, now) => {
-                let Some(sent) = sent.checked_sub(self.relays[relay].born) else { return };
-                let clock = now - self.relays[relay].born;
-                let word = LimitReport { per_second: named, sent: sent as i64 };
-                self.relays[relay].take_word(replica, word, clock);
-                if named.is_some() {
-                    self.relays[relay].told.entry(replica).or_insert(now);
+            Step::Response { relay, replica, sent, limit }
+                if !self.scenario.is_down(relay, now) =>
+            {
+                let Some(sent) = sent.checked_sub(self.relays[relay].started_at) else { return };
+                let clock = now - self.relays[relay].started_at;
+                let report = LimitReport { per_second: limit, sent: sent as i64 };
+                self.relays[relay].apply_report(replica, report, clock);
+                if limit.is_some() {
+                    self.relays[relay].informed_at.entry(replica).or_insert(now);
                 }
             }
-            Step::Message { to, from, body } if !self.day.is_still(to, now) => {
-                self.take(to, from, body, now)
+            Step::Message { to, from, body } if !self.scenario.is_down(to, now) => {
+                self.receive(to, from, body, now)
             }
             Step::Restart(relay) => {
                 let name = self.relays[relay].name.clone();
-                self.relays[relay] = Relay { name, born: now, ..Relay::default() };
-                self.meet(relay, 0);
+                self.relays[relay] = Relay { name, started_at: now, ..Relay::default() };
+                self.introduce_peers(relay, 0);
             }
             _ => {}
         }
     }
 
-    /// Tries to send a request, again and again as long as it may wait.
-    fn attempt(&mut self, relay: usize, replica: usize, until: u64, is_waiting: bool, now: u64) {
-        let clock = now - self.relays[relay].born.min(now);
-        let own = &mut self.relays[relay];
-        let limit = own.limits.limit(&id(replica));
-        let need = GrantWaiter { rank: 5, deadline: until - own.born.min(until) };
-        let goes = match (limit, self.day.way) {
+    /// Tries to send a request, and schedules another try until it times out.
+    fn try_send(
+        &mut self,
+        relay: usize,
+        replica: usize,
+        deadline: u64,
+        is_waiting: bool,
+        now: u64,
+    ) {
+        let clock = now - self.relays[relay].started_at.min(now);
+        let local = &mut self.relays[relay];
+        let limit = local.limits.limit(&replica_id(replica));
+        let waiter = GrantWaiter { rank: 5, deadline: deadline - local.started_at.min(deadline) };
+        let may_send = match (limit, self.scenario.sharing) {
             (None, _) => true,
-            (Some(_), Way::Grants) => {
-                // Its place among those that wait is its own.
+            (Some(_), LimitSharing::Grants) => {
+                // A request must not count as a waiter ahead of itself.
                 if is_waiting {
-                    own.grants.end_wait(&id(replica), need);
+                    local.grants.end_wait(&replica_id(replica), waiter);
                 }
-                let goes = own.grants.spend(&id(replica), 5, clock).is_ok();
-                if !goes && now < until {
-                    own.grants.begin_wait(&id(replica), need);
+                let may_send = local.grants.spend(&replica_id(replica), 5, clock).is_ok();
+                if !may_send && now < deadline {
+                    local.grants.begin_wait(&replica_id(replica), waiter);
                 }
-                goes
+                may_send
             }
-            (Some(limit), way) => {
-                let share = limit * own.part(way, replica, self.day.relays, now);
-                let next = own.next.entry(replica).or_default();
-                let goes = *next <= now as f64 && share > 0.0;
-                if goes {
+            (Some(limit), sharing) => {
+                let share = limit * local.share(sharing, replica, self.scenario.relays, now);
+                let next = local.next_send.entry(replica).or_default();
+                let may_send = *next <= now as f64 && share > 0.0;
+                if may_send {
                     *next = next.max(now as f64 - 50.0) + 1_000.0 / share;
                 }
-                goes
+                may_send
             }
         };
-        if goes && !self.day.is_still(relay, now) {
+        if may_send && !self.scenario.is_down(relay, now) {
             let at = now + 1;
-            let own = &self.relays[relay];
-            let is_told = own.told.get(&replica).is_some_and(|told| told + 500 <= now);
-            let is_excused = limit.is_none() && self.day.was_out(relay, now);
-            self.seen.arrivals[replica].push(Arrival { at, is_told, is_excused });
-            let named = self.day.named(replica, at);
-            self.at(now + ANSWERS_AFTER, Step::Answer { relay, replica, sent: now, named });
-        } else if now < until {
+            let local = &self.relays[relay];
+            let is_informed =
+                local.informed_at.get(&replica).is_some_and(|informed| informed + 500 <= now);
+            let is_excused = limit.is_none() && self.scenario.was_disrupted(relay, now);
+            self.observed.arrivals[replica].push(Arrival { at, is_informed, is_excused });
+            let limit = self.scenario.limit_at(replica, at);
+            self.schedule(
+                now + RESPONSE_DELAY,
+                Step::Response { relay, replica, sent: now, limit },
+            );
+        } else if now < deadline {
             if !is_waiting {
-                self.ask(relay, now);
+                self.request_grants(relay, now);
             }
-            let is_waiting = self.day.way == Way::Grants && limit.is_some();
-            self.at(now + LOOK_EVERY, Step::Try { relay, replica, until, is_waiting });
+            let is_waiting = self.scenario.sharing == LimitSharing::Grants && limit.is_some();
+            self.schedule(now + TICK, Step::Retry { relay, replica, deadline, is_waiting });
         }
     }
 
-    fn own<'a>(&self, relay: &'a Relay, place: &'a str, clock: u64) -> LocalRelay<'a> {
-        LocalRelay {
-            name: &relay.name,
-            data_centre: place,
-            is_eligible: clock >= COORDINATES_AFTER,
-        }
+    fn local_relay<'a>(
+        &self,
+        relay: &'a Relay,
+        data_centre: &'a str,
+        clock: u64,
+    ) -> LocalRelay<'a> {
+        LocalRelay { name: &relay.name, data_centre, is_eligible: clock >= COORDINATES_AFTER }
     }
 
-    fn ask(&mut self, relay: usize, now: u64) {
-        let clock = now - self.relays[relay].born;
-        let stamp = PeerStamp { incarnation: self.relays[relay].born as u32, time: clock };
+    fn request_grants(&mut self, relay: usize, now: u64) {
+        let clock = now - self.relays[relay].started_at;
+        let stamp = PeerStamp { incarnation: self.relays[relay].started_at as u32, time: clock };
         let due = self.relays[relay].grants.due_requests(clock);
-        for asked in due {
-            let name = asked.id.clone();
-            let replica: usize = name[2..].parse().expect("a number");
-            let own = &self.relays[relay];
-            let Some(word) = own.limits.report(&name) else { continue };
-            let home = place(relay);
-            let keeper = limit_coordinator(
-                &self.own(own, &home, clock),
-                &own.peers,
-                &name,
-                &place(replica),
+        for request in due {
+            let id = request.id.clone();
+            let replica: usize = id[2..].parse().expect("a number");
+            let local = &self.relays[relay];
+            let Some(report) = local.limits.report(&id) else { continue };
+            let data_centre = data_centre_of(relay);
+            let coordinator = limit_coordinator(
+                &self.local_relay(local, &data_centre, clock),
+                &local.peers,
+                &id,
+                &data_centre_of(replica),
                 clock,
             );
-            match keeper {
+            match coordinator {
                 LimitCoordinator::Unknown => {}
                 LimitCoordinator::Local => {
-                    let asker = own.name.clone();
-                    self.relays[relay].issuer.request(&asked, &asker, stamp, clock);
-                    self.issue(relay, now);
+                    let requester = local.name.clone();
+                    self.relays[relay].issuer.request(&request, &requester, stamp, clock);
+                    self.issue_grants(relay, now);
                 }
                 LimitCoordinator::Peer(peer, _) => {
                     let to = peer[1..].parse().expect("a number");
-                    let age = clock as i64 - word.sent;
-                    let body = Body::Ask { replica, word: word.per_second, age, stamp, asked };
-                    self.seen.messages += 1;
+                    let age = clock as i64 - report.sent;
+                    let body =
+                        Body::Request { replica, limit: report.per_second, age, stamp, request };
+                    self.observed.messages += 1;
                     self.send(relay, to, body, now);
                 }
             }
         }
     }
 
-    fn issue(&mut self, relay: usize, now: u64) {
-        let clock = now - self.relays[relay].born;
+    fn issue_grants(&mut self, relay: usize, now: u64) {
+        let clock = now - self.relays[relay].started_at;
         if clock < COORDINATES_AFTER {
             return;
         }
-        let home = place(relay);
-        let own = &self.relays[relay];
-        let keeps = |name: &String| {
-            let replica = name[2..].parse().expect("a number");
-            let view = self.own(own, &home, clock);
-            limit_coordinator(&view, &own.peers, name, &place(replica), clock)
+        let data_centre = data_centre_of(relay);
+        let local = &self.relays[relay];
+        let is_coordinated_here = |id: &String| {
+            let replica = id[2..].parse().expect("a number");
+            let candidate = self.local_relay(local, &data_centre, clock);
+            limit_coordinator(&candidate, &local.peers, id, &data_centre_of(replica), clock)
                 == LimitCoordinator::Local
         };
-        let asked: Vec<String> =
-            own.issuer.requested_replicas().map(str::to_owned).filter(keeps).collect();
-        let own = &mut self.relays[relay];
-        let view = LocalRelay { name: &own.name, data_centre: &home, is_eligible: true };
-        let part = rate_fraction(&view, &own.peers, clock);
-        let stamp = PeerStamp { incarnation: own.born as u32, time: clock };
+        let requested: Vec<String> = local
+            .issuer
+            .requested_replicas()
+            .map(str::to_owned)
+            .filter(is_coordinated_here)
+            .collect();
+        let local = &mut self.relays[relay];
+        let candidate =
+            LocalRelay { name: &local.name, data_centre: &data_centre, is_eligible: true };
+        let fraction = rate_fraction(&candidate, &local.peers, clock);
+        let stamp = PeerStamp { incarnation: local.started_at as u32, time: clock };
         let mut sent = Vec::new();
-        for name in asked {
-            let Some(word) = own.limits.report(&name) else { continue };
-            let rate = word.per_second.map_or(f64::INFINITY, |limit| limit * part);
-            for issued in own.issuer.issue(&name, rate, word.sent, clock) {
-                let replica = name[2..].parse().expect("a number");
-                if issued.relay == own.name {
+        for id in requested {
+            let Some(report) = local.limits.report(&id) else { continue };
+            let rate = report.per_second.map_or(f64::INFINITY, |limit| limit * fraction);
+            for issued in local.issuer.issue(&id, rate, report.sent, clock) {
+                let replica = id[2..].parse().expect("a number");
+                if issued.relay == local.name {
                     let at = (issued.stamp.time + issued.held_for) as i64;
-                    own.grants.add(&name, issued.count, at, issued.share, clock);
+                    local.grants.add(&id, issued.count, at, issued.share, clock);
                     continue;
                 }
                 let to: usize = issued.relay[1..].parse().expect("a number");
-                let age = clock as i64 - word.sent;
+                let age = clock as i64 - report.sent;
                 sent.push((
                     to,
-                    Body::Grants { replica, word: word.per_second, age, stamp, issued },
+                    Body::Grants { replica, limit: report.per_second, age, stamp, issued },
                 ));
             }
         }
-        self.seen.messages += sent.len();
+        self.observed.messages += sent.len();
         sent.into_iter().for_each(|(to, body)| self.send(relay, to, body, now));
     }
 
-    fn tell(&mut self, relay: usize, round: u64, now: u64) {
-        let clock = now - self.relays[relay].born;
-        let own = &mut self.relays[relay];
-        own.limits.forget(|_| true, clock);
-        for gone in own.peers.expired(clock) {
-            own.peers.forget(&gone);
+    fn sync(&mut self, relay: usize, round: u64, now: u64) {
+        let clock = now - self.relays[relay].started_at;
+        let local = &mut self.relays[relay];
+        local.limits.forget(|_| true, clock);
+        for name in local.peers.expired(clock) {
+            local.peers.forget(&name);
         }
-        let changed: Vec<_> = own.limits.changed_since(clock.saturating_sub(1_300)).collect();
-        let turn: Vec<_> = own.limits.page(round as usize, 8).collect();
+        let changed: Vec<_> = local.limits.changed_since(clock.saturating_sub(1_300)).collect();
+        let page: Vec<_> = local.limits.page(round as usize, 8).collect();
         let read = |rows: &[(&str, LimitReport)]| -> Vec<(usize, LimitReport)> {
-            rows.iter().map(|(id, word)| (id[2..].parse().expect("a number"), *word)).collect()
+            rows.iter().map(|(id, report)| (id[2..].parse().expect("a number"), *report)).collect()
         };
-        let (changed, turn) = (read(&changed), read(&turn));
+        let (changed, page) = (read(&changed), read(&page));
         let state = PeerState { keeps_limits: clock >= COORDINATES_AFTER, ..PeerState::default() };
-        let stamp = PeerStamp { incarnation: own.born as u32, time: clock };
+        let stamp = PeerStamp { incarnation: local.started_at as u32, time: clock };
         let recent: Vec<(usize, usize)> =
-            own.recent.iter().map(|(replica, times)| (*replica, times.len())).collect();
-        let (name, home) = (own.name.clone(), place(relay));
-        for to in (0..self.day.relays).filter(|to| *to != relay) {
+            local.recent_requests.iter().map(|(replica, times)| (*replica, times.len())).collect();
+        let (name, data_centre) = (local.name.clone(), data_centre_of(relay));
+        for to in (0..self.scenario.relays).filter(|to| *to != relay) {
             let is_near = to % DATA_CENTRES == relay % DATA_CENTRES;
             if (!is_near && round % 2 == 1)
-                || self.day.is_still(to, now)
+                || self.scenario.is_down(to, now)
                 || self.is_lost(relay, to, now)
             {
                 continue;
             }
             let receiver = &mut self.relays[to];
-            let heard = now - receiver.born;
-            if !receiver.peers.record_message(&name, state, stamp, heard) {
+            let received = now - receiver.started_at;
+            if !receiver.peers.record_message(&name, state, stamp, received) {
                 let address = "10.0.0.1:7000".parse().expect("an address");
-                receiver.peers.upsert(&name, address, &home, heard);
+                receiver.peers.upsert(&name, address, &data_centre, received);
             }
-            for (replica, count) in recent.iter().filter(|_| self.day.way == Way::Demand) {
-                receiver.others.insert((relay, *replica), *count);
+            for (replica, count) in
+                recent.iter().filter(|_| self.scenario.sharing == LimitSharing::Demand)
+            {
+                receiver.peer_requests.insert((relay, *replica), *count);
             }
-            let mut words = changed.clone();
-            words.extend(turn.iter().filter(|_| is_near));
-            if !words.is_empty() {
-                self.send(relay, to, Body::Limits { words, stamp }, now);
+            let mut reports = changed.clone();
+            reports.extend(page.iter().filter(|_| is_near));
+            if !reports.is_empty() {
+                self.send(relay, to, Body::Limits { reports, stamp }, now);
             }
         }
     }
 
     fn is_lost(&mut self, from: usize, to: usize, now: u64) -> bool {
-        let mut lost = self.day.is_cut(from, to, now);
-        for (_, _, trouble) in self.day.troubles.iter().filter(|row| (row.0..row.1).contains(&now))
+        let mut lost = self.scenario.is_partitioned(from, to, now);
+        for (_, _, fault) in self.scenario.faults.iter().filter(|row| (row.0..row.1).contains(&now))
         {
-            if let Trouble::BadLinks(hundredths) = trouble {
-                lost |= self.random.random_range(0..100) < *hundredths;
+            if let Fault::LossyLinks(percent) = fault {
+                lost |= self.rng.random_range(0..100) < *percent;
             }
         }
         lost
@@ -498,38 +546,38 @@
             return;
         }
         let is_near = from % DATA_CENTRES == to % DATA_CENTRES;
-        let mut delay = if is_near { 1 } else { self.random.random_range(3..15) };
-        let bad = |trouble: &Trouble| matches!(trouble, Trouble::BadLinks(_));
-        if self.day.is_in(now, bad) && self.random.random_range(0..20) == 0 {
-            delay += self.random.random_range(0..1_000);
+        let mut delay = if is_near { 1 } else { self.rng.random_range(3..15) };
+        let is_lossy = |fault: &Fault| matches!(fault, Fault::LossyLinks(_));
+        if self.scenario.has_fault(now, is_lossy) && self.rng.random_range(0..20) == 0 {
+            delay += self.rng.random_range(0..1_000);
         }
-        self.at(now + delay, Step::Message { to, from, body });
+        self.schedule(now + delay, Step::Message { to, from, body });
     }
 
-    fn take(&mut self, to: usize, from: usize, body: Body, now: u64) {
-        let clock = now - self.relays[to].born;
+    fn receive(&mut self, to: usize, from: usize, body: Body, now: u64) {
+        let clock = now - self.relays[to].started_at;
         let sender = self.relays[from].name.clone();
-        let own = &mut self.relays[to];
+        let local = &mut self.relays[to];
         match body {
-            Body::Limits { words, stamp } => {
-                let written = own.clocks.written_at(&sender, stamp, clock);
-                for (replica, word) in words {
-                    let sent = written - (stamp.time as i64 - word.sent);
-                    own.take_word(replica, LimitReport { sent, ..word }, clock);
+            Body::Limits { reports, stamp } => {
+                let written = local.clocks.written_at(&sender, stamp, clock);
+                for (replica, report) in reports {
+                    let sent = written - (stamp.time as i64 - report.sent);
+                    local.apply_report(replica, LimitReport { sent, ..report }, clock);
                 }
             }
-            Body::Ask { replica, word, age, stamp, asked } => {
-                let sent = own.clocks.written_at(&sender, stamp, clock) - age;
-                own.take_word(replica, LimitReport { per_second: word, sent }, clock);
-                own.issuer.request(&asked, &sender, stamp, clock);
-                self.issue(to, now);
+            Body::Request { replica, limit, age, stamp, request } => {
+                let sent = local.clocks.written_at(&sender, stamp, clock) - age;
+                local.apply_report(replica, LimitReport { per_second: limit, sent }, clock);
+                local.issuer.request(&request, &sender, stamp, clock);
+                self.issue_grants(to, now);
             }
-            Body::Grants { replica, word, age, stamp, issued } => {
-                let sent = own.clocks.written_at(&sender, stamp, clock) - age;
-                own.take_word(replica, LimitReport { per_second: word, sent }, clock);
-                if issued.stamp.incarnation == own.born as u32 {
+            Body::Grants { replica, limit, age, stamp, issued } => {
+                let sent = local.clocks.written_at(&sender, stamp, clock) - age;
+                local.apply_report(replica, LimitReport { per_second: limit, sent }, clock);
+                if issued.stamp.incarnation == local.started_at as u32 {
                     let at = (issued.stamp.time + issued.held_for) as i64;
-                    own.grants.add(&id(replica), issued.count, at, issued.share, clock);
+                    local.grants.add(&replica_id(replica), issued.count, at, issued.share, clock);
                 }
             }
         }
@@ -537,63 +585,75 @@
 }
 
 impl Relay {
-    fn take_word(&mut self, replica: usize, word: LimitReport, clock: u64) {
-        let change = self.limits.update(&id(replica), word, clock);
+    fn apply_report(&mut self, replica: usize, report: LimitReport, clock: u64) {
+        let change = self.limits.update(&replica_id(replica), report, clock);
         if let Some(LimitChange::Set(limit)) = change {
-            self.grants.record_limit(&id(replica), limit);
+            self.grants.record_limit(&replica_id(replica), limit);
         }
     }
 
-    /// Part of a limit that this relay takes by the simpler ways.
-    fn part(&mut self, way: Way, replica: usize, relays: usize, now: u64) -> f64 {
-        if way == Way::Even {
+    /// Returns the fraction of a limit that this relay uses under the simpler strategies.
+    fn share(&mut self, sharing: LimitSharing, replica: usize, relays: usize, now: u64) -> f64 {
+        if sharing == LimitSharing::Even {
             return 1.0 / relays as f64;
         }
-        let recent = self.recent.entry(replica).or_default();
+        let recent = self.recent_requests.entry(replica).or_default();
         recent.retain(|time| *time + 1_000 > now);
         let own = recent.len();
-        let others: usize =
-            self.others.iter().filter(|(key, _)| key.1 == replica).map(|(_, count)| count).sum();
+        let others: usize = self
+            .peer_requests
+            .iter()
+            .filter(|(key, _)| key.1 == replica)
+            .map(|(_, count)| count)
+            .sum();
         own as f64 / (own + others).max(1) as f64
     }
 }
 
-/// Most requests beyond `ratio` of the limit that a replica got in a window; `told` counts only relays that knew.
-pub(crate) fn worst_excess(day: &Day, seen: &Seen, replica: usize, ratio: f64, told: bool) -> f64 {
-    let mut named_since = None;
+/// Returns the largest number of requests beyond `ratio` times the limit that a replica got in a window. If `only_informed`
+/// is set, only requests of relays that knew the limit count.
+pub(crate) fn worst_excess(
+    scenario: &Scenario,
+    observed: &Observed,
+    replica: usize,
+    ratio: f64,
+    only_informed: bool,
+) -> f64 {
+    let mut limited_since = None;
     let mut worst = f64::MIN;
-    let arrivals = &seen.arrivals[replica];
-    let counts = |arrival: &Arrival| if told { arrival.is_told } else { !arrival.is_excused };
+    let arrivals = &observed.arrivals[replica];
+    let counts =
+        |arrival: &Arrival| if only_informed { arrival.is_informed } else { !arrival.is_excused };
     for (index, Arrival { at: from, .. }) in arrivals.iter().enumerate() {
-        let named = day.named(replica, *from);
-        // One that it names anew binds after the contact time again.
-        named_since = named.and(named_since.or(Some(*from)));
-        let Some(since) = named_since else { continue };
-        if *from < since + CONTACT {
+        let limit = scenario.limit_at(replica, *from);
+        // A limit that is reported anew is enforced only after the grace time again.
+        limited_since = limit.and(limited_since.or(Some(*from)));
+        let Some(since) = limited_since else { continue };
+        if *from < since + GRACE_TIME {
             continue;
         }
         let window = arrivals[index..].iter().take_while(|arrival| arrival.at < from + WINDOW);
         let window: Vec<_> = window.collect();
-        // The highest limit of the window binds, and none where it names none in a part of it. Of a lower one than before
-        // relays know half a second later.
+        // The highest limit reported in the window applies, or none if there was none for part of it. Relays learn of a
+        // lowered limit half a second later.
         let times = window.iter().map(|arrival| arrival.at).chain([from - 500]);
-        let limits: Option<Vec<f64>> = times.map(|at| day.named(replica, at)).collect();
+        let limits: Option<Vec<f64>> = times.map(|at| scenario.limit_at(replica, at)).collect();
         let Some(limits) = limits else { continue };
         let limit = limits.into_iter().fold(0.0, f64::max);
-        let came = window.iter().filter(|arrival| counts(arrival)).count();
-        worst = worst.max(came as f64 - limit * ratio * WINDOW as f64 / 1_000.0);
+        let counted = window.iter().filter(|arrival| counts(arrival)).count();
+        worst = worst.max(counted as f64 - limit * ratio * WINDOW as f64 / 1_000.0);
     }
     worst
 }
 
-/// Least part of the limit that was served in a span, from the contact time on.
-pub(crate) fn least_use(day: &Day, seen: &Seen, replica: usize) -> f64 {
-    let (first, limit) = day.limits[replica][0];
-    let limit = limit.expect("it has one from the beginning");
-    let from = (first.max(CONTACT) + CONTACT)..day.length.saturating_sub(SPAN);
+/// Returns the smallest fraction of the limit that was used in any span after the grace time.
+pub(crate) fn min_use(scenario: &Scenario, observed: &Observed, replica: usize) -> f64 {
+    let (first, limit) = scenario.limits[replica][0];
+    let limit = limit.expect("the replica has a limit from the start");
+    let from = (first.max(GRACE_TIME) + GRACE_TIME)..scenario.length.saturating_sub(USE_SPAN);
     let served = from.step_by(250).map(|from| {
-        let within = |arrival: &&Arrival| (from..from + SPAN).contains(&arrival.at);
-        seen.arrivals[replica].iter().filter(within).count()
+        let within = |arrival: &&Arrival| (from..from + USE_SPAN).contains(&arrival.at);
+        observed.arrivals[replica].iter().filter(within).count()
     });
-    served.min().unwrap_or(0) as f64 / (limit * SPAN as f64 / 1_000.0)
+    served.min().unwrap_or(0) as f64 / (limit * USE_SPAN as f64 / 1_000.0)
 }
