--- a/crates/router/benches/crashes.rs
+++ b/crates/router/benches/crashes.rs
@@ -1,5 +1,5 @@
-//! What a request that ends replicas costs until it is stopped, by a model in virtual time; and what each request pays for the
-//! look whether it is one.
+//! Cost of a request that crashes replicas until it is quarantined, from a simulation in virtual time, and the cost of the
+//! quarantine check for each request.
 
 use std::hint::black_box;
 
@@ -13,61 +13,67 @@
 #[path = "../tests/crash_model/mod.rs"]
 mod crash_model;
 
-use crash_model::{Day, Seen, Trouble, play};
+use crash_model::{Fault, Observed, Scenario, simulate};
 
-/// Seeds of each row.
+/// Number of seeds simulated for each row.
 const SEEDS: u64 = 50;
 
-const RECORD: Day = Day {
+/// The pattern of the recorded incident.
+const INCIDENT: Scenario = Scenario {
     relays: 4,
     replicas: 39,
-    bad_every: 500,
-    harmless: 70,
-    popular: 30,
-    troubles: Vec::new(),
+    bad_interval: 500,
+    harmless_rate: 70,
+    popular_rate: 30,
+    faults: Vec::new(),
     length: 30_000,
 };
 
-fn print_row(name: &str, day: &Day) {
-    let seen: Vec<Seen> = (0..SEEDS).map(|seed| play(day, seed)).collect();
-    let spread = |of: &dyn Fn(&Seen) -> u64| {
-        let mut values: Vec<u64> = seen.iter().map(of).collect();
+fn print_row(name: &str, scenario: &Scenario) {
+    let observed: Vec<Observed> = (0..SEEDS).map(|seed| simulate(scenario, seed)).collect();
+    let spread = |of: &dyn Fn(&Observed) -> u64| {
+        let mut values: Vec<u64> = observed.iter().map(of).collect();
         values.sort_unstable();
         (values[values.len() / 2], values[values.len() - 1])
     };
-    let (ended, most_ended) = spread(&|seen| seen.ended as u64);
-    let after = |seen: &Seen| seen.last_send.saturating_sub(seen.third.unwrap_or(seen.last_send));
-    let (after_ms, most_after) = spread(&after);
-    let (_, late) = spread(&|seen| seen.late as u64);
-    let refused: usize = seen.iter().map(|seen| seen.refused).sum();
-    let harmless: usize = seen.iter().map(|seen| seen.harmless).sum();
+    let (crashed, max_crashed) = spread(&|observed| observed.crashed as u64);
+    let after = |observed: &Observed| {
+        observed.last_send.saturating_sub(observed.third_crash.unwrap_or(observed.last_send))
+    };
+    let (after_ms, max_after) = spread(&after);
+    let (_, late_sends) = spread(&|observed| observed.late_sends as u64);
+    let rejected: usize = observed.iter().map(|observed| observed.rejected).sum();
+    let harmless: usize = observed.iter().map(|observed| observed.harmless).sum();
     println!(
-        "{name:42} ended {ended:3} worst {most_ended:3}  last send after the third {after_ms:5} ms worst {most_after:5}  late {late}  harmless refused {refused} of {harmless}"
+        "{name:42} crashed {crashed:3} worst {max_crashed:3}  last send after the third {after_ms:5} ms worst {max_after:5}  late {late_sends}  harmless rejected {rejected} of {harmless}"
     );
 }
 
-fn print_model() {
+fn print_simulation() {
     for relays in [1, 8, 32, 300] {
-        let day = Day { relays, replicas: 39.max(relays), ..RECORD };
-        print_row(&format!("{relays} relays"), &day);
-        print_row(&format!("{relays} relays, every 100 ms"), &Day { bad_every: 100, ..day });
+        let scenario = Scenario { relays, replicas: 39.max(relays), ..INCIDENT };
+        print_row(&format!("{relays} relays"), &scenario);
+        print_row(
+            &format!("{relays} relays, every 100 ms"),
+            &Scenario { bad_interval: 100, ..scenario },
+        );
     }
-    let beside = |name: &str, troubles: Vec<(u64, Trouble)>| {
-        print_row(name, &Day { relays: 9, troubles, ..RECORD });
+    let with_faults = |name: &str, faults: Vec<(u64, Fault)>| {
+        print_row(name, &Scenario { relays: 9, faults, ..INCIDENT });
     };
-    beside("9 relays, data centres cut off", vec![(500, Trouble::Cut(25_000))]);
-    beside("9 relays, all killed once", vec![(4_000, Trouble::KillRelays)]);
-    let harmless = |name: &str, troubles: Vec<(u64, Trouble)>| {
-        print_row(name, &Day { relays: 9, bad_every: 0, troubles, ..RECORD });
+    with_faults("9 relays, partitioned data centres", vec![(500, Fault::Partition(25_000))]);
+    with_faults("9 relays, all restarted once", vec![(4_000, Fault::RelayCrash)]);
+    let harmless = |name: &str, faults: Vec<(u64, Fault)>| {
+        print_row(name, &Scenario { relays: 9, bad_interval: 0, faults, ..INCIDENT });
     };
-    harmless("no bad one, a rack", vec![(5_000, Trouble::Rack(9))]);
+    harmless("no bad request, a rack", vec![(5_000, Fault::Rack(9))]);
     harmless(
-        "no bad one, all at once, twice",
-        vec![(5_000, Trouble::PowerOff), (12_000, Trouble::PowerOff)],
+        "no bad request, two power failures",
+        vec![(5_000, Fault::PowerOff), (12_000, Fault::PowerOff)],
     );
-    harmless("no bad one, a release without a word", vec![(3_000, Trouble::Release(400))]);
-    let racks = (0..8).map(|number| (3_000 + number * 700, Trouble::Rack(6)));
-    harmless("no bad one, one rack after the other", racks.collect());
+    harmless("no bad request, rolling restart", vec![(3_000, Fault::RollingRestart(400))]);
+    let racks = (0..8).map(|number| (3_000 + number * 700, Fault::Rack(6)));
+    harmless("no bad request, one rack after another", racks.collect());
 }
 
 fn fingerprint(number: u64) -> RequestFingerprint {
@@ -77,7 +83,7 @@
 }
 
 fn main() {
-    print_model();
+    print_simulation();
     let mut criterion = Criterion::default().configure_from_args();
     let body = vec![7; 800];
     let parts = RequestParts {
--- a/crates/router/tests/crash_model/mod.rs
+++ b/crates/router/tests/crash_model/mod.rs
@@ -1,8 +1,8 @@
-//! A model of relays in three data centres, of replicas that crash, and of callers, in virtual time.
+//! Simulation in virtual time of relays in three data centres, replicas that crash, and callers.
 //!
-//! Relays are the router's own tables; what is between them is messages with delays and losses, and a store that reaches all.
-//! Harmless requests are streams of seconds, each its own; a bad one comes again and again at any relay, and ends each
-//! replica that begins to run it. Replicas are back after some seconds, as another life.
+//! Relays use the router's own tables and exchange messages with delays and losses; a store is reachable by all of them.
+//! Harmless requests are distinct streams that last some seconds, and one popular call. A bad request arrives repeatedly at
+//! any relay and crashes each replica that starts to run it. Replicas restart after some seconds as a new instance.
 
 #![allow(dead_code, reason = "tests and benchmark each use a part")]
 
@@ -20,73 +20,73 @@
     quarantine::{CrashReport, LostRun, QuarantineChange, QuarantineTable, RunProgress},
 };
 
-/// Time without trouble after which a relay counts as in touch, in milliseconds.
-pub(crate) const CONTACT: u64 = 3_000;
+/// Time without faults after which a relay counts as in contact with the others, in milliseconds.
+pub(crate) const CONTACT_TIME: u64 = 3_000;
 
 const DATA_CENTRES: usize = 3;
-const TELL_EVERY: u64 = 200;
-const DOWN_FOR: u64 = 4_000;
-const BEGINS_AFTER: u64 = 50;
-const STREAM: u64 = 5_000;
-const PLAIN: u64 = 300;
+const SYNC_INTERVAL: u64 = 200;
+const RESTART_TIME: u64 = 4_000;
+const START_DELAY: u64 = 50;
+const STREAM_DURATION: u64 = 5_000;
+const UNARY_DURATION: u64 = 300;
 
-/// Something that happens to the replicas or links beside the bad request.
+/// Faults besides the bad request.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum Trouble {
-    /// So many replicas of a data centre end at once.
+pub(crate) enum Fault {
+    /// The given number of replicas of a data centre crash at once.
     Rack(usize),
-    /// All replicas end at once.
+    /// All replicas crash at once.
     PowerOff,
-    /// One replica after the other ends, so many milliseconds apart.
-    Release(u64),
-    /// Relays of different data centres do not hear each other for so long.
-    Cut(u64),
-    /// All relays are killed.
-    KillRelays,
+    /// The replicas are restarted one after another without notice, this many milliseconds apart.
+    RollingRestart(u64),
+    /// The data centres are partitioned from each other for this many milliseconds.
+    Partition(u64),
+    /// All relays are killed and restart with empty state.
+    RelayCrash,
 }
 
-/// A day.
+/// Load and faults of a simulation. Times are in milliseconds.
 #[derive(Clone, Debug)]
-pub(crate) struct Day {
+pub(crate) struct Scenario {
     pub(crate) relays: usize,
     pub(crate) replicas: usize,
-    /// Mean time between two attempts of the callers of the bad request; none where it is 0.
-    pub(crate) bad_every: u64,
-    /// Attempts of harmless requests a second, at all relays together.
-    pub(crate) harmless: u64,
-    /// Calls a second of one harmless request that all callers make.
-    pub(crate) popular: u64,
-    pub(crate) troubles: Vec<(u64, Trouble)>,
+    /// Mean interval between attempts of the bad request; 0 for none.
+    pub(crate) bad_interval: u64,
+    /// Harmless streams per second, over all relays.
+    pub(crate) harmless_rate: u64,
+    /// Calls per second of the harmless request that all callers make.
+    pub(crate) popular_rate: u64,
+    pub(crate) faults: Vec<(u64, Fault)>,
     pub(crate) length: u64,
 }
 
-/// What a day showed.
+/// What was observed in a scenario.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Seen {
-    /// Replicas that the bad request ended.
-    pub(crate) ended: usize,
-    /// When the third did.
-    pub(crate) third: Option<u64>,
-    /// Sends of the bad request after that, and those later than the contact time.
-    pub(crate) after_third: usize,
-    pub(crate) late: usize,
-    /// When it was last sent.
+pub(crate) struct Observed {
+    /// Number of replicas that the bad request crashed.
+    pub(crate) crashed: usize,
+    /// Time of the third of these crashes.
+    pub(crate) third_crash: Option<u64>,
+    /// Sends of the bad request after the third crash, and those more than [`CONTACT_TIME`] after it.
+    pub(crate) sends_after_third_crash: usize,
+    pub(crate) late_sends: usize,
+    /// Time at which the bad request was last sent.
     pub(crate) last_send: u64,
-    /// Harmless requests refused for it, and all harmless ones.
-    pub(crate) refused: usize,
+    /// Number of rejected harmless requests, and of all harmless requests.
+    pub(crate) rejected: usize,
     pub(crate) harmless: usize,
 }
 
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 enum Step {
-    Arrive { request: u64, tries: u32 },
-    Send { request: u64, relay: usize, sends: u32, tries: u32 },
-    Lose { run: usize },
-    Finish { run: usize },
-    Tell { relay: usize, round: u64 },
-    Back { replica: usize },
-    Trouble { number: usize },
-    EndReplica { replica: usize },
+    Arrive { request: u64, attempt: u32 },
+    Send { request: u64, relay: usize, sends: u32, attempt: u32 },
+    LoseRun { run: usize },
+    FinishRun { run: usize },
+    Sync { relay: usize, round: u64 },
+    Restart { replica: usize },
+    Fault { number: usize },
+    CrashReplica { replica: usize },
 }
 
 struct Run {
@@ -96,37 +96,38 @@
     instance: ReplicaInstance,
     sent: u64,
     sends: u32,
-    tries: u32,
-    is_open: bool,
+    attempt: u32,
+    is_running: bool,
 }
 
-struct World<'a> {
-    day: &'a Day,
-    random: ChaCha8Rng,
+struct Simulation<'a> {
+    scenario: &'a Scenario,
+    rng: ChaCha8Rng,
     steps: BinaryHeap<Reverse<(u64, u64, Step)>>,
-    count: u64,
+    /// Number of scheduled steps and messages; breaks ties in the order of both.
+    step_count: u64,
     tables: Vec<QuarantineTable>,
-    starts: Vec<u64>,
-    /// Life and time of the start of each replica; nothing while it is down.
+    started_at: Vec<u64>,
+    /// Current instance of each replica; `None` while it is down.
     replicas: Vec<Option<ReplicaInstance>>,
     runs: Vec<Run>,
     messages: BTreeMap<(u64, u64), (usize, Message)>,
     stored: HashMap<RequestFingerprint, CrashReport>,
-    cut_until: u64,
+    partitioned_until: u64,
     next_request: u64,
-    seen: Seen,
+    observed: Observed,
 }
 
 #[derive(Clone, Debug)]
 struct Message {
-    news: Vec<CrashReport>,
+    reports: Vec<CrashReport>,
     cleared: Vec<(RequestFingerprint, u64)>,
-    is_back: bool,
+    is_restarted: bool,
     from_store: bool,
 }
 
-const BAD: u64 = 0;
-const POPULAR: u64 = 1;
+const BAD_REQUEST: u64 = 0;
+const POPULAR_REQUEST: u64 = 1;
 
 fn fingerprint(request: u64) -> RequestFingerprint {
     let mut bytes = [0; 16];
@@ -134,296 +135,315 @@
     RequestFingerprint::from_bytes(bytes)
 }
 
-/// Plays a day.
-pub(crate) fn play(day: &Day, seed: u64) -> Seen {
-    let mut world = World {
-        day,
-        random: ChaCha8Rng::seed_from_u64(seed),
+/// Simulates a scenario.
+pub(crate) fn simulate(scenario: &Scenario, seed: u64) -> Observed {
+    let mut simulation = Simulation {
+        scenario,
+        rng: ChaCha8Rng::seed_from_u64(seed),
         steps: BinaryHeap::new(),
-        count: 0,
-        tables: vec![QuarantineTable::default(); day.relays],
-        starts: vec![0; day.relays],
+        step_count: 0,
+        tables: vec![QuarantineTable::default(); scenario.relays],
+        started_at: vec![0; scenario.relays],
         replicas: Vec::new(),
         runs: Vec::new(),
         messages: BTreeMap::new(),
         stored: HashMap::new(),
-        cut_until: 0,
-        next_request: POPULAR + 1,
-        seen: Seen::default(),
+        partitioned_until: 0,
+        next_request: POPULAR_REQUEST + 1,
+        observed: Observed::default(),
     };
-    world.replicas = (0..day.replicas).map(|replica| Some(world_life(replica, 0))).collect();
-    for relay in 0..day.relays {
-        let at = world.random.random_range(0..TELL_EVERY);
-        world.plan(at, Step::Tell { relay, round: 0 });
+    simulation.replicas =
+        (0..scenario.replicas).map(|replica| Some(simulated_instance(replica, 0))).collect();
+    for relay in 0..scenario.relays {
+        let at = simulation.rng.random_range(0..SYNC_INTERVAL);
+        simulation.schedule(at, Step::Sync { relay, round: 0 });
     }
-    for (number, (at, _)) in day.troubles.iter().enumerate() {
-        world.plan(*at, Step::Trouble { number });
+    for (number, (at, _)) in scenario.faults.iter().enumerate() {
+        simulation.schedule(*at, Step::Fault { number });
     }
-    if day.bad_every > 0 {
-        world.plan(1_000, Step::Arrive { request: BAD, tries: 0 });
+    if scenario.bad_interval > 0 {
+        simulation.schedule(1_000, Step::Arrive { request: BAD_REQUEST, attempt: 0 });
     }
-    if day.harmless > 0 {
-        world.plan(0, Step::Arrive { request: POPULAR + 1, tries: 0 });
+    if scenario.harmless_rate > 0 {
+        simulation.schedule(0, Step::Arrive { request: POPULAR_REQUEST + 1, attempt: 0 });
     }
-    if day.popular > 0 {
-        world.plan(0, Step::Arrive { request: POPULAR, tries: 0 });
+    if scenario.popular_rate > 0 {
+        simulation.schedule(0, Step::Arrive { request: POPULAR_REQUEST, attempt: 0 });
     }
-    world.run();
-    world.seen
+    simulation.run();
+    simulation.observed
 }
 
-fn world_life(replica: usize, born: u64) -> ReplicaInstance {
-    ReplicaInstance::new(&format!("i-{replica}"), born + 1)
+fn simulated_instance(replica: usize, started_at: u64) -> ReplicaInstance {
+    ReplicaInstance::new(&format!("i-{replica}"), started_at + 1)
 }
 
-impl World<'_> {
-    fn plan(&mut self, at: u64, step: Step) {
-        self.count += 1;
-        self.steps.push(Reverse((at, self.count, step)));
+impl Simulation<'_> {
+    fn schedule(&mut self, at: u64, step: Step) {
+        self.step_count += 1;
+        self.steps.push(Reverse((at, self.step_count, step)));
     }
 
     fn run(&mut self) {
         while let Some(Reverse((now, _, step))) = self.steps.pop() {
-            if now > self.day.length {
+            if now > self.scenario.length {
                 return;
             }
-            self.deliver(now);
+            self.deliver_messages(now);
             match step {
-                Step::Arrive { request, tries } => self.arrive(request, tries, now),
-                Step::Send { request, relay, sends, tries } => {
-                    self.send(request, relay, sends, tries, now);
+                Step::Arrive { request, attempt } => self.arrive(request, attempt, now),
+                Step::Send { request, relay, sends, attempt } => {
+                    self.send(request, relay, sends, attempt, now);
                 }
-                Step::Lose { run } => self.lose(run, now),
-                Step::Finish { run } => self.finish(run, now),
-                Step::Tell { relay, round } => {
-                    self.tell(relay, round.is_multiple_of(2), now);
+                Step::LoseRun { run } => self.lose_run(run, now),
+                Step::FinishRun { run } => self.finish_run(run, now),
+                Step::Sync { relay, round } => {
+                    self.sync(relay, round.is_multiple_of(2), now);
                     self.tables[relay].forget(now);
-                    self.plan(now + TELL_EVERY, Step::Tell { relay, round: round + 1 });
+                    self.schedule(now + SYNC_INTERVAL, Step::Sync { relay, round: round + 1 });
                 }
-                Step::Back { replica } => self.replicas[replica] = Some(world_life(replica, now)),
-                Step::Trouble { number } => self.trouble(self.day.troubles[number].1, now),
-                Step::EndReplica { replica } => self.end_replica(replica, now),
+                Step::Restart { replica } => {
+                    self.replicas[replica] = Some(simulated_instance(replica, now))
+                }
+                Step::Fault { number } => self.apply_fault(self.scenario.faults[number].1, now),
+                Step::CrashReplica { replica } => self.crash_replica(replica, now),
             }
         }
     }
 
-    fn arrive(&mut self, request: u64, tries: u32, now: u64) {
-        let relay = self.random.random_range(0..self.day.relays);
-        self.plan(now, Step::Send { request, relay, sends: 0, tries });
-        if tries > 0 {
+    fn arrive(&mut self, request: u64, attempt: u32, now: u64) {
+        let relay = self.rng.random_range(0..self.scenario.relays);
+        self.schedule(now, Step::Send { request, relay, sends: 0, attempt });
+        if attempt > 0 {
             return;
         }
-        if request == BAD {
-            let gap = self.random.random_range(1..=self.day.bad_every * 2);
-            self.plan(now + gap, Step::Arrive { request: BAD, tries: 0 });
+        if request == BAD_REQUEST {
+            let gap = self.rng.random_range(1..=self.scenario.bad_interval * 2);
+            self.schedule(now + gap, Step::Arrive { request: BAD_REQUEST, attempt: 0 });
             return;
         }
-        self.seen.harmless += 1;
-        if request == POPULAR {
-            let gap = self.random.random_range(0..=2_000 / self.day.popular);
-            return self.plan(now + gap, Step::Arrive { request, tries: 0 });
+        self.observed.harmless += 1;
+        if request == POPULAR_REQUEST {
+            let gap = self.rng.random_range(0..=2_000 / self.scenario.popular_rate);
+            return self.schedule(now + gap, Step::Arrive { request, attempt: 0 });
         }
         self.next_request += 1;
-        let gap = self.random.random_range(0..=2_000 / self.day.harmless);
-        self.plan(now + gap, Step::Arrive { request: self.next_request, tries: 0 });
+        let gap = self.rng.random_range(0..=2_000 / self.scenario.harmless_rate);
+        self.schedule(now + gap, Step::Arrive { request: self.next_request, attempt: 0 });
     }
 
-    fn send(&mut self, request: u64, relay: usize, sends: u32, tries: u32, now: u64) {
+    fn send(&mut self, request: u64, relay: usize, sends: u32, attempt: u32, now: u64) {
         if self.tables[relay].remaining(&fingerprint(request), now).is_some() {
-            self.seen.refused += usize::from(request != BAD);
+            self.observed.rejected += usize::from(request != BAD_REQUEST);
             return;
         }
         let Some(replica) = self.choose(relay) else { return };
-        let instance = self.replicas[replica].clone().expect("a chosen replica lives");
+        let instance = self.replicas[replica].clone().expect("a chosen replica is up");
         let run = self.runs.len();
-        let is_open = true;
-        self.runs.push(Run { request, relay, replica, instance, sent: now, sends, tries, is_open });
-        if request != BAD {
-            let lasts = if request == POPULAR { PLAIN } else { STREAM };
-            return self.plan(now + lasts, Step::Finish { run });
+        let is_running = true;
+        self.runs.push(Run {
+            request,
+            relay,
+            replica,
+            instance,
+            sent: now,
+            sends,
+            attempt,
+            is_running,
+        });
+        if request != BAD_REQUEST {
+            let duration =
+                if request == POPULAR_REQUEST { UNARY_DURATION } else { STREAM_DURATION };
+            return self.schedule(now + duration, Step::FinishRun { run });
         }
-        self.seen.last_send = now;
-        if self.seen.third.is_some() {
-            self.seen.after_third += 1;
+        self.observed.last_send = now;
+        if self.observed.third_crash.is_some() {
+            self.observed.sends_after_third_crash += 1;
         }
-        self.seen.late += usize::from(self.seen.third.is_some_and(|third| now > third + CONTACT));
-        let crash = now + BEGINS_AFTER + self.random.random_range(10..140);
-        self.plan(crash, Step::EndReplica { replica });
-        self.plan(crash, Step::Finish { run });
+        self.observed.late_sends += usize::from(
+            self.observed.third_crash.is_some_and(|third_crash| now > third_crash + CONTACT_TIME),
+        );
+        let crash = now + START_DELAY + self.rng.random_range(10..140);
+        self.schedule(crash, Step::CrashReplica { replica });
+        self.schedule(crash, Step::FinishRun { run });
     }
 
-    /// Mostly the same replica for all relays of a data centre, as where costs decide.
+    /// Chooses one of the first three live replicas in the data centre: as with real path costs, its relays mostly choose the
+    /// same ones.
     fn choose(&mut self, relay: usize) -> Option<usize> {
-        let near: Vec<usize> = (0..self.day.replicas)
+        let nearby: Vec<usize> = (0..self.scenario.replicas)
             .filter(|replica| {
                 self.replicas[*replica].is_some() && replica % DATA_CENTRES == relay % DATA_CENTRES
             })
             .collect();
-        let all = || (0..self.day.replicas).filter(|replica| self.replicas[*replica].is_some());
-        let few = near.len().min(3);
-        match few {
+        let all =
+            || (0..self.scenario.replicas).filter(|replica| self.replicas[*replica].is_some());
+        let candidates = nearby.len().min(3);
+        match candidates {
             0 => all().next(),
-            few => Some(near[self.random.random_range(0..few)]),
+            candidates => Some(nearby[self.rng.random_range(0..candidates)]),
         }
     }
 
-    fn end_replica(&mut self, replica: usize, now: u64) {
+    fn crash_replica(&mut self, replica: usize, now: u64) {
         let Some(instance) = self.replicas[replica].take() else { return };
-        let by_bad = self.runs.iter().any(|run| {
-            run.is_open
+        let by_bad_request = self.runs.iter().any(|run| {
+            run.is_running
                 && run.instance == instance
-                && run.request == BAD
-                && now >= run.sent + BEGINS_AFTER
+                && run.request == BAD_REQUEST
+                && now >= run.sent + START_DELAY
         });
-        if by_bad {
-            self.seen.ended += 1;
-            if self.seen.ended == 3 {
-                self.seen.third = Some(now);
+        if by_bad_request {
+            self.observed.crashed += 1;
+            if self.observed.crashed == 3 {
+                self.observed.third_crash = Some(now);
             }
         }
-        self.plan(now + DOWN_FOR, Step::Back { replica });
+        self.schedule(now + RESTART_TIME, Step::Restart { replica });
         let lost: Vec<usize> = (0..self.runs.len())
-            .filter(|run| self.runs[*run].is_open && self.runs[*run].instance == instance)
+            .filter(|run| self.runs[*run].is_running && self.runs[*run].instance == instance)
             .collect();
         for run in lost {
-            self.runs[run].is_open = false;
-            let delay = self.random.random_range(1..4);
-            self.plan(now + delay, Step::Lose { run });
+            self.runs[run].is_running = false;
+            let delay = self.rng.random_range(1..4);
+            self.schedule(now + delay, Step::LoseRun { run });
         }
     }
 
-    fn lose(&mut self, number: usize, now: u64) {
-        let Run { request, relay, sent, sends, tries, ref instance, .. } = self.runs[number];
-        if self.starts[relay] > sent {
+    fn lose_run(&mut self, number: usize, now: u64) {
+        let Run { request, relay, sent, sends, attempt, ref instance, .. } = self.runs[number];
+        if self.started_at[relay] > sent {
             return;
         }
-        let begun = (now >= sent + BEGINS_AFTER).then_some(sent + BEGINS_AFTER);
+        let started = (now >= sent + START_DELAY).then_some(sent + START_DELAY);
         let events = match request {
-            BAD => 0,
-            _ => now.saturating_sub(sent + BEGINS_AFTER + 20) / 50,
+            BAD_REQUEST => 0,
+            _ => now.saturating_sub(sent + START_DELAY + 20) / 50,
         };
         let progress = match request {
-            POPULAR => RunProgress::Unary,
-            _ => RunProgress::Stream { begun, events },
+            POPULAR_REQUEST => RunProgress::Unary,
+            _ => RunProgress::Stream { begun: started, events },
         };
         let instances = [instance.clone()];
         let run = LostRun { instances: &instances, sent, progress };
         let mut change = self.tables[relay].record_lost(fingerprint(request), &run, now);
-        let found = self.tables[relay].record_crash(&instances[0], now);
-        change.is_urgent |= found.is_urgent;
-        change.quarantined.extend(found.quarantined);
-        self.take(relay, &change, now);
-        let pause = self.random.random_range(5..150);
-        match (sends, tries) {
-            (0, _) => self.plan(now + pause, Step::Send { request, relay, sends: 1, tries }),
-            (_, 0) => self.plan(now + pause, Step::Arrive { request, tries: 1 }),
+        let crash_change = self.tables[relay].record_crash(&instances[0], now);
+        change.is_urgent |= crash_change.is_urgent;
+        change.quarantined.extend(crash_change.quarantined);
+        self.apply_change(relay, &change, now);
+        let pause = self.rng.random_range(5..150);
+        match (sends, attempt) {
+            (0, _) => self.schedule(now + pause, Step::Send { request, relay, sends: 1, attempt }),
+            (_, 0) => self.schedule(now + pause, Step::Arrive { request, attempt: 1 }),
             _ => {}
         }
     }
 
-    fn finish(&mut self, number: usize, now: u64) {
-        let Run { request, relay, is_open, sent, .. } = self.runs[number];
-        if is_open && request != BAD && self.starts[relay] <= sent {
-            self.runs[number].is_open = false;
+    fn finish_run(&mut self, number: usize, now: u64) {
+        let Run { request, relay, is_running, sent, .. } = self.runs[number];
+        if is_running && request != BAD_REQUEST && self.started_at[relay] <= sent {
+            self.runs[number].is_running = false;
             self.tables[relay].record_result(&fingerprint(request), now);
         }
     }
 
-    fn take(&mut self, relay: usize, change: &QuarantineChange, now: u64) {
+    fn apply_change(&mut self, relay: usize, change: &QuarantineChange, now: u64) {
         if change.is_urgent {
-            self.tell(relay, true, now);
+            self.sync(relay, true, now);
         }
-        for news in self.tables[relay].unstored(now) {
-            // The store gives what it takes to a reader of each data centre.
-            self.stored.insert(news.fingerprint, news.clone());
-            for reader in 0..DATA_CENTRES.min(self.day.relays) {
+        for report in self.tables[relay].unstored(now) {
+            // The store passes each write on to one reader per data centre.
+            self.stored.insert(report.fingerprint, report.clone());
+            for reader in 0..DATA_CENTRES.min(self.scenario.relays) {
                 let message = Message {
-                    news: vec![news.clone()],
+                    reports: vec![report.clone()],
                     cleared: vec![],
-                    is_back: false,
+                    is_restarted: false,
                     from_store: true,
                 };
-                self.post(reader, message, now + 15);
+                self.send_message(reader, message, now + 15);
             }
         }
     }
 
-    fn tell(&mut self, relay: usize, far: bool, now: u64) {
-        let news = self.tables[relay].updates(UpdateAudience::Speakers, now);
+    /// Sends the reports of a relay to the others: to its own data centre only, or `to_all`.
+    fn sync(&mut self, relay: usize, to_all: bool, now: u64) {
+        let reports = self.tables[relay].updates(UpdateAudience::Speakers, now);
         let cleared = self.tables[relay].cleared(now);
-        let is_back = now < self.starts[relay] + TELL_EVERY * 2 && self.starts[relay] > 0;
-        if news.is_empty() && cleared.is_empty() && !is_back {
+        let is_restarted =
+            now < self.started_at[relay] + SYNC_INTERVAL * 2 && self.started_at[relay] > 0;
+        if reports.is_empty() && cleared.is_empty() && !is_restarted {
             return;
         }
-        for other in (0..self.day.relays).filter(|other| *other != relay) {
+        for other in (0..self.scenario.relays).filter(|other| *other != relay) {
             let is_near = other % DATA_CENTRES == relay % DATA_CENTRES;
-            let is_lost = self.random.random_range(0..100) == 0;
-            if is_lost || !is_near && (!far || now < self.cut_until) {
+            let is_lost = self.rng.random_range(0..100) == 0;
+            if is_lost || !is_near && (!to_all || now < self.partitioned_until) {
                 continue;
             }
-            let delay = if is_near { 1 } else { self.random.random_range(1..15) };
+            let delay = if is_near { 1 } else { self.rng.random_range(1..15) };
             let message = Message {
-                news: news.clone(),
+                reports: reports.clone(),
                 cleared: cleared.clone(),
-                is_back,
+                is_restarted,
                 from_store: false,
             };
-            self.post(other, message, now + delay);
+            self.send_message(other, message, now + delay);
         }
     }
 
-    fn post(&mut self, to: usize, message: Message, at: u64) {
-        self.count += 1;
-        self.messages.insert((at, self.count), (to, message));
+    fn send_message(&mut self, to: usize, message: Message, at: u64) {
+        self.step_count += 1;
+        self.messages.insert((at, self.step_count), (to, message));
     }
 
-    fn deliver(&mut self, now: u64) {
+    fn deliver_messages(&mut self, now: u64) {
         while let Some(entry) = self.messages.first_entry() {
             let at = entry.key().0;
             if at > now {
                 return;
             }
             let (to, message) = entry.remove();
-            if message.is_back {
+            if message.is_restarted {
                 self.tables[to].announce_all(at);
             }
             self.tables[to].merge_cleared(&message.cleared, false, at);
-            let change = self.tables[to].merge(message.news, message.from_store, at);
-            self.take(to, &change, at);
+            let change = self.tables[to].merge(message.reports, message.from_store, at);
+            self.apply_change(to, &change, at);
         }
     }
 
-    fn trouble(&mut self, trouble: Trouble, now: u64) {
-        match trouble {
-            Trouble::Rack(count) => {
-                let centre = self.random.random_range(0..DATA_CENTRES);
-                let rack =
-                    (0..self.day.replicas).filter(|replica| replica % DATA_CENTRES == centre);
+    fn apply_fault(&mut self, fault: Fault, now: u64) {
+        match fault {
+            Fault::Rack(count) => {
+                let data_centre = self.rng.random_range(0..DATA_CENTRES);
+                let rack = (0..self.scenario.replicas)
+                    .filter(|replica| replica % DATA_CENTRES == data_centre);
                 for replica in rack.take(count).collect::<Vec<_>>() {
-                    self.end_replica(replica, now);
+                    self.crash_replica(replica, now);
                 }
             }
-            Trouble::PowerOff => {
-                (0..self.day.replicas).for_each(|replica| self.end_replica(replica, now))
+            Fault::PowerOff => {
+                (0..self.scenario.replicas).for_each(|replica| self.crash_replica(replica, now))
             }
-            Trouble::Release(gap) => {
-                for replica in 0..self.day.replicas {
-                    self.plan(now + gap * replica as u64, Step::EndReplica { replica });
+            Fault::RollingRestart(gap) => {
+                for replica in 0..self.scenario.replicas {
+                    self.schedule(now + gap * replica as u64, Step::CrashReplica { replica });
                 }
             }
-            Trouble::Cut(lasts) => self.cut_until = now + lasts,
-            Trouble::KillRelays => {
-                self.starts = vec![now; self.day.relays];
-                self.tables = vec![QuarantineTable::default(); self.day.relays];
+            Fault::Partition(duration) => self.partitioned_until = now + duration,
+            Fault::RelayCrash => {
+                self.started_at = vec![now; self.scenario.relays];
+                self.tables = vec![QuarantineTable::default(); self.scenario.relays];
                 let stored: Vec<CrashReport> = self.stored.values().cloned().collect();
-                for relay in 0..DATA_CENTRES.min(self.day.relays) {
+                for relay in 0..DATA_CENTRES.min(self.scenario.relays) {
                     let message = Message {
-                        news: stored.clone(),
+                        reports: stored.clone(),
                         cleared: vec![],
-                        is_back: false,
+                        is_restarted: false,
                         from_store: true,
                     };
-                    self.post(relay, message, now + 500);
+                    self.send_message(relay, message, now + 500);
                 }
             }
         }
--- a/crates/router/tests/crashes.rs
+++ b/crates/router/tests/crashes.rs
@@ -1,8 +1,8 @@
-//! Requests that end replicas are stopped everywhere, and none that is harmless.
+//! Requests that crash replicas are quarantined at all relays, and harmless requests are not.
 
 mod crash_model;
 
-use crash_model::{Day, Seen, Trouble, play};
+use crash_model::{Fault, Observed, Scenario, simulate};
 use switchfold_router::{
     fingerprint::RequestFingerprint,
     instance::ReplicaInstance,
@@ -13,8 +13,8 @@
     },
 };
 
-/// Sends after the third end and the contact time that the users bear.
-const MOST_LATE: usize = 3;
+/// Sends of a bad request that the users accept after the third crash plus the contact time.
+const MAX_LATE_SENDS: usize = 3;
 
 fn request(number: u8) -> RequestFingerprint {
     RequestFingerprint::from_bytes([number; 16])
@@ -24,7 +24,7 @@
     ReplicaInstance::new("i", number + 1)
 }
 
-/// A request is sent at `sent` to a replica that ends at `lost`.
+/// Records that a request was sent at `sent` to a replica that crashed at `lost`. Returns whether it is quarantined.
 fn crash(table: &mut QuarantineTable, of: u8, replica: u64, (sent, lost): (u64, u64)) -> bool {
     crash_with(table, of, replica, (sent, lost), RunProgress::Unary)
 }
@@ -42,51 +42,55 @@
     table.remaining(&request(of), lost).is_some()
 }
 
-/// Runs of one request, each with its replica and its times, and whether they stop it.
+/// Runs of one request, each with its replica and the times of send and loss, and whether they quarantine the request.
 #[test]
-fn crashes_in_a_row_stop_a_request() {
+fn consecutive_crashes_quarantine_a_request() {
     type Row<'a> = (&'a str, &'a [(u64, u64, u64)], bool);
     let rows: [Row<'_>; 7] = [
         ("two in a row", &[(1, 0, 100), (2, 150, 300)], false),
         ("three in a row", &[(1, 0, 100), (2, 150, 300), (3, 350, 400)], true),
-        ("all replicas end at once", &[(1, 0, 100), (2, 10, 100), (3, 20, 101)], false),
+        ("all replicas crash at once", &[(1, 0, 100), (2, 10, 100), (3, 20, 101)], false),
         (
-            "a rack that ends over two seconds",
+            "a rack that fails over two seconds",
             &[(1, 0, 100), (2, 10, 1_000), (3, 20, 2_000)],
             false,
         ),
-        ("twice all at once", &[(1, 0, 100), (2, 0, 100), (3, 200, 300), (4, 210, 300)], false),
-        ("one replica, told again", &[(1, 0, 100), (1, 0, 100), (1, 0, 100)], false),
+        (
+            "all replicas crash at once, twice",
+            &[(1, 0, 100), (2, 0, 100), (3, 200, 300), (4, 210, 300)],
+            false,
+        ),
+        ("one crash, recorded repeatedly", &[(1, 0, 100), (1, 0, 100), (1, 0, 100)], false),
         (
             "hours apart",
             &[(1, 0, 100), (2, 9_000_000, 9_000_100), (3, 19_000_000, 19_000_100)],
             false,
         ),
     ];
-    for (name, runs, stops) in rows {
+    for (name, runs, is_quarantined) in rows {
         let mut table = QuarantineTable::default();
         for (replica, sent, lost) in runs {
             table.forget(*sent);
             crash(&mut table, 1, *replica, (*sent, *lost));
         }
         let (_, _, last) = runs[runs.len() - 1];
-        assert_eq!(table.remaining(&request(1), last).is_some(), stops, "{name}");
+        assert_eq!(table.remaining(&request(1), last).is_some(), is_quarantined, "{name}");
     }
 }
 
-/// What had come of each of three runs when it was lost, and whether that is enough.
+/// Evidence that a lost run gives, by its progress.
 #[test]
-fn what_came_of_a_run_counts() {
+fn evidence_depends_on_the_progress_of_a_run() {
     let stream = |begun, events| RunProgress::Stream { begun, events };
     let rows = [
-        ("begun, and gave nothing", stream(Some(50), 0), CrashEvidence::Strong.into()),
-        ("not begun", stream(None, 0), Some(CrashEvidence::Weak)),
-        ("gave something, young", stream(Some(50), 3), Some(CrashEvidence::Weak)),
-        ("gave something, and went on", stream(Some(50), 30), None),
-        ("a whole answer due", RunProgress::Unary, Some(CrashEvidence::Strong)),
+        ("started, no events", stream(Some(50), 0), CrashEvidence::Strong.into()),
+        ("not started", stream(None, 0), Some(CrashEvidence::Weak)),
+        ("events, started recently", stream(Some(50), 3), Some(CrashEvidence::Weak)),
+        ("events, kept running", stream(Some(50), 30), None),
+        ("unary", RunProgress::Unary, Some(CrashEvidence::Strong)),
     ];
     for (name, progress, sign) in rows {
-        let now = if name.ends_with("went on") { 2_000 } else { 300 };
+        let now = if name.ends_with("kept running") { 2_000 } else { 300 };
         assert_eq!(progress.evidence(now), sign, "{name}");
     }
 }
@@ -98,15 +102,19 @@
         crash(&mut table, 1, replica, (replica * 1_000, replica * 1_000 + 100));
     }
     assert!(table.record_result(&request(1), 3_000));
-    assert_eq!(table.take_removable(), [request(1)], "the store may hold it");
-    for (replica, stops) in [(5, false), (6, false), (7, false), (8, false), (9, true)] {
+    assert_eq!(table.take_removable(), [request(1)], "the store may hold the request");
+    for (replica, is_quarantined) in [(5, false), (6, false), (7, false), (8, false), (9, true)] {
         let times = (replica * 1_000, replica * 1_000 + 100);
-        assert_eq!(crash(&mut table, 1, replica, times), stops, "it needs more from then on");
+        assert_eq!(
+            crash(&mut table, 1, replica, times),
+            is_quarantined,
+            "the request needs a higher weight from then on"
+        );
     }
     crash(&mut table, 2, 1, (0, 100));
     table.release(&request(2), 3_000);
-    assert_eq!(table.cleared(3_000).len(), 2, "what the store no longer holds is told as well");
-    // Others that had heard of the crashes forget them as well.
+    assert_eq!(table.cleared(3_000).len(), 2, "releases are shared as well");
+    // Relays that had received the crash reports drop them as well.
     let mut other = QuarantineTable::default();
     let runs = vec![run(1, 0, 100), run(2, 1_000, 1_100)];
     other.merge(vec![CrashReport { fingerprint: request(1), remaining: None, runs }], false, 2_000);
@@ -118,10 +126,10 @@
     CrashRun { instance: instance(replica), sent, lost, evidence: CrashEvidence::Strong }
 }
 
-/// Two requests under the same three crashes: neither is stopped until one of them makes the next crash alone, or until both
-/// were under five.
+/// Of two requests present at the same crashes, neither is quarantined until one of them is alone at the next crash, or both
+/// were present at five.
 #[test]
-fn requests_under_the_same_crashes_are_told_apart() {
+fn requests_at_the_same_crashes_are_distinguished() {
     let mut table = QuarantineTable::default();
     let both = |table: &mut QuarantineTable, replica: u64| {
         let (sent, lost) = (replica * 1_000, replica * 1_000 + 100);
@@ -144,9 +152,9 @@
     assert!(table.weight(&request(1)) >= AMBIGUOUS_WEIGHT);
 }
 
-/// After its quarantine a request may be tried once; the next crash stops it again.
+/// After its quarantine a request may be sent again; a single further crash renews the quarantine.
 #[test]
-fn a_quarantine_ends_and_comes_back() {
+fn a_quarantine_expires_and_is_renewed_by_one_crash() {
     let mut table = QuarantineTable::default();
     for replica in 0..3 {
         crash(&mut table, 1, replica, (replica * 1_000, replica * 1_000 + 100));
@@ -155,48 +163,47 @@
     assert_eq!(table.remaining(&request(1), end - 1), Some(1));
     table.forget(end);
     assert_eq!(table.remaining(&request(1), end), None);
-    let mut left_alone = table.clone();
+    let mut undisturbed = table.clone();
     assert!(crash(&mut table, 1, 8, (end + 10, end + 100)));
-    left_alone.forget(end + RUN_RETENTION);
-    assert_eq!(left_alone.tracked_count(), 0);
+    undisturbed.forget(end + RUN_RETENTION);
+    assert_eq!(undisturbed.tracked_count(), 0);
 }
 
-/// What is told of two crashes and a third one seen here add up, whatever the clocks; a relay that has just started hears of runs
-/// from before its clock began.
+/// Two reported crashes and a third one observed locally add up. Reported runs may be older than the relay's own clock.
 #[test]
-fn what_others_saw_adds_up() {
-    let told = CrashReport {
+fn reports_of_other_relays_add_up() {
+    let report = CrashReport {
         fingerprint: request(1),
         remaining: None,
         runs: vec![run(1, -900, -800), run(2, -300, -200)],
     };
     let mut table = QuarantineTable::default();
-    assert_eq!(table.merge(vec![told.clone()], false, 5).quarantined, []);
-    assert_eq!(table.merge(vec![told], false, 205).quarantined, [], "told again");
+    assert_eq!(table.merge(vec![report.clone()], false, 5).quarantined, []);
+    assert_eq!(table.merge(vec![report], false, 205).quarantined, [], "the same report again");
     assert!(crash(&mut table, 1, 3, (300, 400)));
-    assert_eq!(table.unstored(400).len(), 1, "the store is told");
-    assert_eq!(table.unstored(400), [], "once");
+    assert_eq!(table.unstored(400).len(), 1, "written to the store");
+    assert_eq!(table.unstored(400), [], "only once");
     let news = table.updates(UpdateAudience::Speakers, 400);
     let mut other = QuarantineTable::default();
     other.merge(news, false, 10);
     assert!(other.remaining(&request(1), 10).is_some());
-    assert_eq!(other.unstored(10), [], "whoever saw it tells the store");
+    assert_eq!(other.unstored(10), [], "only the relay that observed a crash writes to the store");
     assert_eq!(
         other.updates(UpdateAudience::Speakers, 10),
         [],
-        "and what was heard is not told on"
+        "reports of other relays are not forwarded"
     );
     other.announce_all(10);
     assert_eq!(
         other.updates(UpdateAudience::Speakers, 10).len(),
         1,
-        "but to whoever starts or returns"
+        "except to relays that have just started or returned"
     );
 }
 
-/// A replica that was taken for lost and answers was not ended by what ran there.
+/// Runs lost at a replica do not count if it turns out to be alive.
 #[test]
-fn a_replica_that_lives_says_nothing() {
+fn runs_lost_at_a_live_replica_do_not_count() {
     let mut table = QuarantineTable::default();
     crash(&mut table, 1, 1, (0, 100));
     crash(&mut table, 1, 2, (200, 300));
@@ -205,7 +212,7 @@
 }
 
 #[test]
-fn records_are_bounded_and_stopped_ones_stay() {
+fn records_are_bounded_and_quarantined_ones_are_kept() {
     let mut table = QuarantineTable::default();
     for replica in 0..3 {
         crash(&mut table, 1, replica, (replica * 1_000, replica * 1_000 + 100));
@@ -221,61 +228,64 @@
     let news = table.updates(UpdateAudience::Speakers, 4_000);
     assert!(
         news.iter().any(|news| news.fingerprint == request(1)),
-        "what is stopped is told first"
+        "quarantined requests are reported first"
     );
     assert_eq!(table.tracked_count(), MAX_RECORDS);
     assert!(table.remaining(&request(1), 10_000).is_some());
     assert!(table.weight(&request(1)) >= QUARANTINE_WEIGHT);
 }
 
-const CALM: Day = Day {
+const NO_BAD_REQUEST: Scenario = Scenario {
     relays: 8,
     replicas: 39,
-    bad_every: 0,
-    harmless: 70,
-    popular: 30,
-    troubles: Vec::new(),
+    bad_interval: 0,
+    harmless_rate: 70,
+    popular_rate: 30,
+    faults: Vec::new(),
     length: 30_000,
 };
 
-/// The record's pattern, at few and many relays, with cuts between data centres and a stop of all relays beside it.
+/// The pattern of the recorded incident with few and many relays, with partitioned data centres, and with a restart of all
+/// relays.
 #[test]
-fn a_bad_request_is_stopped_at_all_relays() {
-    type Row<'a> = (&'a str, usize, u64, Vec<(u64, Trouble)>);
+fn a_bad_request_is_quarantined_at_all_relays() {
+    type Row<'a> = (&'a str, usize, u64, Vec<(u64, Fault)>);
     let rows: [Row<'_>; 5] = [
         ("one relay", 1, 500, vec![]),
-        ("the record's pattern", 4, 500, vec![]),
+        ("pattern of the incident", 4, 500, vec![]),
         ("many relays", 60, 300, vec![]),
-        ("data centres cut off from each other", 9, 500, vec![(500, Trouble::Cut(25_000))]),
-        ("a stop of all relays", 9, 500, vec![(4_000, Trouble::KillRelays)]),
+        ("partitioned data centres", 9, 500, vec![(500, Fault::Partition(25_000))]),
+        ("a restart of all relays", 9, 500, vec![(4_000, Fault::RelayCrash)]),
     ];
-    for (name, relays, bad_every, troubles) in rows {
+    for (name, relays, bad_interval, faults) in rows {
         for seed in 0..10 {
-            let day = Day { relays, bad_every, troubles: troubles.clone(), ..CALM };
-            let Seen { ended, late, refused, harmless, .. } = play(&day, seed);
-            assert!(ended >= 3, "{name}, seed {seed}: only {ended} ended");
-            assert!(late <= MOST_LATE, "{name}, seed {seed}: {late} sends too late");
+            let scenario =
+                Scenario { relays, bad_interval, faults: faults.clone(), ..NO_BAD_REQUEST };
+            let Observed { crashed, late_sends, rejected, harmless, .. } =
+                simulate(&scenario, seed);
+            assert!(crashed >= 3, "{name}, seed {seed}: only {crashed} crashed");
+            assert!(late_sends <= MAX_LATE_SENDS, "{name}, seed {seed}: {late_sends} late sends");
             assert!(
-                refused * 1_000 < harmless,
-                "{name}, seed {seed}: {refused} of {harmless} refused"
+                rejected * 1_000 < harmless,
+                "{name}, seed {seed}: {rejected} of {harmless} rejected"
             );
         }
     }
 }
 
-/// Racks, data centres, releases, all at once and again: nothing is refused.
+/// No harmless request is rejected when racks, data centres or all replicas fail, repeatedly, or in a rolling restart.
 #[test]
-fn harmless_requests_are_not_refused() {
-    let rows: [(&str, Vec<(u64, Trouble)>); 4] = [
-        ("a rack", vec![(5_000, Trouble::Rack(9))]),
-        ("power off twice", vec![(5_000, Trouble::PowerOff), (12_000, Trouble::PowerOff)]),
-        ("a release without a word", vec![(3_000, Trouble::Release(400))]),
-        ("one rack after the other", (0..8).map(|n| (3_000 + n * 700, Trouble::Rack(6))).collect()),
+fn harmless_requests_are_not_rejected() {
+    let rows: [(&str, Vec<(u64, Fault)>); 4] = [
+        ("a rack", vec![(5_000, Fault::Rack(9))]),
+        ("two power failures", vec![(5_000, Fault::PowerOff), (12_000, Fault::PowerOff)]),
+        ("rolling restart without notice", vec![(3_000, Fault::RollingRestart(400))]),
+        ("one rack after another", (0..8).map(|n| (3_000 + n * 700, Fault::Rack(6))).collect()),
     ];
-    for (name, troubles) in rows {
+    for (name, faults) in rows {
         for seed in 0..10 {
-            let day = Day { troubles: troubles.clone(), ..CALM };
-            assert_eq!(play(&day, seed).refused, 0, "{name}, seed {seed}");
+            let scenario = Scenario { faults: faults.clone(), ..NO_BAD_REQUEST };
+            assert_eq!(simulate(&scenario, seed).rejected, 0, "{name}, seed {seed}");
         }
     }
 }
