--- a/crates/router/benches/crashes.rs
+++ b/crates/router/benches/crashes.rs
@@ -1,5 +1,5 @@
-//! Cost of a request that crashes replicas until it is quarantined, from a simulation in virtual time, and the cost of the
-//! quarantine check for each request.
+//! Cost of a request that crashes replicas until it is quarantined, from a simulation in virtual
+//! time, and the cost of the quarantine check for each request.
 
 use std::hint::black_box;
 
@@ -31,17 +31,17 @@
 
 fn print_row(name: &str, scenario: &Scenario) {
     let observed: Vec<Observed> = (0..SEEDS).map(|seed| simulate(scenario, seed)).collect();
-    let spread = |of: &dyn Fn(&Observed) -> u64| {
-        let mut values: Vec<u64> = observed.iter().map(of).collect();
+    let median_and_max = |metric: &dyn Fn(&Observed) -> u64| {
+        let mut values: Vec<u64> = observed.iter().map(metric).collect();
         values.sort_unstable();
         (values[values.len() / 2], values[values.len() - 1])
     };
-    let (crashed, max_crashed) = spread(&|observed| observed.crashed as u64);
+    let (crashed, max_crashed) = median_and_max(&|observed| observed.crashed as u64);
     let after = |observed: &Observed| {
         observed.last_send.saturating_sub(observed.third_crash.unwrap_or(observed.last_send))
     };
-    let (after_ms, max_after) = spread(&after);
-    let (_, late_sends) = spread(&|observed| observed.late_sends as u64);
+    let (after_ms, max_after) = median_and_max(&after);
+    let (_, late_sends) = median_and_max(&|observed| observed.late_sends as u64);
     let rejected: usize = observed.iter().map(|observed| observed.rejected).sum();
     let harmless: usize = observed.iter().map(|observed| observed.harmless).sum();
     println!(
--- a/crates/router/src/backoff.rs
+++ b/crates/router/src/backoff.rs
@@ -1,21 +1,23 @@
 //! Replicas that rejected a request and asked this VM to send nothing for a time.
 //!
-//! Such a backoff applies only to this VM: other relays may still send to the replica and are not notified. Nothing is
-//! sent to the replica until the backoff ends. Then a single trial request checks whether the replica accepts requests
-//! again, and the others wait for its response. Otherwise all callers that wait for the same end would arrive at once at a
-//! replica that may reject every one of them.
+//! Such a backoff applies only to this VM: other relays may still send to the replica and are not
+//! notified. Nothing is sent to the replica until the backoff ends. Then a single trial request
+//! checks whether the replica accepts requests again, and the others wait for its response.
+//! Otherwise all callers that wait for the same end would arrive at once at a replica that may
+//! reject every one of them.
 //!
-//! A backoff is stored by the replica's id and survives a restart of the replica. A restarted replica may not know what it
-//! asked for before, but whatever limits the traffic to it may still apply. The trade-off: a replica that is healthy after
-//! a restart gets no requests for the rest of the backoff. Worst case: a replica asks for a backoff of a day without need,
-//! and gets no requests for a day.
+//! A backoff is stored by the replica's id and survives a restart of the replica. A restarted
+//! replica may not know what it asked for before, but whatever limits the traffic to it may still
+//! apply. The trade-off: a replica that is healthy after a restart gets no requests for the rest of
+//! the backoff. Worst case: a replica asks for a backoff of a day without need, and gets no
+//! requests for a day.
 
 use std::collections::HashMap;
 
 use crate::{Millis, instance::ReplicaInstance};
 
-/// Time that a trial request has to show whether a replica accepts requests again, in milliseconds: four times what the
-/// start of a response usually takes. After that another trial may be sent.
+/// Time that a trial request has to show whether a replica accepts requests again, in milliseconds:
+/// four times what the start of a response usually takes. After that another trial may be sent.
 pub const TRIAL_TIMEOUT: Millis = 250;
 
 /// Time for which a backoff is kept after its end if no trial was sent, in milliseconds.
@@ -43,7 +45,8 @@
 }
 
 impl BackoffTable {
-    /// Records that a replica asked for a backoff of `duration` milliseconds. Of several backoffs the latest end counts.
+    /// Records that a replica asked for a backoff of `duration` milliseconds. Of several backoffs
+    /// the latest end counts.
     pub fn record(&mut self, instance: &ReplicaInstance, duration: Millis, now: Millis) {
         self.backoffs.retain(|_, backoff| now < backoff.until.saturating_add(RETENTION));
         let backoff = self.backoffs.entry(instance.id().to_owned()).or_default();
@@ -51,25 +54,29 @@
         backoff.tried = None;
     }
 
-    /// Records that a replica responded and did not reject the request. Ends its backoff if that was on trial.
+    /// Records that a replica responded and did not reject the request. Ends its backoff if that
+    /// was on trial.
     pub fn record_success(&mut self, instance: &ReplicaInstance, now: Millis) {
-        // While the backoff lasts, a response can only be to a request sent before it, so it proves nothing.
+        // While the backoff lasts, a response can only be to a request sent before it, so it proves
+        // nothing.
         let is_over = |backoff: &Backoff| backoff.until <= now && backoff.tried.is_some();
         if self.backoffs.get(instance.id()).is_some_and(is_over) {
             self.backoffs.remove(instance.id());
         }
     }
 
-    /// Returns the time for which nothing may be sent to a replica, in milliseconds, or `None` if requests may be sent.
+    /// Returns the time for which nothing may be sent to a replica, in milliseconds, or `None` if
+    /// requests may be sent.
     pub fn remaining(&self, instance: &ReplicaInstance, now: Millis) -> Option<Millis> {
         self.backoffs.get(instance.id())?.remaining(now)
     }
 
-    /// Starts sending a request to a replica, and returns whether it is the trial that the other requests wait for.
+    /// Starts sending a request to a replica, and returns whether it is the trial that the other
+    /// requests wait for.
     ///
-    /// `is_trial` is the result of an earlier call for the same request: a trial that is written again on another
-    /// connection remains the trial. A request that was cleared to send before the backoff began is not one, so that two
-    /// requests never try at once.
+    /// `is_trial` is the result of an earlier call for the same request: a trial that is written
+    /// again on another connection remains the trial. A request that was cleared to send before the
+    /// backoff began is not one, so that two requests never try at once.
     ///
     /// # Errors
     ///
--- a/crates/router/src/budget.rs
+++ b/crates/router/src/budget.rs
@@ -1,12 +1,14 @@
 //! Retry budget over a sliding window, shared by all relays.
 //!
-//! In any window, the platform allows a service retries of up to `ratio` times its requests plus a fixed allowance, summed
-//! over all relays. Each relay spends the ratio on its own requests and an equal share of the allowance, so the sum stays
-//! below the bound even if the relays know nothing of each other's retries.
+//! In any window, the platform allows a service retries of up to `ratio` times its requests plus a
+//! fixed allowance, summed over all relays. Each relay spends the ratio on its own requests and an
+//! equal share of the allowance, so the sum stays below the bound even if the relays know nothing
+//! of each other's retries.
 //!
-//! A restarted relay does not know how many retries it sent before. For one whole window it therefore spends only a small
-//! part of its share of the allowance, so that two restarts of every relay within a window stay below the bound. The
-//! trade-off: right after all relays restart, few requests can be retried.
+//! A restarted relay does not know how many retries it sent before. For one whole window it
+//! therefore spends only a small part of its share of the allowance, so that two restarts of every
+//! relay within a window stay below the bound. The trade-off: right after all relays restart, few
+//! requests can be retried.
 
 use std::collections::VecDeque;
 
@@ -15,11 +17,12 @@
 /// Width of a bucket, in milliseconds: a twentieth of the usual window, so that rounding costs 5%.
 const BUCKET: Millis = 500;
 
-/// Fraction of the earned retries that is spent. The rest covers requests that were counted but never arrived.
+/// Fraction of the earned retries that is spent. The rest covers requests that were counted but
+/// never arrived.
 const SPENT_FRACTION: f64 = 0.8;
 
-/// Fraction of its share of the allowance that a relay spends in its first window. With [`SPENT_FRACTION`] spent before,
-/// two restarts within a window use up the whole share.
+/// Fraction of its share of the allowance that a relay spends in its first window. With
+/// [`SPENT_FRACTION`] spent before, two restarts within a window use up the whole share.
 const RESTART_FRACTION: f64 = 0.1;
 
 /// Bounds of the budget.
@@ -58,7 +61,8 @@
         self.bucket(now).requests += 1;
     }
 
-    /// Returns whether the budget allows one more retry. `relays` is the number of relays that share the allowance.
+    /// Returns whether the budget allows one more retry. `relays` is the number of relays that
+    /// share the allowance.
     pub fn can_retry(&mut self, config: &BudgetConfig, relays: usize, now: Millis) -> bool {
         self.forget(config.window, now);
         let requests: u32 = self.buckets.iter().map(|bucket| bucket.requests).sum();
--- a/crates/router/src/coordinator.rs
+++ b/crates/router/src/coordinator.rs
@@ -1,12 +1,15 @@
-//! Chooses the relay that coordinates the rate limit of a replica, that is, the one that issues its grants.
+//! Chooses the relay that coordinates the rate limit of a replica, that is, the one that issues its
+//! grants.
 //!
-//! The choice is a rendezvous hash over the relays heard from recently, with those in the replica's own data centre first,
-//! so relays that all hear each other agree without a vote. In a network partition each side chooses its own coordinator:
-//! the side with the majority of the relays issues the full rate, the others a small fraction, so that the sum stays near
-//! the limit. A relay that just started coordinates no limits until it has heard from the others.
+//! The choice is a rendezvous hash over the relays heard from recently, with those in the replica's
+//! own data centre first, so relays that all hear each other agree without a vote. In a network
+//! partition each side chooses its own coordinator: the side with the majority of the relays issues
+//! the full rate, the others a small fraction, so that the sum stays near the limit. A relay that
+//! just started coordinates no limits until it has heard from the others.
 //!
-//! The trade-off: a minority side cannot tell whether the other relays are partitioned or gone, so it issues little until
-//! it forgets them. Worst case: of three equal sides, each issues only a small fraction.
+//! The trade-off: a minority side cannot tell whether the other relays are partitioned or gone, so
+//! it issues little until it forgets them. Worst case: of three equal sides, each issues only a
+//! small fraction.
 
 use std::net::SocketAddr;
 
@@ -14,8 +17,9 @@
 
 use crate::{Millis, membership::PeerTable};
 
-/// Time after its start from which a relay coordinates limits, in milliseconds. By then two messages from another data
-/// centre have arrived, and the grants issued before a restart have expired.
+/// Time after its start from which a relay coordinates limits, in milliseconds. By then two
+/// messages from another data centre have arrived, and the grants issued before a restart have
+/// expired.
 pub const COORDINATES_AFTER: Millis = 800;
 
 /// Fraction of a limit that all sides without a majority issue together.
@@ -67,8 +71,9 @@
     }
 }
 
-/// Returns the fraction of a limit, in 0..=1, that this relay may issue as its coordinator. It is 1 if this relay hears
-/// from a majority of the speakers that it knows, or from half of them including the first by name.
+/// Returns the fraction of a limit, in 0..=1, that this relay may issue as its coordinator. It is 1
+/// if this relay hears from a majority of the speakers that it knows, or from half of them
+/// including the first by name.
 pub fn rate_fraction(local: &LocalRelay<'_>, peers: &PeerTable, now: Millis) -> f64 {
     let (known, heard) = peers.speaker_counts(local.data_centre, now);
     let hears_first = || {
--- a/crates/router/src/fingerprint.rs
+++ b/crates/router/src/fingerprint.rs
@@ -1,10 +1,12 @@
-//! Fingerprints that identify equal requests regardless of their ids: by method, host, path with query, organisation and
-//! body.
+//! Fingerprints that identify equal requests regardless of their ids: by method, host, path with
+//! query, organisation and body.
 //!
-//! Each attempt of a caller has its own id, also when the same request is sent to another relay. Whether a request crashes
-//! the replicas that run it can only be seen if its attempts are recognised as the same request. Callers choose their
-//! bodies, so the fingerprint is a cryptographic hash: no caller can craft a body whose fingerprint equals that of another
-//! organisation's request. It is truncated to half its bits, since every byte may be sent to hundreds of relays.
+//! Each attempt of a caller has its own id, also when the same request is sent to another relay.
+//! Whether a request crashes the replicas that run it can only be seen if its attempts are
+//! recognised as the same request. Callers choose their bodies, so the fingerprint is a
+//! cryptographic hash: no caller can craft a body whose fingerprint equals that of another
+//! organisation's request. It is truncated to half its bits, since every byte may be sent to
+//! hundreds of relays.
 
 use std::fmt::{Debug, Display, Formatter, Result};
 
@@ -33,8 +35,8 @@
 pub struct RequestFingerprint([u8; FINGERPRINT_BYTES]);
 
 impl RequestFingerprint {
-    /// Computes the fingerprint of a request. Each part is hashed with its length, so that moving a boundary between
-    /// parts changes the fingerprint.
+    /// Computes the fingerprint of a request. Each part is hashed with its length, so that moving a
+    /// boundary between parts changes the fingerprint.
     pub fn of(parts: &RequestParts<'_>) -> Self {
         let mut hash = Sha256::new();
         let host = parts.host.to_ascii_lowercase();
--- a/crates/router/src/grants.rs
+++ b/crates/router/src/grants.rs
@@ -1,35 +1,38 @@
 //! Grants held by a relay. Each grant permits one request to a replica that reported a rate limit.
 //!
-//! A limit applies to all relays together, so relays that counted only their own requests would exceed it. A request to a
-//! limited replica therefore needs a grant, which the relay that coordinates the limit issues ([`issuer`](crate::issuer))
-//! and which expires after [`GRANT_TTL`]. A relay requests grants when requests find none, and ahead of time for as many
-//! requests as it sends within the lifetime of a grant.
+//! A limit applies to all relays together, so relays that counted only their own requests would
+//! exceed it. A request to a limited replica therefore needs a grant, which the relay that
+//! coordinates the limit issues ([`issuer`](crate::issuer)) and which expires after [`GRANT_TTL`].
+//! A relay requests grants when requests find none, and ahead of time for as many requests as it
+//! sends within the lifetime of a grant.
 //!
-//! The trade-off: a request that finds no grant goes to another replica at once if it can, and the grant requested for it
-//! serves a later request; otherwise it waits for a grant. Worst case: grants of a relay with little traffic expire
-//! unused, so the limit is not used in full.
+//! The trade-off: a request that finds no grant goes to another replica at once if it can, and the
+//! grant requested for it serves a later request; otherwise it waits for a grant. Worst case:
+//! grants of a relay with little traffic expire unused, so the limit is not used in full.
 
 use std::collections::{HashMap, VecDeque};
 
 use crate::Millis;
 
-/// Lifetime of a grant, in milliseconds. Grants issued within this time before a window of some seconds can be spent in
-/// that window on top of its own, so the lifetime must be small against the window. It must also cover the transit of the
-/// grant and the time until the next request.
+/// Lifetime of a grant, in milliseconds. Grants issued within this time before a window of some
+/// seconds can be spent in that window on top of its own, so the lifetime must be small against the
+/// window. It must also cover the transit of the grant and the time until the next request.
 pub const GRANT_TTL: Millis = 300;
 
 /// Period over which the sends to a replica are counted, in milliseconds.
 const RATE_PERIOD: Millis = 1_000;
 
-/// Shortest and longest pause before grants are requested again, in milliseconds. The longest is below
-/// [`REQUEST_TTL`], so that the request of a relay that keeps missing grants does not expire in between.
+/// Shortest and longest pause before grants are requested again, in milliseconds. The longest is
+/// below [`REQUEST_TTL`], so that the request of a relay that keeps missing grants does not expire
+/// in between.
 const MIN_RETRY_PAUSE: Millis = 25;
 const MAX_RETRY_PAUSE: Millis = 800;
 
 /// Age at which an announced share of a limit is outdated, in milliseconds.
 const SHARE_MAX_AGE: Millis = 3_000;
 
-/// Estimated wait for a grant while the share is unknown, in milliseconds: one round trip to the coordinator.
+/// Estimated wait for a grant while the share is unknown, in milliseconds: one round trip to the
+/// coordinator.
 const FIRST_GRANT_WAIT: Millis = 50;
 
 /// Upper bound of the estimated wait for a grant, in milliseconds.
@@ -41,8 +44,8 @@
 /// Lifetime of a grant request of a relay that keeps missing grants, in milliseconds.
 const REQUEST_TTL: Millis = 1_000;
 
-/// A grant issued less than this long before a waiting request gives up comes too late for it, in milliseconds: the
-/// transit of the grant plus the time until the request checks for it.
+/// A grant issued less than this long before a waiting request gives up comes too late for it, in
+/// milliseconds: the transit of the grant plus the time until the request checks for it.
 const DELIVERY_MARGIN: Millis = 50;
 
 /// A request that waits for a grant.
@@ -102,7 +105,8 @@
         self.expiries.iter().filter(|expiry| **expiry > now).count()
     }
 
-    /// Returns whether a request of this rank can have a grant once one is set aside for each more urgent waiter.
+    /// Returns whether a request of this rank can have a grant once one is set aside for each more
+    /// urgent waiter.
     fn is_available(&self, rank: u8, now: Millis) -> bool {
         let more_urgent = self.waiting.iter().filter(|waiter| waiter.rank < rank).count();
         self.held(now) > more_urgent
@@ -118,7 +122,8 @@
         urgent.max(prefetch).saturating_sub(held).min(MAX_REQUESTED)
     }
 
-    /// Returns for how long a grant request stands. If only waiting requests need grants, until the last of them gives up.
+    /// Returns for how long a grant request stands. If only waiting requests need grants, until the
+    /// last of them gives up.
     fn request_ttl(&self, now: Millis) -> Millis {
         let has_traffic = self.misses.len() + self.sends.len() > 0;
         let last = self.waiting.iter().map(|waiter| waiter.deadline).max().filter(|_| !has_traffic);
@@ -149,8 +154,8 @@
         self.replicas.entry(id.to_owned()).or_default()
     }
 
-    /// Estimates the time until a request of this rank gets a grant, in milliseconds. Returns `None` if one is available
-    /// now.
+    /// Estimates the time until a request of this rank gets a grant, in milliseconds. Returns
+    /// `None` if one is available now.
     pub fn wait(&self, id: &str, rank: u8, now: Millis) -> Option<Millis> {
         match self.replicas.get(id) {
             None => Some(FIRST_GRANT_WAIT),
@@ -183,7 +188,8 @@
         }
     }
 
-    /// Returns a spent grant whose request was not sent. `expiry` is what [`HeldGrants::spend`] returned.
+    /// Returns a spent grant whose request was not sent. `expiry` is what [`HeldGrants::spend`]
+    /// returned.
     pub fn give_back(&mut self, id: &str, expiry: Millis) {
         let replica = self.replica(id);
         replica.expiries.push_front(expiry);
@@ -212,8 +218,8 @@
         }
     }
 
-    /// Adds `count` grants issued by the coordinator, at `issued` at the earliest, and records the share (grants per
-    /// second) that it announced. Expired grants are dropped.
+    /// Adds `count` grants issued by the coordinator, at `issued` at the earliest, and records the
+    /// share (grants per second) that it announced. Expired grants are dropped.
     pub fn add(&mut self, id: &str, count: usize, issued: i64, share: f64, now: Millis) {
         let replica = self.replica(id);
         replica.share = Some((share, now));
@@ -222,21 +228,22 @@
             return;
         }
         replica.retry_pause = MIN_RETRY_PAUSE;
-        // No more than this are requested at once, so a larger count comes from a corrupt message; the bound keeps it
-        // from exhausting memory.
+        // No more than this are requested at once, so a larger count comes from a corrupt message;
+        // the bound keeps it from exhausting memory.
         let count = count.min(MAX_REQUESTED);
         let index = replica.expiries.partition_point(|known| *known <= expiry);
         (0..count).for_each(|_| replica.expiries.insert(index, expiry));
     }
 
-    /// Returns the number of grants per second that this relay can expect, or `None` without a recent announcement.
+    /// Returns the number of grants per second that this relay can expect, or `None` without a
+    /// recent announcement.
     pub fn share(&self, id: &str, now: Millis) -> Option<f64> {
         let (share, announced) = self.replicas.get(id)?.share?;
         (now.saturating_sub(announced) < SHARE_MAX_AGE).then_some(share)
     }
 
-    /// Returns the grant requests to send now. A request is repeated with growing pauses while grants are needed, and then
-    /// withdrawn once.
+    /// Returns the grant requests to send now. A request is repeated with growing pauses while
+    /// grants are needed, and then withdrawn once.
     pub fn due_requests(&mut self, now: Millis) -> Vec<GrantRequest> {
         let mut due = Vec::new();
         for (id, replica) in &mut self.replicas {
@@ -244,7 +251,8 @@
             let count = replica.shortfall(now);
             if count == 0 {
                 replica.retry_pause = MIN_RETRY_PAUSE;
-                // Grants for requests that no longer wait would expire unused while other relays wait for them.
+                // Grants for requests that no longer wait would expire unused while other relays
+                // wait for them.
                 if replica.requested.take().is_some() {
                     due.push(GrantRequest { id: id.clone(), count: 0, valid_for: 0 });
                 }
@@ -274,17 +282,17 @@
     }
 }
 
-/// Schedule of the times at which rejected callers are told to retry, spaced at the available rate. Callers told to retry
-/// at the same time would be rejected together again.
+/// Schedule of the times at which rejected callers are told to retry, spaced at the available rate.
+/// Callers told to retry at the same time would be rejected together again.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RetrySchedule {
     next: f64,
 }
 
 impl RetrySchedule {
-    /// Returns the delay after which the next rejected caller should retry, in milliseconds: at least `min_delay`, and
-    /// spaced at `per_second`. Beyond [`MAX_WAIT`] the delay is random between half of it and all of it; `draw` is
-    /// uniform in 0..1.
+    /// Returns the delay after which the next rejected caller should retry, in milliseconds: at
+    /// least `min_delay`, and spaced at `per_second`. Beyond [`MAX_WAIT`] the delay is random
+    /// between half of it and all of it; `draw` is uniform in 0..1.
     pub fn next_delay(
         &mut self,
         min_delay: Millis,
--- a/crates/router/src/issuer.rs
+++ b/crates/router/src/issuer.rs
@@ -1,11 +1,12 @@
 //! Issues grants for replicas that reported a rate limit.
 //!
-//! One relay coordinates the limit of a replica ([`coordinator`](crate::coordinator)). The others request grants from it.
-//! It issues them one at a time at the rate that the replica reported, round-robin over the requesting relays: relays with
-//! much traffic get what the others leave, and no relay gets more by requesting more.
+//! One relay coordinates the limit of a replica ([`coordinator`](crate::coordinator)). The others
+//! request grants from it. It issues them one at a time at the rate that the replica reported,
+//! round-robin over the requesting relays: relays with much traffic get what the others leave, and
+//! no relay gets more by requesting more.
 //!
-//! Worst case: a window gets as many grants as the limit allows, plus those that a late tick of the coordinator makes up
-//! for, plus one.
+//! Worst case: a window gets as many grants as the limit allows, plus those that a late tick of the
+//! coordinator makes up for, plus one.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -14,21 +15,22 @@
 /// Time since its last request for which a relay has a share of a limit, in milliseconds.
 const SHARE_PERIOD: Millis = 1_000;
 
-/// How far grants may lag behind the rate and still be made up for, in milliseconds: two ticks of the coordinator.
+/// How far grants may lag behind the rate and still be made up for, in milliseconds: two ticks of
+/// the coordinator.
 const MAX_LAG: f64 = 50.0;
 
-/// Age at which the latest report of a replica is stale, in milliseconds. The replica may accept less by now without any
-/// relay knowing, since no request reached it.
+/// Age at which the latest report of a replica is stale, in milliseconds. The replica may accept
+/// less by now without any relay knowing, since no request reached it.
 const STALE_REPORT_AGE: i64 = 500;
 
-/// Largest number of grants issued per [`STALE_PERIOD`] on a stale report. The responses to their requests bring a fresh
-/// one.
+/// Largest number of grants issued per [`STALE_PERIOD`] on a stale report. The responses to their
+/// requests bring a fresh one.
 const MAX_STALE_GRANTS: usize = 3;
 const STALE_PERIOD: Millis = 1_000;
 
-/// Minimum rate of grants per second. A replica that accepts no requests, or next to none, must still be tried now and
-/// then, or no relay would learn that it accepts requests again. One request in five seconds is within what reaches a
-/// replica from requests in flight anyway.
+/// Minimum rate of grants per second. A replica that accepts no requests, or next to none, must
+/// still be tried now and then, or no relay would learn that it accepts requests again. One request
+/// in five seconds is within what reaches a replica from requests in flight anyway.
 pub const MIN_RATE: f64 = 0.2;
 
 /// Grants issued to one relay.
@@ -83,7 +85,8 @@
         self.requesters.retain(|_, received| now.saturating_sub(*received) < SHARE_PERIOD);
     }
 
-    /// Returns whether one more grant may be issued on a report whose request was sent at `reported`.
+    /// Returns whether one more grant may be issued on a report whose request was sent at
+    /// `reported`.
     fn may_issue(&self, reported: i64, now: Millis) -> bool {
         let counts =
             |at: &&Millis| **at as i64 > reported && now.saturating_sub(**at) < STALE_PERIOD;
@@ -95,8 +98,8 @@
         self.forget(now);
         let share = rate / self.requesters.len().max(1) as f64;
         let clock = now as f64;
-        // The lag is made up for at the current rate, so that a replica whose limit fell is not sent what was due under
-        // the old one.
+        // The lag is made up for at the current rate, so that a replica whose limit fell is not
+        // sent what was due under the old one.
         let interval = 1_000.0 / rate;
         self.last = self.last.max(clock - MAX_LAG - interval);
         let mut issued: Vec<IssuedGrants> = Vec::new();
@@ -142,9 +145,9 @@
         self.queues.entry(id.to_owned()).or_default().request(pending);
     }
 
-    /// Issues the grants of a replica that are due. `per_second` is the rate at which the replica accepts requests from
-    /// the relays in contact with this one, and `reported` the time at which the request was sent whose response
-    /// reported the limit.
+    /// Issues the grants of a replica that are due. `per_second` is the rate at which the replica
+    /// accepts requests from the relays in contact with this one, and `reported` the time at which
+    /// the request was sent whose response reported the limit.
     pub fn issue(
         &mut self,
         id: &str,
--- a/crates/router/src/limits.rs
+++ b/crates/router/src/limits.rs
@@ -1,17 +1,19 @@
-//! Rate limits that replicas report: the requests per second that each accepts from all relays together.
+//! Rate limits that replicas report: the requests per second that each accepts from all relays
+//! together.
 //!
-//! A replica reports its limit in its responses, for as long as the limit holds. Responses can overtake each other on
-//! different connections, and relays forward to each other the reports that they received, so of two reports of a replica
-//! the one whose request was sent later wins. Reports are stored by the replica's id and survive a restart: a replica
-//! that restarts under the same id keeps its limit until a response names none. Worst case: a replica that keeps
-//! reporting a wrong limit is sent requests at that rate.
+//! A replica reports its limit in its responses, for as long as the limit holds. Responses can
+//! overtake each other on different connections, and relays forward to each other the reports that
+//! they received, so of two reports of a replica the one whose request was sent later wins. Reports
+//! are stored by the replica's id and survive a restart: a replica that restarts under the same id
+//! keeps its limit until a response names none. Worst case: a replica that keeps reporting a wrong
+//! limit is sent requests at that rate.
 
 use std::collections::HashMap;
 
 use crate::Millis;
 
-/// Age after which a report that imposes no limit is dropped, in milliseconds. Responses to requests sent before that
-/// have arrived by then, so no older report can come in and win.
+/// Age after which a report that imposes no limit is dropped, in milliseconds. Responses to
+/// requests sent before that have arrived by then, so no older report can come in and win.
 const REPORT_RETENTION: i64 = 60_000;
 
 /// The limit that a replica reported in a response.
@@ -19,8 +21,8 @@
 pub struct LimitReport {
     /// Requests per second that the replica accepts; `None` if the response named no limit.
     pub per_second: Option<f64>,
-    /// Time at which the request behind this response was sent, by this relay's clock. Negative if another relay sent it
-    /// before this relay started.
+    /// Time at which the request behind this response was sent, by this relay's clock. Negative if
+    /// another relay sent it before this relay started.
     pub sent: i64,
 }
 
@@ -47,8 +49,8 @@
 }
 
 impl LimitTable {
-    /// Applies a report and returns the change that it caused, if any. Ignores a report whose request was sent earlier
-    /// than that of the stored report.
+    /// Applies a report and returns the change that it caused, if any. Ignores a report whose
+    /// request was sent earlier than that of the stored report.
     pub fn update(&mut self, id: &str, report: LimitReport, now: Millis) -> Option<LimitChange> {
         let Some(entry) = self.entries.get_mut(id) else {
             let limit = report.per_second?;
@@ -88,8 +90,8 @@
         changed.map(|(id, entry)| (id.as_str(), entry.report))
     }
 
-    /// Returns page `round` of the limited replicas, `page_size` per page, wrapping around after the last page. Sending
-    /// one page per round lets relays that missed a change catch up.
+    /// Returns page `round` of the limited replicas, `page_size` per page, wrapping around after
+    /// the last page. Sending one page per round lets relays that missed a change catch up.
     pub fn page(
         &self,
         round: usize,
@@ -101,7 +103,8 @@
         page.map(|(id, entry)| (id.as_str(), entry.report))
     }
 
-    /// Drops expired reports that impose no limit, and expired reports of replicas that are no longer listed.
+    /// Drops expired reports that impose no limit, and expired reports of replicas that are no
+    /// longer listed.
     pub fn forget(&mut self, is_listed: impl Fn(&str) -> bool, now: Millis) {
         let cutoff = now as i64 - REPORT_RETENTION;
         let is_in_force =
--- a/crates/router/src/quarantine.rs
+++ b/crates/router/src/quarantine.rs
@@ -1,10 +1,12 @@
-//! Quarantine of requests that crash the replicas that run them (the "query of death" of serving systems).
+//! Quarantine of requests that crash the replicas that run them (the "query of death" of serving
+//! systems).
 //!
-//! A crash ends every request that runs on a replica, so a single crash says little about any of them; the same request
-//! present at one crash after another says much. By request fingerprint, a relay keeps the runs that were lost when their
-//! replicas crashed, and shares them with the other relays. Once enough of them follow one another, the request is
-//! quarantined: it is rejected and sent to no replica. A result from any replica clears a request, since a request that
-//! crashes every replica that starts to run it never has one.
+//! A crash ends every request that runs on a replica, so a single crash says little about any of
+//! them; the same request present at one crash after another says much. By request fingerprint, a
+//! relay keeps the runs that were lost when their replicas crashed, and shares them with the other
+//! relays. Once enough of them follow one another, the request is quarantined: it is rejected and
+//! sent to no replica. A result from any replica clears a request, since a request that crashes
+//! every replica that starts to run it never has one.
 //!
 //! | what harmless requests encounter | why they are not quarantined for it |
 //! |---|---|
@@ -14,9 +16,10 @@
 //! | one crash after another, beside the request that causes them | crashes that another request explains as well take more weight ([`AMBIGUOUS_WEIGHT`]) |
 //! | a request that all callers make is present at every crash | a request with a recent result takes more weight, and is not quarantined for crashes that another request explains |
 //!
-//! The trade-off is the number of replicas that a request may crash: three before it is quarantined, one or two more if
-//! several requests share its crashes, plus those of sends that relays make before they hear of the quarantine. Worst case
-//! for memory: [`MAX_RECORDS`] requests with [`MAX_RUNS`] runs each, some 600 kB. Without crashes nothing is kept.
+//! The trade-off is the number of replicas that a request may crash: three before it is
+//! quarantined, one or two more if several requests share its crashes, plus those of sends that
+//! relays make before they hear of the quarantine. Worst case for memory: [`MAX_RECORDS`] requests
+//! with [`MAX_RUNS`] runs each, some 600 kB. Without crashes nothing is kept.
 
 use std::{
     cmp::Reverse,
@@ -36,23 +39,27 @@
     Millis, fingerprint::RequestFingerprint, instance::ReplicaInstance, origin::UpdateAudience,
 };
 
-/// Replaces [`QUARANTINE_WEIGHT`] for a request that recently had a result, or each of whose crashes another request
-/// explains as well. The request that causes the crashes will cause more, while the others will have a result. A request
-/// to which both apply is never quarantined; otherwise a call that all callers make would be rejected for ten minutes
-/// after two power failures in a row.
+/// Replaces [`QUARANTINE_WEIGHT`] for a request that recently had a result, or each of whose
+/// crashes another request explains as well. The request that causes the crashes will cause more,
+/// while the others will have a result. A request to which both apply is never quarantined;
+/// otherwise a call that all callers make would be rejected for ten minutes after two power
+/// failures in a row.
 pub const AMBIGUOUS_WEIGHT: u32 = 10;
 
-/// Weight from which lost runs are shared at once and written to the platform's store: two pieces of strong evidence.
+/// Weight from which lost runs are shared at once and written to the platform's store: two pieces
+/// of strong evidence.
 pub const REPORT_WEIGHT: u32 = 4;
 
-/// Duration of a quarantine, in milliseconds. After it, one more crash quarantines the request again.
+/// Duration of a quarantine, in milliseconds. After it, one more crash quarantines the request
+/// again.
 pub const QUARANTINE_TIME: Millis = 600_000;
 
-/// Time without changes after which lost runs are dropped, in milliseconds. Callers retry within a minute.
+/// Time without changes after which lost runs are dropped, in milliseconds. Callers retry within a
+/// minute.
 pub const RUN_RETENTION: Millis = 120_000;
 
-/// Time from the loss of a run within which the crash of its replica must be detected, in milliseconds. The replica list
-/// drops a replica after three heartbeats, some 3.6 s.
+/// Time from the loss of a run within which the crash of its replica must be detected, in
+/// milliseconds. The replica list drops a replica after three heartbeats, some 3.6 s.
 const CRASH_DETECTION_TIME: Millis = 6_000;
 
 /// Time for which a crash is remembered for runs whose loss is noticed after it, in milliseconds.
@@ -61,7 +68,8 @@
 /// Maximum number of requests with lost runs that are kept.
 pub const MAX_RECORDS: usize = 1_024;
 
-/// Maximum number of lost runs kept while no crash of their replicas is known, and of cleared requests.
+/// Maximum number of lost runs kept while no crash of their replicas is known, and of cleared
+/// requests.
 const MAX_PENDING: usize = 1_024;
 
 /// Maximum number of crashes remembered.
@@ -77,8 +85,8 @@
     evidence: CrashEvidence,
 }
 
-/// Time for which lost runs that this relay observed, and changes of their requests, are shared, in milliseconds: eight
-/// messages to the relays that get them least often.
+/// Time for which lost runs that this relay observed, and changes of their requests, are shared, in
+/// milliseconds: eight messages to the relays that get them least often.
 const SHARE_TIME: Millis = 3_200;
 
 /// Effect of an update.
@@ -107,7 +115,8 @@
 }
 
 impl QuarantineTable {
-    /// Returns the remaining time of a request's quarantine in milliseconds, or `None` if it is not quarantined.
+    /// Returns the remaining time of a request's quarantine in milliseconds, or `None` if it is not
+    /// quarantined.
     pub fn remaining(&self, fingerprint: &RequestFingerprint, now: Millis) -> Option<Millis> {
         if self.records.is_empty() {
             return None;
@@ -136,8 +145,8 @@
         self.records.get(fingerprint).map_or(0, |record| chain_weight(&record.runs))
     }
 
-    /// Records a lost run. If a replica of its path is known to have crashed since the request was sent, the run counts at
-    /// once; otherwise it counts when such a crash is detected.
+    /// Records a lost run. If a replica of its path is known to have crashed since the request was
+    /// sent, the run counts at once; otherwise it counts when such a crash is detected.
     pub fn record_lost(
         &mut self,
         fingerprint: RequestFingerprint,
@@ -190,8 +199,8 @@
         if is_any_added { self.evaluate_local(now) } else { QuarantineChange::default() }
     }
 
-    /// Records that a replica that was found to have crashed responds after all. Drops the runs lost there, except those of
-    /// requests that are already quarantined.
+    /// Records that a replica that was found to have crashed responds after all. Drops the runs
+    /// lost there, except those of requests that are already quarantined.
     pub fn record_alive(&mut self, instance: &ReplicaInstance) {
         self.crashes.retain(|(crashed, _)| crashed != instance);
         for record in self.records.values_mut().filter(|record| record.quarantined_until.is_none())
@@ -202,8 +211,8 @@
             .retain(|_, record| record.quarantined_until.is_some() || !record.runs.is_empty());
     }
 
-    /// Records that a request had a result, so a replica ran it and survived. Clears the request and returns whether lost
-    /// runs of it were known.
+    /// Records that a request had a result, so a replica ran it and survived. Clears the request
+    /// and returns whether lost runs of it were known.
     pub fn record_result(&mut self, fingerprint: &RequestFingerprint, now: Millis) -> bool {
         self.completed.add(fingerprint, now);
         if self.is_empty() {
@@ -218,16 +227,16 @@
         true
     }
 
-    /// Releases a request that the platform's store no longer holds, because an operator removed it or it had a result. The
-    /// release is shared with other relays.
+    /// Releases a request that the platform's store no longer holds, because an operator removed it
+    /// or it had a result. The release is shared with other relays.
     pub fn release(&mut self, fingerprint: &RequestFingerprint, now: Millis) {
         if self.records.remove(fingerprint).is_some() {
             self.share_cleared(fingerprint, now);
         }
     }
 
-    /// Merges reports of another relay or of the platform's store. If `forwards` is set, what is new is shared with other
-    /// relays for a while.
+    /// Merges reports of another relay or of the platform's store. If `forwards` is set, what is
+    /// new is shared with other relays for a while.
     pub fn merge(
         &mut self,
         reports: Vec<CrashReport>,
@@ -270,8 +279,9 @@
         QuarantineChange { quarantined: self.evaluate(now), is_urgent: is_any_new && forwards }
     }
 
-    /// Merges requests that were cleared at another relay, each with its age in milliseconds. If `forwards` is set, they are
-    /// shared with other relays until their age reaches the limit, however often they are repeated.
+    /// Merges requests that were cleared at another relay, each with its age in milliseconds. If
+    /// `forwards` is set, they are shared with other relays until their age reaches the limit,
+    /// however often they are repeated.
     pub fn merge_cleared(
         &mut self,
         cleared: &[(RequestFingerprint, Millis)],
@@ -293,7 +303,8 @@
         }
     }
 
-    /// Shares all quarantined requests for a while, after a relay has started or is heard again after a silence.
+    /// Shares all quarantined requests for a while, after a relay has started or is heard again
+    /// after a silence.
     pub fn announce_all(&mut self, now: Millis) {
         self.share_all_until = now + SHARE_TIME;
     }
@@ -321,13 +332,15 @@
             .collect()
     }
 
-    /// Returns the recently cleared requests to send to other relays, each with its age in milliseconds, latest first.
+    /// Returns the recently cleared requests to send to other relays, each with its age in
+    /// milliseconds, latest first.
     pub fn cleared(&self, now: Millis) -> Vec<(RequestFingerprint, Millis)> {
         let recent = self.cleared.iter().filter(|(_, at)| now.saturating_sub(*at) < SHARE_TIME);
         recent.rev().take(MAX_REPORTS).map(|(fingerprint, at)| (*fingerprint, now - at)).collect()
     }
 
-    /// Returns the reports that this relay should write to the platform's store, and marks them as written.
+    /// Returns the reports that this relay should write to the platform's store, and marks them as
+    /// written.
     pub fn unstored(&mut self, now: Millis) -> Vec<CrashReport> {
         let mut unstored = Vec::new();
         for (fingerprint, record) in &mut self.records {
@@ -364,7 +377,8 @@
         self.cleared.retain(|(_, at)| now.saturating_sub(*at) < SHARE_TIME);
         self.records.retain(|_, record| {
             if record.quarantined_until.is_some_and(|until| until <= now) {
-                // The request may be tried again; the runs that are left quarantine it at the next crash.
+                // The request may be tried again; the runs that are left quarantine it at the next
+                // crash.
                 record.quarantined_until = None;
                 record.changed = now;
                 record.stored_weight = 0;
@@ -374,9 +388,9 @@
         });
     }
 
-    /// Returns whether a result seen by this relay overrules a quarantine reported by another one. A result later than the
-    /// first of the crashes clears the request at all relays; an earlier one raises the required weight, as for runs that this
-    /// relay observed.
+    /// Returns whether a result seen by this relay overrules a quarantine reported by another one.
+    /// A result later than the first of the crashes clears the request at all relays; an earlier
+    /// one raises the required weight, as for runs that this relay observed.
     fn overrules(
         &mut self,
         fingerprint: &RequestFingerprint,
@@ -410,7 +424,8 @@
         self.bound_records(now);
     }
 
-    /// Drops the records with the least weight, oldest first, until at most [`MAX_RECORDS`] are left.
+    /// Drops the records with the least weight, oldest first, until at most [`MAX_RECORDS`] are
+    /// left.
     fn bound_records(&mut self, now: Millis) {
         while self.records.len() > MAX_RECORDS {
             let least =
@@ -420,7 +435,8 @@
         }
     }
 
-    /// Quarantines the requests whose lost runs have reached the required weight, and returns them with that of their runs.
+    /// Quarantines the requests whose lost runs have reached the required weight, and returns them
+    /// with that of their runs.
     fn evaluate(&mut self, now: Millis) -> Vec<(RequestFingerprint, u32)> {
         let weights: HashMap<RequestFingerprint, u32> = self
             .records
@@ -450,8 +466,9 @@
         quarantined
     }
 
-    /// Evaluates after a run that this relay observed. Other relays are notified at once from the second crash in a row, when
-    /// a third one is likely. Reports of other relays are not forwarded that way, or each message would cause hundreds.
+    /// Evaluates after a run that this relay observed. Other relays are notified at once from the
+    /// second crash in a row, when a third one is likely. Reports of other relays are not forwarded
+    /// that way, or each message would cause hundreds.
     fn evaluate_local(&mut self, now: Millis) -> QuarantineChange {
         let quarantined = self.evaluate(now);
         let is_reportable = |record: &RequestRecord| {
@@ -461,7 +478,8 @@
         QuarantineChange { quarantined, is_urgent }
     }
 
-    /// Returns whether each crash of a request is explained as well by another request of at least the same weight.
+    /// Returns whether each crash of a request is explained as well by another request of at least
+    /// the same weight.
     fn is_explained(
         &self,
         fingerprint: &RequestFingerprint,
--- a/crates/router/src/quarantine/completed.rs
+++ b/crates/router/src/quarantine/completed.rs
@@ -7,12 +7,12 @@
 /// Number of requests per generation; up to twice as many are remembered.
 const GENERATION_SIZE: usize = 4_096;
 
-/// Maximum age of the younger generation, in milliseconds. Unless a generation fills up earlier, a request is remembered for
-/// at least this long.
+/// Maximum age of the younger generation, in milliseconds. Unless a generation fills up earlier, a
+/// request is remembered for at least this long.
 const GENERATION_TIME: Millis = 60_000;
 
-/// Requests that recently had a result, in two generations. When the younger one is full or too old, it replaces the older
-/// one.
+/// Requests that recently had a result, in two generations. When the younger one is full or too
+/// old, it replaces the older one.
 #[derive(Clone, Debug, Default)]
 pub(super) struct CompletedSet {
     young: HashMap<RequestFingerprint, Millis>,
--- a/crates/router/src/quarantine/record.rs
+++ b/crates/router/src/quarantine/record.rs
@@ -3,15 +3,16 @@
 use super::runs::{CrashRun, chain_weight};
 use crate::{Millis, fingerprint::RequestFingerprint};
 
-/// Weight of a chain of lost runs at which a request is quarantined: three pieces of strong evidence. Any request may be
-/// present at one crash, and a threshold of two quarantined requests that had only been present at crashes caused by
-/// others.
+/// Weight of a chain of lost runs at which a request is quarantined: three pieces of strong
+/// evidence. Any request may be present at one crash, and a threshold of two quarantined requests
+/// that had only been present at crashes caused by others.
 pub const QUARANTINE_WEIGHT: u32 = 6;
 
 /// Maximum number of runs kept per request.
 pub const MAX_RUNS: usize = 8;
 
-/// Lost runs and quarantine state of one request, as exchanged between relays and with the platform's store.
+/// Lost runs and quarantine state of one request, as exchanged between relays and with the
+/// platform's store.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct CrashReport {
     /// Fingerprint of the request.
@@ -52,7 +53,8 @@
         }
     }
 
-    /// Adds a run and returns whether it is new. Of two reports of the same crash the first one received is kept.
+    /// Adds a run and returns whether it is new. Of two reports of the same crash the first one
+    /// received is kept.
     pub(super) fn add(&mut self, run: CrashRun) -> bool {
         if self.runs.iter().any(|known| known.instance == run.instance) {
             return false;
--- a/crates/router/src/quarantine/runs.rs
+++ b/crates/router/src/quarantine/runs.rs
@@ -2,8 +2,8 @@
 
 use crate::{Millis, instance::ReplicaInstance};
 
-/// Time for which a run must produce events to count as a result, in milliseconds: ten times what a replica took to crash
-/// after it started the request that crashed it.
+/// Time for which a run must produce events to count as a result, in milliseconds: ten times what a
+/// replica took to crash after it started the request that crashed it.
 pub const SURVIVAL_TIME: Millis = 1_000;
 
 /// Age of a run up to which its loss is evidence although it produced events, in milliseconds.
@@ -42,8 +42,8 @@
 }
 
 impl RunProgress {
-    /// Returns the evidence that a run lost at `now` gives against its request, or `None` if it had produced events for too
-    /// long.
+    /// Returns the evidence that a run lost at `now` gives against its request, or `None` if it had
+    /// produced events for too long.
     pub fn evidence(self, now: Millis) -> Option<CrashEvidence> {
         match self {
             Self::Unary | Self::Stream { begun: Some(_), events: 0 } => Some(CrashEvidence::Strong),
@@ -55,8 +55,8 @@
     }
 }
 
-/// A run that was lost in the crash of a replica. Times are by this relay's clock, which starts at 0; they are negative for
-/// what other relays observed before that.
+/// A run that was lost in the crash of a replica. Times are by this relay's clock, which starts at
+/// 0; they are negative for what other relays observed before that.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct CrashRun {
     /// The replica that crashed.
@@ -80,8 +80,8 @@
     pub progress: RunProgress,
 }
 
-/// Returns the weight of the heaviest chain of runs in which each was sent after the one before was lost. Expects the runs
-/// in the order of their losses.
+/// Returns the weight of the heaviest chain of runs in which each was sent after the one before was
+/// lost. Expects the runs in the order of their losses.
 pub(super) fn chain_weight(runs: &[CrashRun]) -> u32 {
     let mut best: Vec<u32> = Vec::with_capacity(runs.len());
     for run in runs {
--- a/crates/router/src/stall.rs
+++ b/crates/router/src/stall.rs
@@ -1,20 +1,24 @@
 //! Detection of stalled first replicas: they seem healthy but start no responses.
 //!
-//! The first replica of a path may accept requests, answer probes and report itself healthy, and yet start no response.
-//! From the view of one request that looks like a queue. From the view of all requests that a relay has there it does not:
-//! with a queue, responses keep starting. So for each first replica a relay tracks when a response last started there, or a
-//! request was rejected, while requests wait. A replica that is silent for longer than responses usually take, while others
-//! are not, is *stalled*: new requests start elsewhere, those that wait there are rerouted while another attempt can still
-//! be in time, and other relays are notified.
+//! The first replica of a path may accept requests, answer probes and report itself healthy, and
+//! yet start no response. From the view of one request that looks like a queue. From the view of
+//! all requests that a relay has there it does not: with a queue, responses keep starting. So for
+//! each first replica a relay tracks when a response last started there, or a request was rejected,
+//! while requests wait. A replica that is silent for longer than responses usually take, while
+//! others are not, is *stalled*: new requests start elsewhere, those that wait there are rerouted
+//! while another attempt can still be in time, and other relays are notified.
 //!
-//! This addresses replicas that hang for seconds under steady traffic. Before, each relay sent them one request after
-//! another and waited 700 ms for each, with an objective of 500 ms for the first event.
+//! This addresses replicas that hang for seconds under steady traffic. Before, each relay sent them
+//! one request after another and waited 700 ms for each, with an objective of 500 ms for the first
+//! event.
 //!
-//! Once the suspicion ends, the relay that detected the stall sends a single trial request. Other relays keep away for
-//! [`TRIAL_GRACE`] longer, so that they learn its outcome first. The duration doubles each time, as with other suspicions.
+//! Once the suspicion ends, the relay that detected the stall sends a single trial request. Other
+//! relays keep away for [`TRIAL_GRACE`] longer, so that they learn its outcome first. The duration
+//! doubles each time, as with other suspicions.
 //!
-//! Worst case: responses take longer than usual everywhere at once, as in an overload. Then most first replicas with
-//! waiting requests are silent together, which says nothing about any one of them, and none is found stalled.
+//! Worst case: responses take longer than usual everywhere at once, as in an overload. Then most
+//! first replicas with waiting requests are silent together, which says nothing about any one of
+//! them, and none is found stalled.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -31,12 +35,14 @@
 /// Percentile of the recent response delays that counts as typical.
 const TYPICAL_PERCENTILE: usize = 95;
 
-/// Minimum silence of a stall, as a percentage of the objective: 300 ms of 500 ms. An attempt at another replica usually
-/// takes 60 to 115 ms. At 150 ms, first replicas that had only taken over the load of a lost one were found stalled, and
-/// in one second 47 requests moved from them to others that were just as loaded.
+/// Minimum silence of a stall, as a percentage of the objective: 300 ms of 500 ms. An attempt at
+/// another replica usually takes 60 to 115 ms. At 150 ms, first replicas that had only taken over
+/// the load of a lost one were found stalled, and in one second 47 requests moved from them to
+/// others that were just as loaded.
 const MIN_SILENCE_PERCENT: Millis = 60;
 
-/// Objective of a request whose route sets none, in milliseconds: that of streams in the users' deployments.
+/// Objective of a request whose route sets none, in milliseconds: that of streams in the users'
+/// deployments.
 const DEFAULT_OBJECTIVE: Millis = 500;
 
 fn objective_or_default(objective: Millis) -> Millis {
@@ -49,12 +55,12 @@
 /// Silence of a stall, as a multiple of the typical response delay.
 const SILENCE_FACTOR: Millis = 2;
 
-/// At most one in this many of the first replicas with waiting requests may be silent for silence to count as a stall. A
-/// single silent one always counts.
+/// At most one in this many of the first replicas with waiting requests may be silent for silence
+/// to count as a stall. A single silent one always counts.
 const MAX_SILENT_ONE_IN: usize = 3;
 
-/// Time for which other relays keep away after the suspicion ends, in milliseconds. It covers the trial request, until its
-/// response starts or it is rerouted, and the notification of the outcome.
+/// Time for which other relays keep away after the suspicion ends, in milliseconds. It covers the
+/// trial request, until its response starts or it is rerouted, and the notification of the outcome.
 pub const TRIAL_GRACE: Millis = 600;
 
 /// Requests of this relay that wait at one first replica.
@@ -87,8 +93,9 @@
         first.waiting += 1;
     }
 
-    /// Records that a replica answered a request. `delay` is the time in milliseconds until the response started, or
-    /// `None` if the request was rejected. Returns whether this ends a stall that this relay detected.
+    /// Records that a replica answered a request. `delay` is the time in milliseconds until the
+    /// response started, or `None` if the request was rejected. Returns whether this ends a stall
+    /// that this relay detected.
     pub fn record_response(
         &mut self,
         instance: &ReplicaInstance,
@@ -120,8 +127,8 @@
         }
     }
 
-    /// Returns the time within which all but a few responses start, in milliseconds, or `None` if there are too few
-    /// samples.
+    /// Returns the time within which all but a few responses start, in milliseconds, or `None` if
+    /// there are too few samples.
     pub fn typical_delay(&self) -> Option<Millis> {
         const MIN_SAMPLES: usize = 8;
         if self.delays.len() < MIN_SAMPLES {
@@ -132,15 +139,17 @@
         Some(*delays.select_nth_unstable(rank).1)
     }
 
-    /// Returns the silence in milliseconds from which a first replica may be stalled, for requests with this objective.
+    /// Returns the silence in milliseconds from which a first replica may be stalled, for requests
+    /// with this objective.
     pub fn stall_threshold(&self, objective: Millis) -> Millis {
         let objective = objective_or_default(objective);
         let typical = self.typical_delay().unwrap_or(objective / 2);
         (objective * MIN_SILENCE_PERCENT / 100).max(typical * SILENCE_FACTOR)
     }
 
-    /// Decides whether a first replica is stalled, that is, silent for at least `threshold` milliseconds while most others
-    /// are not. Returns the duration of the suspicion in milliseconds if a new one starts.
+    /// Decides whether a first replica is stalled, that is, silent for at least `threshold`
+    /// milliseconds while most others are not. Returns the duration of the suspicion in
+    /// milliseconds if a new one starts.
     pub fn detect_stall(
         &mut self,
         instance: &ReplicaInstance,
@@ -165,8 +174,8 @@
         if self.stalls.is_suspect(instance, now) {
             return true;
         }
-        // One trial request at a time. Other relays may echo the stall that this relay detected; that does not delay the
-        // trial.
+        // One trial request at a time. Other relays may echo the stall that this relay detected;
+        // that does not delay the trial.
         match self.is_trial_due(instance, now) {
             true => self.first_replicas.contains_key(instance),
             false => self.is_stalled_at_peer(instance, now),
@@ -183,8 +192,8 @@
         stalls.any(|(stalled, until)| stalled == instance && now < *until)
     }
 
-    /// Replaces the stalls that another relay detected, each with the time in milliseconds for which it counts. Those that
-    /// the relay no longer sends have ended.
+    /// Replaces the stalls that another relay detected, each with the time in milliseconds for
+    /// which it counts. Those that the relay no longer sends have ended.
     pub fn merge_peer(
         &mut self,
         relay: &str,
@@ -200,8 +209,9 @@
         }
     }
 
-    /// Returns the stalls to send to other relays, with the time in milliseconds for which they should keep away: those
-    /// that this relay detected, and those of other relays that they would otherwise not receive.
+    /// Returns the stalls to send to other relays, with the time in milliseconds for which they
+    /// should keep away: those that this relay detected, and those of other relays that they would
+    /// otherwise not receive.
     pub fn shared_with(
         &self,
         audience: UpdateAudience,
@@ -222,12 +232,14 @@
     }
 }
 
-/// Time after which a request is rerouted although its first replica seems healthy, as a percentage of the objective: the
-/// response may be lost. The request is late by then, but callers wait for four times the objective. Rerouting it at the
-/// last moment at which another attempt is usually in time gained nothing over the detection of stalls.
+/// Time after which a request is rerouted although its first replica seems healthy, as a percentage
+/// of the objective: the response may be lost. The request is late by then, but callers wait for
+/// four times the objective. Rerouting it at the last moment at which another attempt is usually in
+/// time gained nothing over the detection of stalls.
 const REROUTE_PERCENT: Millis = 140;
 
-/// Returns the time in milliseconds after which a request is rerouted although its first replica seems healthy.
+/// Returns the time in milliseconds after which a request is rerouted although its first replica
+/// seems healthy.
 pub fn reroute_after(objective: Millis) -> Millis {
     objective_or_default(objective) * REROUTE_PERCENT / 100
 }
--- a/crates/router/src/suspect.rs
+++ b/crates/router/src/suspect.rs
@@ -1,7 +1,8 @@
 //! Replicas that are suspected of having failed and get no requests for a while.
 //!
-//! A failure observed by one relay is evidence but no proof: the link between the two may be at fault. A suspicion
-//! therefore expires by itself, lasts longer each time it recurs, and no longer counts after a period without failures.
+//! A failure observed by one relay is evidence but no proof: the link between the two may be at
+//! fault. A suspicion therefore expires by itself, lasts longer each time it recurs, and no longer
+//! counts after a period without failures.
 
 use std::collections::HashMap;
 
@@ -14,11 +15,13 @@
 /// Duration of a first suspicion, in milliseconds: about one heartbeat of the replica list.
 pub const BASE_SUSPICION_TIME: Millis = 1_000;
 
-/// Maximum duration of a suspicion, in milliseconds. The replica list drops a dead replica well before.
+/// Maximum duration of a suspicion, in milliseconds. The replica list drops a dead replica well
+/// before.
 pub const MAX_SUSPICION_TIME: Millis = 8_000;
 
-/// Remaining time below which a suspicion is no longer shared, in milliseconds. Other relays have heard of it before; a
-/// message that arrives after the suspicion expired there would start it anew.
+/// Remaining time below which a suspicion is no longer shared, in milliseconds. Other relays have
+/// heard of it before; a message that arrives after the suspicion expired there would start it
+/// anew.
 const MIN_SHARED_TIME: Millis = 200;
 
 /// Time after its end for which a suspicion makes the next one longer, in milliseconds.
@@ -39,8 +42,8 @@
 }
 
 impl SuspectList {
-    /// Records a failure of a replica that this relay observed. Returns the end of the suspicion if a new one starts, and
-    /// `None` if the replica is already suspected.
+    /// Records a failure of a replica that this relay observed. Returns the end of the suspicion if
+    /// a new one starts, and `None` if the replica is already suspected.
     pub fn record_failure(&mut self, instance: &ReplicaInstance, now: Millis) -> Option<Millis> {
         let known = self.suspicions.get(instance).copied();
         let duration = match known {
@@ -86,22 +89,23 @@
             .is_some_and(|suspicion| suspicion.origin == UpdateOrigin::Own && now < suspicion.until)
     }
 
-    /// Returns whether a suspicion for a failure that this relay observed itself ended within the last `period`
-    /// milliseconds.
+    /// Returns whether a suspicion for a failure that this relay observed itself ended within the
+    /// last `period` milliseconds.
     pub fn ended_recently(&self, instance: &ReplicaInstance, period: Millis, now: Millis) -> bool {
         let known = self.suspicions.get(instance).filter(|known| known.origin == UpdateOrigin::Own);
         known.is_some_and(|known| known.until <= now && now < known.until + period)
     }
 
-    /// Returns the suspicions in force for failures that this relay observed itself, like [`SuspectList::current`].
-    /// Suspicions of other relays are left out: each transit takes time, so relays that repeated each other's suspicions
-    /// would prolong them beyond what any of them intended.
+    /// Returns the suspicions in force for failures that this relay observed itself, like
+    /// [`SuspectList::current`]. Suspicions of other relays are left out: each transit takes time,
+    /// so relays that repeated each other's suspicions would prolong them beyond what any of them
+    /// intended.
     pub fn local(&self, now: Millis) -> impl Iterator<Item = (&ReplicaInstance, Millis)> {
         self.current(now).filter(move |(instance, _)| self.is_local(instance, now))
     }
 
-    /// Returns the suspicions to send to other relays, with the remaining time in milliseconds: those that they would
-    /// otherwise not receive.
+    /// Returns the suspicions to send to other relays, with the remaining time in milliseconds:
+    /// those that they would otherwise not receive.
     pub fn shared_with(
         &self,
         audience: UpdateAudience,
--- a/crates/router/tests/backoffs.rs
+++ b/crates/router/tests/backoffs.rs
@@ -2,8 +2,9 @@
 
 use switchfold_router::{backoff::BackoffTable, instance::ReplicaInstance};
 
-/// After a backoff a single request is sent as a trial. A request that was cleared to send before the backoff began, and
-/// whose connection opens only after its end, must not become a second trial.
+/// After a backoff a single request is sent as a trial. A request that was cleared to send before
+/// the backoff began, and whose connection opens only after its end, must not become a second
+/// trial.
 #[test]
 fn one_trial_request_is_sent_after_a_backoff() {
     let instance = ReplicaInstance::new("i-1", 0);
--- a/crates/router/tests/crash_model/mod.rs
+++ b/crates/router/tests/crash_model/mod.rs
@@ -1,8 +1,9 @@
 //! Simulation in virtual time of relays in three data centres, replicas that crash, and callers.
 //!
-//! Relays use the router's own tables and exchange messages with delays and losses; a store is reachable by all of them.
-//! Harmless requests are distinct streams that last some seconds, and one popular call. A bad request arrives repeatedly at
-//! any relay and crashes each replica that starts to run it. Replicas restart after some seconds as a new instance.
+//! Relays use the router's own tables and exchange messages with delays and losses; a store is
+//! reachable by all of them. Harmless requests are distinct streams that last some seconds, and one
+//! popular call. A bad request arrives repeatedly at any relay and crashes each replica that starts
+//! to run it. Replicas restart after some seconds as a new instance.
 
 #![allow(dead_code, reason = "tests and benchmark each use a part")]
 
@@ -67,7 +68,8 @@
     pub(crate) crashed: usize,
     /// Time of the third of these crashes.
     pub(crate) third_crash: Option<u64>,
-    /// Sends of the bad request after the third crash, and those more than [`CONTACT_TIME`] after it.
+    /// Sends of the bad request after the third crash, and those more than [`CONTACT_TIME`] after
+    /// it.
     pub(crate) sends_after_third_crash: usize,
     pub(crate) late_sends: usize,
     /// Time at which the bad request was last sent.
@@ -268,8 +270,8 @@
         self.schedule(crash, Step::FinishRun { run });
     }
 
-    /// Chooses one of the first three live replicas in the data centre: as with real path costs, its relays mostly choose the
-    /// same ones.
+    /// Chooses one of the first three live replicas in the data centre: as with real path costs,
+    /// its relays mostly choose the same ones.
     fn choose(&mut self, relay: usize) -> Option<usize> {
         let nearby: Vec<usize> = (0..self.scenario.replicas)
             .filter(|replica| {
--- a/crates/router/tests/crashes.rs
+++ b/crates/router/tests/crashes.rs
@@ -24,25 +24,27 @@
     ReplicaInstance::new("i", number + 1)
 }
 
-/// Records that a request was sent at `sent` to a replica that crashed at `lost`. Returns whether it is quarantined.
-fn crash(table: &mut QuarantineTable, of: u8, replica: u64, (sent, lost): (u64, u64)) -> bool {
-    crash_with(table, of, replica, (sent, lost), RunProgress::Unary)
+/// Records that a request was sent at `sent` to a replica that crashed at `lost`. Returns whether
+/// it is quarantined.
+fn crash(table: &mut QuarantineTable, number: u8, replica: u64, (sent, lost): (u64, u64)) -> bool {
+    crash_with(table, number, replica, (sent, lost), RunProgress::Unary)
 }
 
 fn crash_with(
     table: &mut QuarantineTable,
-    of: u8,
+    number: u8,
     replica: u64,
     (sent, lost): (u64, u64),
     progress: RunProgress,
 ) -> bool {
     let instances = [instance(replica)];
-    table.record_lost(request(of), &LostRun { instances: &instances, sent, progress }, lost);
+    table.record_lost(request(number), &LostRun { instances: &instances, sent, progress }, lost);
     table.record_crash(&instances[0], lost);
-    table.remaining(&request(of), lost).is_some()
+    table.remaining(&request(number), lost).is_some()
 }
 
-/// Runs of one request, each with its replica and the times of send and loss, and whether they quarantine the request.
+/// Runs of one request, each with its replica and the times of send and loss, and whether they
+/// quarantine the request.
 #[test]
 fn consecutive_crashes_quarantine_a_request() {
     type Row<'a> = (&'a str, &'a [(u64, u64, u64)], bool);
@@ -89,9 +91,9 @@
         ("events, kept running", stream(Some(50), 30), None),
         ("unary", RunProgress::Unary, Some(CrashEvidence::Strong)),
     ];
-    for (name, progress, sign) in rows {
+    for (name, progress, evidence) in rows {
         let now = if name.ends_with("kept running") { 2_000 } else { 300 };
-        assert_eq!(progress.evidence(now), sign, "{name}");
+        assert_eq!(progress.evidence(now), evidence, "{name}");
     }
 }
 
@@ -126,20 +128,20 @@
     CrashRun { instance: instance(replica), sent, lost, evidence: CrashEvidence::Strong }
 }
 
-/// Of two requests present at the same crashes, neither is quarantined until one of them is alone at the next crash, or both
-/// were present at five.
+/// Of two requests present at the same crashes, neither is quarantined until one of them is alone
+/// at the next crash, or both were present at five.
 #[test]
 fn requests_at_the_same_crashes_are_distinguished() {
     let mut table = QuarantineTable::default();
     let both = |table: &mut QuarantineTable, replica: u64| {
         let (sent, lost) = (replica * 1_000, replica * 1_000 + 100);
         let instances = [instance(replica)];
-        for of in [1, 2] {
+        for number in [1, 2] {
             let run = LostRun { instances: &instances, sent, progress: RunProgress::Unary };
-            table.record_lost(request(of), &run, lost);
+            table.record_lost(request(number), &run, lost);
         }
         table.record_crash(&instances[0], lost);
-        [1, 2].map(|of| table.remaining(&request(of), lost).is_some())
+        [1, 2].map(|number| table.remaining(&request(number), lost).is_some())
     };
     for replica in 0..3 {
         assert_eq!(both(&mut table, replica), [false, false], "crash {replica}");
@@ -169,7 +171,8 @@
     assert_eq!(undisturbed.tracked_count(), 0);
 }
 
-/// Two reported crashes and a third one observed locally add up. Reported runs may be older than the relay's own clock.
+/// Two reported crashes and a third one observed locally add up. Reported runs may be older than
+/// the relay's own clock.
 #[test]
 fn reports_of_other_relays_add_up() {
     let report = CrashReport {
@@ -183,9 +186,9 @@
     assert!(crash(&mut table, 1, 3, (300, 400)));
     assert_eq!(table.unstored(400).len(), 1, "written to the store");
     assert_eq!(table.unstored(400), [], "only once");
-    let news = table.updates(UpdateAudience::Speakers, 400);
+    let reports = table.updates(UpdateAudience::Speakers, 400);
     let mut other = QuarantineTable::default();
-    other.merge(news, false, 10);
+    other.merge(reports, false, 10);
     assert!(other.remaining(&request(1), 10).is_some());
     assert_eq!(other.unstored(10), [], "only the relay that observed a crash writes to the store");
     assert_eq!(
@@ -221,13 +224,13 @@
         let mut bytes = [9; 16];
         bytes[..8].copy_from_slice(&number.to_le_bytes());
         let fingerprint = RequestFingerprint::from_bytes(bytes);
-        let news =
+        let report =
             CrashReport { fingerprint, remaining: None, runs: vec![run(number + 50, 0, 100)] };
-        table.merge(vec![news], false, 4_000 + number);
+        table.merge(vec![report], false, 4_000 + number);
     }
-    let news = table.updates(UpdateAudience::Speakers, 4_000);
+    let reports = table.updates(UpdateAudience::Speakers, 4_000);
     assert!(
-        news.iter().any(|news| news.fingerprint == request(1)),
+        reports.iter().any(|report| report.fingerprint == request(1)),
         "quarantined requests are reported first"
     );
     assert_eq!(table.tracked_count(), MAX_RECORDS);
@@ -245,8 +248,8 @@
     length: 30_000,
 };
 
-/// The pattern of the recorded incident with few and many relays, with partitioned data centres, and with a restart of all
-/// relays.
+/// The pattern of the recorded incident with few and many relays, with partitioned data centres,
+/// and with a restart of all relays.
 #[test]
 fn a_bad_request_is_quarantined_at_all_relays() {
     type Row<'a> = (&'a str, usize, u64, Vec<(u64, Fault)>);
@@ -273,7 +276,8 @@
     }
 }
 
-/// No harmless request is rejected when racks, data centres or all replicas fail, repeatedly, or in a rolling restart.
+/// No harmless request is rejected when racks, data centres or all replicas fail, repeatedly, or in
+/// a rolling restart.
 #[test]
 fn harmless_requests_are_not_rejected() {
     let rows: [(&str, Vec<(u64, Fault)>); 4] = [
--- a/crates/router/tests/limit_model/mod.rs
+++ b/crates/router/tests/limit_model/mod.rs
@@ -1,7 +1,9 @@
-//! Simulation in virtual time of relays in three data centres, replicas that report rate limits, and callers.
+//! Simulation in virtual time of relays in three data centres, replicas that report rate limits,
+//! and callers.
 //!
-//! Relays use the router's local tables and exchange messages that may be late or lost. Two simpler strategies to share a
-//! limit are simulated besides grants, so that all three can be compared on the same scenarios.
+//! Relays use the router's local tables and exchange messages that may be late or lost. Two simpler
+//! strategies to share a limit are simulated besides grants, so that all three can be compared on
+//! the same scenarios.
 
 #![allow(dead_code, reason = "tests and benchmark each use a part")]
 
@@ -23,8 +25,8 @@
     membership::{PeerStamp, PeerState, PeerTable},
 };
 
-/// Time after the first request under a limit from which excess requests count, and the window they are counted in, in
-/// milliseconds.
+/// Time after the first request under a limit from which excess requests count, and the window they
+/// are counted in, in milliseconds.
 pub(crate) const GRACE_TIME: u64 = 3_000;
 pub(crate) const WINDOW: u64 = 4_000;
 
@@ -94,10 +96,11 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Arrival {
     pub(crate) at: u64,
-    /// Whether its relay had received a response that names the limit at least half a second before.
+    /// Whether its relay had received a response that names the limit at least half a second
+    /// before.
     is_informed: bool,
-    /// Whether its relay was restarted, paused or partitioned and has not learnt the limit yet. The users' requirements
-    /// allow these.
+    /// Whether its relay was restarted, paused or partitioned and has not learnt the limit yet. The
+    /// users' requirements allow these.
     is_excused: bool,
 }
 
@@ -153,8 +156,8 @@
     clocks: PeerClocks,
     /// Time of the first response that named a limit, by replica.
     informed_at: BTreeMap<usize, u64>,
-    /// State of the simpler strategies: time at which the next request may be sent, this relay's recent requests, and the
-    /// counts that other relays reported.
+    /// State of the simpler strategies: time at which the next request may be sent, this relay's
+    /// recent requests, and the counts that other relays reported.
     next_send: BTreeMap<usize, f64>,
     recent_requests: BTreeMap<usize, VecDeque<u64>>,
     peer_requests: BTreeMap<(usize, usize), usize>,
@@ -610,8 +613,8 @@
     }
 }
 
-/// Returns the largest number of requests beyond `ratio` times the limit that a replica got in a window. If `only_informed`
-/// is set, only requests of relays that knew the limit count.
+/// Returns the largest number of requests beyond `ratio` times the limit that a replica got in a
+/// window. If `only_informed` is set, only requests of relays that knew the limit count.
 pub(crate) fn worst_excess(
     scenario: &Scenario,
     observed: &Observed,
@@ -634,8 +637,8 @@
         }
         let window = arrivals[index..].iter().take_while(|arrival| arrival.at < from + WINDOW);
         let window: Vec<_> = window.collect();
-        // The highest limit reported in the window applies, or none if there was none for part of it. Relays learn of a
-        // lowered limit half a second later.
+        // The highest limit reported in the window applies, or none if there was none for part of
+        // it. Relays learn of a lowered limit half a second later.
         let times = window.iter().map(|arrival| arrival.at).chain([from - 500]);
         let limits: Option<Vec<f64>> = times.map(|at| scenario.limit_at(replica, at)).collect();
         let Some(limits) = limits else { continue };
--- a/crates/router/tests/limits.rs
+++ b/crates/router/tests/limits.rs
@@ -11,8 +11,8 @@
     limits::{LimitChange, LimitReport, LimitTable},
 };
 
-/// Multiples of the limit that may be sent: by relays that know it, as the users require, and by all relays, as these tests
-/// require; each plus [`MAX_EXCESS`] requests.
+/// Multiples of the limit that may be sent: by relays that know it, as the users require, and by
+/// all relays, as these tests require; each plus [`MAX_EXCESS`] requests.
 const INFORMED_RATIO: f64 = 1.5;
 const STRICT_RATIO: f64 = 1.2;
 const MAX_EXCESS: f64 = 5.0;
@@ -60,14 +60,14 @@
     let observed = simulate(scenario, 1);
     check_limits(scenario, &observed);
     let used = min_use(scenario, &observed, 0);
-    // With bursts, demand exceeds the limit only while their requests wait. One request in five seconds is too coarse to
-    // measure a fraction.
+    // With bursts, demand exceeds the limit only while their requests wait. One request in five
+    // seconds is too coarse to measure a fraction.
     let is_steady = !matches!(scenario.demand, Demand::Bursts) && scenario.per_second > 4.0;
     assert!(!is_steady || used >= MIN_USE, "{used} of the limit was used: {scenario:?}");
 }
 
-/// Losing the coordinator of the limit is the worst case. A hash decides which relay that is, so each of the first eight is
-/// stopped in turn.
+/// Losing the coordinator of the limit is the worst case. A hash decides which relay that is, so
+/// each of the first eight is stopped in turn.
 #[test]
 fn a_limit_is_used_after_a_relay_stops() {
     for relays in [4, 8, 32] {
@@ -83,7 +83,8 @@
     }
 }
 
-/// A replica with a limit of zero still gets occasional requests, so that the relays learn when it accepts requests again.
+/// A replica with a limit of zero still gets occasional requests, so that the relays learn when it
+/// accepts requests again.
 #[test]
 fn a_limit_of_zero_can_end() {
     for relays in [1, 4, 32] {
@@ -96,7 +97,8 @@
     }
 }
 
-/// Seed 9213 of the property below: requests arrive in bursts, and the limit falls to zero between two bursts.
+/// Seed 9213 of the property below: requests arrive in bursts, and the limit falls to zero between
+/// two bursts.
 #[test]
 fn a_limit_that_falls_to_zero_is_enforced() {
     let limits = vec![vec![(11_863, Some(30.0)), (14_302, Some(0.0))]];
@@ -157,8 +159,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 60, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Limits are enforced with changing limits, several replicas, moving demand, late and lost messages, partitioned data
-    /// centres, and relays that are paused, restarted or stopped.
+    /// Limits are enforced with changing limits, several replicas, moving demand, late and lost
+    /// messages, partitioned data centres, and relays that are paused, restarted or stopped.
     #[test]
     fn limits_are_enforced_under_faults(scenario in any_scenario(), seed in 0_u64..1_000) {
         check_limits(&scenario, &simulate(&scenario, seed));
@@ -200,7 +202,8 @@
     assert_eq!(grants.spend("i-1", 1, 1_000 + GRANT_TTL), Err(500), "the grant has expired");
 }
 
-/// Rejected callers are told to retry one after another at the available rate, and not all at the end of the longest wait.
+/// Rejected callers are told to retry one after another at the available rate, and not all at the
+/// end of the longest wait.
 #[test]
 fn retries_of_rejected_callers_are_spaced() {
     let mut schedule = RetrySchedule::default();
--- a/crates/router/tests/stalls.rs
+++ b/crates/router/tests/stalls.rs
@@ -1,4 +1,5 @@
-//! Stall detection in virtual time: steady traffic while some first replicas hang, and engines that are all slow at once.
+//! Stall detection in virtual time: steady traffic while some first replicas hang, and engines that
+//! are all slow at once.
 
 use std::collections::VecDeque;
 
@@ -8,16 +9,18 @@
     stall::{StallDetector, TRIAL_GRACE, reroute_after},
 };
 
-/// Objective of the requests, and the usual time until an engine starts a response, in milliseconds.
+/// Objective of the requests, and the usual time until an engine starts a response, in
+/// milliseconds.
 const OBJECTIVE: u64 = 500;
 const RESPONSE_DELAY: u64 = 80;
 
-/// Interval between requests of the relay, and between checks of a waiting request, in milliseconds.
+/// Interval between requests of the relay, and between checks of a waiting request, in
+/// milliseconds.
 const REQUEST_INTERVAL: u64 = 20;
 const CHECK_INTERVAL: u64 = 50;
 
-/// Traffic for `length` milliseconds at `replicas` replicas, of which the first `hanging` hang during `hangs`; the responses
-/// of all are slower than usual by the factor `slow`.
+/// Traffic for `length` milliseconds at `replicas` replicas, of which the first `hanging` hang
+/// during `hangs`; the responses of all are slower than usual by the factor `slow`.
 struct Load {
     replicas: usize,
     hanging: usize,
@@ -42,8 +45,8 @@
     retries: u32,
 }
 
-/// Simulates one relay under a load. Each request starts at the replica with the fewest requests so far, avoiding stalled
-/// replicas if `uses_detector` is set.
+/// Simulates one relay under a load. Each request starts at the replica with the fewest requests so
+/// far, avoiding stalled replicas if `uses_detector` is set.
 fn simulate(load: &Load, uses_detector: bool) -> Outcome {
     let instances: Vec<ReplicaInstance> =
         (0..load.replicas).map(|number| ReplicaInstance::new(&format!("i-{number}"), 0)).collect();
@@ -114,8 +117,8 @@
 const HANGING: Load =
     Load { replicas: 12, hanging: 2, hangs: 2_000..8_500, slow: 1.0, length: 12_000 };
 
-/// With a time-out per request alone, every request sent to a hanging replica was late. With stall detection few requests
-/// are sent there, and those are rerouted in time.
+/// With a time-out per request alone, every request sent to a hanging replica was late. With stall
+/// detection few requests are sent there, and those are rerouted in time.
 #[test]
 fn a_hanging_replica_makes_no_request_late() {
     let timeout_only = simulate(&HANGING, false);
@@ -145,8 +148,8 @@
     }
 }
 
-/// Only the relay that detected a stall sends trial requests, one at a time; other relays keep away until they learn the
-/// outcome.
+/// Only the relay that detected a stall sends trial requests, one at a time; other relays keep away
+/// until they learn the outcome.
 #[test]
 fn a_stalled_replica_gets_one_trial_request() {
     let instance = ReplicaInstance::new("i-1", 0);
