--- a/crates/relay/src/peers.rs
+++ b/crates/relay/src/peers.rs
@@ -103,7 +103,7 @@
             return;
         }
         beliefs.peers.record_report(&news.name, kind, now);
-        beliefs.peers.record_vouched(&news.keepers, news.reader, now);
+        beliefs.peers.record_reported_roles(&news.keepers, news.reader, now);
         beliefs.peers.record_members(&news.members, now);
         written = beliefs.clocks.written_at(&news.name, stamp, now);
         take_load(beliefs, news, kind, now);
--- a/crates/relay/src/snapshot/take.rs
+++ b/crates/relay/src/snapshot/take.rs
@@ -98,7 +98,7 @@
         let RelaySettings { name, data_centre, .. } = &relay.settings;
         let beliefs = relay.beliefs.borrow();
         let first = beliefs.peers.first_live_peer(name, data_centre, now_millis())?;
-        let lists_itself = beliefs.listed_relays.is_some() && first.order == SourceOrder::Behind;
+        let lists_itself = beliefs.listed_relays.is_some() && first.order == SourceOrder::After;
         (!lists_itself).then(|| (first.name.to_owned(), first.address))
     };
     let (teller, address) = first?;
--- a/crates/relay/src/tell.rs
+++ b/crates/relay/src/tell.rs
@@ -176,9 +176,9 @@
 fn tell_legs(relay: &Relay, is_due: impl Fn(&str, GossipLink) -> Option<TellParts>) {
     let now = now_millis();
     let circle = relay.circle.borrow();
-    let due = circle.peers.iter().filter_map(|peer| Some((peer, is_due(&peer.name, peer.leg)?)));
+    let due = circle.peers.iter().filter_map(|peer| Some((peer, is_due(&peer.name, peer.link)?)));
     let (members, speakers): (Vec<_>, Vec<_>) =
-        due.partition(|(peer, _)| matches!(peer.leg, GossipLink::Member(_)));
+        due.partition(|(peer, _)| matches!(peer.link, GossipLink::Member(_)));
     if !speakers.is_empty() {
         tell_speakers(relay, &speakers, now);
     }
@@ -195,8 +195,8 @@
     let members = beliefs.peers.member_hashes(now);
     let gathered = LoadNews::Gathered(gathered_load(&beliefs, now));
     for (peer, parts) in due {
-        let is_near = peer.leg != GossipLink::Far;
-        let report = match peer.leg {
+        let is_near = peer.link != GossipLink::Far;
+        let report = match peer.link {
             GossipLink::Report(kind) => kind,
             GossipLink::Near | GossipLink::Far | GossipLink::Member(_) => ReportKind::None,
         };
@@ -215,7 +215,7 @@
     let beliefs = relay.beliefs.borrow();
     let round = (now / TELL_EVERY.as_millis() as Millis) as usize;
     news.limits = limits_to_tell(&beliefs, true, round, now);
-    news.keepers = beliefs.peers.keeper_hashes(now);
+    news.keepers = beliefs.peers.coordinator_hashes(now);
     if news.keeps_limits {
         news.keepers.push(name_hash(&relay.settings.name));
     }
@@ -225,7 +225,7 @@
     };
     for (peer, parts) in due {
         news.echo = echo(&beliefs, &peer.name, now);
-        let is_counted = peer.leg == GossipLink::Member(ReportKind::Counted);
+        let is_counted = peer.link == GossipLink::Member(ReportKind::Counted);
         news.load = match parts.load && is_counted {
             true => sums_for(relay, &beliefs, &peer.name, *parts),
             false => LoadNews::Untold,
@@ -314,7 +314,7 @@
 pub fn tell_fleet(relay: &Relay, changes: Vec<ReplicaUpdate>) {
     let records: Vec<ReplicaRecord> = changes.into_iter().map(ReplicaRecord::from).collect();
     let circle = relay.circle.borrow();
-    let speakers = circle.peers.iter().filter(|peer| matches!(peer.leg, GossipLink::Report(_)));
+    let speakers = circle.peers.iter().filter(|peer| matches!(peer.link, GossipLink::Report(_)));
     let told: Vec<SocketAddr> = match circle.is_member {
         true => speakers.map(|peer| peer.address).collect(),
         false => near_addresses(relay),
--- a/crates/router/src/coordinator.rs
+++ b/crates/router/src/coordinator.rs
@@ -56,7 +56,7 @@
     let rank = |name: &str, relay_data_centre: &str| {
         (relay_data_centre == data_centre, hash_bytes(seed, name.as_bytes()))
     };
-    let best = peers.keepers(now).max_by_key(|peer| rank(peer.name, peer.data_centre));
+    let best = peers.coordinators(now).max_by_key(|peer| rank(peer.name, peer.data_centre));
     let local_rank = local.is_eligible.then(|| rank(local.name, local.data_centre));
     match best {
         Some(peer) if local_rank < Some(rank(peer.name, peer.data_centre)) => {
--- a/crates/router/src/follow.rs
+++ b/crates/router/src/follow.rs
@@ -109,7 +109,7 @@
     /// It comes before this relay, so that it also follows for it.
     Before,
     /// It comes behind.
-    Behind,
+    After,
 }
 
 /// What is seen of the other relays of the data centre.
@@ -287,7 +287,7 @@
     /// and by whoever comes behind it again as long as its word does not cover that one.
     fn next_question(&self, sight: &FollowInputs, now: Millis) -> Option<FollowStep> {
         let place = sight.source?;
-        if self.revision.is_some() && place == SourceOrder::Behind {
+        if self.revision.is_some() && place == SourceOrder::After {
             return None;
         }
         match self.asking {
--- a/crates/router/src/membership.rs
+++ b/crates/router/src/membership.rs
@@ -1,15 +1,17 @@
-//! The other relays: who is there, who gives orders, and who follows the store.
+//! Table of the other relays: which are live, which one gives orders, and which ones read the
+//! store.
 //!
-//! Relays hear each other a few times a second. From that alone each decides two things, without a vote:
-//! the first by name gives the orders to engines, and in each data centre the first by name follows the
-//! store for the others. A wrong guess is harmless in both cases: orders are fenced by the engines' own
-//! counts, and one that follows the store needlessly only pays for its calls.
+//! Relays exchange state a few times a second. From these messages alone each relay decides two
+//! things, without a vote: the first live relay by name gives the orders to engines, and in each
+//! data centre the first live relay by name reads the store on behalf of the others. A wrong
+//! decision is harmless in both cases: engines fence orders by their own counters, and a relay that
+//! reads the store needlessly only pays for its calls.
 //!
 //! | module | decides |
 //! |---|---|
-//! | `gossip` | which relays tell each other, and who speaks for whom |
-//! | `proofs` | what messages of other relays prove, and how old that is |
-//! | `sources` | who follows the store for a relay, and whom it asks |
+//! | `gossip` | which relays exchange state, and which relay aggregates the state of others |
+//! | `proofs` | what messages of other relays prove, and how old these proofs are |
+//! | `sources` | which relay reads the store on behalf of another, and which one is asked for a snapshot |
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
@@ -24,27 +26,29 @@
 };
 use crate::Millis;
 
-/// Silence after which a relay is taken for gone, in milliseconds: three messages in a row were lost.
+/// Silence after which a peer no longer counts as live, in milliseconds: three messages in a row
+/// were lost.
 pub const PEER_TIMEOUT: Millis = 1_600;
 
-/// Age of its own proof of the configuration from which a relay leaves new callers to others that have a
-/// younger one, in milliseconds: above what a relay has that others follow the store for, and a second
-/// before keys are refused at a usual bound of 5 s.
+/// Age of its own proof of the configuration from which a relay redirects new callers to peers with
+/// a younger proof, in milliseconds. It is above the age that a relay has whose peers read the
+/// store for it, and one second below the age at which keys are refused under a usual bound of 5 s.
 pub const STEP_ASIDE_AGE: Millis = 2_600;
 
-/// The same for a relay whose last read of the configuration failed.
+/// Like [`STEP_ASIDE_AGE`], for a relay whose last read of the configuration failed.
 pub const STEP_ASIDE_AGE_LOST: Millis = 1_300;
 
-/// Silence after which a relay is forgotten, in milliseconds: several windows of the shared budget of
-/// repeats, so that one that is only cut off keeps its share; a VM that is replaced has another name.
+/// Silence after which a peer is removed from the table, in milliseconds. It spans several windows
+/// of the shared retry budget, so that a relay that is only cut off keeps its share. The
+/// replacement of a VM has another name.
 pub const PEER_EXPIRY: Millis = 60_000;
 
-/// What a relay says of itself.
+/// State that a relay reports about itself.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct PeerState {
     /// Whether its list of replicas is recent.
     pub fleet_is_fresh: bool,
-    /// Whether its last read of that list failed: it follows for nobody.
+    /// Whether its last read of that list failed; it then reads the list for no other relay.
     pub fleet_is_lost: bool,
     /// Digest of its list of replicas.
     pub fleet_digest: u64,
@@ -52,30 +56,31 @@
     pub config_is_lost: bool,
     /// Version of its configuration.
     pub config_version: u64,
-    /// Age of its proof of the configuration, in milliseconds; nothing where it has none.
+    /// Age of its proof of the configuration, in milliseconds; `None` if it has no proof.
     pub config_age: Option<Millis>,
-    /// Age of its proof of its list of replicas, in milliseconds; nothing where it has none.
+    /// Age of its proof of its list of replicas, in milliseconds; `None` if it has no proof.
     pub fleet_age: Option<Millis>,
-    /// Time since it last had an answer of the store for its list of replicas itself, in milliseconds; nothing
-    /// where another relay follows for it.
+    /// Time since the store last answered its own read of the list of replicas, in milliseconds;
+    /// `None` if another relay reads the list for it.
     pub fleet_read_age: Option<Millis>,
-    /// Time since the store last answered for the configuration, to it or to one that it follows, in
-    /// milliseconds.
+    /// Time since the store last answered a read of the configuration, by this relay or by the one
+    /// that reads for it, in milliseconds.
     pub config_answer_age: Option<Millis>,
-    /// The same for the list of replicas.
+    /// Time since the store last answered a read of the list of replicas, by this relay or by the
+    /// one that reads for it, in milliseconds.
     pub fleet_answer_age: Option<Millis>,
-    /// Whether it keeps limits of replicas.
+    /// Whether it coordinates rate limits of replicas.
     pub keeps_limits: bool,
-    /// Whether others speak for it: it gives no orders.
+    /// Whether it reports to speakers (see `gossip`); a member gives no orders.
     pub is_member: bool,
 }
 
-/// A relay that keeps limits.
+/// A relay that coordinates rate limits.
 #[derive(Clone, Copy, Debug)]
-pub struct KeeperPeer<'a> {
+pub struct CoordinatorPeer<'a> {
     /// Its name.
     pub name: &'a str,
-    /// Where it is.
+    /// Its address.
     pub address: SocketAddr,
     /// Its data centre.
     pub data_centre: &'a str,
@@ -85,22 +90,22 @@
 struct Peer {
     address: SocketAddr,
     data_centre: String,
-    learnt: Millis,
-    heard: Option<Millis>,
+    added_at: Millis,
+    last_heard: Option<Millis>,
     state: PeerState,
     last_stamp: Option<(PeerStamp, Millis)>,
     /// Hash of its name.
     hash: u32,
-    /// How it reported to this relay last, and when.
+    /// Last report of this peer to this relay, and when it arrived.
     report: Option<(ReportKind, Millis)>,
-    /// Since when it has been told by this relay without a pause.
-    told_since: Option<Millis>,
-    /// Until when others are told in its place.
-    passed_until: Millis,
-    /// When another relay last said that it hears it keep limits.
-    vouched: Option<Millis>,
-    /// When another relay last said that it is there.
-    alive: Option<Millis>,
+    /// Start of the period in which this relay has been sending to the peer without interruption.
+    sending_since: Option<Millis>,
+    /// End of the period in which the peer is skipped as a speaker because it was silent.
+    skipped_until: Millis,
+    /// When another relay last reported that it hears this peer coordinate rate limits.
+    coordinator_reported: Option<Millis>,
+    /// When another relay last reported that it hears this peer.
+    live_reported: Option<Millis>,
 }
 
 /// The other relays, by name.
@@ -112,55 +117,58 @@
     digest_differs_since: Option<Millis>,
     /// Whether this relay is a member.
     is_member: bool,
-    /// The relay of the data centre that reads the list of replicas, by another's word, and when that was said.
+    /// The relay of the data centre that reads the list of replicas, as another relay reported it,
+    /// and when it did.
     reader: Option<(String, Millis)>,
 }
 
 impl PeerTable {
-    /// Count of relays that are not forgotten: an upper bound of those that spend a shared budget.
+    /// Returns the number of peers that have not expired: an upper bound of the relays that share a
+    /// budget with this one.
     pub fn known_count(&self) -> usize {
         self.peers.len()
     }
 
-    /// Count of relays that were heard lately.
+    /// Returns the number of live peers.
     pub fn live_count(&self, now: Millis) -> usize {
         self.peers.values().filter(|peer| peer.is_live(now)).count()
     }
 
-    /// Count of relays that were heard lately and are no members.
+    /// Returns the number of live peers that are speakers.
     pub fn live_speaker_count(&self, now: Millis) -> usize {
         let live = self.peers.values().filter(|peer| peer.is_live(now));
         live.filter(|peer| !peer.state.is_member).count()
     }
 
-    /// Name of the relay at an address.
+    /// Returns the name of the peer at an address.
     pub fn name_at(&self, address: SocketAddr) -> Option<&str> {
         let at = self.peers.iter().find(|(_, peer)| peer.address == address);
         at.map(|(name, _)| name.as_str())
     }
 
-    /// Relays that keep limits, by their own word or that of one that hears them.
-    pub fn keepers(&self, now: Millis) -> impl Iterator<Item = KeeperPeer<'_>> {
-        let keepers = self.peers.iter().filter(move |(_, peer)| peer.keeps_limits(now));
-        keepers.map(|(name, peer)| KeeperPeer {
+    /// Returns the peers that coordinate rate limits, by their own report or by that of a relay
+    /// that hears them.
+    pub fn coordinators(&self, now: Millis) -> impl Iterator<Item = CoordinatorPeer<'_>> {
+        let coordinators = self.peers.iter().filter(move |(_, peer)| peer.keeps_limits(now));
+        coordinators.map(|(name, peer)| CoordinatorPeer {
             name,
             address: peer.address,
             data_centre: &peer.data_centre,
         })
     }
 
-    /// Whether a relay was heard lately.
+    /// Returns whether a peer is live.
     pub fn is_live_peer(&self, name: &str, now: Millis) -> bool {
         self.peers.get(name).is_some_and(|peer| peer.is_live(now))
     }
 
-    /// Count of relays of a data centre that were heard lately.
+    /// Returns the number of live peers in a data centre.
     pub fn live_count_in(&self, data_centre: &str, now: Millis) -> usize {
         let near = self.peers.values().filter(|peer| peer.data_centre == data_centre);
         near.filter(|peer| peer.is_live(now)).count()
     }
 
-    /// Learns where a relay is; tells whether it was not known before.
+    /// Adds a peer or updates its address; returns whether it is new.
     pub fn upsert(
         &mut self,
         name: &str,
@@ -172,46 +180,47 @@
         let peer = self.peers.entry(name.to_owned()).or_insert_with(|| Peer {
             address,
             data_centre: data_centre.to_owned(),
-            learnt: now,
-            heard: None,
+            added_at: now,
+            last_heard: None,
             state: PeerState::default(),
             last_stamp: None,
             hash: name_hash(name),
             report: None,
-            told_since: None,
-            passed_until: 0,
-            vouched: None,
-            alive: None,
+            sending_since: None,
+            skipped_until: 0,
+            coordinator_reported: None,
+            live_reported: None,
         });
         peer.address = address;
         is_new
     }
 
-    /// Relays that were silent for so long that their VMs must be gone.
+    /// Returns the peers that were silent for so long that their VMs must be gone.
     pub fn expired(&self, now: Millis) -> Vec<String> {
-        let gone = self.peers.iter().filter(|(_, peer)| peer.is_gone(now));
+        let gone = self.peers.iter().filter(|(_, peer)| peer.is_expired(now));
         gone.map(|(name, _)| name.clone()).collect()
     }
 
-    /// Where a relay is.
+    /// Returns the address of a peer.
     pub fn address(&self, name: &str) -> Option<SocketAddr> {
         self.peers.get(name).map(|peer| peer.address)
     }
 
-    /// Forgets a relay.
+    /// Removes a peer.
     pub fn forget(&mut self, name: &str) {
         self.peers.remove(name);
     }
 
-    /// Whether a message with this stamp is the first of a relay since its start, or since it was silent.
+    /// Returns whether a message with this stamp is the first one of a peer since its start, or
+    /// since it was last live.
     pub fn is_returning(&self, name: &str, stamp: PeerStamp, now: Millis) -> bool {
         let Some(peer) = self.peers.get(name) else { return true };
         let same = peer.last_stamp.is_some_and(|(last, _)| last.incarnation == stamp.incarnation);
         !same || !peer.is_live(now)
     }
 
-    /// Notes a message of a relay that was learnt; tells whether it was news. One that was stamped before
-    /// another that came earlier was overtaken on its way, and says nothing of now.
+    /// Records the state in a message of a known peer; returns false for an unknown peer and for a
+    /// message that is older than one that came before it, which says nothing of the present state.
     pub fn record_message(
         &mut self,
         name: &str,
@@ -223,27 +232,27 @@
         if peer.last_stamp.is_some_and(|(last, _)| stamp.is_before(last)) {
             return false;
         }
-        peer.heard = Some(now);
-        peer.passed_until = 0;
+        peer.last_heard = Some(now);
+        peer.skipped_until = 0;
         peer.state = state;
         peer.last_stamp = Some((stamp, now));
         true
     }
 
-    /// Notes how the sender of a message that was heard reports to this relay.
+    /// Records how the sender of a message reports to this relay.
     pub fn record_report(&mut self, name: &str, kind: ReportKind, now: Millis) {
         if let Some(peer) = self.peers.get_mut(name) {
             peer.report = (kind != ReportKind::None).then_some((kind, now));
         }
     }
 
-    /// Newest stamp of a relay, and how long it has been held.
+    /// Returns the newest stamp of a peer, and the time since it arrived.
     pub fn echo(&self, name: &str, now: Millis) -> Option<(PeerStamp, Millis)> {
-        let (stamp, heard) = self.peers.get(name)?.last_stamp?;
-        Some((stamp, now.saturating_sub(heard)))
+        let (stamp, arrived) = self.peers.get(name)?.last_stamp?;
+        Some((stamp, now.saturating_sub(arrived)))
     }
 
-    /// Relays to tell, with whether each is in the data centre given.
+    /// Returns name and address of each peer, and whether it is in the given data centre.
     pub fn others<'a>(
         &'a self,
         data_centre: &'a str,
@@ -253,39 +262,43 @@
             .map(move |(name, peer)| (name.as_str(), peer.address, peer.data_centre == data_centre))
     }
 
-    /// Whether this relay is the first to give orders, as [`PeerTable::rank`] tells.
+    /// Returns whether this relay is the one that gives orders: its
+    /// [`PeerTable::rank`] is 0.
     pub fn is_leader(&self, name: &str, fleet_is_fresh: bool, now: Millis) -> bool {
         self.rank(name, fleet_is_fresh, now) == Some(0)
     }
 
-    /// Count of speakers before this one by name, of those that are live and know the replicas, or of all live ones
-    /// where none does; nothing where others know them and this one does not, and for members.
+    /// Returns the number of live speakers that precede this relay by name. If any relay has a
+    /// recent list of replicas, only such speakers count. Returns `None` for members, and for a
+    /// relay without a recent list if another relay has one.
     pub fn rank(&self, name: &str, fleet_is_fresh: bool, now: Millis) -> Option<usize> {
         if self.is_member {
             return None;
         }
         let live = || {
-            let speaks = |peer: &Peer| peer.is_live(now) && !peer.state.is_member;
-            self.peers.iter().filter(move |(_, peer)| speaks(peer))
+            let is_speaker = |peer: &Peer| peer.is_live(now) && !peer.state.is_member;
+            self.peers.iter().filter(move |(_, peer)| is_speaker(peer))
         };
         let informed = || live().filter(|(_, peer)| peer.state.fleet_is_fresh);
         let is_before = |(other, _): &(&String, &Peer)| other.as_str() < name;
         match (fleet_is_fresh, informed().next().is_some()) {
             (true, _) => Some(informed().filter(is_before).count()),
             (false, true) => None,
-            // One that hears nobody and has lost the store is cut off; the others decide.
+            // A relay that hears no peer and has lost the store is cut off; the others decide.
             (false, false) if live().next().is_none() => self.peers.is_empty().then_some(0),
             (false, false) => Some(live().filter(is_before).count()),
         }
     }
 
-    /// Whether callers are served better elsewhere: this relay's proof of the configuration is `own_age`
-    /// old, `is_lost` tells that its last read failed, and another relay has a younger proof, or this one
-    /// hears none of those it knows and is cut off itself. Where all have lost the store nobody steps
-    /// aside.
+    /// Returns whether callers are better served by another relay.
+    ///
+    /// `own_age` is the age of this relay's proof of the configuration; `is_lost` says that its
+    /// last read failed. Callers are redirected if another relay has a younger proof, or if this
+    /// relay hears none of its peers and is cut off itself. If all relays have lost the store, none
+    /// redirects its callers.
     pub fn should_redirect(&self, own_age: Millis, is_lost: bool, now: Millis) -> bool {
-        let most = if is_lost { STEP_ASIDE_AGE_LOST } else { STEP_ASIDE_AGE };
-        if own_age < most || self.peers.is_empty() {
+        let max_age = if is_lost { STEP_ASIDE_AGE_LOST } else { STEP_ASIDE_AGE };
+        if own_age < max_age || self.peers.is_empty() {
             return false;
         }
         let mut live = self.peers.values().filter(|peer| peer.is_live(now)).peekable();
@@ -293,20 +306,21 @@
             return is_lost;
         }
         let proofs = live.filter_map(|peer| peer.config_age(now));
-        proofs.min().is_some_and(|age| age + YOUNGER_BY <= own_age)
+        proofs.min().is_some_and(|age| age + REDIRECT_MARGIN <= own_age)
     }
 }
 
-/// Time by which another relay's proof must be younger for callers to be left to it, in milliseconds.
-const YOUNGER_BY: Millis = 300;
+/// Margin by which another relay's proof must be younger for callers to be redirected, in
+/// milliseconds.
+const REDIRECT_MARGIN: Millis = 300;
 
 impl Peer {
-    /// Age of its proof of the configuration by now.
+    /// Returns the present age of its proof of the configuration.
     fn config_age(&self, now: Millis) -> Option<Millis> {
-        Some(self.state.config_age? + now.saturating_sub(self.heard?))
+        Some(self.state.config_age? + now.saturating_sub(self.last_heard?))
     }
 
     fn is_live(&self, now: Millis) -> bool {
-        self.heard.is_some_and(|heard| now.saturating_sub(heard) < PEER_TIMEOUT)
+        self.last_heard.is_some_and(|last_heard| now.saturating_sub(last_heard) < PEER_TIMEOUT)
     }
 }
--- a/crates/router/src/membership/gossip.rs
+++ b/crates/router/src/membership/gossip.rs
@@ -1,18 +1,20 @@
-//! Whom a relay tells its state, and who speaks for whom.
+//! Which relays exchange state, and which relay aggregates the state of others.
 //!
-//! If all relays told each other, what each sends and hears would grow with their count, until a small VM had no processor
-//! left for callers. So in a data centre of more than [`SPEAKERS`] relays the first ones by name, the *speakers*, tell
-//! each other and the speakers of the other data centres. Each other relay is a *member*: it reports to two speakers,
-//! which hand on sums of what their members promised, and what these found. There is no vote: whoever is reported to speaks
-//! for the one that reports.
+//! If all relays sent their state to each other, the traffic of each would grow with their number
+//! until a small VM had no processor time left for callers. So the first [`SPEAKERS`] relays of a
+//! data centre by name, its *speakers*, exchange state with each other and with the speakers of the
+//! other data centres. Each other relay is a *member*: it reports to two speakers, which pass on
+//! the sums of their members' reservations, and to their members what other relays report. There is
+//! no vote: a speaker aggregates whatever is reported to it.
 //!
-//! A relay reports only to relays that come before it by name, so no figure comes back to where it came from.
+//! A relay reports only to relays that precede it by name, so no figure returns to the relay that
+//! it came from.
 //!
-//! | worst case | what follows |
+//! | worst case | effect |
 //! |---|---|
-//! | a speaker ends | its members go on hearing their second one; [`PEER_TIMEOUT`] later they report to another |
-//! | all speakers of a data centre end at once | members pass over two silent ones each [`PEER_TIMEOUT`], until they come first themselves |
-//! | relays differ on who is there | a member is counted late, or twice, for as long as figures of room are kept |
+//! | a speaker ends | its members still hear their second speaker, and choose another one after [`PEER_TIMEOUT`] |
+//! | all speakers of a data centre end at once | each [`PEER_TIMEOUT`], members skip two silent speakers, until they become speakers themselves |
+//! | relays disagree on which peers are live | a member is counted late, or twice, for as long as reservations are kept |
 
 use std::{cmp::Reverse, collections::BTreeMap, net::SocketAddr};
 
@@ -21,19 +23,22 @@
 use super::{PEER_EXPIRY, PEER_TIMEOUT, Peer, PeerTable};
 use crate::Millis;
 
-/// Speakers of a data centre. As many tell each other everything at little cost; each speaks for an eighth of the others.
+/// Number of speakers of a data centre. That many can exchange all state at little cost; each
+/// aggregates an eighth of the other relays.
 pub const SPEAKERS: usize = 8;
 
-/// Speakers that a member reports to: the loss of one is bridged by the other.
-const REPORTED_TO: usize = 2;
+/// Number of speakers that a member reports to: if one is lost, the other one remains.
+const SPEAKERS_PER_MEMBER: usize = 2;
 
-/// Time for which a silent speaker is passed over unless it is heard again or another relay says that it hears it, in
-/// milliseconds: tried sooner, those that are gone would take reports that reach nobody.
-const PASS_TIME: Millis = PEER_EXPIRY;
+/// Time for which a silent speaker is skipped, unless it is heard again or another relay reports
+/// that it hears it, in milliseconds. If it were retried sooner, speakers that are gone would be
+/// sent reports that reach nobody.
+const SKIP_TIME: Millis = PEER_EXPIRY;
 
-/// Time since its last report for which a member is told, in milliseconds: a process that restarts is back within it, and
-/// learns from its speakers what it would have to ask the store.
-const MEMBER_KEPT: Millis = 10_000;
+/// Time since its last report for which a member is still sent state, in milliseconds. A process
+/// that restarts is back within that time, and learns from its speakers what it would otherwise
+/// have to read from the store.
+const MEMBER_RETENTION: Millis = 10_000;
 
 /// Whether the sender of a message reports to the receiver.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
@@ -41,13 +46,13 @@
     /// It does not.
     #[default]
     None,
-    /// It does, and another relay counts what it promised.
+    /// It reports, and another speaker counts its reservations.
     Spare,
-    /// It does, and the receiver counts what it promised.
+    /// It reports, and the receiver counts its reservations.
     Counted,
 }
 
-/// What a message to a relay is for.
+/// Roles of sender and receiver of a message.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum GossipLink {
     /// From one speaker to another of its data centre.
@@ -60,68 +65,74 @@
     Member(ReportKind),
 }
 
-/// A relay that is told.
+/// A relay that this one sends its state to.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct GossipPeer {
     /// Its name.
     pub name: String,
-    /// Where it is.
+    /// Its address.
     pub address: SocketAddr,
-    /// What for.
-    pub leg: GossipLink,
+    /// Roles of this relay and the peer.
+    pub link: GossipLink,
 }
 
-/// Relays that a relay tells.
+/// The relays that a relay sends its state to.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct GossipPlan {
-    /// Whether it is a member.
+    /// Whether the sending relay is a member.
     pub is_member: bool,
-    /// The others.
+    /// The receiving relays.
     pub peers: Vec<GossipPeer>,
 }
 
-/// Hash of a relay's name, as messages name it.
+/// Returns the hash of a relay's name by which messages refer to it.
 pub fn name_hash(name: &str) -> u32 {
-    // The upper half: the lower bits of short texts differ little.
+    // The upper half, since the lower bits of short texts differ little.
     (hash_bytes(0, name.as_bytes()) >> 32) as u32
 }
 
-/// First relays by name.
-fn first_of<'a>(names: impl Iterator<Item = &'a str>) -> Vec<&'a str> {
+/// Returns the first relays by name, as many as there are speakers.
+fn first_speakers<'a>(names: impl Iterator<Item = &'a str>) -> Vec<&'a str> {
     names.take(SPEAKERS).collect()
 }
 
 impl PeerTable {
-    /// Decides whom to tell now, and whether this relay is a member.
+    /// Decides which relays are sent this relay's state now, and whether this relay is a member.
     pub fn plan_gossip(&mut self, own: &str, data_centre: &str, now: Millis) -> GossipPlan {
-        self.pass_over_silent(now);
+        self.skip_silent(now);
         let speakers = self.near_speakers(own, data_centre, now);
         let is_member = !speakers.iter().any(|name| name == own);
-        let legs = match is_member {
-            true => self.report_legs(own, &speakers, now),
-            false => self.speaker_legs(own, data_centre, speakers, now),
+        let links = match is_member {
+            true => self.report_links(own, &speakers, now),
+            false => self.speaker_links(own, data_centre, speakers, now),
         };
         self.is_member = is_member;
-        self.note_told(&legs, now);
-        let legs = self.with_members(legs, now);
+        self.record_sending(&links, now);
+        let links = self.with_members(links, now);
         let address = |name: &str| self.peers.get(name).map(|peer| peer.address);
-        let peers = legs
+        let peers = links
             .into_iter()
-            .filter_map(|(name, leg)| Some(GossipPeer { address: address(&name)?, name, leg }));
+            .filter_map(|(name, link)| Some(GossipPeer { address: address(&name)?, name, link }));
         GossipPlan { is_member, peers: peers.collect() }
     }
 
-    /// Whether this relay is a member, as last decided.
+    /// Returns whether this relay is a member, as of the last [`PeerTable::plan_gossip`].
     pub fn is_member(&self) -> bool {
         self.is_member
     }
 
-    /// Notes which relays that keep limits, and which one that reads the list of replicas, another relay hears.
-    pub fn record_vouched(&mut self, keepers: &[u32], reader: Option<u32>, now: Millis) {
+    /// Records which relays that coordinate rate limits another relay hears, and which relay it
+    /// hears read the list of replicas.
+    pub fn record_reported_roles(
+        &mut self,
+        coordinators: &[u32],
+        reader: Option<u32>,
+        now: Millis,
+    ) {
         for (name, peer) in &mut self.peers {
-            if keepers.contains(&peer.hash) {
-                peer.vouched = Some(now);
-                peer.passed_until = 0;
+            if coordinators.contains(&peer.hash) {
+                peer.coordinator_reported = Some(now);
+                peer.skipped_until = 0;
             }
             if reader == Some(peer.hash) {
                 self.reader = Some((name.clone(), now));
@@ -129,56 +140,60 @@
         }
     }
 
-    /// Notes which members another speaker of the data centre hears.
+    /// Records which members another speaker of the data centre hears.
     pub fn record_members(&mut self, members: &[u32], now: Millis) {
         for peer in self.peers.values_mut().filter(|peer| members.contains(&peer.hash)) {
-            peer.alive = Some(now);
+            peer.live_reported = Some(now);
         }
     }
 
-    /// Hashes of the members that this relay hears.
+    /// Returns the hashes of the members that this relay hears.
     pub fn member_hashes(&self, now: Millis) -> Vec<u32> {
-        let members = self.peers.values().filter(|peer| peer.reports_now(now) != ReportKind::None);
+        let members =
+            self.peers.values().filter(|peer| peer.current_report(now) != ReportKind::None);
         members.map(|peer| peer.hash).collect()
     }
 
-    /// Hashes of the other relays that keep limits, as far as this one or its speakers hear them.
-    pub fn keeper_hashes(&self, now: Millis) -> Vec<u32> {
-        let keepers = self.peers.values().filter(|peer| peer.keeps_limits(now));
-        keepers.map(|peer| peer.hash).collect()
+    /// Returns the hashes of the other relays that coordinate rate limits, as far as this relay or
+    /// its speakers hear them.
+    pub fn coordinator_hashes(&self, now: Millis) -> Vec<u32> {
+        let coordinators = self.peers.values().filter(|peer| peer.keeps_limits(now));
+        coordinators.map(|peer| peer.hash).collect()
     }
 
-    /// How a relay reports to this one.
+    /// Returns how a peer reports to this relay.
     pub fn report_kind(&self, name: &str, now: Millis) -> ReportKind {
-        self.peers.get(name).map_or(ReportKind::None, |peer| peer.reports_now(now))
+        self.peers.get(name).map_or(ReportKind::None, |peer| peer.current_report(now))
     }
 
-    /// Whether any relay reports to this one.
+    /// Returns whether any relay reports to this one.
     pub fn has_members(&self, now: Millis) -> bool {
-        self.peers.values().any(|peer| peer.reports_now(now) != ReportKind::None)
+        self.peers.values().any(|peer| peer.current_report(now) != ReportKind::None)
     }
 
-    /// Count of speakers that are known, this relay among them, and of those that are heard.
+    /// Returns the number of known speakers, including this relay, and the number of those that are
+    /// live.
     pub fn speaker_counts(&self, data_centre: &str, now: Millis) -> (usize, usize) {
-        let mut places: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
-        places.insert(data_centre, (1, 1));
+        let mut data_centres: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
+        data_centres.insert(data_centre, (1, 1));
         for peer in self.peers.values() {
-            let (known, heard) = places.entry(&peer.data_centre).or_default();
+            let (known, live) = data_centres.entry(&peer.data_centre).or_default();
             if *known < SPEAKERS {
                 *known += 1;
-                *heard += usize::from(peer.is_live(now));
+                *live += usize::from(peer.is_live(now));
             }
         }
-        places.values().fold((0, 0), |sum, place| (sum.0 + place.0, sum.1 + place.1))
+        data_centres.values().fold((0, 0), |sum, counts| (sum.0 + counts.0, sum.1 + counts.1))
     }
 
-    /// Count of known relays of a data centre beside this one.
+    /// Returns the number of known peers in a data centre.
     pub fn known_count_in(&self, data_centre: &str) -> usize {
         self.peers.values().filter(|peer| peer.data_centre == data_centre).count()
     }
 
-    /// Relays whose VMs must be gone and whose objects this relay is to remove from the store: the first of each data centre
-    /// removes those there, and where none is left the one that gives the first orders.
+    /// Returns the relays whose VMs must be gone and whose objects this relay is to remove from the
+    /// store. The first live relay of a data centre removes those of its own; if a data centre has
+    /// no relay left, the relay that gives orders removes them.
     pub fn removable(
         &self,
         own: &str,
@@ -188,36 +203,36 @@
     ) -> Vec<String> {
         let is_data_centre_leader =
             !self.is_member && self.is_data_centre_leader(own, data_centre, now);
-        let is_first = !self.is_member && self.is_leader(own, fleet_is_fresh, now);
-        let is_left = |place: &str| {
-            let mut there = self.peers.values().filter(|peer| peer.data_centre == place);
-            there.any(|peer| !peer.is_gone(now))
+        let is_leader = !self.is_member && self.is_leader(own, fleet_is_fresh, now);
+        let has_relays = |data_centre: &str| {
+            let mut there = self.peers.values().filter(|peer| peer.data_centre == data_centre);
+            there.any(|peer| !peer.is_expired(now))
         };
-        let gone = self.peers.iter().filter(|(_, peer)| peer.is_gone(now));
+        let gone = self.peers.iter().filter(|(_, peer)| peer.is_expired(now));
         let removable = gone.filter(|(_, peer)| match peer.data_centre == data_centre {
             true => is_data_centre_leader,
-            false => is_first && !is_left(&peer.data_centre),
+            false => is_leader && !has_relays(&peer.data_centre),
         });
         removable.map(|(name, _)| name.clone()).collect()
     }
 
-    fn pass_over_silent(&mut self, now: Millis) {
+    fn skip_silent(&mut self, now: Millis) {
         for peer in self.peers.values_mut() {
-            let Some(since) = peer.told_since else { continue };
-            let heard = peer.heard.unwrap_or_default().max(since);
-            if now.saturating_sub(heard) >= PEER_TIMEOUT {
-                peer.passed_until = now + PASS_TIME;
-                peer.told_since = None;
+            let Some(since) = peer.sending_since else { continue };
+            let last_heard = peer.last_heard.unwrap_or_default().max(since);
+            if now.saturating_sub(last_heard) >= PEER_TIMEOUT {
+                peer.skipped_until = now + SKIP_TIME;
+                peer.sending_since = None;
             }
         }
     }
 
-    /// Speakers of a data centre by name, those passed over left out.
+    /// Returns the speakers of a data centre by name, without those that are skipped.
     fn near_speakers(&self, own: &str, data_centre: &str, now: Millis) -> Vec<String> {
-        let near = self.near(data_centre).filter(|(_, peer)| peer.passed_until <= now);
+        let near = self.near(data_centre).filter(|(_, peer)| peer.skipped_until <= now);
         let mut names: Vec<&str> = near.map(|(name, _)| name).take(SPEAKERS).collect();
-        let place = names.partition_point(|name| *name < own);
-        names.insert(place, own);
+        let index = names.partition_point(|name| *name < own);
+        names.insert(index, own);
         names.truncate(SPEAKERS);
         names.into_iter().map(str::to_owned).collect()
     }
@@ -227,9 +242,10 @@
         near.map(|(name, peer)| (name.as_str(), peer))
     }
 
-    /// The speakers that a member reports to: those that come first by the hash of both names, so that each speaker gets an
-    /// even part. The first of them that is heard counts what it promised.
-    fn report_legs(
+    /// Returns the speakers that a member reports to: the first ones by the hash of both names, so
+    /// that members spread evenly over the speakers. The first live one of them counts the member's
+    /// reservations.
+    fn report_links(
         &self,
         own: &str,
         speakers: &[String],
@@ -238,86 +254,90 @@
         let seed = hash_bytes(0, own.as_bytes());
         let mut ranked: Vec<&String> = speakers.iter().collect();
         ranked.sort_by_key(|name| Reverse(hash_bytes(seed, name.as_bytes())));
-        ranked.truncate(REPORTED_TO);
+        ranked.truncate(SPEAKERS_PER_MEMBER);
         let is_live =
             |name: &&String| self.peers.get(name.as_str()).is_some_and(|peer| peer.is_live(now));
         let counting = ranked.iter().find(|name| is_live(name)).or(ranked.first()).copied();
-        let leg = |name: &String| match counting == Some(name) {
+        let link = |name: &String| match counting == Some(name) {
             true => GossipLink::Report(ReportKind::Counted),
             false => GossipLink::Report(ReportKind::Spare),
         };
-        ranked.iter().map(|name| ((*name).clone(), leg(name))).collect()
+        ranked.iter().map(|name| ((*name).clone(), link(name))).collect()
     }
 
-    /// Speakers of all data centres, and whoever takes itself for one. Those passed over are told all the same, beside those in
-    /// their place: one that is back, or was cut off, learns at once that the others are there.
-    fn speaker_legs(
+    /// Returns the speakers of all data centres, and all relays that act as speakers. Skipped ones
+    /// are sent to as well, beside those that take their place: a relay that is back, or was cut
+    /// off, learns at once that the others are there.
+    fn speaker_links(
         &self,
         own: &str,
         data_centre: &str,
         speakers: Vec<String>,
         now: Millis,
     ) -> BTreeMap<String, GossipLink> {
-        let mut legs: BTreeMap<String, GossipLink> = BTreeMap::new();
-        let mut places: BTreeMap<&str, Vec<(&str, &Peer)>> = BTreeMap::new();
+        let mut links: BTreeMap<String, GossipLink> = BTreeMap::new();
+        let mut data_centres: BTreeMap<&str, Vec<(&str, &Peer)>> = BTreeMap::new();
         for (name, peer) in &self.peers {
-            places.entry(&peer.data_centre).or_default().push((name, peer));
+            data_centres.entry(&peer.data_centre).or_default().push((name, peer));
         }
-        for (place, peers) in &places {
-            let leg = if *place == data_centre { GossipLink::Near } else { GossipLink::Far };
-            let heeded = peers.iter().filter(|(_, peer)| peer.passed_until <= now);
-            let all = first_of(peers.iter().map(|(name, _)| *name));
-            let speaks = |peer: &Peer| peer.is_live(now) && !peer.state.is_member;
-            let speaking = peers.iter().filter(|(_, peer)| speaks(peer)).map(|(name, _)| *name);
-            let first = first_of(heeded.map(|(name, _)| *name));
-            let told = all.into_iter().chain(first).chain(speaking);
-            legs.extend(told.map(|name| (name.to_owned(), leg)));
+        for (name, peers) in &data_centres {
+            let link = if *name == data_centre { GossipLink::Near } else { GossipLink::Far };
+            let not_skipped = peers.iter().filter(|(_, peer)| peer.skipped_until <= now);
+            let all = first_speakers(peers.iter().map(|(name, _)| *name));
+            let is_speaker = |peer: &Peer| peer.is_live(now) && !peer.state.is_member;
+            let acting = peers.iter().filter(|(_, peer)| is_speaker(peer)).map(|(name, _)| *name);
+            let first = first_speakers(not_skipped.map(|(name, _)| *name));
+            let receivers = all.into_iter().chain(first).chain(acting);
+            links.extend(receivers.map(|name| (name.to_owned(), link)));
         }
         let near = speakers.into_iter().filter(|name| name != own);
-        legs.extend(near.map(|name| (name, GossipLink::Near)));
-        legs
+        links.extend(near.map(|name| (name, GossipLink::Near)));
+        links
     }
 
-    /// Notes since when each relay is told, from which its silence counts.
-    fn note_told(&mut self, legs: &BTreeMap<String, GossipLink>, now: Millis) {
+    /// Records since when each relay is sent to, from which its silence counts.
+    fn record_sending(&mut self, links: &BTreeMap<String, GossipLink>, now: Millis) {
         for (name, peer) in &mut self.peers {
-            let is_told = legs.contains_key(name) && peer.passed_until <= now;
-            peer.told_since = is_told.then(|| peer.told_since.unwrap_or(now));
+            let is_sent_to = links.contains_key(name) && peer.skipped_until <= now;
+            peer.sending_since = is_sent_to.then(|| peer.sending_since.unwrap_or(now));
         }
     }
 
     /// Adds the members of this relay.
     fn with_members(
         &self,
-        mut legs: BTreeMap<String, GossipLink>,
+        mut links: BTreeMap<String, GossipLink>,
         now: Millis,
     ) -> BTreeMap<String, GossipLink> {
         for (name, peer) in &self.peers {
             let Some((kind, at)) = peer.report else { continue };
-            if now.saturating_sub(at) < MEMBER_KEPT {
-                legs.insert(name.clone(), GossipLink::Member(kind));
+            if now.saturating_sub(at) < MEMBER_RETENTION {
+                links.insert(name.clone(), GossipLink::Member(kind));
             }
         }
-        legs
+        links
     }
 }
 
 impl Peer {
-    /// How it reports to this relay, where it was heard lately.
-    fn reports_now(&self, now: Millis) -> ReportKind {
+    /// Returns how it reports to this relay, if it is live.
+    fn current_report(&self, now: Millis) -> ReportKind {
         self.report.filter(|_| self.is_live(now)).map_or(ReportKind::None, |(kind, _)| kind)
     }
 
-    /// Whether it is one that others are asked to give grants, by its own word or that of a relay that hears it.
+    /// Returns whether relays ask it for grants of rate limits, by its own report or by that of a
+    /// relay that hears it.
     pub(super) fn keeps_limits(&self, now: Millis) -> bool {
-        let is_vouched = self.vouched.is_some_and(|at| now.saturating_sub(at) < PEER_TIMEOUT);
-        self.is_live(now) && self.state.keeps_limits || is_vouched
+        let is_reported =
+            self.coordinator_reported.is_some_and(|at| now.saturating_sub(at) < PEER_TIMEOUT);
+        self.is_live(now) && self.state.keeps_limits || is_reported
     }
 
-    /// Whether nobody heard it for so long that its VM must be gone.
-    pub(super) fn is_gone(&self, now: Millis) -> bool {
-        let words = [self.heard, self.alive, self.vouched, Some(self.learnt)];
-        let last = words.into_iter().flatten().max().unwrap_or_default();
+    /// Returns whether nobody has heard it for so long that its VM must be gone.
+    pub(super) fn is_expired(&self, now: Millis) -> bool {
+        let signs =
+            [self.last_heard, self.live_reported, self.coordinator_reported, Some(self.added_at)];
+        let last = signs.into_iter().flatten().max().unwrap_or_default();
         now.saturating_sub(last) >= PEER_EXPIRY
     }
 }
--- a/crates/router/src/membership/proofs.rs
+++ b/crates/router/src/membership/proofs.rs
@@ -1,38 +1,39 @@
-//! What messages between relays prove.
+//! Proofs of freshness in messages between relays.
 //!
-//! What a follower is told is worth as much as a read of its own only where its age is bounded. Clocks
-//! of two VMs are not compared for that. A relay stamps what it sends; the other returns the newest
-//! stamp with how long it held it, and how old its proof is by its own clock. The proof is then at
-//! least as young, by the first one's clock, as [`proof_time`] says, however long messages took.
+//! State that another relay reports is worth as much as a read of one's own only if its age is
+//! bounded. Clocks of two VMs are not compared for that. A relay stamps its messages; the receiver
+//! returns the newest stamp with the time since it arrived and the age of its own proof by its own
+//! clock. By the first relay's clock the proof is then at least as young as [`proof_time`] says,
+//! however long the messages took.
 
 use super::{PeerState, PeerTable};
 use crate::Millis;
 
-/// A relay's clock at some moment, as it stamps its messages.
+/// A reading of a relay's clock, which it puts into its messages.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct PeerStamp {
-    /// Number drawn at the relay's start: the clock begins anew with each.
+    /// Random number drawn at the relay's start; its clock starts at 0 with each.
     pub incarnation: u32,
-    /// The relay's clock.
+    /// Time since the relay's start, in milliseconds.
     pub time: Millis,
 }
 
 impl PeerStamp {
-    /// Whether it was made before another one of the same start. Stamps of two starts have no order; a
-    /// relay that is heard again soon sets that right.
+    /// Returns whether it was made before another stamp of the same incarnation. Stamps of two
+    /// incarnations have no order; the next message of the relay resolves that.
     pub fn is_before(self, other: Self) -> bool {
         self.incarnation == other.incarnation && self.time < other.time
     }
 }
 
-/// What a relay holds itself, to be compared with what another one proves.
+/// State that this relay holds itself, to be compared with what another relay proves.
 #[derive(Clone, Copy, Debug)]
 pub struct OwnState<'a> {
     /// Its name.
     pub name: &'a str,
     /// Its data centre.
     pub data_centre: &'a str,
-    /// Number drawn at its start.
+    /// Random number drawn at its start.
     pub incarnation: u32,
     /// Version of its configuration.
     pub config_version: u64,
@@ -40,17 +41,18 @@
     pub fleet_digest: u64,
 }
 
-/// Times, by a relay's own clock, that another one proves of something that both hold alike.
+/// What another relay proves of state that both hold, by this relay's own clock.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct PeerProof {
-    /// As of when it held.
+    /// Time at which the state was in force; negative before this relay's start.
     pub proved: Option<i64>,
-    /// When the store last answered for it.
+    /// Time at which the store last answered a read of it.
     pub answered: Option<Millis>,
 }
 
 impl PeerProof {
-    /// What an answer proves to a question asked at `asked`, with ages by the clock of whoever answered.
+    /// Returns what a response proves to a request sent at `asked`; the ages are by the clock of
+    /// the responder.
     pub fn from_response(asked: Millis, proved_age: Millis, answered_age: Millis) -> Self {
         let proved = Some(asked as i64 - proved_age as i64);
         Self { proved, answered: asked.checked_sub(answered_age) }
@@ -60,26 +62,30 @@
 /// What a message of another relay proves.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct PeerProofs {
-    /// Of the configuration.
+    /// Proof of the configuration.
     pub config: PeerProof,
-    /// Of the list of replicas.
+    /// Proof of the list of replicas.
     pub fleet: PeerProof,
 }
 
-/// The time, by this relay's clock, since which a peer's proof has held at least: `stamp` is this
-/// relay's own stamp that the peer returned, `held` how long the peer held it, `age` the proof's age.
-/// Nothing where the stamp is of an earlier start, whose clock says nothing of this one's. A clock begins at 0 with each
-/// start, so that times before are negative: taken for 0, an old proof would count as a young one at a relay that has
-/// just started, which tells it to the others as such; taken for none, relays refuse keys for seconds after a stop of
-/// all.
+/// Returns the time, by this relay's clock, at or after which a peer's state was proved.
+///
+/// `stamp` is this relay's own stamp as the peer returned it, `held` the time for which the peer
+/// held it, and `age` the age of the peer's proof. Returns `None` for a stamp of an earlier
+/// incarnation, whose clock is unrelated to the present one. Since a clock starts at 0, times
+/// before the start are negative. If they were clamped to 0, a relay that has just started would
+/// take an old proof for a young one and pass it on as such; if they were dropped, relays would
+/// refuse keys for seconds after a stop of all.
 pub fn proof_time(stamp: PeerStamp, incarnation: u32, held: Millis, age: Millis) -> Option<i64> {
     let own = stamp.incarnation == incarnation;
     own.then(|| (stamp.time + held) as i64 - age as i64)
 }
 
 impl PeerTable {
-    /// Reads the proofs in a message of a relay of the same data centre: `echo` is this relay's own stamp
-    /// that the message returned, with how long it was held. Only what this relay holds itself is proved.
+    /// Reads the proofs in a message of a relay of the same data centre.
+    ///
+    /// `echo` is this relay's own stamp as the message returned it, with the time for which the
+    /// peer held it. A proof counts only for state that this relay holds itself.
     pub fn read_proofs(
         &mut self,
         own: OwnState<'_>,
@@ -105,14 +111,15 @@
         proofs
     }
 
-    /// Notes when the store answered another relay for the configuration and for the list of replicas.
+    /// Records when the store answered another relay's reads of the configuration and of the list
+    /// of replicas.
     pub fn record_answers(&mut self, config: Option<Millis>, fleet: Option<Millis>) {
         self.config_answered = self.config_answered.max(config);
         self.fleet_answered = self.fleet_answered.max(fleet);
     }
 }
 
-/// A time by this relay's clock, where it is not before its start.
+/// Converts a time by this relay's clock; `None` if it lies before its start.
 fn after_start(time: Option<i64>) -> Option<Millis> {
     time.and_then(|time| Millis::try_from(time).ok())
 }
--- a/crates/router/src/membership/sources.rs
+++ b/crates/router/src/membership/sources.rs
@@ -1,4 +1,5 @@
-//! Who follows the store for a relay, and whom it asks for what the store holds.
+//! Which relay reads the store on behalf of another one, and which relay is asked for a snapshot of
+//! the store's state.
 
 use std::{net::SocketAddr, ops::Bound};
 
@@ -7,37 +8,41 @@
 use super::{PEER_TIMEOUT, Peer, PeerTable, name_hash};
 use crate::{Millis, follow::SourceOrder};
 
-/// Time since another relay's last answer of the store up to which it spares a relay its own reads, in
-/// milliseconds. The one that follows has an answer every wait of a second and pause of 150 ms, and tells it
-/// within 200 ms; that leaves one message to be lost. The least of the users' bounds on old state is 2 s: a tenth
-/// of a second passes until the age is looked at, and the read itself takes its time.
+/// Time since the store last answered another relay's read up to which that read replaces one's
+/// own, in milliseconds.
+///
+/// The reading relay gets an answer in each period of a 1 s watch and a 150 ms pause, and reports
+/// it within 200 ms; the rest allows for one lost message. The smallest bound on old state that
+/// users can set is 2 s: a tenth of a second passes until the age is checked, and the read itself
+/// takes time.
 pub const MAX_PEER_READ_AGE: Millis = 1_600;
 
-/// A relay that can tell what the store holds.
+/// A relay that can send a snapshot of the store's state.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct SnapshotSource<'a> {
     /// Its name.
     pub name: &'a str,
-    /// Where it is.
+    /// Its address.
     pub address: SocketAddr,
-    /// Whether it comes before the asking relay, or behind.
+    /// Whether it precedes the asking relay by name.
     pub order: SourceOrder,
 }
 
-/// Counts of live relays of a data centre before one of them.
+/// Numbers of live relays of a data centre that precede one of them.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct PrecedingPeers {
     /// All of them.
     pub live: usize,
-    /// Those that lost the store for the configuration.
+    /// Those whose last read of the configuration failed.
     pub lost_config: usize,
-    /// Those that lost the store for the list of replicas.
+    /// Those whose last read of the list of replicas failed.
     pub lost_fleet: usize,
 }
 
 impl PeerTable {
-    /// Whether another relay of the data centre follows the configuration for this one, which has
-    /// `version`. One that says that it lost the store ends that at once, whatever it proved before.
+    /// Returns whether another relay of the data centre reads the configuration on behalf of this
+    /// one, which has `version`. A relay that reports a failed read does not, whatever it proved
+    /// before.
     pub fn config_read_by_peer(
         &self,
         own: &str,
@@ -47,11 +52,12 @@
     ) -> bool {
         let newer = self.peer_has_newer_config(own, data_centre, version, now);
         let mut followed =
-            self.earlier(own, data_centre, now).filter(|peer| !peer.state.config_is_lost);
+            self.preceding_peers(own, data_centre, now).filter(|peer| !peer.state.config_is_lost);
         is_recent(self.config_answered, now) && !newer && followed.next().is_some()
     }
 
-    /// Whether a relay of the data centre that may follow for this one has a newer configuration.
+    /// Returns whether a relay of the data centre that may read on behalf of this one has a newer
+    /// configuration.
     pub fn peer_has_newer_config(
         &self,
         own: &str,
@@ -59,21 +65,21 @@
         version: u64,
         now: Millis,
     ) -> bool {
-        self.earlier(own, data_centre, now).any(|peer| peer.state.config_version > version)
+        self.preceding_peers(own, data_centre, now).any(|peer| peer.state.config_version > version)
     }
 
-    /// Whether another relay of the data centre follows the list of replicas for this one; as
-    /// [`PeerTable::config_read_by_peer`].
+    /// Returns whether another relay of the data centre reads the list of replicas on behalf of
+    /// this one, like [`PeerTable::config_read_by_peer`].
     pub fn fleet_read_by_peer(&self, own: &str, data_centre: &str, now: Millis) -> bool {
         let same = self.digest_differs_since.is_none_or(|since| now - since < DIGEST_GRACE);
-        let mut followed = self.earlier(own, data_centre, now);
+        let mut followed = self.preceding_peers(own, data_centre, now);
         is_recent(self.fleet_answered, now)
             && same
             && followed.any(|peer| peer.state.fleet_is_fresh && !peer.state.fleet_is_lost)
     }
 
-    /// Compares this relay's list of replicas with that of the one that it follows; tells whether they
-    /// are the same.
+    /// Compares this relay's list of replicas with that of the relay that reads on its behalf;
+    /// returns whether they are the same.
     pub fn compare_digest(
         &mut self,
         own: &str,
@@ -81,7 +87,8 @@
         digest: u64,
         now: Millis,
     ) -> bool {
-        let first = self.earlier(own, data_centre, now).find(|peer| peer.state.fleet_is_fresh);
+        let first =
+            self.preceding_peers(own, data_centre, now).find(|peer| peer.state.fleet_is_fresh);
         let same = first.is_none_or(|first| first.state.fleet_digest == digest);
         self.digest_differs_since = match (same, self.digest_differs_since) {
             (true, _) => None,
@@ -90,8 +97,9 @@
         same
     }
 
-    /// Relay of the data centre that can tell the configuration to one that has `version`: the first by name
-    /// that has a newer one, or that the store answered lately.
+    /// Returns the relay of the data centre to ask for the configuration: the first one by name
+    /// that has a newer version than `version`, or that has the same one and whose read the store
+    /// answered recently.
     pub fn config_source<'a>(
         &'a self,
         own: &str,
@@ -99,90 +107,96 @@
         version: u64,
         now: Millis,
     ) -> Option<SnapshotSource<'a>> {
-        self.teller(own, data_centre, now, |peer| {
+        self.first_source(own, data_centre, now, |peer| {
             let state = &peer.state;
             let age = state.config_answer_age.filter(|_| !state.config_is_lost);
             state.config_version > version
-                || (state.config_version == version && peer.is_within_followed_age(age, now))
+                || (state.config_version == version && peer.is_recent_read(age, now))
         })
     }
 
-    /// Relay of the data centre that can tell the list of replicas: the first by name that reads the store itself,
-    /// and that it answered lately. What others hold was told to them, and is as of no one revision; it serves one
-    /// that `holds_none` all the same, which can only be better off. Whoever holds none asks one of those that hold a
-    /// recent list, each another one: after a stop of all, a hundred relays that asked the one that reads the
-    /// store would want all of its link at once.
+    /// Returns the relay of the data centre to ask for the list of replicas.
+    ///
+    /// It is the first one by name that reads the store itself and got a recent answer. The lists
+    /// of other relays were sent to them and do not belong to one revision. A relay that
+    /// `has_no_list` takes one of those all the same, since it can only gain. Each such relay asks
+    /// another one of those that have a recent list: after a stop of all, a hundred relays that
+    /// asked the single reader would need all of its link at once.
     pub fn fleet_source<'a>(
         &'a self,
         own: &str,
         data_centre: &str,
-        holds_none: bool,
+        has_no_list: bool,
         now: Millis,
     ) -> Option<SnapshotSource<'a>> {
         let reads = |peer: &Peer| {
             let age = peer.state.fleet_read_age.filter(|_| !peer.state.fleet_is_lost);
-            peer.is_within_followed_age(age, now)
+            peer.is_recent_read(age, now)
         };
-        if !holds_none {
-            let heard = self.teller(own, data_centre, now, reads);
-            return heard.or_else(|| self.vouched_reader(own, now));
+        if !has_no_list {
+            let direct = self.first_source(own, data_centre, now, reads);
+            return direct.or_else(|| self.reported_reader(own, now));
         }
-        let drawn = self.drawn_teller(own, data_centre, now, |peer| peer.state.fleet_is_fresh);
-        drawn.or_else(|| self.teller(own, data_centre, now, |peer| peer.state.fleet_age.is_some()))
+        let hashed = self.hashed_source(own, data_centre, now, |peer| peer.state.fleet_is_fresh);
+        hashed.or_else(|| {
+            self.first_source(own, data_centre, now, |peer| peer.state.fleet_age.is_some())
+        })
     }
 
-    /// The one of those that can tell that this relay asks: by the hash of both names, so that others ask others.
-    fn drawn_teller<'a>(
+    /// Returns the source that this relay asks, chosen by the hash of both names, so that other
+    /// relays ask other sources.
+    fn hashed_source<'a>(
         &'a self,
         own: &str,
         data_centre: &str,
         now: Millis,
-        can_tell: impl Fn(&Peer) -> bool,
+        can_provide: impl Fn(&Peer) -> bool,
     ) -> Option<SnapshotSource<'a>> {
         let seed = hash_bytes(0, own.as_bytes());
         let near = self.peers.iter().filter(|(_, peer)| peer.data_centre == data_centre);
-        let able = near.filter(|(_, peer)| peer.is_live(now) && can_tell(peer));
+        let able = near.filter(|(_, peer)| peer.is_live(now) && can_provide(peer));
         let (name, peer) = able.max_by_key(|(name, _)| hash_bytes(seed, name.as_bytes()))?;
-        Some(SnapshotSource { name, address: peer.address, order: teller_place(name, own) })
+        Some(SnapshotSource { name, address: peer.address, order: source_order(name, own) })
     }
 
-    /// The relay that reads the list of replicas, which a member does not hear itself.
-    fn vouched_reader<'a>(&'a self, own: &str, now: Millis) -> Option<SnapshotSource<'a>> {
+    /// Returns the relay that reads the list of replicas, which a member does not hear itself.
+    fn reported_reader<'a>(&'a self, own: &str, now: Millis) -> Option<SnapshotSource<'a>> {
         let reader = self.reader.as_ref().filter(|_| self.is_member);
         let (name, _) = reader.filter(|(_, at)| now.saturating_sub(*at) < PEER_TIMEOUT)?;
         let address = self.peers.get(name)?.address;
-        Some(SnapshotSource { name, address, order: teller_place(name, own) })
+        Some(SnapshotSource { name, address, order: source_order(name, own) })
     }
 
-    /// Hash of the name of the relay that reads the list of replicas for the data centre, where another one does.
+    /// Returns the hash of the name of the relay that reads the list of replicas for the data
+    /// centre, if it is another one.
     pub fn reader_hash(&self, data_centre: &str, now: Millis) -> Option<u32> {
         let near = self.peers.values().filter(|peer| peer.data_centre == data_centre);
         let mut readers = near.filter(|peer| {
             let age = peer.state.fleet_read_age.filter(|_| !peer.state.fleet_is_lost);
-            peer.is_within_followed_age(age, now)
+            peer.is_recent_read(age, now)
         });
-        let heard = readers.next().map(|peer| peer.hash);
-        heard.or_else(|| self.vouched_reader("", now).map(|reader| name_hash(reader.name)))
+        let direct = readers.next().map(|peer| peer.hash);
+        direct.or_else(|| self.reported_reader("", now).map(|reader| name_hash(reader.name)))
     }
 
-    fn teller<'a>(
+    fn first_source<'a>(
         &'a self,
         own: &str,
         data_centre: &str,
         now: Millis,
-        can_tell: impl Fn(&Peer) -> bool,
+        can_provide: impl Fn(&Peer) -> bool,
     ) -> Option<SnapshotSource<'a>> {
         let near = self.peers.iter().filter(|(_, peer)| peer.data_centre == data_centre);
         let mut live = near.filter(|(_, peer)| peer.is_live(now));
-        let (name, peer) = live.find(|(_, peer)| can_tell(peer))?;
-        Some(SnapshotSource { name, address: peer.address, order: teller_place(name, own) })
+        let (name, peer) = live.find(|(_, peer)| can_provide(peer))?;
+        Some(SnapshotSource { name, address: peer.address, order: source_order(name, own) })
     }
 
-    /// Count of live relays of the data centre before this one, and of those among them that lost the store
-    /// for the configuration and for the list of replicas.
+    /// Returns the numbers of live relays of the data centre that precede this one, and of those
+    /// whose reads failed.
     pub fn preceding(&self, own: &str, data_centre: &str, now: Millis) -> PrecedingPeers {
         let mut before = PrecedingPeers::default();
-        for peer in self.earlier(own, data_centre, now) {
+        for peer in self.preceding_peers(own, data_centre, now) {
             before.live += 1;
             before.lost_config += usize::from(peer.state.config_is_lost);
             before.lost_fleet += usize::from(peer.state.fleet_is_lost);
@@ -190,23 +204,23 @@
         before
     }
 
-    /// First live relay of the data centre by name, this one apart.
+    /// Returns the first live peer of the data centre by name.
     pub fn first_live_peer<'a>(
         &'a self,
         own: &str,
         data_centre: &str,
         now: Millis,
     ) -> Option<SnapshotSource<'a>> {
-        self.teller(own, data_centre, now, |_| true)
+        self.first_source(own, data_centre, now, |_| true)
     }
 
-    /// Whether no live relay of the data centre comes before this one by name.
+    /// Returns whether no live relay of the data centre precedes this one by name.
     pub fn is_data_centre_leader(&self, own: &str, data_centre: &str, now: Millis) -> bool {
-        self.earlier(own, data_centre, now).next().is_none()
+        self.preceding_peers(own, data_centre, now).next().is_none()
     }
 
-    /// Live relays of the data centre before this one by name.
-    fn earlier<'a>(
+    /// Returns the live relays of the data centre that precede this one by name.
+    fn preceding_peers<'a>(
         &'a self,
         own: &'a str,
         data_centre: &'a str,
@@ -219,15 +233,15 @@
     }
 }
 
-fn teller_place(name: &str, own: &str) -> SourceOrder {
+fn source_order(name: &str, own: &str) -> SourceOrder {
     match name < own {
         true => SourceOrder::Before,
-        false => SourceOrder::Behind,
+        false => SourceOrder::After,
     }
 }
 
-/// Time for which two lists of replicas may differ, in milliseconds: a change is told at once, and a
-/// lost message shows in the next two.
+/// Time for which two lists of replicas may differ, in milliseconds: a change is sent at once, and
+/// after a lost message one of the next two reveals it.
 const DIGEST_GRACE: Millis = 500;
 
 fn is_recent(answered: Option<Millis>, now: Millis) -> bool {
@@ -235,9 +249,9 @@
 }
 
 impl Peer {
-    /// Whether an age that it told is below [`MAX_PEER_READ_AGE`] by now.
-    fn is_within_followed_age(&self, told: Option<Millis>, now: Millis) -> bool {
-        let since = self.heard.map(|heard| now.saturating_sub(heard));
+    /// Returns whether a reported age, advanced to now, is below [`MAX_PEER_READ_AGE`].
+    fn is_recent_read(&self, told: Option<Millis>, now: Millis) -> bool {
+        let since = self.last_heard.map(|last_heard| now.saturating_sub(last_heard));
         told.zip(since).is_some_and(|(told, since)| told + since < MAX_PEER_READ_AGE)
     }
 }
--- a/crates/router/tests/gossip_model/mod.rs
+++ b/crates/router/tests/gossip_model/mod.rs
@@ -258,7 +258,7 @@
     fn greet_all(&mut self, relay: usize, now: Millis) {
         for to in (0..self.day.relays).filter(|to| *to != relay) {
             let name = self.relays[to].name.clone();
-            let peer = GossipPeer { name, address: address(to), leg: GossipLink::Near };
+            let peer = GossipPeer { name, address: address(to), link: GossipLink::Near };
             let message = Message { load: Load::Untold, ..self.message(relay, &peer, now) };
             self.send(relay, to, message, now);
         }
@@ -266,7 +266,7 @@
 
     fn tell(&mut self, relay: usize, now: Millis, is_due: impl Fn(&str, GossipLink) -> bool) {
         let circle = self.relays[relay].circle.clone();
-        for peer in circle.peers.iter().filter(|peer| is_due(&peer.name, peer.leg)) {
+        for peer in circle.peers.iter().filter(|peer| is_due(&peer.name, peer.link)) {
             let message = self.message(relay, peer, now);
             let to = peer.name[1..].parse().expect("a number");
             self.send(relay, to, message, now);
@@ -275,13 +275,13 @@
 
     fn message(&self, from: usize, peer: &GossipPeer, now: Millis) -> Message {
         let own = &self.relays[from];
-        let (report, reach) = match peer.leg {
+        let (report, reach) = match peer.link {
             GossipLink::Report(kind) => (kind, UpdateAudience::Speakers),
             GossipLink::Near | GossipLink::Far => (ReportKind::None, UpdateAudience::Speakers),
             GossipLink::Member(_) => (ReportKind::None, UpdateAudience::Members),
         };
         let counts = |name: &str| own.peers.report_kind(name, now) == ReportKind::Counted;
-        let load = match peer.leg {
+        let load = match peer.link {
             GossipLink::Member(ReportKind::Counted) => {
                 let total = own.room.total_without(&peer.name);
                 Load::Sums(total.map(|(instance, amount)| (instance.clone(), amount)).collect())
@@ -297,7 +297,7 @@
         let suspects = own.suspects.shared_with(reach, now);
         let mut keepers = Vec::new();
         if reach == UpdateAudience::Members {
-            keepers = own.peers.keeper_hashes(now);
+            keepers = own.peers.coordinator_hashes(now);
             keepers.extend((!own.circle.is_member).then(|| name_hash(&own.name)));
         }
         Message {
@@ -335,7 +335,7 @@
             return;
         }
         own.peers.record_report(&name, report, now);
-        own.peers.record_vouched(&message.keepers, None, now);
+        own.peers.record_reported_roles(&message.keepers, None, now);
         let is_counted = report == ReportKind::Counted;
         match &message.load {
             Load::Gathered(load) if !own.circle.is_member || is_counted => {
--- a/crates/router/tests/outages.rs
+++ b/crates/router/tests/outages.rs
@@ -76,7 +76,7 @@
             !is_lost && reads.is_some_and(|at| now - at < 1_600)
         };
         let teller = (0..heard.len()).filter(|other| *other != relay).find(reads);
-        let place = |other| if other < relay { SourceOrder::Before } else { SourceOrder::Behind };
+        let place = |other| if other < relay { SourceOrder::Before } else { SourceOrder::After };
         let answered = self.relays[relay][kind].answered;
         FollowInputs {
             is_read_by_peer: teller.is_some_and(|other| other < relay)
