--- a/crates/core/benches/decisions.rs
+++ b/crates/core/benches/decisions.rs
@@ -100,7 +100,7 @@
 fn ledgers(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("ledger_admit_finish");
     for capacity in [1_000_usize, 10_000, 100_000] {
-        let mut ledger = RequestLedger::new(LedgerConfig { capacity, incarnations: 4_096 });
+        let mut ledger = RequestLedger::new(LedgerConfig { capacity, max_incarnations: 4_096 });
         let mut counter = 0;
         group.bench_function(BenchmarkId::from_parameter(capacity), |bencher| {
             bencher.iter(|| {
--- a/crates/core/src/affinity.rs
+++ b/crates/core/src/affinity.rs
@@ -2,7 +2,7 @@
 //!
 //! Weighted rendezvous hashing ranks the replicas of the first stage for each prompt prefix of an
 //! organisation. The highest-ranked replica whose load is within the bound is chosen. Affinity
-//! affects only latency: a replica with a cold cache gives the same answer, later.
+//! affects only latency: a replica with a cold cache generates the same completion, later.
 
 use crate::hash::hash_bytes;
 
--- a/crates/core/src/assembly.rs
+++ b/crates/core/src/assembly.rs
@@ -1,4 +1,4 @@
-//! Reassembly of an answer from tokens that arrive late, more than once or out of order.
+//! Reassembly of a completion from tokens that arrive late, more than once or out of order.
 
 use std::collections::BTreeMap;
 
@@ -7,16 +7,16 @@
 pub struct AssemblyCounts {
     /// Tokens whose index had been received already.
     pub duplicates: u64,
-    /// Tokens beyond the end of the answer.
+    /// Tokens beyond the end of the completion.
     pub past_end: u64,
 }
 
-/// Reorder buffer for the answer to one request: each index is delivered once, in order.
+/// Reorder buffer for the completion of one request: each index is delivered once, in order.
 ///
 /// Memory: the delivered tokens, which a new attempt needs as its prefix, and the tokens that wait
 /// for an earlier one; together at most `limit`.
 #[derive(Clone, Debug)]
-pub struct AnswerAssembly {
+pub struct CompletionAssembly {
     limit: u32,
     delivered: Vec<u32>,
     pending: BTreeMap<u32, u32>,
@@ -24,8 +24,8 @@
     counts: AssemblyCounts,
 }
 
-impl AnswerAssembly {
-    /// Creates an assembly for an answer of at most `limit` tokens.
+impl CompletionAssembly {
+    /// Creates an assembly for a completion of at most `limit` tokens.
     pub fn new(limit: u32) -> Self {
         Self {
             limit,
@@ -55,7 +55,7 @@
         self.delivered.get(before..).unwrap_or_default()
     }
 
-    /// Sets the length of the answer, as the end marker gives it. Only the first call has an
+    /// Sets the length of the completion, as the end marker gives it. Only the first call has an
     /// effect.
     pub fn set_total(&mut self, total: u32) {
         if self.total.is_none() {
--- a/crates/core/src/claim.rs
+++ b/crates/core/src/claim.rs
@@ -114,9 +114,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct ClaimShard {
     holders: HashMap<ClaimKey, ClaimRecord>,
-    number: u32,
+    segment_number: u32,
     version: u64,
-    last: ClaimSegment,
+    last_segment: ClaimSegment,
 }
 
 impl ClaimShard {
@@ -127,7 +127,7 @@
 
     /// Returns the number of the segment to read or write next: the last one, as far as is known.
     pub fn segment_number(&self) -> u32 {
-        self.number
+        self.segment_number
     }
 
     /// Returns the number of known claims.
@@ -156,12 +156,12 @@
         }
         let sealed = segment.sealed;
         if sealed {
-            self.number += 1;
+            self.segment_number += 1;
             self.version = 0;
-            self.last = ClaimSegment::default();
+            self.last_segment = ClaimSegment::default();
         } else {
             self.version = version;
-            self.last = segment;
+            self.last_segment = segment;
         }
         sealed
     }
@@ -172,7 +172,7 @@
     /// The first proposal for a key wins. After [`ClaimShard::apply_write`], or after reading the
     /// segment again, [`ClaimShard::holder`] returns the holder of each key.
     pub fn plan(&self, proposals: &[ClaimProposal], now: Millis) -> Option<ClaimWrite> {
-        let mut segment = self.last.clone();
+        let mut segment = self.last_segment.clone();
         let mut added: HashSet<ClaimKey> = HashSet::new();
         for proposal in proposals {
             let holder = self.holders.get(&proposal.key).map(|record| record.request);
@@ -187,7 +187,8 @@
             }
         }
         segment.sealed = segment.claims.len() >= MAX_SEGMENT_CLAIMS;
-        let write = ClaimWrite { segment_number: self.number, expected: self.version, segment };
+        let write =
+            ClaimWrite { segment_number: self.segment_number, expected: self.version, segment };
         (!added.is_empty()).then_some(write)
     }
 
--- a/crates/core/src/config.rs
+++ b/crates/core/src/config.rs
@@ -2,7 +2,7 @@
 //!
 //! 13,000 organisations do not fit into one object, so they are sharded by a hash of their name.
 //! Each event and each draining VM has an object of its own. Every object contains the id of the
-//! command that wrote it: if the answer to a write is lost, reading the object back shows whether
+//! command that wrote it: if the response to a write is lost, reading the object back shows whether
 //! the write succeeded.
 
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
--- a/crates/core/src/ejection.rs
+++ b/crates/core/src/ejection.rs
@@ -1,9 +1,9 @@
 //! Outlier detection: temporary ejection of replicas that are slow or failing.
 //!
-//! A replica is compared with the other replicas of the same layers by the duration of its steps,
-//! and ejected also after several failures in a row. Each further ejection lasts longer. At most a
-//! fixed share of a group is ejected at a time, so that replicas that are all slow or failing are
-//! not all taken out of service.
+//! A replica is ejected if its steps take much longer than those of the other replicas of the same
+//! layers, or after several failures in a row. Each further ejection lasts longer. At most a fixed
+//! share of a group is ejected at a time: if all replicas are slow or failing, none of them is an
+//! outlier, and the group must stay in service.
 
 use crate::Millis;
 
@@ -68,7 +68,7 @@
         self.failures = self.failures.saturating_add(1);
     }
 
-    /// Records a complete answer. Resets the count of failures and, if the replica is not ejected
+    /// Records a completed request. Resets the count of failures and, if the replica is not ejected
     /// now, shortens its next ejection by one doubling.
     pub fn record_success(&mut self, now: Millis) {
         self.failures = 0;
--- a/crates/core/src/ledger.rs
+++ b/crates/core/src/ledger.rs
@@ -7,7 +7,8 @@
 //! [`VoidOutcome::Unknown`]. Eviction can thus cost a retry on another replica, but never a second
 //! run or a false "not run".
 //!
-//! Memory: `capacity` ids, plus one eviction mark for each of at most `incarnations` incarnations.
+//! Memory: `capacity` ids, plus one eviction mark for each of at most `max_incarnations`
+//! incarnations.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
@@ -66,12 +67,12 @@
     pub capacity: usize,
     /// Maximum number of entry incarnations for which the highest evicted counter is kept. Beyond
     /// it, all requests of the oldest incarnations count as evicted.
-    pub incarnations: usize,
+    pub max_incarnations: usize,
 }
 
 impl Default for LedgerConfig {
     fn default() -> Self {
-        Self { capacity: 100_000, incarnations: 4_096 }
+        Self { capacity: 100_000, max_incarnations: 4_096 }
     }
 }
 
@@ -176,6 +177,7 @@
         self.states.insert(id, LedgerState::Running { attempt });
     }
 
+    /// Returns whether the record of a request may have been evicted.
     fn is_evicted(&self, id: RequestId) -> bool {
         if id.incarnation < self.oldest_incarnation {
             return true;
@@ -184,7 +186,7 @@
         evicted.is_some_and(|evicted| id.counter <= *evicted)
     }
 
-    /// Evicts closed requests until another one fits. Returns whether it does.
+    /// Evicts finished and voided requests until another request fits. Returns whether it does.
     fn ensure_capacity(&mut self) -> bool {
         while self.states.len() >= self.config.capacity {
             let Some(oldest) = self.eviction_order.pop_front() else {
@@ -199,7 +201,7 @@
         self.states.remove(&id);
         let evicted = self.evicted_counters.entry(id.incarnation).or_default();
         *evicted = (*evicted).max(id.counter);
-        while self.evicted_counters.len() > self.config.incarnations {
+        while self.evicted_counters.len() > self.config.max_incarnations {
             if let Some((incarnation, _)) = self.evicted_counters.pop_first() {
                 self.oldest_incarnation = self.oldest_incarnation.max(incarnation + 1);
             }
--- a/crates/core/src/path.rs
+++ b/crates/core/src/path.rs
@@ -98,8 +98,9 @@
     Some(chosen)
 }
 
-fn less_loaded(left: usize, right: usize, relative_load: impl Fn(usize) -> f64) -> usize {
-    if relative_load(right) < relative_load(left) { right } else { left }
+/// Returns the candidate with the lower load, or `left` if the loads are equal.
+fn less_loaded(left: usize, right: usize, load_of: impl Fn(usize) -> f64) -> usize {
+    if load_of(right) < load_of(left) { right } else { left }
 }
 
 /// Returns the outstanding requests, including the new one, relative to the replica's share.
--- a/crates/core/src/queue.rs
+++ b/crates/core/src/queue.rs
@@ -42,9 +42,11 @@
 #[derive(Debug, Default)]
 struct OrganisationQueue {
     entries: BTreeMap<EntryKey, QueueEntry>,
+    /// Cost in tokens that the organisation may still use before its next turn.
     deficit: u64,
 }
 
+/// Order of the requests of an organisation: by deadline, then by id.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 struct EntryKey {
     deadline: Millis,
@@ -54,13 +56,14 @@
 #[derive(Debug, Default)]
 struct ClassQueue {
     organisations: HashMap<Arc<str>, OrganisationQueue>,
-    round: VecDeque<Arc<str>>,
+    /// Organisations with waiting requests, in round-robin order.
+    rotation: VecDeque<Arc<str>>,
     len: usize,
 }
 
 /// Location of a waiting request in the queues, for removal by id.
 #[derive(Clone, Debug)]
-struct EntryPlace {
+struct EntryLocation {
     priority: u8,
     organisation: Arc<str>,
     key: EntryKey,
@@ -70,7 +73,7 @@
 #[derive(Debug, Default)]
 pub struct AdmissionQueue {
     classes: BTreeMap<Reverse<u8>, ClassQueue>,
-    places: HashMap<RequestId, EntryPlace>,
+    locations: HashMap<RequestId, EntryLocation>,
 }
 
 impl AdmissionQueue {
@@ -81,33 +84,33 @@
 
     /// Adds a request. Has no effect if a request with the same id is waiting.
     pub fn push(&mut self, entry: QueueEntry) {
-        if self.places.contains_key(&entry.id) {
+        if self.locations.contains_key(&entry.id) {
             return;
         }
         let key = EntryKey { deadline: entry.deadline, id: entry.id };
-        let place = EntryPlace {
+        let location = EntryLocation {
             priority: entry.priority,
             organisation: Arc::clone(&entry.organisation),
             key,
         };
-        self.places.insert(entry.id, place);
+        self.locations.insert(entry.id, location);
         self.classes.entry(Reverse(entry.priority)).or_default().push(key, entry);
     }
 
     /// Removes and returns the request to dispatch next, or `None` if the queue is empty.
     pub fn pop(&mut self) -> Option<QueueEntry> {
-        let mut occupied = self.classes.values_mut();
-        let class = occupied.find(|class| class.len > 0)?;
+        let mut classes = self.classes.values_mut();
+        let class = classes.find(|class| class.len > 0)?;
         let entry = class.pop()?;
-        self.places.remove(&entry.id);
+        self.locations.remove(&entry.id);
         Some(entry)
     }
 
     /// Removes a request, whatever its position. Returns `None` if it is not waiting.
     pub fn remove(&mut self, id: RequestId) -> Option<QueueEntry> {
-        let place = self.places.remove(&id)?;
-        let class = self.classes.get_mut(&Reverse(place.priority))?;
-        class.remove(&place.organisation, &place.key)
+        let location = self.locations.remove(&id)?;
+        let class = self.classes.get_mut(&Reverse(location.priority))?;
+        class.remove(&location.organisation, &location.key)
     }
 
     /// Removes and returns all requests whose deadline has passed. Linear in organisations plus the
@@ -125,12 +128,12 @@
 
     /// Returns the number of waiting requests.
     pub fn len(&self) -> usize {
-        self.places.len()
+        self.locations.len()
     }
 
     /// Returns whether no request is waiting.
     pub fn is_empty(&self) -> bool {
-        self.places.is_empty()
+        self.locations.is_empty()
     }
 
     /// Returns the number of waiting requests with at least this priority: those that are
@@ -143,8 +146,8 @@
     /// Returns the number of waiting requests of each organisation.
     pub fn by_organisation(&self) -> BTreeMap<Arc<str>, usize> {
         let mut counts = BTreeMap::new();
-        for place in self.places.values() {
-            *counts.entry(Arc::clone(&place.organisation)).or_default() += 1;
+        for location in self.locations.values() {
+            *counts.entry(Arc::clone(&location.organisation)).or_default() += 1;
         }
         counts
     }
@@ -160,7 +163,7 @@
         let organisation = Arc::clone(&entry.organisation);
         let queue = self.organisations.entry(Arc::clone(&organisation)).or_default();
         if queue.entries.is_empty() {
-            self.round.push_back(organisation);
+            self.rotation.push_back(organisation);
         }
         queue.entries.insert(key, entry);
         self.len += 1;
@@ -168,7 +171,7 @@
 
     fn pop(&mut self) -> Option<QueueEntry> {
         loop {
-            let organisation = self.round.front()?;
+            let organisation = self.rotation.front()?;
             let queue = self.organisations.get_mut(organisation)?;
             let head = queue.entries.first_entry()?;
             let cost = head.get().cost.max(1);
@@ -180,7 +183,7 @@
                 return Some(entry);
             }
             queue.deficit += QUANTUM_TOKENS * head.get().weight.max(1);
-            self.round.rotate_left(1);
+            self.rotation.rotate_left(1);
         }
     }
 
@@ -198,7 +201,7 @@
         let is_empty = |queue: &OrganisationQueue| queue.entries.is_empty();
         if self.organisations.get(organisation).is_some_and(is_empty) {
             self.organisations.remove(organisation);
-            self.round.retain(|name| name != organisation);
+            self.rotation.retain(|name| name != organisation);
         }
     }
 }
--- a/crates/core/src/step.rs
+++ b/crates/core/src/step.rs
@@ -1,4 +1,4 @@
-//! Exactly-once, in-order execution of the positions of a request at a stage.
+//! In-order execution of the positions of a request at a stage, each at most once.
 //!
 //! A stage keeps one [`StepGate`] for each request. Steps may arrive repeatedly or late, or overlap
 //! positions that have run (a replay after a neighbouring stage was replaced). The gate admits only
--- a/crates/core/tests/claims.rs
+++ b/crates/core/tests/claims.rs
@@ -116,9 +116,9 @@
         }),
         OwnerState::Planned(write) => {
             step(&|model| {
-                let answer = model.store.write(write);
+                let written = model.store.write(write);
                 let owner = &mut model.owners[index];
-                owner.state = match answer {
+                owner.state = match written {
                     Some(version) => {
                         owner.shard.apply_write(write.clone(), version);
                         OwnerState::Granted
--- a/crates/core/tests/ledgers.rs
+++ b/crates/core/tests/ledgers.rs
@@ -54,7 +54,7 @@
 
 #[test]
 fn full_ledger_refuses_and_keeps_running_requests() {
-    let mut ledger = RequestLedger::new(LedgerConfig { capacity: 2, incarnations: 4 });
+    let mut ledger = RequestLedger::new(LedgerConfig { capacity: 2, max_incarnations: 4 });
     assert_eq!(ledger.admit(id(1, 1), 1, true), LedgerAdmission::New);
     assert_eq!(ledger.admit(id(1, 2), 1, true), LedgerAdmission::New);
     assert_eq!(ledger.admit(id(1, 3), 1, true), LedgerAdmission::Full);
@@ -67,7 +67,7 @@
 /// admitted.
 #[test]
 fn late_eviction_of_old_incarnation_does_not_lower_the_mark() {
-    let mut ledger = RequestLedger::new(LedgerConfig { capacity: 3, incarnations: 1 });
+    let mut ledger = RequestLedger::new(LedgerConfig { capacity: 3, max_incarnations: 1 });
     assert_eq!(ledger.admit(id(1, 1), 1, false), LedgerAdmission::New);
     assert_eq!(ledger.admit(id(1, 2), 1, false), LedgerAdmission::New);
     for incarnation in [3, 5, 6] {
@@ -102,7 +102,7 @@
     /// With any order of calls, a small ledger never treats an evicted request as new.
     #[test]
     fn evictions_keep_the_guarantees(steps in prop::collection::vec(ledger_step(), 1..200)) {
-        let mut ledger = RequestLedger::new(LedgerConfig { capacity: 4, incarnations: 2 });
+        let mut ledger = RequestLedger::new(LedgerConfig { capacity: 4, max_incarnations: 2 });
         let mut ran: HashMap<RequestId, u32> = HashMap::new();
         let mut voided: HashSet<RequestId> = HashSet::new();
         for step in steps {
--- a/crates/core/tests/steps.rs
+++ b/crates/core/tests/steps.rs
@@ -1,10 +1,10 @@
-//! Step gates, answer assembly and activation logs under repetition, loss and reordering.
+//! Step gates, completion assembly and activation logs under repetition, loss and reordering.
 
 use assert_matches::assert_matches;
 use proptest::prelude::*;
 use switchfold_core::{
     activation::ActivationLog,
-    assembly::AnswerAssembly,
+    assembly::CompletionAssembly,
     step::{DropReason, StepDecision, StepGate, StepHeader, StepRefusal},
 };
 
@@ -68,11 +68,11 @@
 
     /// For any order of arrival, the caller gets each token once, in order.
     #[test]
-    fn answers_are_delivered_in_order(
+    fn completions_are_delivered_in_order(
         order in prop::collection::vec(0_u32..20, 0..80),
         total in 1_u32..20,
     ) {
-        let mut assembly = AnswerAssembly::new(20);
+        let mut assembly = CompletionAssembly::new(20);
         let mut delivered = Vec::new();
         for (turn, index) in order.iter().enumerate() {
             delivered.extend_from_slice(assembly.accept(*index, index * 7));
@@ -112,7 +112,7 @@
 
 #[test]
 fn new_attempt_discards_tokens_received_out_of_order() {
-    let mut assembly = AnswerAssembly::new(8);
+    let mut assembly = CompletionAssembly::new(8);
     assert_eq!(assembly.accept(0, 10), [10]);
     assert!(assembly.accept(2, 12).is_empty());
     assembly.discard_pending();
--- a/crates/entry/src/dispatch/request.rs
+++ b/crates/entry/src/dispatch/request.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use switchfold_core::{Millis, assembly::AnswerAssembly, route::PipelineRoute};
+use switchfold_core::{Millis, assembly::CompletionAssembly, route::PipelineRoute};
 use switchfold_proto::link;
 
 use super::{
@@ -16,7 +16,7 @@
     pub(super) submission: Submission,
     pub(super) submitted: Millis,
     pub(super) phase: RequestPhase,
-    pub(super) assembly: AnswerAssembly,
+    pub(super) assembly: CompletionAssembly,
     /// Last attempt that was sent out; attempts of one request only grow.
     pub(super) attempt: u32,
     pub(super) last_progress: Millis,
@@ -70,7 +70,7 @@
             submission,
             submitted: now,
             phase: RequestPhase::Queued,
-            assembly: AnswerAssembly::new(limit),
+            assembly: CompletionAssembly::new(limit),
             attempt: 0,
             last_progress: now,
             retry_after: 0,
--- a/crates/kernel/src/settings.rs
+++ b/crates/kernel/src/settings.rs
@@ -62,7 +62,7 @@
 #[derive(Debug, Display, Error)]
 pub enum SettingsError {
     /// The file cannot be read.
-    #[display("{path}: {source}")]
+    #[display("{path}: cannot be read: {source}")]
     Unreadable {
         /// Path of the file.
         path: String,
@@ -142,7 +142,7 @@
 }
 
 fn render_errors(errors: &[FieldError]) -> String {
-    let lines: Vec<String> = errors.iter().map(|fault| format!("  {fault}")).collect();
+    let lines: Vec<String> = errors.iter().map(|error| format!("  {error}")).collect();
     lines.join("\n")
 }
 
@@ -193,14 +193,14 @@
         (FieldKind::Text, Value::String(text)) => !text.is_empty(),
         (FieldKind::Address, value) => is_socket_address(value),
         (FieldKind::Addresses, Value::Array(items)) => items.iter().all(is_socket_address),
-        (FieldKind::Integer(least, most), Value::Number(number)) => {
-            number.as_u64().is_some_and(|number| (least..=most).contains(&number))
+        (FieldKind::Integer(min, max), Value::Number(number)) => {
+            number.as_u64().is_some_and(|number| (min..=max).contains(&number))
         }
-        (FieldKind::Decimal(least, most), Value::Number(number)) => {
-            number.as_f64().is_some_and(|number| (least..=most).contains(&number))
+        (FieldKind::Decimal(min, max), Value::Number(number)) => {
+            number.as_f64().is_some_and(|number| (min..=max).contains(&number))
         }
         (FieldKind::Bool, Value::Bool(_)) => true,
-        (FieldKind::OneOf(words), Value::String(text)) => words.contains(&text.as_str()),
+        (FieldKind::OneOf(choices), Value::String(text)) => choices.contains(&text.as_str()),
         _ => false,
     };
     if !is_valid {
@@ -219,13 +219,13 @@
 
 fn describe_expected(rule: &FieldRule) -> String {
     let kind = match rule.kind {
-        FieldKind::Text => "a text".to_owned(),
+        FieldKind::Text => "a non-empty string".to_owned(),
         FieldKind::Address => "an IP address with a port, such as 127.0.0.1:7000".to_owned(),
         FieldKind::Addresses => "a list of IP addresses with ports".to_owned(),
-        FieldKind::Integer(least, most) => format!("a whole number from {least} to {most}"),
-        FieldKind::Decimal(least, most) => format!("a number from {least} to {most}"),
+        FieldKind::Integer(min, max) => format!("an integer from {min} to {max}"),
+        FieldKind::Decimal(min, max) => format!("a number from {min} to {max}"),
         FieldKind::Bool => "true or false".to_owned(),
-        FieldKind::OneOf(words) => format!("one of {}", words.join(", ")),
+        FieldKind::OneOf(choices) => format!("one of {}", choices.join(", ")),
         FieldKind::Object(_) => "an object".to_owned(),
         FieldKind::Objects(_) => "a list of objects".to_owned(),
     };
--- a/crates/kernel/tests/calls.rs
+++ b/crates/kernel/tests/calls.rs
@@ -23,7 +23,7 @@
 use switchfold_kernel::http::HttpClient;
 
 /// Reads the headers of one request and sends a response.
-fn answer(stream: &mut TcpStream) {
+fn respond(stream: &mut TcpStream) {
     let mut head = Vec::new();
     let mut byte = [0];
     while !head.ends_with(b"\r\n\r\n") {
@@ -44,12 +44,12 @@
     let address = listener.local_addr().expect("a bound address");
     thread::spawn(move || {
         let (mut first, _) = listener.accept().expect("a connection");
-        answer(&mut first);
+        respond(&mut first);
         close_requests.recv().expect("the test is running");
         drop(first);
         close_done.send(()).expect("the test is running");
         let (mut second, _) = listener.accept().expect("a connection");
-        answer(&mut second);
+        respond(&mut second);
     });
     address
 }
@@ -70,10 +70,10 @@
     let (close_done, close_results) = mpsc::channel();
     let address = start_server(close_requests, close_done);
     let client = HttpClient::new(Duration::from_secs(20), 1 << 10);
-    assert_eq!(client.call(request(address)).await.expect("an answer").status, StatusCode::OK);
+    assert_eq!(client.call(request(address)).await.expect("a response").status, StatusCode::OK);
     // Blocks the only thread, so that the client cannot notice the close before its next call.
     thread::sleep(IDLE);
     close.send(()).expect("the server is running");
     close_results.recv().expect("the server is running");
-    assert_eq!(client.call(request(address)).await.expect("an answer").status, StatusCode::OK);
+    assert_eq!(client.call(request(address)).await.expect("a response").status, StatusCode::OK);
 }
--- a/crates/kernel/tests/kernel.rs
+++ b/crates/kernel/tests/kernel.rs
@@ -69,7 +69,7 @@
 
 #[test]
 fn metrics_are_rendered_as_text() {
-    let hub = MetricsHub::new().expect("the exporter is made");
+    let hub = MetricsHub::new().expect("the exporter is created");
     hub.meter().u64_counter("sample_events").build().add(3, &[]);
     let text = String::from_utf8(hub.render().expect("text")).expect("UTF-8");
     assert!(
@@ -108,15 +108,15 @@
     let (address, signal) =
         start_server(HttpLimits { max_headers: 8, ..HttpLimits::default() }).await;
     let http = HttpClient::new(Duration::from_secs(10), 1_000);
-    assert_eq!(http.call(post(&address, 100)).await.expect("answered").status, StatusCode::OK);
-    let large = http.call(post(&address, 101)).await.expect("answered");
+    assert_eq!(http.call(post(&address, 100)).await.expect("a response").status, StatusCode::OK);
+    let large = http.call(post(&address, 101)).await.expect("a response");
     assert_eq!(large.status, StatusCode::PAYLOAD_TOO_LARGE);
     let mut many = post(&address, 1);
     for number in 0..20 {
         let name = http::HeaderName::from_bytes(format!("x-{number}").as_bytes()).expect("a name");
         many.headers_mut().insert(name, http::HeaderValue::from_static("1"));
     }
-    let refused = http.call(many).await.expect("answered");
+    let refused = http.call(many).await.expect("a response");
     assert_eq!(refused.status, StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE);
     signal.raise();
     tokio::task::yield_now().await;
--- a/crates/kernel/tests/settings.rs
+++ b/crates/kernel/tests/settings.rs
@@ -68,7 +68,7 @@
 
 fn field_errors(text: &str) -> Vec<FieldError> {
     match parse_settings::<Sample>("sample.json", text.as_bytes()) {
-        Err(SettingsError::Invalid { errors: field_errors, .. }) => field_errors,
+        Err(SettingsError::Invalid { errors, .. }) => errors,
         other => panic!("{text}: {other:?}"),
     }
 }
@@ -96,7 +96,7 @@
 #[test]
 fn errors_describe_the_expected_value() {
     let table = [
-        (r#"{"name": ""}"#, "name", "a text"),
+        (r#"{"name": ""}"#, "name", "a non-empty string"),
         (r#"{"name": "x", "listen": "x:1"}"#, "listen", "127.0.0.1:7000"),
         (r#"{"name": "x", "mode": 4}"#, "mode", "one of a, b"),
         (r#"{"name": "x", "parts": [{"size": 10}]}"#, "parts[0].size", "from 1 to 9"),
