--- a/crates/router/src/suspect.rs
+++ b/crates/router/src/suspect.rs
@@ -61,7 +61,7 @@
     }
 
     /// Merges a suspicion of another relay. The later end wins.
-    pub fn merge(&mut self, instance: &ReplicaInstance, until: Millis, origin: UpdateOrigin) {
+    pub fn merge_peer(&mut self, instance: &ReplicaInstance, until: Millis, origin: UpdateOrigin) {
         let entry = self.suspicions.entry(instance.clone());
         let suspicion = entry.or_insert(Suspicion { until, duration: BASE_SUSPICION_TIME, origin });
         if suspicion.until < until {
@@ -104,10 +104,11 @@
     /// otherwise not receive.
     pub fn shared_with(
         &self,
-        reach: UpdateAudience,
+        audience: UpdateAudience,
         now: Millis,
     ) -> impl Iterator<Item = (&ReplicaInstance, Millis)> {
-        let shared = self.suspicions.iter().filter(move |(_, known)| reach.includes(known.origin));
+        let shared =
+            self.suspicions.iter().filter(move |(_, known)| audience.includes(known.origin));
         shared
             .filter_map(move |(instance, known)| Some((instance, known.until.checked_sub(now)?)))
             .filter(|(_, remaining)| *remaining >= MIN_SHARED_TIME)
