--- a/crates/router/src/quarantine.rs
+++ b/crates/router/src/quarantine.rs
@@ -13,8 +13,8 @@
 //! | a rack, a data centre or all replicas fail together | runs form a chain only if each was sent after the one before was lost |
 //! | a crash in the middle of a long stream | a run that produced events for [`SURVIVAL_TIME`] counts as a result |
 //! | a crash while they are queued | a run that had not started, or had produced events, is only [`CrashEvidence::Weak`] evidence |
-//! | one crash after another, beside the request that causes them | crashes that another request explains as well take more weight ([`AMBIGUOUS_WEIGHT`]) |
-//! | a request that all callers make is present at every crash | a request with a recent result takes more weight, and is not quarantined for crashes that another request explains |
+//! | one crash after another, beside the request that causes them | crashes that another request explains equally well must weigh more ([`AMBIGUOUS_WEIGHT`]) |
+//! | a request that all callers make is present at every crash | after a recent result its crashes must weigh more, and it is never quarantined if another request explains all of them |
 //!
 //! The trade-off is the number of replicas that a request may crash: three before it is
 //! quarantined, one or two more if several requests share its crashes, plus those of sends that
@@ -40,8 +40,8 @@
 };
 
 /// Replaces [`QUARANTINE_WEIGHT`] for a request that recently had a result, or each of whose
-/// crashes another request explains as well. The request that causes the crashes will cause more,
-/// while the others will have a result. A request to which both apply is never quarantined;
+/// crashes another request explains equally well. The request that causes the crashes will cause
+/// more, while the others will have a result. A request to which both apply is never quarantined;
 /// otherwise a call that all callers make would be rejected for ten minutes after two power
 /// failures in a row.
 pub const AMBIGUOUS_WEIGHT: u32 = 10;
@@ -436,7 +436,7 @@
     }
 
     /// Quarantines the requests whose lost runs have reached the required weight, and returns them
-    /// with that of their runs.
+    /// with the weight of their runs.
     fn evaluate(&mut self, now: Millis) -> Vec<(RequestFingerprint, u32)> {
         let weights: HashMap<RequestFingerprint, u32> = self
             .records
@@ -478,8 +478,8 @@
         QuarantineChange { quarantined, is_urgent }
     }
 
-    /// Returns whether each crash of a request is explained as well by another request of at least
-    /// the same weight.
+    /// Returns whether each crash of a request is also explained by another request of at least the
+    /// same weight.
     fn is_explained(
         &self,
         fingerprint: &RequestFingerprint,
