--- a/crates/router/benches/circles.rs
+++ b/crates/router/benches/circles.rs
@@ -1,5 +1,5 @@
-//! What relays tell each other at several sizes of a fleet, by a model in virtual time; and what a relay pays for the choice whom
-//! to tell.
+//! Traffic between relays at several sizes of a fleet, by a model in virtual time; and the time
+//! that a relay needs to choose the relays that it sends to.
 
 use std::hint::black_box;
 
@@ -9,32 +9,34 @@
 #[path = "../tests/gossip_model/mod.rs"]
 mod gossip_model;
 
-use gossip_model::{Day, Trouble, play};
+use gossip_model::{Fault, Scenario, run_scenario};
 
-/// Sizes: relays, data centres.
+/// Numbers of relays and data centres.
 const FLEETS: [(usize, usize); 7] =
     [(21, 3), (103, 5), (200, 5), (437, 5), (874, 5), (874, 12), (2_000, 12)];
 
-const FOUND: u64 = 6_000;
+const FAULT_TIME: u64 = 6_000;
 
-fn print_model() {
+fn print_scenarios() {
     for (relays, data_centres) in FLEETS {
-        let troubles = vec![(FOUND, Trouble::Suspects { relay: relays - 1 })];
-        let seen = play(&Day { relays, data_centres, lost: 1, troubles, length: 12_000 }, 1);
-        let mut known: Vec<u64> = seen.first_away.values().map(|at| at - FOUND).collect();
+        let faults = vec![(FAULT_TIME, Fault::Suspect { relay: relays - 1 })];
+        let outcome =
+            run_scenario(&Scenario { relays, data_centres, lost: 1, faults, length: 12_000 }, 1);
+        let mut known: Vec<u64> =
+            outcome.first_avoided.values().map(|at| at - FAULT_TIME).collect();
         known.sort_unstable();
         let (half, last) = (known[known.len() / 2], known[known.len() - 1]);
         println!(
             "{relays:5} relays in {data_centres:2} data centres: busiest member {:4.0}, busiest speaker {:4.0} messages a second; a loss known after {half} ms (half), {last} ms ({} of {relays}); load misjudged by {:.2} at worst",
-            seen.busiest(true),
-            seen.busiest(false),
+            outcome.busiest(true),
+            outcome.busiest(false),
             known.len(),
-            seen.worst_misjudged(),
+            outcome.worst_misestimate(),
         );
     }
 }
 
-fn settle(criterion: &mut Criterion) {
+fn bench_plan_gossip(criterion: &mut Criterion) {
     for relays in [100_u32, 437, 874, 2_000] {
         let mut table = PeerTable::default();
         for number in 0..relays {
@@ -50,8 +52,8 @@
 }
 
 fn main() {
-    print_model();
+    print_scenarios();
     let mut criterion = Criterion::default().configure_from_args();
-    settle(&mut criterion);
+    bench_plan_gossip(&mut criterion);
     criterion.final_summary();
 }
--- a/crates/router/tests/fleets.rs
+++ b/crates/router/tests/fleets.rs
@@ -1,4 +1,5 @@
-//! News of replicas: of two, the one of the higher revision counts.
+//! Updates of replicas: a later start counts before an earlier one, and a higher revision before a
+//! lower one.
 
 use proptest::prelude::*;
 use switchfold_router::{
@@ -20,83 +21,85 @@
     }
 }
 
-fn news(id: &str, revision: u64, entry: Option<ReplicaEntry>) -> ReplicaUpdate {
+fn update(id: &str, revision: u64, entry: Option<ReplicaEntry>) -> ReplicaUpdate {
     ReplicaUpdate { id: id.to_owned(), revision, entry }
 }
 
 fn listed(id: &str, port: u16, revision: u64, draining: bool) -> ReplicaUpdate {
-    news(id, revision, Some(entry(id, port, draining)))
+    update(id, revision, Some(entry(id, port, draining)))
 }
 
-/// A history of the store: each step changes one of three replicas, each at an address of its own.
+/// A history of the store: each step changes one of three replicas, which have different addresses.
 fn history() -> impl Strategy<Value = Vec<ReplicaUpdate>> {
     let step = (0usize..3, 0u8..3);
     prop::collection::vec(step, 1..30).prop_map(|steps| {
-        let news = steps.into_iter().zip(1..).map(|((which, state), revision)| {
+        let updates = steps.into_iter().zip(1..).map(|((which, state), revision)| {
             let id = format!("i-{which}");
             let entry = (state > 0).then(|| entry(&id, which as u16, state == 2));
             ReplicaUpdate { id, revision, entry }
         });
-        news.collect()
+        updates.collect()
     })
 }
 
 proptest! {
-    /// In whatever order news comes, and however often, a relay ends with what the store said last.
+    /// In whatever order updates arrive, and however often, a relay ends with the last state of the
+    /// store.
     #[test]
     fn order_of_arrival_does_not_matter(
         history in history(),
         order in prop::collection::vec(any::<prop::sample::Index>(), 0..60),
     ) {
-        let (mut straight, mut shuffled) = (FleetView::default(), FleetView::default());
-        for news in &history {
-            straight.apply(news.clone(), 0);
+        let (mut in_order, mut shuffled) = (FleetView::default(), FleetView::default());
+        for update in &history {
+            in_order.apply(update.clone(), 0);
         }
-        let drawn = order.iter().map(|index| index.get(&history));
-        for news in drawn.chain(history.iter().rev()) {
-            shuffled.apply(news.clone(), 0);
+        let random = order.iter().map(|index| index.get(&history));
+        for update in random.chain(history.iter().rev()) {
+            shuffled.apply(update.clone(), 0);
         }
         for id in ["i-0", "i-1", "i-2"] {
-            prop_assert_eq!(shuffled.get(id), straight.get(id));
+            prop_assert_eq!(shuffled.get(id), in_order.get(id));
         }
-        prop_assert_eq!(shuffled.digest(), straight.digest());
+        prop_assert_eq!(shuffled.digest(), in_order.digest());
     }
 
-    /// Equal digests mean equal revisions: a relay that missed a change never proves another one's list.
+    /// Equal digests mean equal revisions: a relay that missed a change never proves another one's
+    /// list.
     #[test]
     fn a_missed_change_shows_in_the_digest(history in history(), missed in any::<prop::sample::Index>()) {
         let missed = missed.index(history.len());
-        let (mut whole, mut part) = (FleetView::default(), FleetView::default());
-        for (index, news) in history.iter().enumerate() {
-            whole.apply(news.clone(), 0);
+        let (mut full, mut partial) = (FleetView::default(), FleetView::default());
+        for (index, update) in history.iter().enumerate() {
+            full.apply(update.clone(), 0);
             if index != missed {
-                part.apply(news.clone(), 0);
+                partial.apply(update.clone(), 0);
             }
         }
-        let differs = ["i-0", "i-1", "i-2"].iter().any(|id| whole.revision(id) != part.revision(id));
-        prop_assert_eq!(differs, whole.digest() != part.digest());
+        let differs = ["i-0", "i-1", "i-2"].iter().any(|id| full.revision(id) != partial.revision(id));
+        prop_assert_eq!(differs, full.digest() != partial.digest());
     }
 }
 
 #[test]
-fn older_news_changes_nothing() {
+fn older_updates_change_nothing() {
     let mut fleet = FleetView::default();
     assert_eq!(fleet.apply(listed("i-1", 1, 5, false), 0), FleetChange::Joined);
     assert_eq!(fleet.apply(listed("i-1", 1, 8, true), 0), FleetChange::Draining);
     let rows = [
         (listed("i-1", 1, 5, false), FleetChange::Older),
         (listed("i-1", 1, 8, true), FleetChange::Unchanged),
-        (news("i-1", 7, None), FleetChange::Older),
-        (news("i-1", 9, None), FleetChange::Gone),
+        (update("i-1", 7, None), FleetChange::Older),
+        (update("i-1", 9, None), FleetChange::Gone),
         (listed("i-1", 1, 8, true), FleetChange::Older),
         (listed("i-1", 1, 10, true), FleetChange::Joined),
     ];
-    for (news, change) in rows {
-        assert_eq!(fleet.apply(news.clone(), 0), change, "{news:?}");
+    for (update, change) in rows {
+        assert_eq!(fleet.apply(update.clone(), 0), change, "{update:?}");
     }
 }
 
-/// A list lacks what was written after it was read: that is not missing.
+/// A list lacks what was written after it was read; such entries are not missing.
 #[test]
 fn a_list_drops_nothing_that_is_newer() {
     let mut fleet = FleetTracker::default();
@@ -107,8 +110,8 @@
     assert!(fleet.view.get("i-2").is_some());
 }
 
-/// A later start at an address ends the earlier one, in whatever order a list names them, and the earlier
-/// one's entry does not come back with the next list.
+/// A later start at an address ends the earlier one, in whatever order a list contains them, and
+/// the earlier one's entry does not return with the next list.
 #[test]
 fn a_later_start_ends_the_earlier_one() {
     for [old, new] in [["i-a", "i-b"], ["i-b", "i-a"]] {
@@ -128,8 +131,8 @@
     }
 }
 
-/// Ids of a few bytes at neighbouring revisions do not cancel each other in the digest: found by another seed
-/// of the drawn days.
+/// Ids of a few bytes at neighbouring revisions do not cancel each other in the digest, as random
+/// scenarios once showed.
 #[test]
 fn short_ids_do_not_cancel_each_other() {
     let mut fleet = FleetView::default();
@@ -142,24 +145,25 @@
     assert_eq!(distinct.len(), digests.len());
 }
 
-/// A life of a replica at an address of its own.
-fn living(id: &str, port: u16, revision: u64, born: u64) -> ReplicaUpdate {
-    let instance = ReplicaInstance::new(id, born);
-    news(id, revision, Some(ReplicaEntry { instance, ..entry(id, port, false) }))
+/// An update with an instance of a replica.
+fn started(id: &str, port: u16, revision: u64, started_at: u64) -> ReplicaUpdate {
+    let instance = ReplicaInstance::new(id, started_at);
+    update(id, revision, Some(ReplicaEntry { instance, ..entry(id, port, false) }))
 }
 
-/// Of two lives the one that started later counts, whatever the revisions and the order of arrival.
+/// Of two instances, the one that started later counts, whatever the revisions and the order of
+/// arrival.
 #[test]
-fn a_later_life_counts_before_a_higher_revision() {
-    let [first, second, late_beat] =
-        [living("i-1", 1, 5, 100), living("i-1", 1, 6, 200), living("i-1", 1, 7, 100)];
+fn a_later_start_counts_before_a_higher_revision() {
+    let [first, second, late_heartbeat] =
+        [started("i-1", 1, 5, 100), started("i-1", 1, 6, 200), started("i-1", 1, 7, 100)];
     let orders = [[0, 1, 2], [0, 2, 1], [1, 0, 2], [1, 2, 0], [2, 0, 1], [2, 1, 0]];
     let mut digests = Vec::new();
     for order in orders {
         let mut fleet = FleetView::default();
         for which in order {
-            let news = [&first, &second, &late_beat][which];
-            fleet.apply(news.clone(), 0);
+            let update = [&first, &second, &late_heartbeat][which];
+            fleet.apply(update.clone(), 0);
         }
         assert_eq!(fleet.get("i-1").expect("listed").instance.started_at(), 200, "{order:?}");
         digests.push(fleet.digest());
@@ -169,41 +173,42 @@
 }
 
 #[test]
-fn a_restart_ends_what_was_known() {
+fn a_restart_invalidates_earlier_state() {
     let mut fleet = FleetTracker::default();
     let source = UpdateSource::Watch;
-    let taken = fleet.apply_all(vec![living("i-1", 1, 5, 100)], source, 0);
-    assert_eq!((taken[0].change, taken[0].ended.clone()), (FleetChange::Joined, None));
-    let taken = fleet.apply_all(vec![living("i-1", 1, 6, 200)], source, 0);
-    assert_eq!(taken[0].change, FleetChange::Restarted);
-    assert_eq!(taken[0].ended, Some(ReplicaInstance::new("i-1", 100)));
+    let applied = fleet.apply_all(vec![started("i-1", 1, 5, 100)], source, 0);
+    assert_eq!((applied[0].change, applied[0].ended.clone()), (FleetChange::Joined, None));
+    let applied = fleet.apply_all(vec![started("i-1", 1, 6, 200)], source, 0);
+    assert_eq!(applied[0].change, FleetChange::Restarted);
+    assert_eq!(applied[0].ended, Some(ReplicaInstance::new("i-1", 100)));
     assert!(fleet.view.get_current(&ReplicaInstance::new("i-1", 100)).is_none());
-    let late = fleet.apply_all(vec![living("i-1", 1, 9, 100)], source, 0);
+    let late = fleet.apply_all(vec![started("i-1", 1, 9, 100)], source, 0);
     assert_eq!(late[0].change, FleetChange::Older);
-    // What it says itself counts before its entry does; what an earlier life says counts nowhere.
+    // Its own report counts before its entry does; the report of an earlier instance never counts.
     assert!(fleet.apply_start("i-1", 150, 0).is_none());
-    let told = fleet.apply_start("i-1", 300, 0).expect("it started again");
-    assert_eq!((told.ended, told.layers), (Some(ReplicaInstance::new("i-1", 200)), None));
-    // Gone for good, and then a heartbeat of an earlier life.
-    fleet.apply_all(vec![news("i-1", 12, None)], source, 0);
-    let late = fleet.apply_all(vec![living("i-1", 1, 13, 200)], source, 0);
+    let reported = fleet.apply_start("i-1", 300, 0).expect("it started again");
+    assert_eq!((reported.ended, reported.layers), (Some(ReplicaInstance::new("i-1", 200)), None));
+    // It is removed, and then a heartbeat of an earlier instance arrives.
+    fleet.apply_all(vec![update("i-1", 12, None)], source, 0);
+    let late = fleet.apply_all(vec![started("i-1", 1, 13, 200)], source, 0);
     assert_eq!(late[0].change, FleetChange::Older);
     assert!(fleet.view.is_empty());
 }
 
-/// The store may take a heartbeat of an earlier start after the later one is listed: that one stays.
+/// The store may accept a heartbeat of an earlier start after the later one is listed; the later
+/// one stays listed.
 #[test]
 fn an_earlier_start_does_not_end_a_later_one() {
     let source = UpdateSource::Watch;
-    for lapsed in [false, true] {
+    for expired in [false, true] {
         let mut fleet = FleetTracker::default();
         fleet.apply_all(vec![listed("i-old", 1, 3, false)], source, 0);
-        if lapsed {
-            fleet.apply_all(vec![news("i-old", 4, None)], source, 0);
+        if expired {
+            fleet.apply_all(vec![update("i-old", 4, None)], source, 0);
         }
         fleet.apply_all(vec![listed("i-new", 1, 6, false)], source, 0);
-        let beat = fleet.apply_all(vec![listed("i-old", 1, 8, false)], source, 0);
-        assert_eq!(beat[0].change, FleetChange::Older, "lapsed: {lapsed}");
+        let heartbeat = fleet.apply_all(vec![listed("i-old", 1, 8, false)], source, 0);
+        assert_eq!(heartbeat[0].change, FleetChange::Older, "lapsed: {expired}");
         assert!(fleet.view.get("i-new").is_some());
         assert!(fleet.view.get("i-old").is_none());
         assert_eq!(
@@ -213,29 +218,31 @@
     }
 }
 
-/// Another writer's entry names no replica: in place of a good one it keeps that one from new requests until it
-/// writes again, and one of a service that the configuration does not name ends nobody at its address.
+/// Another writer's entry describes no replica. In place of a replica's own entry it blocks new
+/// requests to that replica until its next heartbeat; an entry of a service that the configuration
+/// does not name ends no replica at its address.
 #[test]
-fn entries_of_other_writers_end_nobody() {
+fn entries_of_other_writers_end_no_replica() {
     let mut fleet = FleetTracker::default();
     fleet.view.set_services(["model"].into_iter());
     let source = UpdateSource::Watch;
-    fleet.apply_all(vec![living("i-1", 1, 5, 100), listed("i-2", 2, 6, true)], source, 0);
+    fleet.apply_all(vec![started("i-1", 1, 5, 100), listed("i-2", 2, 6, true)], source, 0);
     assert!(fleet.overwritten("i-9", 7).is_none());
-    let odd = fleet.overwritten("i-1", 7).expect("it is known");
-    assert_eq!(fleet.apply_all(vec![odd], source, 0)[0].change, FleetChange::Updated);
+    let foreign = fleet.overwritten("i-1", 7).expect("it is known");
+    assert_eq!(fleet.apply_all(vec![foreign], source, 0)[0].change, FleetChange::Updated);
     assert_eq!(fleet.view.get("i-1").map(|entry| entry.state), Some(EntryState::Overwritten));
-    let draining = fleet.overwritten("i-2", 8).and_then(|news| news.entry).expect("it is known");
+    let draining =
+        fleet.overwritten("i-2", 8).and_then(|update| update.entry).expect("it is known");
     assert_eq!(draining.state, EntryState::Draining);
-    fleet.apply_all(vec![living("i-1", 1, 9, 100)], source, 0);
+    fleet.apply_all(vec![started("i-1", 1, 9, 100)], source, 0);
     assert!(fleet.view.get("i-1").is_some_and(ReplicaEntry::is_ready));
-    // One that tells no start, where the replica's own told one.
+    // An entry without a start time, of a replica whose own entry had one.
     fleet.apply_all(vec![listed("i-1", 1, 10, false)], source, 0);
     assert_eq!(fleet.view.get("i-1").map(|entry| entry.state), Some(EntryState::Overwritten));
-    fleet.apply_all(vec![living("i-1", 1, 11, 100)], source, 0);
-    let alien = ReplicaEntry { service: "none".to_owned(), ..entry("i-x", 1, false) };
-    fleet.apply_all(vec![news("i-x", 12, Some(alien))], source, 0);
-    fleet.apply_all(vec![living("i-1", 1, 13, 100)], source, 0);
+    fleet.apply_all(vec![started("i-1", 1, 11, 100)], source, 0);
+    let other_service = ReplicaEntry { service: "none".to_owned(), ..entry("i-x", 1, false) };
+    fleet.apply_all(vec![update("i-x", 12, Some(other_service))], source, 0);
+    fleet.apply_all(vec![started("i-1", 1, 13, 100)], source, 0);
     assert_eq!(fleet.view.revision("i-1"), Some(13));
     assert_eq!(
         fleet.view.at_address(([10, 0, 0, 1], 1).into()).map(|at| at.instance.id()),
@@ -252,16 +259,20 @@
         (NOW + MAX_CLOCK_SKEW + 1, false),
         (0, true),
     ];
-    for (born, plausible) in rows {
-        assert_eq!(ReplicaInstance::new("i-1", born).is_plausible(NOW), plausible, "{born}");
+    for (started_at, plausible) in rows {
+        assert_eq!(
+            ReplicaInstance::new("i-1", started_at).is_plausible(NOW),
+            plausible,
+            "{started_at}"
+        );
     }
 }
 
 #[test]
-fn an_odd_entry_is_told_of_once_for_each_revision() {
-    let mut odd = ForeignEntries::default();
+fn a_foreign_entry_is_reported_once_for_each_revision() {
+    let mut foreign = ForeignEntries::default();
     let rows = [("i-1", 5, true), ("i-1", 5, false), ("i-2", 5, true), ("i-1", 6, true)];
-    for (id, revision, news) in rows {
-        assert_eq!(odd.record(id, revision), news, "{id} {revision}");
+    for (id, revision, is_new) in rows {
+        assert_eq!(foreign.record(id, revision), is_new, "{id} {revision}");
     }
 }
--- a/crates/router/tests/gossip.rs
+++ b/crates/router/tests/gossip.rs
@@ -1,90 +1,113 @@
-//! What relays tell each other does not grow with their count, and reaches all of them.
+//! Traffic between relays does not grow with their number, and updates reach all of them.
 
 mod gossip_model;
 
 use std::collections::BTreeSet;
 
-use gossip_model::{Day, Seen, Trouble, play};
+use gossip_model::{Fault, Outcome, Scenario, run_scenario};
 use switchfold_router::suspect::BASE_SUSPICION_TIME;
 
-/// Most messages a second that a member sends and hears.
-const MEMBER_TALK: f64 = 60.0;
+/// Largest number of messages a second that a member sends and receives.
+const MAX_MEMBER_RATE: f64 = 60.0;
 
-/// Time from a loss that one relay found to the moment at which all keep away.
-const LOSS_KNOWN: u64 = 1_500;
+/// Time from a failure that one relay found to the moment at which all avoid the replica, in
+/// milliseconds.
+const MAX_SPREAD_TIME: u64 = 1_500;
 
-/// Part of what is promised that no relay may misjudge: what changes in some hundred milliseconds.
-const MISJUDGED: f64 = 0.5;
+/// Largest part of the reservations that a relay may estimate wrongly: what changes within some
+/// hundred milliseconds.
+const MAX_MISESTIMATE: f64 = 0.5;
 
-fn day(relays: usize, data_centres: usize, troubles: Vec<(u64, Trouble)>) -> Day {
-    Day { relays, data_centres, lost: 1, troubles, length: 15_000 }
+fn scenario(relays: usize, data_centres: usize, faults: Vec<(u64, Fault)>) -> Scenario {
+    Scenario { relays, data_centres, lost: 1, faults, length: 15_000 }
 }
 
-fn check_keepers(seen: &Seen) {
-    let there = seen.keepers.iter().zip(&seen.is_there).filter(|(_, there)| **there);
-    let keepers: BTreeSet<_> = there.map(|(keeper, _)| keeper).collect();
-    let relays = seen.keepers.len();
-    assert_eq!(keepers.len(), 1, "{relays} relays: all name one keeper: {keepers:?}");
+fn check_coordinators(outcome: &Outcome) {
+    let running =
+        outcome.coordinators.iter().zip(&outcome.is_running).filter(|(_, running)| **running);
+    let coordinators: BTreeSet<_> = running.map(|(coordinator, _)| coordinator).collect();
+    let relays = outcome.coordinators.len();
+    assert_eq!(
+        coordinators.len(),
+        1,
+        "{relays} relays: all name one coordinator: {coordinators:?}"
+    );
 }
 
-/// Relays, data centres.
+/// Numbers of relays and data centres.
 const FLEETS: [(usize, usize); 6] = [(3, 3), (21, 3), (30, 3), (103, 5), (437, 5), (874, 5)];
 
 #[test]
-fn talk_does_not_grow_with_the_fleet() {
+fn traffic_does_not_grow_with_the_fleet() {
     for (relays, data_centres) in FLEETS {
-        let seen = play(&day(relays, data_centres, Vec::new()), 1);
-        let (member, speaker) = (seen.busiest(true), seen.busiest(false));
-        assert!(member <= MEMBER_TALK, "{relays} relays: a member has {member} messages a second");
+        let outcome = run_scenario(&scenario(relays, data_centres, Vec::new()), 1);
+        let (member, speaker) = (outcome.busiest(true), outcome.busiest(false));
+        assert!(
+            member <= MAX_MEMBER_RATE,
+            "{relays} relays: a member has {member} messages a second"
+        );
         let all_to_all = (relays - 1) as f64 * 10.0;
         assert!(speaker <= all_to_all, "{relays} relays: a speaker has {speaker} a second");
-        let misjudged = seen.worst_misjudged();
-        assert!(misjudged <= MISJUDGED, "{relays} relays: {misjudged} of the load misjudged");
-        check_keepers(&seen);
+        let misestimated = outcome.worst_misestimate();
+        assert!(
+            misestimated <= MAX_MISESTIMATE,
+            "{relays} relays: {misestimated} of the reservations misestimated"
+        );
+        check_coordinators(&outcome);
     }
 }
 
 #[test]
-fn a_loss_is_known_to_all_and_ends() {
-    const FOUND: u64 = 6_000;
+fn a_suspicion_reaches_all_relays_and_ends() {
+    const FAULT_TIME: u64 = 6_000;
     for (relays, data_centres) in FLEETS.into_iter().take(5) {
-        // A speaker finds it, or the last member.
+        // Found by a speaker, or by the last member.
         for finder in [0, relays - 1] {
-            let troubles = vec![(FOUND, Trouble::Suspects { relay: finder })];
-            let seen = play(&day(relays, data_centres, troubles), 2);
-            assert_eq!(seen.first_away.len(), relays, "{relays} relays: all know");
-            let last = seen.first_away.values().max().expect("one found it");
-            assert!(*last <= FOUND + LOSS_KNOWN, "{relays} relays: known after {}", last - FOUND);
-            let end = seen.last_away.values().max().expect("one found it");
-            let most = FOUND + BASE_SUSPICION_TIME + LOSS_KNOWN;
-            assert!(*end <= most, "{relays} relays: away until {}", end - FOUND);
+            let faults = vec![(FAULT_TIME, Fault::Suspect { relay: finder })];
+            let outcome = run_scenario(&scenario(relays, data_centres, faults), 2);
+            assert_eq!(outcome.first_avoided.len(), relays, "{relays} relays: all know");
+            let last = outcome.first_avoided.values().max().expect("one found it");
+            assert!(
+                *last <= FAULT_TIME + MAX_SPREAD_TIME,
+                "{relays} relays: known after {}",
+                last - FAULT_TIME
+            );
+            let end = outcome.last_avoided.values().max().expect("one found it");
+            let latest = FAULT_TIME + BASE_SUSPICION_TIME + MAX_SPREAD_TIME;
+            assert!(*end <= latest, "{relays} relays: away until {}", end - FAULT_TIME);
         }
     }
 }
 
-/// Half of all relays end at once, and all those that speak with them.
+/// Half of all relays stop at once, including all speakers.
 #[test]
-fn the_rest_finds_other_speakers() {
+fn remaining_relays_choose_other_speakers() {
     for (relays, data_centres) in FLEETS.into_iter().skip(2).take(3) {
-        let troubles = vec![(5_000, Trouble::Gone { first: 8, hundredths: 50 })];
-        let day = Day { length: 20_000, ..day(relays, data_centres, troubles) };
-        let seen = play(&day, 3);
-        let misjudged = seen.worst_misjudged();
-        assert!(misjudged <= MISJUDGED, "{relays} relays: {misjudged} of the load misjudged");
-        assert!(seen.busiest(true) <= MEMBER_TALK, "{relays} relays");
-        assert!(seen.busiest(false) <= (relays - 1) as f64 * 10.0, "{relays} relays");
-        check_keepers(&seen);
+        let faults = vec![(5_000, Fault::Stop { first: 8, hundredths: 50 })];
+        let scenario = Scenario { length: 20_000, ..scenario(relays, data_centres, faults) };
+        let outcome = run_scenario(&scenario, 3);
+        let misestimated = outcome.worst_misestimate();
+        assert!(
+            misestimated <= MAX_MISESTIMATE,
+            "{relays} relays: {misestimated} of the reservations misestimated"
+        );
+        assert!(outcome.busiest(true) <= MAX_MEMBER_RATE, "{relays} relays");
+        assert!(outcome.busiest(false) <= (relays - 1) as f64 * 10.0, "{relays} relays");
+        check_coordinators(&outcome);
     }
 }
 
 #[test]
-fn data_centres_that_were_cut_off_find_each_other() {
+fn data_centres_reconnect_after_a_partition() {
     for (relays, data_centres) in FLEETS.into_iter().take(5) {
-        let troubles = vec![(4_000, Trouble::Cut { lasts: 6_000 })];
-        let day = Day { length: 18_000, ..day(relays, data_centres, troubles) };
-        let seen = play(&day, 4);
-        let misjudged = seen.worst_misjudged();
-        assert!(misjudged <= MISJUDGED, "{relays} relays: {misjudged} of the load misjudged");
-        check_keepers(&seen);
+        let faults = vec![(4_000, Fault::Partition { lasts: 6_000 })];
+        let scenario = Scenario { length: 18_000, ..scenario(relays, data_centres, faults) };
+        let outcome = run_scenario(&scenario, 4);
+        let misestimated = outcome.worst_misestimate();
+        assert!(
+            misestimated <= MAX_MISESTIMATE,
+            "{relays} relays: {misestimated} of the reservations misestimated"
+        );
+        check_coordinators(&outcome);
     }
 }
--- a/crates/router/tests/membership.rs
+++ b/crates/router/tests/membership.rs
@@ -1,5 +1,5 @@
-//! Proofs told between relays never claim more than was proved, and one relay follows for each data
-//! centre.
+//! Proofs that relays send each other never claim more than was proved, and one relay of each data
+//! centre reads the store.
 
 use proptest::prelude::*;
 use switchfold_router::{
@@ -34,8 +34,8 @@
 }
 
 proptest! {
-    /// Two clocks with any offset, any delays of messages: the time that the asker computes is never
-    /// after the moment, on its own clock, at which the proof was made.
+    /// For any offset of two clocks and any delay of messages, the time that the asker computes is
+    /// never later than the moment, by its own clock, at which the proof was made.
     #[test]
     fn a_proof_is_never_dated_too_late(
         offset in -1_000_000i64..1_000_000,
@@ -44,8 +44,8 @@
         delay in 0i64..10_000,
         waited in 0i64..10_000,
     ) {
-        // On the asker's clock: the stamp leaves at `stamped`, arrives after `delay`, is returned after
-        // `waited`. The proof was made at `made`, before the answer was written.
+        // By the asker's clock: the stamp leaves at `stamped`, arrives after `delay`, and is
+        // returned after `waited`. The proof was made at `made`, before the response was written.
         let arrived = stamped + delay;
         let answered = arrived + waited;
         prop_assume!(made <= answered);
@@ -54,7 +54,8 @@
         let age = (answered + offset) - (made + offset);
         let stamp = PeerStamp { incarnation: 1, time: stamped as u64 };
         let proof = proof_time(stamp, 1, held as u64, age as u64).expect("own stamp");
-        // It is early by the way of the stamp alone, also where it lies before the asker's start.
+        // The result is early by the delay of the stamp only, even if it lies before the asker's
+        // start.
         prop_assert_eq!(proof, made - delay);
         prop_assert!(proof <= made);
     }
@@ -67,7 +68,7 @@
 }
 
 #[test]
-fn one_relay_follows_for_a_data_centre() {
+fn one_relay_reads_the_store_for_a_data_centre() {
     let now = 10_000;
     let mut first = table(&[("b", "x"), ("c", "y")], now);
     first.record_answers(Some(now), Some(now));
@@ -87,7 +88,7 @@
 }
 
 #[test]
-fn lists_that_stay_different_end_the_cover() {
+fn differing_lists_end_reading_by_a_peer() {
     let now = 10_000;
     let mut table = table(&[("a", "x")], now);
     table.record_answers(Some(now), Some(now));
@@ -111,13 +112,14 @@
     assert!(PeerTable::default().is_leader("a", false, now), "alone from the start");
 }
 
-/// Replaced VMs do not take shares of the budget for ever; one that was only learnt has time to be heard.
+/// Replaced VMs do not hold shares of the retry budget for ever. A peer that was only added, and
+/// not heard yet, expires as late as one that was heard at that moment.
 #[test]
-fn a_relay_that_is_gone_is_forgotten() {
+fn silent_relays_expire() {
     let mut table = table(&[("a", "x"), ("b", "x")], 1_000);
     table.record_message("b", PeerState::default(), PeerStamp::default(), 30_000);
     table.upsert("c", "10.0.0.2:7000".parse().expect("address"), "x", 50_000);
-    // Reading an object of the store again is no sign of life.
+    // Reading an object of the store again does not show that the relay is live.
     table.upsert("a", "10.0.0.1:7000".parse().expect("address"), "x", 50_000);
     assert_eq!(table.expired(999 + PEER_EXPIRY), Vec::<String>::new());
     assert_eq!(table.expired(1_000 + PEER_EXPIRY), ["a"]);
@@ -126,10 +128,10 @@
     assert_eq!(table.known_count(), 2);
 }
 
-/// A relay that lost the store alone leaves new callers to the others before keys are refused; where all
-/// lost it, and where none is known, it goes on.
+/// A relay that alone has lost the store redirects new callers before keys are refused. If all have
+/// lost it, or no other relay is known, it goes on serving.
 #[test]
-fn a_relay_that_lost_the_store_alone_steps_aside() {
+fn a_relay_that_lost_the_store_alone_redirects_callers() {
     let now = 10_000;
     let peers = table(&[("b", "north"), ("c", "south")], now);
     assert!(peers.should_redirect(STEP_ASIDE_AGE, false, now));
@@ -147,9 +149,10 @@
     assert!(!peers.should_redirect(STEP_ASIDE_AGE, false, silent), "the store answers it");
 }
 
-/// What covers a follower ends with the word of the one that it follows, not when its last proof is old.
+/// A relay reads on behalf of another one until it reports a failed read, not until its last proof
+/// is old.
 #[test]
-fn a_relay_that_lost_the_store_covers_nobody() {
+fn a_relay_that_lost_the_store_reads_for_no_other() {
     let now = 10_000;
     let lost = |fleet_is_lost, config_is_lost| PeerState {
         fleet_is_fresh: true,
@@ -171,9 +174,9 @@
     assert!(peers.fleet_read_by_peer("c", "x", now), "the next one follows");
 }
 
-/// A message that another one overtook does not bring back what its sender said before.
+/// A message that arrives after a later one does not bring back the sender's earlier state.
 #[test]
-fn an_overtaken_message_is_no_news() {
+fn an_overtaken_message_is_ignored() {
     let now = 10_000;
     let mut peers = table(&[("a", "x")], now);
     let at = |incarnation, time| PeerStamp { incarnation, time };
@@ -186,8 +189,11 @@
     assert!(!peers.record_message("unknown", version(9), at(1, 1), now));
 }
 
-/// What was proved before this start keeps its age, instead of counting as proved at the start. Found by seed 737 of the soak: a relay that started in an outage of the store was told a configuration
-/// of 6.8 s ago, took it for one of 0.1 s ago, and told that to the others, which let removed keys in.
+/// A proof from before this start keeps its age, instead of counting as made at the start.
+///
+/// Seed 737 of the soak test showed the failure: a relay that started in an outage of the store
+/// received a configuration that was 6.8 s old, took it for one of 0.1 s, and passed it on to
+/// others, which accepted removed keys.
 #[test]
 fn a_proof_from_before_the_start_keeps_its_age() {
     let stamp = PeerStamp { incarnation: 7, time: 100 };
@@ -195,12 +201,12 @@
     for (held, age, expected) in rows {
         assert_eq!(proof_time(stamp, 7, held, age), Some(expected), "{held} {age}");
     }
-    let told = PeerProof::from_response(110, 6_785, 40);
-    assert_eq!((told.proved, told.answered), (Some(-6_675), Some(70)));
+    let proof = PeerProof::from_response(110, 6_785, 40);
+    assert_eq!((proof.proved, proof.answered), (Some(-6_675), Some(70)));
     let mut lease = FreshnessLease::default();
     lease.record_proof_at(-6_675);
     assert_eq!(lease.age(110), Some(6_785));
     assert!(!lease.is_valid(5_000, 110));
-    let told = PeerProof::from_response(110, 110, 111);
-    assert_eq!((told.proved, told.answered), (Some(0), None));
+    let proof = PeerProof::from_response(110, 110, 111);
+    assert_eq!((proof.proved, proof.answered), (Some(0), None));
 }
--- a/crates/router/tests/model/relay.rs
+++ b/crates/router/tests/model/relay.rs
@@ -19,20 +19,20 @@
 };
 
 use super::{
-    RELAYS, Trouble, Weather, replica_id,
+    ActiveFaults, Fault, RELAYS, replica_id,
     store::{Call, Kind, ModelStore, Reply},
 };
 
-/// Time between two messages of a relay, and time that a message takes, in milliseconds.
-const TELL_EVERY: Millis = 200;
-const MESSAGE: Millis = 5;
+/// Time between two messages of a relay, and delay of a message, in milliseconds.
+const SEND_INTERVAL: Millis = 200;
+const MESSAGE_DELAY: Millis = 5;
 
-/// The same to a relay whose messages come late, in milliseconds: more than an answer may take, and less than
-/// silence is taken for an end.
-const LATE_MESSAGE: Millis = 420;
+/// Delay of messages to a relay with late ones, in milliseconds: above the timeout of a response,
+/// and below the silence after which a peer no longer counts as live.
+const LATE_MESSAGE_DELAY: Millis = 420;
 
-/// Time that a neighbour has for an answer, in milliseconds.
-const ASK_PATIENCE: Millis = 300;
+/// Timeout of a request to a neighbour, in milliseconds.
+const ASK_TIMEOUT: Millis = 300;
 
 /// A message to a relay.
 #[derive(Clone, Debug)]
@@ -46,17 +46,17 @@
 
 #[derive(Clone, Debug)]
 enum Body {
-    /// A neighbour is asked for what it read; `asked` comes back with the answer.
-    Question {
+    /// A request for a neighbour's snapshot; `asked` is returned with the response.
+    Request {
         kind: Kind,
         asked: Millis,
         held: u64,
     },
-    /// What it read, if it can tell.
-    Told {
+    /// The neighbour's snapshot, if it can provide one.
+    Snapshot {
         kind: Kind,
         asked: Millis,
-        told: Option<Told>,
+        snapshot: Option<ModelSnapshot>,
     },
     State {
         state: PeerState,
@@ -66,15 +66,15 @@
     Fleet(Vec<ReplicaUpdate>),
 }
 
-/// What surrounds a relay.
+/// The store and the links of a relay.
 pub(crate) struct RelayWorld<'a> {
     pub(crate) store: &'a mut ModelStore,
     pub(crate) messages: &'a mut Vec<Message>,
 }
 
-/// What a neighbour read.
+/// A snapshot of what a neighbour read.
 #[derive(Clone, Debug)]
-struct Told {
+struct ModelSnapshot {
     at: u64,
     proved_age: Millis,
     answered_age: Millis,
@@ -84,11 +84,11 @@
 
 struct Following {
     kind: Kind,
-    times: FollowTimings,
+    timings: FollowTimings,
     follower: StoreFollower<ChaCha8Rng>,
-    rests_until: Millis,
+    idle_until: Millis,
     call: Option<Call>,
-    /// When a neighbour was asked that has not answered yet.
+    /// When a neighbour was asked that has not responded yet.
     asked: Option<Millis>,
 }
 
@@ -101,22 +101,22 @@
     config_at: u64,
     peers: PeerTable,
     following: Vec<Following>,
-    next_tell: Millis,
+    next_send: Millis,
 }
 
 fn address(number: usize) -> SocketAddr {
     format!("10.1.0.{}:7000", number + 1).parse().expect("an address")
 }
 
-/// Delays each message to a relay, once, and doubles it.
-fn delay_and_double(messages: &mut Vec<Message>, to: usize, now: Millis) {
-    let mut doubles = Vec::new();
+/// Delays each message to a relay, once, and duplicates it.
+fn delay_and_duplicate(messages: &mut Vec<Message>, to: usize, now: Millis) {
+    let mut duplicates = Vec::new();
     for message in messages.iter_mut().filter(|one| one.to == to && !one.is_delayed) {
         message.is_delayed = true;
-        message.arrives = now + LATE_MESSAGE;
-        doubles.push(Message { arrives: message.arrives + MESSAGE, ..message.clone() });
+        message.arrives = now + LATE_MESSAGE_DELAY;
+        duplicates.push(Message { arrives: message.arrives + MESSAGE_DELAY, ..message.clone() });
     }
-    messages.append(&mut doubles);
+    messages.append(&mut duplicates);
 }
 
 impl ModelRelay {
@@ -128,11 +128,11 @@
             }
         }
         let following = [(Kind::Replicas, REPLICA_TIMINGS), (Kind::Config, CONFIG_TIMINGS)];
-        let following = following.map(|(kind, times)| {
+        let following = following.map(|(kind, timings)| {
             let seed = number as u64 * 2 + u64::from(kind == Kind::Config);
             let backoff = Backoff::new(ChaCha8Rng::seed_from_u64(seed));
-            let follower = StoreFollower::new(times, backoff);
-            Following { kind, times, follower, rests_until: 0, call: None, asked: None }
+            let follower = StoreFollower::new(timings, backoff);
+            Following { kind, timings, follower, idle_until: 0, call: None, asked: None }
         });
         Self {
             number,
@@ -142,7 +142,7 @@
             config_at: 0,
             peers,
             following: following.into(),
-            next_tell: number as Millis * 40,
+            next_send: number as Millis * 40,
         }
     }
 
@@ -158,57 +158,58 @@
         self.config.get().copied().unwrap_or(0)
     }
 
-    /// Whether it knows that a replica leaves or is gone. Another writer's entry in its place says neither.
+    /// Returns whether it knows that a replica is leaving or gone. Another writer's entry shows
+    /// neither.
     pub(crate) fn knows_leaving(&self, number: usize) -> bool {
         let held = self.fleet.view.get(&replica_id(number));
         held.is_none_or(|entry| entry.state == EntryState::Draining)
     }
 
-    /// When the life of a replica started that it would send requests to.
+    /// Returns the start of the instance of a replica that it would send requests to.
     pub(crate) fn offered_start(&self, number: usize) -> Option<Millis> {
         let held = self.fleet.view.get(&replica_id(number)).filter(|entry| entry.is_ready());
         held.map(|entry| entry.instance.started_at())
     }
 
-    /// Whether it would send requests to a life of a replica that is not its present one.
+    /// Returns whether it would send requests to an earlier instance of a replica.
     pub(crate) fn offers_earlier(&self, number: usize, present: &ReplicaInstance) -> bool {
         let held = self.fleet.view.get(&replica_id(number));
         held.is_some_and(|entry| entry.is_ready() && entry.instance != *present)
     }
 
-    /// Whether it would send requests to a replica.
+    /// Returns whether it would send requests to a replica.
     pub(crate) fn offers(&self, number: usize) -> bool {
         self.fleet.view.get(&replica_id(number)).is_some_and(|entry| entry.is_ready())
     }
 
-    /// Lets it run for a moment.
+    /// Runs the relay for one tick.
     pub(crate) fn advance(
         &mut self,
-        weather: &Weather<'_>,
+        active: &ActiveFaults<'_>,
         world: &mut RelayWorld<'_>,
         now: Millis,
     ) {
-        self.hear(weather, world.messages, now);
-        if now >= self.next_tell {
-            self.next_tell = now + TELL_EVERY;
-            let lapsed = self.fleet.take_expired(now);
-            self.tell_and_take(lapsed, UpdateSource::Expiry, world.messages, now);
-            self.tell_state(world.messages, now);
+        self.receive(active, world.messages, now);
+        if now >= self.next_send {
+            self.next_send = now + SEND_INTERVAL;
+            let expired = self.fleet.take_expired(now);
+            self.send_and_apply(expired, UpdateSource::Expiry, world.messages, now);
+            self.send_state(world.messages, now);
         }
         for index in 0..self.following.len() {
-            self.follow(index, weather, world, now);
+            self.follow(index, active, world, now);
         }
     }
 
     fn follow(
         &mut self,
         index: usize,
-        weather: &Weather<'_>,
+        active: &ActiveFaults<'_>,
         world: &mut RelayWorld<'_>,
         now: Millis,
     ) {
         if let Some(mut call) = self.following[index].call.take() {
-            world.store.serve(&mut call, weather, now);
+            world.store.serve(&mut call, active, now);
             match call.reply.clone() {
                 Some((arrives, reply)) if arrives <= now => {
                     self.end_call(index, &call, reply, world.messages, now);
@@ -220,80 +221,80 @@
                 }
             }
         }
-        if self.following[index].asked.is_some_and(|asked| now < asked + ASK_PATIENCE) {
+        if self.following[index].asked.is_some_and(|asked| now < asked + ASK_TIMEOUT) {
             return;
         }
         if self.following[index].asked.take().is_some() {
             self.following[index].follower.record_no_snapshot(now);
         }
-        if now < self.following[index].rests_until {
+        if now < self.following[index].idle_until {
             return;
         }
         let kind = self.following[index].kind;
-        let sight = self.see(kind, now);
-        match self.following[index].follower.next_step(&sight, now) {
-            FollowStep::Wait(pause) => self.following[index].rests_until = now + pause,
+        let inputs = self.follow_inputs(kind, now);
+        match self.following[index].follower.next_step(&inputs, now) {
+            FollowStep::Wait(pause) => self.following[index].idle_until = now + pause,
             FollowStep::Ask => self.ask(index, world.messages, now),
             step => {
-                let (relay, times) = (self.number, self.following[index].times);
+                let (relay, timings) = (self.number, self.following[index].timings);
                 let call =
-                    Call { relay, kind, times, step, sent: now, reply: None, is_lost: false };
+                    Call { relay, kind, timings, step, sent: now, reply: None, is_lost: false };
                 self.following[index].call = Some(call);
             }
         }
     }
 
-    fn see(&self, kind: Kind, now: Millis) -> FollowInputs {
+    fn follow_inputs(&self, kind: Kind, now: Millis) -> FollowInputs {
         let (name, data_centre, version) = (self.name(), self.data_centre(), self.config_version());
-        let before = self.peers.preceding(name, data_centre, now);
-        let teller = self.teller(kind, now);
-        let sight = FollowInputs {
-            source: teller.map(|teller| teller.order),
-            preceding: before.live,
+        let preceding = self.peers.preceding(name, data_centre, now);
+        let source = self.source(kind, now);
+        let inputs = FollowInputs {
+            source: source.map(|source| source.order),
+            preceding: preceding.live,
             ..FollowInputs::default()
         };
         match kind {
             Kind::Replicas => FollowInputs {
                 is_read_by_peer: self.peers.fleet_read_by_peer(name, data_centre, now),
-                preceding_lost: before.lost_fleet,
+                preceding_lost: preceding.lost_fleet,
                 needs_full_list: self.fleet.needs_full_list(now),
                 is_retried_elsewhere: self.config_lease.is_lost(),
-                ..sight
+                ..inputs
             },
             Kind::Config => FollowInputs {
                 is_read_by_peer: self.peers.config_read_by_peer(name, data_centre, version, now),
                 peer_has_newer: self.peers.peer_has_newer_config(name, data_centre, version, now),
-                preceding_lost: before.lost_config,
-                ..sight
+                preceding_lost: preceding.lost_config,
+                ..inputs
             },
         }
     }
 
-    fn teller(&self, kind: Kind, now: Millis) -> Option<SnapshotSource<'_>> {
+    fn source(&self, kind: Kind, now: Millis) -> Option<SnapshotSource<'_>> {
         let (name, data_centre) = (self.name(), self.data_centre());
-        let holds_none = self.fleet.has_no_list();
+        let has_no_list = self.fleet.has_no_list();
         match kind {
-            Kind::Replicas => self.peers.fleet_source(name, data_centre, holds_none, now),
+            Kind::Replicas => self.peers.fleet_source(name, data_centre, has_no_list, now),
             Kind::Config => self.peers.config_source(name, data_centre, self.config_version(), now),
         }
     }
 
     fn ask(&mut self, index: usize, messages: &mut Vec<Message>, now: Millis) {
         let kind = self.following[index].kind;
-        let teller = self.teller(kind, now).expect("one is asked that was seen").name;
-        let to = RELAYS.iter().position(|(name, _)| *name == teller).expect("a relay");
+        let source = self.source(kind, now).expect("one is asked that was seen").name;
+        let to = RELAYS.iter().position(|(name, _)| *name == source).expect("a relay");
         let held = match kind {
             Kind::Replicas => self.fleet.view.digest(),
             Kind::Config => self.config_version(),
         };
         self.following[index].asked = Some(now);
-        self.send(to, Body::Question { kind, asked: now, held }, messages, now);
+        self.send(to, Body::Request { kind, asked: now, held }, messages, now);
     }
 
-    /// What it can tell a neighbour that holds what `held` stands for.
-    fn tell(&self, kind: Kind, held: u64, now: Millis) -> Option<Told> {
+    /// Returns its snapshot for a neighbour whose state has the digest or version `held`.
+    fn snapshot(&self, kind: Kind, held: u64, now: Millis) -> Option<ModelSnapshot> {
         match kind {
-            Kind::Config => Some(Told {
+            Kind::Config => Some(ModelSnapshot {
                 at: self.config_at,
                 proved_age: self.config_lease.age(now)?,
                 answered_age: self.config_lease.answer_age(now)?,
@@ -304,9 +305,9 @@
                 let read_age = self.fleet.read_age(now).filter(|_| !self.fleet.is_lost());
                 let held_age = self.fleet.known_answer_age(now).filter(|_| held == 0);
                 let list = self.fleet.shareable_list();
-                let whole = list.listed.len() == self.fleet.view.len();
-                let is_same = whole && held == self.fleet.view.digest();
-                Some(Told {
+                let is_complete = list.listed.len() == self.fleet.view.len();
+                let is_same = is_complete && held == self.fleet.view.digest();
+                Some(ModelSnapshot {
                     at: list.at,
                     proved_age: self.fleet.age(now)?,
                     answered_age: read_age.or(held_age)?,
@@ -317,39 +318,46 @@
         }
     }
 
-    fn take_told(&mut self, kind: Kind, asked: Millis, told: Option<Told>, now: Millis) {
+    fn apply_snapshot(
+        &mut self,
+        kind: Kind,
+        asked: Millis,
+        snapshot: Option<ModelSnapshot>,
+        now: Millis,
+    ) {
         let Some(following) = self.following.iter_mut().find(|one| one.kind == kind) else {
             return;
         };
-        // An answer that comes too late finds another question, or none.
+        // A response after the timeout finds another request, or none.
         if following.asked != Some(asked) {
             return;
         }
         following.asked = None;
-        let is_earlier =
-            |told: &Told| kind == Kind::Replicas && self.fleet.is_of_earlier_era(told.at);
-        let Some(told) = told.filter(|told| !is_earlier(told)) else {
+        let is_earlier = |snapshot: &ModelSnapshot| {
+            kind == Kind::Replicas && self.fleet.is_of_earlier_era(snapshot.at)
+        };
+        let Some(snapshot) = snapshot.filter(|snapshot| !is_earlier(snapshot)) else {
             return following.follower.record_no_snapshot(now);
         };
-        following.follower.record_snapshot(told.at, now);
+        following.follower.record_snapshot(snapshot.at, now);
         let proof = PeerProof {
-            proved: Some(asked as i64 - told.proved_age as i64),
-            answered: Some(asked.saturating_sub(told.answered_age)),
+            proved: Some(asked as i64 - snapshot.proved_age as i64),
+            answered: Some(asked.saturating_sub(snapshot.answered_age)),
         };
         match kind {
             Kind::Config => {
-                self.config.replace_if_newer(told.version, told.version);
-                self.config_at = self.config_at.max(told.at);
+                self.config.replace_if_newer(snapshot.version, snapshot.version);
+                self.config_at = self.config_at.max(snapshot.at);
                 proof.proved.into_iter().for_each(|at| self.config_lease.record_proof_at(at));
                 proof.answered.into_iter().for_each(|at| self.config_lease.record_answer(at));
                 self.peers.record_answers(proof.answered, None);
             }
             Kind::Replicas => {
                 let sent = proof.proved.unwrap_or_default();
-                if let Some(list) = told.list {
+                if let Some(list) = snapshot.list {
                     self.fleet.apply_list(list, UpdateSource::Told, sent.max(0) as Millis, now);
                 }
-                self.fleet.record_snapshot(proof, told.at);
+                self.fleet.record_snapshot(proof, snapshot.at);
                 self.peers.record_answers(None, proof.answered);
             }
         }
@@ -370,18 +378,18 @@
             }
         };
         if first {
-            self.tell_state(messages, now);
+            self.send_state(messages, now);
         }
-        let lost_before = self.see(self.following[index].kind, now).preceding_lost;
-        self.following[index].follower.record_failure(sent, lost_before);
+        let preceding_lost = self.follow_inputs(self.following[index].kind, now).preceding_lost;
+        self.following[index].follower.record_failure(sent, preceding_lost);
     }
 
-    /// Reads news of the store: another writer's entry names no replica.
-    fn read_news(&self, news: ReplicaUpdate) -> Option<ReplicaUpdate> {
-        let odd = |entry: &ReplicaEntry| entry.state == EntryState::Overwritten;
-        match news.entry.as_ref().is_some_and(odd) {
-            true => self.fleet.overwritten(&news.id, news.revision),
-            false => Some(news),
+    /// Reads an update of the store, in which another writer's entry describes no replica.
+    fn read_update(&self, update: ReplicaUpdate) -> Option<ReplicaUpdate> {
+        let is_foreign = |entry: &ReplicaEntry| entry.state == EntryState::Overwritten;
+        match update.entry.as_ref().is_some_and(is_foreign) {
+            true => self.fleet.overwritten(&update.id, update.revision),
+            false => Some(update),
         }
     }
 
@@ -399,16 +407,16 @@
             Reply::List(mut list) => {
                 let at = list.at;
                 list.listed =
-                    list.listed.into_iter().filter_map(|news| self.read_news(news)).collect();
-                let cleared = self.fleet.confirmed_by(&list, now);
+                    list.listed.into_iter().filter_map(|update| self.read_update(update)).collect();
+                let confirmed = self.fleet.confirmed_by(&list, now);
                 self.fleet.apply_list(list, UpdateSource::List, call.sent, now);
-                self.tell_and_take(cleared, UpdateSource::List, messages, now);
+                self.send_and_apply(confirmed, UpdateSource::List, messages, now);
                 at
             }
-            Reply::Changes(news, at) => {
-                for one in news {
-                    let read = self.read_news(one).into_iter().collect();
-                    self.tell_and_take(read, UpdateSource::Watch, messages, now);
+            Reply::Changes(updates, at) => {
+                for update in updates {
+                    let read = self.read_update(update).into_iter().collect();
+                    self.send_and_apply(read, UpdateSource::Watch, messages, now);
                 }
                 at
             }
@@ -434,40 +442,47 @@
         }
         self.following[index].follower.record_answer(at, now);
         if is_return || !was_reader {
-            self.tell_state(messages, now);
+            self.send_state(messages, now);
         }
     }
 
-    fn hear(&mut self, weather: &Weather<'_>, messages: &mut Vec<Message>, now: Millis) {
+    fn receive(&mut self, active: &ActiveFaults<'_>, messages: &mut Vec<Message>, now: Millis) {
         let own = self.number;
-        if weather.has(Trouble::Late { relay: own }) {
-            delay_and_double(messages, own, now);
+        if active.is_active(Fault::Delayed { relay: own }) {
+            delay_and_duplicate(messages, own, now);
         }
         let arrived = messages.extract_if(.., |one| one.to == own && one.arrives <= now);
-        let deaf = weather.has(Trouble::Deaf { relay: own });
-        for message in arrived.filter(|_| !deaf).collect::<Vec<_>>() {
+        let is_unreachable = active.is_active(Fault::Unreachable { relay: own });
+        for message in arrived.filter(|_| !is_unreachable).collect::<Vec<_>>() {
             match message.body {
-                Body::Question { kind, asked, held } => {
-                    let told = self.tell(kind, held, now);
-                    self.send(message.from, Body::Told { kind, asked, told }, messages, now);
+                Body::Request { kind, asked, held } => {
+                    let snapshot = self.snapshot(kind, held, now);
+                    self.send(
+                        message.from,
+                        Body::Snapshot { kind, asked, snapshot },
+                        messages,
+                        now,
+                    );
+                }
+                Body::Snapshot { kind, asked, snapshot } => {
+                    self.apply_snapshot(kind, asked, snapshot, now)
                 }
-                Body::Told { kind, asked, told } => self.take_told(kind, asked, told, now),
-                Body::Fleet(news) => {
+                Body::Fleet(updates) => {
                     let source = UpdateSource::Relay(address(message.from));
-                    self.fleet.apply_all(news, source, now);
+                    self.fleet.apply_all(updates, source, now);
                 }
                 Body::State { state, stamp, echo } => {
                     let (name, data_centre) = RELAYS[message.from];
                     self.peers.record_message(name, state, stamp, now);
                     if data_centre == self.data_centre() {
-                        self.take_proofs(&state, echo, now);
+                        self.apply_proofs(&state, echo, now);
                     }
                 }
             }
         }
     }
 
-    fn take_proofs(&mut self, state: &PeerState, echo: Option<(PeerStamp, Millis)>, now: Millis) {
+    fn apply_proofs(&mut self, state: &PeerState, echo: Option<(PeerStamp, Millis)>, now: Millis) {
         let own = OwnState {
             name: self.name(),
             data_centre: self.data_centre(),
@@ -485,20 +500,20 @@
         self.fleet.record_proof(proofs.fleet);
     }
 
-    fn tell_and_take(
+    fn send_and_apply(
         &mut self,
-        news: Vec<ReplicaUpdate>,
+        updates: Vec<ReplicaUpdate>,
         source: UpdateSource,
         messages: &mut Vec<Message>,
         now: Millis,
     ) {
-        if news.is_empty() {
+        if updates.is_empty() {
             return;
         }
         for to in self.near() {
-            self.send(to, Body::Fleet(news.clone()), messages, now);
+            self.send(to, Body::Fleet(updates.clone()), messages, now);
         }
-        self.fleet.apply_all(news, source, now);
+        self.fleet.apply_all(updates, source, now);
     }
 
     fn near(&self) -> impl Iterator<Item = usize> + use<> {
@@ -507,11 +522,11 @@
     }
 
     fn send(&self, to: usize, body: Body, messages: &mut Vec<Message>, now: Millis) {
-        let arrives = now + MESSAGE;
+        let arrives = now + MESSAGE_DELAY;
         messages.push(Message { to, from: self.number, arrives, is_delayed: false, body });
     }
 
-    fn tell_state(&self, messages: &mut Vec<Message>, now: Millis) {
+    fn send_state(&self, messages: &mut Vec<Message>, now: Millis) {
         let state = PeerState {
             fleet_is_fresh: self.fleet.is_fresh(now),
             fleet_is_lost: self.fleet.is_lost(),
--- a/crates/router/tests/model/store.rs
+++ b/crates/router/tests/model/store.rs
@@ -1,4 +1,4 @@
-//! The store: replicas and configuration under one counter of revisions.
+//! The store: replicas and configuration with one revision counter.
 
 use std::collections::BTreeMap;
 
@@ -11,20 +11,20 @@
     replicas::FleetList,
 };
 
-use super::{Trouble, Weather, replica_id};
+use super::{ActiveFaults, Fault, replica_id};
 
-/// Time from a call to its answer, in milliseconds, and the same of a slow store.
+/// Time from a call to its answer, of a normal and of a slow store, in milliseconds.
 const ANSWER: Millis = 5;
 const SLOW_ANSWER: Millis = 200;
 
-/// What is followed.
+/// Kind of object that is followed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Kind {
     Replicas,
     Config,
 }
 
-/// What the store answered.
+/// Answer of the store.
 #[derive(Clone, Debug)]
 pub(crate) enum Reply {
     List(FleetList),
@@ -34,23 +34,23 @@
     Refused,
 }
 
-/// A call under way.
+/// A call in progress.
 #[derive(Clone, Debug)]
 pub(crate) struct Call {
     pub(crate) relay: usize,
     pub(crate) kind: Kind,
-    pub(crate) times: FollowTimings,
+    pub(crate) timings: FollowTimings,
     pub(crate) step: FollowStep,
     pub(crate) sent: Millis,
     pub(crate) reply: Option<(Millis, Reply)>,
-    /// Whether its answer will never come: the connection went silent.
+    /// Whether its answer will never arrive, since the connection went silent.
     pub(crate) is_lost: bool,
 }
 
 impl Call {
-    /// When the caller gives up.
+    /// Returns when the caller times out.
     pub(crate) fn deadline(&self) -> Millis {
-        let FollowTimings { wait, list_timeout, .. } = self.times;
+        let FollowTimings { wait, list_timeout, .. } = self.timings;
         match self.step {
             FollowStep::Wait(_) | FollowStep::Ask => self.sent,
             FollowStep::List(_) => self.sent + list_timeout,
@@ -61,14 +61,14 @@
 
 #[derive(Clone, Debug)]
 pub(crate) struct ModelStore {
-    /// Times that it came back from a copy.
+    /// Number of times that it was restored from a backup.
     era: u64,
     revision: u64,
     entries: BTreeMap<usize, (u64, ReplicaEntry)>,
     /// Entries as their replicas know them, listed or not.
     known: Vec<ReplicaEntry>,
     history: Vec<ReplicaUpdate>,
-    forgotten: u64,
+    compacted_revision: u64,
     config: (u64, u64),
 }
 
@@ -80,39 +80,39 @@
             entries: BTreeMap::new(),
             known: (0..replicas).map(entry).collect(),
             history: Vec::new(),
-            forgotten: 0,
+            compacted_revision: 0,
             config: (1, 1),
         };
-        (0..replicas).for_each(|number| store.restore(number));
+        (0..replicas).for_each(|number| store.write_entry(number));
         store
     }
 
-    /// Changes a replica's entry, where it is listed; tells whether it is.
+    /// Changes a replica's entry if it is listed; returns whether it is.
     pub(crate) fn update(&mut self, number: usize, change: impl Fn(&mut ReplicaEntry)) -> bool {
         let listed = self.entries.contains_key(&number);
         if listed {
             change(&mut self.known[number]);
-            self.restore(number);
+            self.write_entry(number);
         }
         listed
     }
 
     /// Writes a replica's entry as the replica knows it.
-    pub(crate) fn restore(&mut self, number: usize) {
+    pub(crate) fn write_entry(&mut self, number: usize) {
         self.revision += 1;
         let entry = self.known[number].clone();
         self.entries.insert(number, (self.revision, entry.clone()));
-        self.note(number, Some(entry));
+        self.record(number, Some(entry));
     }
 
-    /// Whether a replica's entry is listed and tells its present life.
+    /// Returns whether a replica's entry is listed with its present instance.
     pub(crate) fn shows_present(&self, number: usize) -> bool {
         let listed = self.entries.get(&number);
         listed.is_some_and(|(_, entry)| entry.instance == self.known[number].instance)
     }
 
-    /// Starts a replica again under its id, with nothing; its entry tells that only once it is written. Gives
-    /// its entry of before.
+    /// Restarts a replica under its id, without its earlier state; the store lists that only once
+    /// its entry is written. Returns its earlier entry.
     pub(crate) fn restart(&mut self, number: usize) -> ReplicaEntry {
         let known = &mut self.known[number];
         let before = known.clone();
@@ -121,36 +121,36 @@
         before
     }
 
-    /// Writes something else in the place of a replica's entry, where it is listed.
+    /// Replaces a replica's entry if it is listed.
     pub(crate) fn overwrite(&mut self, number: usize, entry: ReplicaEntry) {
         if self.entries.contains_key(&number) {
             self.revision += 1;
             self.entries.insert(number, (self.revision, entry.clone()));
-            self.note(number, Some(entry));
+            self.record(number, Some(entry));
         }
     }
 
-    /// Whether a replica is listed.
+    /// Returns whether a replica is listed.
     pub(crate) fn is_listed(&self, number: usize) -> bool {
         self.entries.contains_key(&number)
     }
 
-    /// A replica's entry as it knows it.
+    /// Returns a replica's entry as the replica knows it.
     pub(crate) fn known(&self, number: usize) -> &ReplicaEntry {
         &self.known[number]
     }
 
-    /// Removes a replica's entry; tells whether it was listed.
+    /// Removes a replica's entry; returns whether it was listed.
     pub(crate) fn remove(&mut self, number: usize) -> bool {
         let listed = self.entries.remove(&number).is_some();
         if listed {
             self.revision += 1;
-            self.note(number, None);
+            self.record(number, None);
         }
         listed
     }
 
-    /// Writes a version of the configuration, where it has an older one.
+    /// Writes a version of the configuration if the present one is older.
     pub(crate) fn configure(&mut self, version: u64) {
         if version > self.config.1 {
             self.revision += 1;
@@ -158,66 +158,66 @@
         }
     }
 
-    /// Comes back from a copy of before: what was written since is gone, and its revisions are given out again. Replicas
-    /// know what they knew.
-    pub(crate) fn come_back(&mut self, copy: &Self) {
+    /// Restores the store from a backup: later writes are lost, and their revisions are reused.
+    /// Replicas keep what they know.
+    pub(crate) fn restore_backup(&mut self, backup: &Self) {
         let (era, known) = (self.era + 1, self.known.clone());
-        *self = Self { era, known, ..copy.clone() };
+        *self = Self { era, known, ..backup.clone() };
     }
 
-    /// A revision as the platform's adapter tells it.
+    /// Returns a revision as the platform's adapter reports it.
     fn pack_revision(&self, revision: u64) -> u64 {
         pack_revision(self.era, revision)
     }
 
-    fn placed(&self, news: &ReplicaUpdate) -> ReplicaUpdate {
-        ReplicaUpdate { revision: self.pack_revision(news.revision), ..news.clone() }
+    fn packed(&self, update: &ReplicaUpdate) -> ReplicaUpdate {
+        ReplicaUpdate { revision: self.pack_revision(update.revision), ..update.clone() }
     }
 
-    /// The revision to watch from; nothing where this store does not have it.
-    fn revision_of(&self, place: u64) -> Option<u64> {
-        let revision = revision_of(place);
-        let has_it = revision <= self.revision && revision >= self.forgotten;
-        (has_it && era_of(place) == self.era).then_some(revision)
+    /// Returns the revision to watch from; `None` if the store does not have it.
+    fn revision_of(&self, packed: u64) -> Option<u64> {
+        let revision = revision_of(packed);
+        let has_it = revision <= self.revision && revision >= self.compacted_revision;
+        (has_it && era_of(packed) == self.era).then_some(revision)
     }
 
-    fn note(&mut self, number: usize, entry: Option<ReplicaEntry>) {
+    fn record(&mut self, number: usize, entry: Option<ReplicaEntry>) {
         let id = replica_id(number);
         self.history.push(ReplicaUpdate { id, revision: self.revision, entry });
     }
 
-    /// Lets a call go on: it may get its answer, or lose it.
-    pub(crate) fn serve(&mut self, call: &mut Call, weather: &Weather<'_>, now: Millis) {
-        let delay = if weather.has(Trouble::Slow) { SLOW_ANSWER } else { ANSWER };
+    /// Processes a call: it may be answered, or lost.
+    pub(crate) fn serve(&mut self, call: &mut Call, active: &ActiveFaults<'_>, now: Millis) {
+        let delay = if active.is_active(Fault::Slow) { SLOW_ANSWER } else { ANSWER };
         if call.reply.is_some() || call.is_lost || now < call.sent + delay / 2 {
             return;
         }
-        match weather.serves(call.relay) {
+        match active.accepts(call.relay) {
             None => call.is_lost = true,
             Some(false) => call.reply = Some((now + delay / 2, Reply::Refused)),
             Some(true) => {
-                let reply = self.answer(call, weather, now);
+                let reply = self.answer(call, active, now);
                 call.reply = reply.map(|reply| (now + delay / 2, reply));
             }
         }
     }
 
-    fn answer(&mut self, call: &Call, weather: &Weather<'_>, now: Millis) -> Option<Reply> {
+    fn answer(&mut self, call: &Call, active: &ActiveFaults<'_>, now: Millis) -> Option<Reply> {
         let after = match call.step {
             FollowStep::Wait(_) | FollowStep::Ask => return None,
             FollowStep::List(_) => return Some(self.list(call.kind)),
             FollowStep::Watch(after) => after,
         };
-        let over = now >= call.sent + call.times.wait;
-        if weather.has(Trouble::Compaction) {
-            // Nothing is heard, and the revision of nothing is not told.
+        let over = now >= call.sent + call.timings.wait;
+        if active.is_active(Fault::Compaction) {
+            // The watch receives nothing, and its revision does not advance.
             return over.then(|| Self::empty(call.kind, after));
         }
-        let cut = weather.troubles.iter().any(|one| {
-            one.what == Trouble::Compaction && one.at + 1_000 <= now && call.sent < one.at + 1_000
+        let cut = active.faults.iter().any(|one| {
+            one.what == Fault::Compaction && one.at + 1_000 <= now && call.sent < one.at + 1_000
         });
         if cut {
-            self.forgotten = self.forgotten.max(self.revision);
+            self.compacted_revision = self.compacted_revision.max(self.revision);
             return Some(Reply::Refused);
         }
         let Some(after) = self.revision_of(after) else { return Some(Reply::Gap) };
@@ -244,9 +244,9 @@
             let newer = self.config.0 > after;
             return newer.then_some(Reply::Config(Some(self.config.1), at));
         }
-        let news = self.history.iter().filter(|news| news.revision > after);
-        let news: Vec<ReplicaUpdate> = news.map(|news| self.placed(news)).collect();
-        (!news.is_empty()).then_some(Reply::Changes(news, at))
+        let updates = self.history.iter().filter(|update| update.revision > after);
+        let updates: Vec<ReplicaUpdate> = updates.map(|update| self.packed(update)).collect();
+        (!updates.is_empty()).then_some(Reply::Changes(updates, at))
     }
 
     fn empty(kind: Kind, at: u64) -> Reply {
--- a/crates/router/tests/outages.rs
+++ b/crates/router/tests/outages.rs
@@ -1,5 +1,5 @@
-//! Many relays of one data centre while the store goes away and comes back: how often they call it, and how
-//! soon all of them know what it holds.
+//! Many relays of one data centre during and after an outage of the store: how often they call it,
+//! and how soon all of them know its state.
 
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -15,51 +15,52 @@
 /// Step of the clock, and time from a call to its answer, in milliseconds.
 const TICK: Millis = 5;
 
-/// Time in which a relay hears what another one says, in milliseconds.
-const HEARD: Millis = 10;
+/// Delay after which a relay hears the state of another one, in milliseconds.
+const HEAR_DELAY: Millis = 10;
 
-/// When the store is away, in milliseconds.
-const AWAY: std::ops::Range<Millis> = 10_000..18_000;
+/// Time of the outage, in milliseconds.
+const OUTAGE: std::ops::Range<Millis> = 10_000..18_000;
 
 /// End of a run, in milliseconds.
 const END: Millis = 24_000;
 
-/// Users' bounds of the deployments seen: time until a relay is in touch, oldest state.
+/// Bounds that users have set in deployments: time until a relay counts as in contact, and age of
+/// the oldest state, in milliseconds.
 const BOUNDS: [(Millis, Millis); 2] = [(3_000, 2_000), (5_000, 4_000)];
 
-struct OneKind {
+struct KindState {
     follower: StoreFollower<ChaCha8Rng>,
-    rests_until: Millis,
-    /// When the store last answered, to this relay or to one that told it.
+    idle_until: Millis,
+    /// When the store last answered this relay, or one that passed its state on.
     answered: Option<Millis>,
-    reads: Option<Millis>,
+    last_read: Option<Millis>,
     is_lost: bool,
     calls: u32,
 }
 
-/// What others hear of a relay.
+/// State of a relay as others hear it.
 #[derive(Clone, Copy, Default)]
-struct Heard {
-    reads: Option<Millis>,
+struct HeardState {
+    last_read: Option<Millis>,
     is_lost: bool,
 }
 
 /// Relays that follow two kinds of object.
 struct DataCentre {
-    relays: Vec<[OneKind; 2]>,
-    heard: Vec<(Millis, Vec<[Heard; 2]>)>,
+    relays: Vec<[KindState; 2]>,
+    heard: Vec<(Millis, Vec<[HeardState; 2]>)>,
 }
 
 impl DataCentre {
     fn new(count: u64, contact: Millis, old_state: Millis) -> Self {
-        let kind = |seed: u64, times: FollowTimings| OneKind {
+        let kind = |seed: u64, timings: FollowTimings| KindState {
             follower: StoreFollower::new(
-                times.within_bounds(contact, old_state),
+                timings.within_bounds(contact, old_state),
                 Backoff::new(ChaCha8Rng::seed_from_u64(seed)),
             ),
-            rests_until: 0,
+            idle_until: 0,
             answered: None,
-            reads: None,
+            last_read: None,
             is_lost: false,
             calls: 0,
         };
@@ -68,24 +69,24 @@
         Self { relays: (0..count).map(relay).collect(), heard: Vec::new() }
     }
 
-    fn sight(&self, relay: usize, kind: usize, now: Millis) -> FollowInputs {
-        let heard = self.heard.iter().rev().find(|(at, _)| at + HEARD <= now);
+    fn inputs(&self, relay: usize, kind: usize, now: Millis) -> FollowInputs {
+        let heard = self.heard.iter().rev().find(|(at, _)| at + HEAR_DELAY <= now);
         let Some((_, heard)) = heard else { return FollowInputs::default() };
-        let reads = |other: &usize| {
-            let Heard { reads, is_lost } = heard[*other][kind];
-            !is_lost && reads.is_some_and(|at| now - at < 1_600)
+        let last_read = |other: &usize| {
+            let HeardState { last_read, is_lost } = heard[*other][kind];
+            !is_lost && last_read.is_some_and(|at| now - at < 1_600)
         };
-        let teller = (0..heard.len()).filter(|other| *other != relay).find(reads);
-        let place = |other| if other < relay { SourceOrder::Before } else { SourceOrder::After };
+        let source = (0..heard.len()).filter(|other| *other != relay).find(last_read);
+        let order = |other| if other < relay { SourceOrder::Before } else { SourceOrder::After };
         let answered = self.relays[relay][kind].answered;
         FollowInputs {
-            is_read_by_peer: teller.is_some_and(|other| other < relay)
+            is_read_by_peer: source.is_some_and(|other| other < relay)
                 && answered.is_some_and(|at| now - at < 1_600),
             peer_has_newer: false,
-            source: teller.map(place),
+            source: source.map(order),
             preceding: relay,
             needs_full_list: false,
-            preceding_lost: heard[..relay].iter().filter(|one| one[kind].is_lost).count(),
+            preceding_lost: heard[..relay].iter().filter(|state| state[kind].is_lost).count(),
             is_retried_elsewhere: kind == 1 && self.relays[relay][0].is_lost,
         }
     }
@@ -97,87 +98,92 @@
             }
         }
         let said = self.relays.iter().map(|kinds| {
-            [0, 1].map(|kind| Heard { reads: kinds[kind].reads, is_lost: kinds[kind].is_lost })
+            [0, 1].map(|kind| HeardState {
+                last_read: kinds[kind].last_read,
+                is_lost: kinds[kind].is_lost,
+            })
         });
         self.heard.push((now, said.collect()));
     }
 
     fn step_one(&mut self, relay: usize, kind: usize, now: Millis) {
-        let sight = self.sight(relay, kind, now);
-        let one = &mut self.relays[relay][kind];
-        if sight.is_read_by_peer {
-            // Proofs come with the messages of the one that reads.
-            one.answered = Some(now);
-            one.is_lost = false;
+        let inputs = self.inputs(relay, kind, now);
+        let state = &mut self.relays[relay][kind];
+        if inputs.is_read_by_peer {
+            // The relay that reads sends its proofs with its messages.
+            state.answered = Some(now);
+            state.is_lost = false;
         }
-        if now < one.rests_until {
+        if now < state.idle_until {
             return;
         }
-        match one.follower.next_step(&sight, now) {
-            FollowStep::Wait(pause) => one.rests_until = now + pause,
+        match state.follower.next_step(&inputs, now) {
+            FollowStep::Wait(pause) => state.idle_until = now + pause,
             FollowStep::Ask => {
-                one.follower.record_snapshot(1, now);
-                one.answered = Some(now);
-                one.is_lost = false;
+                state.follower.record_snapshot(1, now);
+                state.answered = Some(now);
+                state.is_lost = false;
             }
-            FollowStep::List(_) | FollowStep::Watch(_) if AWAY.contains(&now) => {
-                one.calls += 1;
-                one.is_lost = true;
-                one.follower.record_failure(now, sight.preceding_lost);
+            FollowStep::List(_) | FollowStep::Watch(_) if OUTAGE.contains(&now) => {
+                state.calls += 1;
+                state.is_lost = true;
+                state.follower.record_failure(now, inputs.preceding_lost);
             }
             FollowStep::List(_) | FollowStep::Watch(_) => {
-                one.calls += 1;
-                one.is_lost = false;
-                one.answered = Some(now);
-                one.reads = Some(now);
-                one.follower.record_answer(1, now);
-                one.rests_until = now + 1_000;
+                state.calls += 1;
+                state.is_lost = false;
+                state.answered = Some(now);
+                state.last_read = Some(now);
+                state.follower.record_answer(1, now);
+                state.idle_until = now + 1_000;
             }
         }
     }
 
     fn calls(&self) -> u32 {
-        self.relays.iter().flatten().map(|one| one.calls).sum()
+        self.relays.iter().flatten().map(|state| state.calls).sum()
     }
 }
 
-/// In an outage of eight seconds the calls of a data centre grow with its relays far slower than their count, and
-/// after it all relays know within half a second. Each by itself, 21 relays would make 840 calls.
+/// In an outage of eight seconds the calls of a data centre grow far slower than its number of
+/// relays, and half a second after it all relays know the store's state. On their own, 21 relays
+/// would make 840 calls.
 #[test]
-fn an_outage_costs_few_calls_and_its_end_is_known_soon() {
+fn an_outage_costs_few_calls_and_its_end_is_noticed_soon() {
     for (contact, old_state) in BOUNDS {
-        for (count, most_calls) in [(1, 32), (2, 48), (21, 230)] {
-            let mut centre = DataCentre::new(count, contact, old_state);
-            let (mut now, mut before, mut whole_at) = (0, 0, None);
+        for (count, max_calls) in [(1, 32), (2, 48), (21, 230)] {
+            let mut data_centre = DataCentre::new(count, contact, old_state);
+            let (mut now, mut calls_before, mut all_known_at) = (0, 0, None);
             while now < END {
-                centre.step(now);
-                if now + TICK == AWAY.start {
-                    before = centre.calls();
+                data_centre.step(now);
+                if now + TICK == OUTAGE.start {
+                    calls_before = data_centre.calls();
                 }
-                if now > AWAY.end && whole_at.is_none() {
-                    let fresh = |one: &OneKind| one.answered.is_some_and(|at| at >= AWAY.end);
-                    whole_at = centre.relays.iter().flatten().all(fresh).then_some(now);
+                if now > OUTAGE.end && all_known_at.is_none() {
+                    let fresh =
+                        |state: &KindState| state.answered.is_some_and(|at| at >= OUTAGE.end);
+                    all_known_at = data_centre.relays.iter().flatten().all(fresh).then_some(now);
                 }
-                if now + TICK == AWAY.end {
-                    let calls = centre.calls() - before;
-                    assert!(calls <= most_calls, "{count} relays: {calls} calls in the outage");
+                if now + TICK == OUTAGE.end {
+                    let calls = data_centre.calls() - calls_before;
+                    assert!(calls <= max_calls, "{count} relays: {calls} calls in the outage");
                 }
                 now += TICK;
             }
-            let took = whole_at.expect("all know in the end") - AWAY.end;
+            let took = all_known_at.expect("all know in the end") - OUTAGE.end;
             assert!(took <= 500, "{count} relays: {took} ms until all know");
         }
     }
 }
 
-/// In calm, one relay of a data centre reads, however many there are.
+/// Without faults, one relay of a data centre reads, however many there are.
 #[test]
-fn calm_costs_what_one_relay_reads() {
+fn one_relay_reads_for_all_without_faults() {
     for count in [1, 3, 21, 100] {
-        let mut centre = DataCentre::new(count, 3_000, 2_000);
-        (0..5_000).step_by(TICK as usize).for_each(|now| centre.step(now));
-        let before = centre.calls();
-        (5_000..9_000).step_by(TICK as usize).for_each(|now| centre.step(now));
-        assert_eq!(centre.calls() - before, 8, "{count} relays");
+        let mut data_centre = DataCentre::new(count, 3_000, 2_000);
+        (0..5_000).step_by(TICK as usize).for_each(|now| data_centre.step(now));
+        let calls_before = data_centre.calls();
+        (5_000..9_000).step_by(TICK as usize).for_each(|now| data_centre.step(now));
+        assert_eq!(data_centre.calls() - calls_before, 8, "{count} relays");
     }
 }
--- a/crates/router/tests/state.rs
+++ b/crates/router/tests/state.rs
@@ -1,4 +1,4 @@
-//! Budgets, freshness, room, suspicions and versions.
+//! Retry budgets, freshness leases, reservations, suspicions and configuration versions.
 
 use std::collections::HashMap;
 
@@ -22,12 +22,12 @@
 
 const BUDGET: BudgetConfig = BudgetConfig { ratio: 0.2, allowance: 200.0, window: 10_000 };
 
-/// Whether the repeats in each window stay below the ratio of the requests, counted in that window or the one
-/// before, and the allowance.
-fn is_within_budget(requests: &[u64], repeats: &[u64]) -> bool {
-    repeats.iter().all(|start| {
+/// Whether the retries in each window stay below the allowance plus the given ratio of the requests
+/// in that window and the one before.
+fn is_within_budget(requests: &[u64], retries: &[u64]) -> bool {
+    retries.iter().all(|start| {
         let end = start + BUDGET.window;
-        let sent = repeats.iter().filter(|time| **time >= *start && **time < end).count();
+        let sent = retries.iter().filter(|time| **time >= *start && **time < end).count();
         let counted = |time: &&u64| **time + BUDGET.window >= *start && **time < end;
         let asked = requests.iter().filter(counted).count();
         sent as f64 <= asked as f64 * BUDGET.ratio + BUDGET.allowance
@@ -35,15 +35,16 @@
 }
 
 proptest! {
-    /// However requests and repeats come, all entries together stay within the bound in any window.
+    /// For any sequence of requests and retries, all entries together stay within the bound in any
+    /// window.
     #[test]
-    fn repeats_stay_within_the_window(
+    fn retries_stay_within_the_budget(
         steps in prop::collection::vec((0usize..4, 0u64..400, 0u32..6, 0u32..30), 1..200)
     ) {
         let mut budgets: Vec<RetryBudget> = vec![RetryBudget::default(); 4];
         let mut now = 0;
         let mut requests: Vec<u64> = Vec::new();
-        let mut repeats: Vec<u64> = Vec::new();
+        let mut retries: Vec<u64> = Vec::new();
         for (entry, wait, arrivals, wanted) in steps {
             now += wait;
             for _ in 0..arrivals {
@@ -52,24 +53,25 @@
             }
             for _ in 0..wanted {
                 if budgets[entry].spend(&BUDGET, 4, now) {
-                    repeats.push(now);
+                    retries.push(now);
                 }
             }
         }
-        prop_assert!(is_within_budget(&requests, &repeats));
+        prop_assert!(is_within_budget(&requests, &retries));
     }
 
-    /// The same where entries restart, each twice in a window at most, and forget what they spent. Found by a
-    /// hunt: with 21 entries restarted in turn, 842 repeats came where 835 were allowed.
+    /// The same with entries that restart, at most twice in a window, and lose count of what they
+    /// spent. A search for failures found 842 retries where 835 were allowed, with 21 entries
+    /// restarted in turn.
     #[test]
-    fn repeats_stay_within_the_window_over_restarts(
+    fn retries_stay_within_the_budget_over_restarts(
         steps in prop::collection::vec((0usize..4, 0u64..400, 0u32..4, 0u32..60, 0u8..12), 1..200)
     ) {
         let begun_long_ago = 0;
         let mut budgets: Vec<RetryBudget> = vec![RetryBudget::starting_at(begun_long_ago); 4];
         let mut restarts: Vec<Vec<u64>> = vec![Vec::new(); 4];
         let mut now = BUDGET.window;
-        let (mut requests, mut repeats): (Vec<u64>, Vec<u64>) = (Vec::new(), Vec::new());
+        let (mut requests, mut retries): (Vec<u64>, Vec<u64>) = (Vec::new(), Vec::new());
         for (entry, wait, arrivals, wanted, draw) in steps {
             now += wait;
             let lately = restarts[entry].iter().filter(|at| **at + BUDGET.window > now).count();
@@ -83,15 +85,15 @@
             }
             for _ in 0..wanted {
                 if budgets[entry].spend(&BUDGET, 4, now) {
-                    repeats.push(now);
+                    retries.push(now);
                 }
             }
         }
-        prop_assert!(is_within_budget(&requests, &repeats));
+        prop_assert!(is_within_budget(&requests, &retries));
     }
 
-    /// A key is let in only where a read sent after its removal, less the margin, was not missed: the
-    /// lease never holds longer than the bound after the last proof, in any order of answers.
+    /// A key is accepted only if a read sent after its removal cannot have been missed: in any
+    /// order of answers, the lease ends at the bound, less the margin, after the last proof.
     #[test]
     fn lease_ends_in_time(
         proofs in prop::collection::vec(0u64..20_000, 0..20),
@@ -107,7 +109,7 @@
         prop_assert_eq!(lease.is_valid(bound, now), expected);
     }
 
-    /// Versions never go back.
+    /// The version never decreases.
     #[test]
     fn versions_only_grow(versions in prop::collection::vec(0u64..100, 1..50)) {
         let mut slot = ConfigSlot::new();
@@ -121,22 +123,23 @@
 }
 
 #[test]
-fn room_is_idle_while_nobody_promises() {
-    let mut room = ReservationLedger::default();
-    room.merge_peer("b", HashMap::new(), 0);
-    assert!(room.is_idle());
-    room.merge_peer("b", HashMap::from([(instance("x"), 5.0)]), 0);
-    assert!(!room.is_idle());
-    room.expire(PEER_MAX_AGE);
-    assert!(room.is_idle());
-    room.reserve(&instance("x"), 5.0);
-    assert!(!room.is_idle());
+fn ledger_is_idle_without_reservations() {
+    let mut ledger = ReservationLedger::default();
+    ledger.merge_peer("b", HashMap::new(), 0);
+    assert!(ledger.is_idle());
+    ledger.merge_peer("b", HashMap::from([(instance("x"), 5.0)]), 0);
+    assert!(!ledger.is_idle());
+    ledger.expire(PEER_MAX_AGE);
+    assert!(ledger.is_idle());
+    ledger.reserve(&instance("x"), 5.0);
+    assert!(!ledger.is_idle());
 }
 
 proptest! {
-    /// However figures come and go, the sums are those of what was last heard of each entry and is not too old.
+    /// For any sequence of updates, the sums are those of the latest values of each entry that are
+    /// not too old.
     #[test]
-    fn sums_of_room_are_those_of_what_was_heard(
+    fn reservation_sums_match_the_reported_values(
         steps in prop::collection::vec((0usize..4, 0u64..900, prop::collection::vec((0usize..3, 0u32..50), 0..4)), 1..60)
     ) {
         let instances = ["a", "b", "c"].map(instance);
@@ -155,16 +158,16 @@
                     None => own.drain(..).for_each(|(which, amount)| ledger.release(&instances[which], amount)),
                 }
             } else {
-                let told: HashMap<ReplicaInstance, f64> =
+                let reported: HashMap<ReplicaInstance, f64> =
                     figures.iter().map(|(which, amount)| (instances[*which].clone(), f64::from(*amount))).collect();
-                ledger.merge_peer(&who.to_string(), told.clone(), now);
-                heard.insert(who, (now, told));
+                ledger.merge_peer(&who.to_string(), reported.clone(), now);
+                heard.insert(who, (now, reported));
             }
             ledger.expire(now);
             heard.retain(|_, (at, _)| now - *at < PEER_MAX_AGE);
             for (which, instance) in instances.iter().enumerate() {
                 let own: f64 = own.iter().filter(|(own, _)| *own == which).map(|(_, amount)| amount).sum();
-                let others: f64 = heard.values().filter_map(|(_, told)| told.get(instance)).sum();
+                let others: f64 = heard.values().filter_map(|(_, reported)| reported.get(instance)).sum();
                 prop_assert_eq!(ledger.reserved(instance), own + others);
             }
         }
@@ -172,7 +175,7 @@
 }
 
 #[test]
-fn room_adds_up_over_entries_and_forgets_the_gone() {
+fn reservations_add_up_over_entries_and_expire() {
     let mut ledger = ReservationLedger::default();
     ledger.reserve(&instance("a"), 100.0);
     ledger.merge_peer("peer", HashMap::from([(instance("a"), 50.0)]), 1_000);
@@ -198,30 +201,30 @@
 }
 
 proptest! {
-    /// However requests come, all entries together fill no more of the pipe than there is, but for what
-    /// each may take ahead.
+    /// For any sequence of requests, all entries together use no more bandwidth than there is,
+    /// except for what each may use in advance.
     #[test]
-    fn the_pipe_is_not_overfilled(
+    fn bandwidth_is_not_exceeded(
         steps in prop::collection::vec((0usize..4, 0u64..60, 1f64..80.0), 1..200)
     ) {
         const ENTRIES: usize = 4;
-        const AHEAD: f64 = 250.0;
+        const IN_ADVANCE: f64 = 250.0;
         let mut shares = vec![BandwidthShare::default(); ENTRIES];
-        let (mut now, mut taken, mut largest) = (0, 0.0, 0.0_f64);
+        let (mut now, mut used, mut largest) = (0, 0.0, 0.0_f64);
         for (entry, wait, time) in steps {
             now += wait;
             largest = largest.max(time);
             if shares[entry].try_reserve(time, ENTRIES, now) {
-                taken += time;
+                used += time;
             }
-            let most = now as f64 + AHEAD + ENTRIES as f64 * largest;
-            prop_assert!(taken <= most, "{taken} of {most}");
+            let limit = now as f64 + IN_ADVANCE + ENTRIES as f64 * largest;
+            prop_assert!(used <= limit, "{used} of {limit}");
         }
     }
 }
 
 #[test]
-fn a_full_pipe_has_room_again_later() {
+fn used_bandwidth_is_available_again_later() {
     let mut share = BandwidthShare::default();
     let mut now = 0;
     while share.try_reserve(40.0, 5, now) {}
@@ -231,91 +234,93 @@
 }
 
 #[test]
-fn a_slow_engine_is_told_by_the_entry_that_asked_it() {
-    let mut paces = SlowdownTable::default();
-    assert!(paces.record(&instance("i-1"), 4.0, 0));
-    assert!(!paces.record(&instance("i-1"), 3.0, 100));
-    paces.merge_peer(&instance("i-2"), 2.0, UpdateOrigin::Told, 100);
-    assert_eq!(paces.factor(&instance("i-1"), 200), 3.0);
-    assert_eq!(paces.factor(&instance("i-2"), 200), 2.0);
-    let told = paces.shared_with(UpdateAudience::Speakers, 200);
-    assert_eq!(told.collect::<Vec<_>>(), [(&instance("i-1"), 3.0)]);
-    assert_eq!(paces.factor(&instance("i-2"), 100 + SLOWDOWN_MAX_AGE), 1.0);
-    assert!(paces.record(&instance("i-1"), 1.0, 300));
-    assert_eq!(paces.factor(&instance("i-1"), 300), 1.0);
+fn a_slow_engine_is_reported_only_by_the_entry_that_observed_it() {
+    let mut slowdowns = SlowdownTable::default();
+    assert!(slowdowns.record(&instance("i-1"), 4.0, 0));
+    assert!(!slowdowns.record(&instance("i-1"), 3.0, 100));
+    slowdowns.merge_peer(&instance("i-2"), 2.0, UpdateOrigin::Told, 100);
+    assert_eq!(slowdowns.factor(&instance("i-1"), 200), 3.0);
+    assert_eq!(slowdowns.factor(&instance("i-2"), 200), 2.0);
+    let reported = slowdowns.shared_with(UpdateAudience::Speakers, 200);
+    assert_eq!(reported.collect::<Vec<_>>(), [(&instance("i-1"), 3.0)]);
+    assert_eq!(slowdowns.factor(&instance("i-2"), 100 + SLOWDOWN_MAX_AGE), 1.0);
+    assert!(slowdowns.record(&instance("i-1"), 1.0, 300));
+    assert_eq!(slowdowns.factor(&instance("i-1"), 300), 1.0);
 }
 
-/// Entries that are missing after an outage are kept for a while; those missing at other times are not.
+/// Entries that are missing after an outage are kept for a while; entries missing at other times
+/// are not.
 #[test]
 fn missing_entries_are_kept_after_an_outage_alone() {
-    let mut lapses = MissingEntries::default();
-    assert!(!lapses.should_keep("calm", 1, 0));
-    lapses.record_loss(1_000);
-    assert!(!lapses.should_keep("short", 1, 1_500));
-    lapses.record_loss(3_400);
-    assert!(lapses.should_keep("gone", 7, 4_000));
-    assert!(lapses.should_keep("back", 7, 4_000));
-    lapses.record_answer(4_000);
-    lapses.record_listed("back", 7);
-    assert!(lapses.is_awaited("back"), "that was told before it was missing");
-    lapses.record_listed("back", 8);
+    let mut missing = MissingEntries::default();
+    assert!(!missing.should_keep("calm", 1, 0));
+    missing.record_loss(1_000);
+    assert!(!missing.should_keep("short", 1, 1_500));
+    missing.record_loss(3_400);
+    assert!(missing.should_keep("gone", 7, 4_000));
+    assert!(missing.should_keep("back", 7, 4_000));
+    missing.record_answer(4_000);
+    missing.record_listed("back", 7);
+    assert!(missing.is_awaited("back"), "that was told before it was missing");
+    missing.record_listed("back", 8);
     let end = 4_000 + REAPPEAR_GRACE;
-    assert!(lapses.should_keep("late", 8, end - 1));
-    assert_eq!(lapses.take_overdue(end - 1), []);
-    let mut overdue = lapses.take_overdue(end);
+    assert!(missing.should_keep("late", 8, end - 1));
+    assert_eq!(missing.take_overdue(end - 1), []);
+    let mut overdue = missing.take_overdue(end);
     overdue.sort();
     assert_eq!(overdue, [("gone".to_owned(), 7), ("late".to_owned(), 8)]);
-    assert!(!lapses.should_keep("gone", 9, end));
+    assert!(!missing.should_keep("gone", 9, end));
 }
 
-/// What is kept is as of before the outage, so keeping ends by the earliest moment at which the store may
-/// have been back: that at which the last read without an answer was sent.
+/// The entry that is kept is from before the outage, so it is kept only until a limit counted from
+/// the earliest moment at which the store may have been back: when the last unanswered read was
+/// sent.
 #[test]
-fn keeping_ends_by_the_earliest_return() {
-    let mut lapses = MissingEntries::default();
-    lapses.record_loss(1_000);
-    lapses.record_loss(2_500);
-    assert!(lapses.should_keep("missing", 7, 4_100));
-    lapses.record_answer(4_100);
-    assert_eq!(lapses.take_overdue(2_500 + MAX_MISSING_TIME - 1), []);
-    assert_eq!(lapses.take_overdue(2_500 + MAX_MISSING_TIME), [("missing".to_owned(), 7)]);
+fn missing_entries_expire_by_the_earliest_return() {
+    let mut missing = MissingEntries::default();
+    missing.record_loss(1_000);
+    missing.record_loss(2_500);
+    assert!(missing.should_keep("missing", 7, 4_100));
+    missing.record_answer(4_100);
+    assert_eq!(missing.take_overdue(2_500 + MAX_MISSING_TIME - 1), []);
+    assert_eq!(missing.take_overdue(2_500 + MAX_MISSING_TIME), [("missing".to_owned(), 7)]);
 }
 
 proptest! {
-    /// Entries that tell each other their suspicions keep one no longer than whoever saw the failure, and
-    /// the way of its message.
+    /// Entries that exchange their suspicions keep one no longer than the entry that saw the
+    /// failure, plus the delay of its message.
     #[test]
     fn a_suspicion_ends_everywhere(delays in prop::collection::vec(1u64..900, 30)) {
-        const TELL_EVERY: u64 = 200;
-        const LONGEST_WAY: u64 = 900;
+        const SEND_INTERVAL: u64 = 200;
+        const MAX_DELAY: u64 = 900;
         let mut entries = vec![SuspectList::default(); 3];
         entries[0].record_failure(&instance("x"), 0);
-        let mut on_the_way: Vec<(u64, usize, u64)> = Vec::new();
+        let mut in_flight: Vec<(u64, usize, u64)> = Vec::new();
         for (round, delay) in (0u64..).zip(&delays) {
-            let now = round * TELL_EVERY;
-            for (_, to, lasts) in on_the_way.extract_if(.., |(arrives, ..)| *arrives <= now) {
+            let now = round * SEND_INTERVAL;
+            for (_, to, lasts) in in_flight.extract_if(.., |(arrives, ..)| *arrives <= now) {
                 if !entries[to].is_suspect(&instance("x"), now) {
                     entries[to].merge_peer(&instance("x"), now + lasts, UpdateOrigin::Told);
                 }
             }
             for from in 0..entries.len() {
-                let told: Vec<u64> = entries[from]
+                let reported: Vec<u64> = entries[from]
                     .shared_with(UpdateAudience::Speakers, now)
                     .map(|(_, lasts)| lasts)
                     .collect();
                 let others = (0..entries.len()).filter(|to| *to != from);
-                let sent = others.flat_map(|to| told.iter().map(move |lasts| (now + delay, to, *lasts)));
-                on_the_way.extend(sent);
+                let sent = others.flat_map(|to| reported.iter().map(move |lasts| (now + delay, to, *lasts)));
+                in_flight.extend(sent);
             }
-            let over = now > BASE_SUSPICION_TIME + LONGEST_WAY + TELL_EVERY;
+            let over = now > BASE_SUSPICION_TIME + MAX_DELAY + SEND_INTERVAL;
             let kept = entries.iter().any(|entry| entry.is_suspect(&instance("x"), now));
             prop_assert!(!(over && kept), "still suspected at {}", now);
         }
     }
 }
 
-/// A relay that lost the store says so until a read sent later is answered, by it or by another relay: proofs
-/// that were on their way prove nothing of now.
+/// A relay reports that it has lost the store until a read sent later is answered, by it or by
+/// another relay; proofs sent before say nothing about the present.
 #[test]
 fn an_older_proof_does_not_undo_a_loss() {
     let mut lease = FreshnessLease::default();
@@ -326,19 +331,20 @@
     assert!(lease.is_lost());
     lease.record_proof(2_100);
     assert!(!lease.is_lost());
-    let mut lapses = MissingEntries::default();
-    lapses.record_loss(1_000);
-    lapses.record_loss(3_000);
-    lapses.record_answer(2_900);
-    assert!(lapses.should_keep("missing", 7, 3_300), "the outage is not over");
+    let mut missing = MissingEntries::default();
+    missing.record_loss(1_000);
+    missing.record_loss(3_000);
+    missing.record_answer(2_900);
+    assert!(missing.should_keep("missing", 7, 3_300), "the outage is not over");
 }
 
-/// The load after a stop of all: each entry gets many requests at once before it hears of any other, and each would
-/// begin them at the cheapest first replica. One rejection sends those that follow elsewhere.
+/// Load after a stop of all: each entry gets many requests at once, before it hears of any other
+/// one, and each would start them at the cheapest first replica. After one rejection, the following
+/// requests go elsewhere.
 #[test]
-fn a_rejection_for_want_of_a_place_counts_for_the_next_requests() {
+fn a_rejection_without_a_free_slot_redirects_the_next_requests() {
     const ENTRIES: usize = 26;
-    const PLACES: u32 = 192;
+    const SLOTS: u32 = 192;
     let firsts = ["a", "b", "c", "d", "e"].map(instance);
     let mut rejections = [0, 0];
     for (learns, rejected) in [false, true].into_iter().zip(&mut rejections) {
@@ -346,16 +352,17 @@
         let mut entries = vec![(ReservationLedger::default(), FullReplicas::default()); ENTRIES];
         for request in 0..918 {
             let now = request as u64 * 250 / 918;
-            let (places, full) = &mut entries[request % ENTRIES];
-            // Nobody hears of others within these 250 ms: the order of the replicas decides between equal ones.
+            let (slots, full) = &mut entries[request % ENTRIES];
+            // No entry hears of others within these 250 ms; among replicas of equal cost, their
+            // order decides.
             let cost = |first: &&ReplicaInstance| {
-                (full.is_full(first, now), places.reserved(first) as u64 / 16)
+                (full.is_full(first, now), slots.reserved(first) as u64 / 16)
             };
             let first = firsts.iter().min_by_key(cost).expect("there are some");
-            let taken = begun.entry(first.clone()).or_default();
-            if *taken < PLACES {
-                *taken += 1;
-                places.reserve(first, 1.0);
+            let used = begun.entry(first.clone()).or_default();
+            if *used < SLOTS {
+                *used += 1;
+                slots.reserve(first, 1.0);
                 continue;
             }
             *rejected += 1;
@@ -368,12 +375,15 @@
 }
 
 #[test]
-fn a_replica_without_a_place_is_asked_again_soon() {
+fn a_full_replica_is_asked_again_soon() {
     let mut full = FullReplicas::default();
     full.record_rejection(&instance("a"), 100);
     assert!(
         full.is_full(&instance("a"), 100 + FULL_DURATION - 1) && !full.is_full(&instance("b"), 100)
     );
     assert!(!full.is_full(&instance("a"), 100 + FULL_DURATION));
-    assert!(!full.is_full(&ReplicaInstance::new("a", 7), 101), "its next life has all its places");
+    assert!(
+        !full.is_full(&ReplicaInstance::new("a", 7), 101),
+        "its next instance has all its slots"
+    );
 }
