--- a/crates/router/benches/plans.rs
+++ b/crates/router/benches/plans.rs
@@ -1,4 +1,5 @@
-//! Benchmarks of planning layouts, choosing paths and the look-ups for each choice, up to the largest size designed for.
+//! Benchmarks of planning layouts, choosing paths and the look-ups for each choice, up to the
+//! largest size designed for.
 //!
 //! Run it with `cargo bench -p switchfold-router`. A present data centre has 13 replicas; the
 //! design target of 2,200 over 12 data centres makes 180 each.
@@ -20,8 +21,9 @@
 
 const MODEL: ModelShape = ModelShape { layers: 80, layer_mb: 1_750.0, request_mb: 0.0 };
 
-/// Numbers of replicas in a group: a present data centre and a grown one (13, 20), a tenth and a twelfth of the sizes
-/// designed for (44, 180), the target size of a planning group (64), and a data centre of 100 VMs with ten replicas each.
+/// Numbers of replicas in a group: a present data centre and a grown one (13, 20), a tenth and a
+/// twelfth of the sizes designed for (44, 180), the target size of a planning group (64), and a
+/// data centre of 100 VMs with ten replicas each.
 const GROUPS: [usize; 6] = [13, 20, 44, 64, 180, 1_000];
 
 fn empty_group(count: usize) -> Vec<LayerHolder> {
@@ -116,7 +118,8 @@
     laid_out(count).into_iter().map(offer).collect()
 }
 
-/// Reads the total reservations of 300 relays at each of 3,000 replicas, as each choice of a path does.
+/// Reads the total reservations of 300 relays at each of 3,000 replicas, as each choice of a path
+/// does.
 fn reservations(criterion: &mut Criterion) {
     const RELAYS: usize = 300;
     const HELD: usize = 100;
@@ -139,9 +142,9 @@
     });
 }
 
-/// Looks up whether each of 3,000 replicas asked this VM to back off, as each choice of a path does, with none, one or a
-/// third of them asking. It takes 7 us, 65 us and 69 us of a core, measured beside a running scenario search; reading
-/// the reservations above takes 67 us.
+/// Looks up whether each of 3,000 replicas asked this VM to back off, as each choice of a path
+/// does, with none, one or a third of them asking. It takes 7 us, 65 us and 69 us of a core,
+/// measured beside a running scenario search; reading the reservations above takes 67 us.
 fn backoffs(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("held_back");
     let instances: Vec<ReplicaInstance> =
@@ -165,8 +168,8 @@
     group.finish();
 }
 
-/// Looks up whether each of 3,000 replicas is held back by its rate limit, as each choice of a path does, with none and
-/// with all of them limited.
+/// Looks up whether each of 3,000 replicas is held back by its rate limit, as each choice of a path
+/// does, with none and with all of them limited.
 fn limits(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("limits");
     let ids: Vec<String> = (0..3_000).map(|number| format!("i-{number:010x}")).collect();
--- a/crates/router/src/attempt.rs
+++ b/crates/router/src/attempt.rs
@@ -1,13 +1,14 @@
 //! Decides what to do after one attempt to run a request at a replica.
 //!
-//! This table is the only place that guards against running a request twice: a request that may not be
-//! repeated is sent to another replica only while it is certain that no replica ran it, and the caller
-//! is told "not run" only under the same condition.
+//! This table is the only place that guards against running a request twice: a request that may not
+//! be repeated is sent to another replica only while it is certain that no replica ran it, and the
+//! caller is told "not run" only under the same condition.
 
 /// How an attempt at a replica ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum AttemptEnd {
-    /// No byte of the request was sent: connecting failed, or the connection closed before the write.
+    /// No byte of the request was sent: connecting failed, or the connection closed before the
+    /// write.
     NotSent,
     /// The replica stated that it did not run the request.
     Rejected,
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,9 +1,9 @@
 //! Decisions for pipelines that the engines chain themselves, and for plain services.
 //!
-//! On platforms whose engines pass activations to each other, a relay chooses the whole path of a request and
-//! sends the request to the first engine. This crate contains all decisions of a relay, as deterministic
-//! functions without I/O or tasks: time is a [`Millis`] argument. The processes around it do the I/O and decide
-//! nothing, so that tests reach each decision without a socket.
+//! On platforms whose engines pass activations to each other, a relay chooses the whole path of a
+//! request and sends the request to the first engine. This crate contains all decisions of a relay,
+//! as deterministic functions without I/O or tasks: time is a [`Millis`] argument. The processes
+//! around it do the I/O and decide nothing, so that tests reach each decision without a socket.
 //!
 //! | module | purpose |
 //! |---|---|
@@ -13,7 +13,7 @@
 //! | [`budget`] | how many retries a service may still get |
 //! | [`clocks`] | which time of the receiver a message's time stamp corresponds to |
 //! | [`coordinator`] | which relay hands out the grants for a replica's rate limit |
-//! | [`era`] | which of two states of the store is newer, also after it was restored from a backup |
+//! | [`era`] | which of two states of the store is newer, also after a restore from a backup |
 //! | [`fingerprint`] | which requests are identical apart from their ids |
 //! | [`fleet`] | the replicas as the store lists them, and what changed |
 //! | [`follow`] | what a relay reads next from the store |
@@ -23,7 +23,7 @@
 //! | [`instance`] | the identity of one run of a replica |
 //! | [`issuer`] | which relay gets the next grant of a rate-limited replica |
 //! | [`limits`] | how many requests per second each replica accepts |
-//! | [`membership`] | which relays exchange state, which one gives orders, and which ones follow the store |
+//! | [`membership`] | which relays exchange state, give orders and follow the store |
 //! | [`missing`] | how long entries that are missing after an outage are kept |
 //! | [`origin`] | which updates of other relays are passed on, and to whom |
 //! | [`path`] | the path of a request over the layers |
@@ -37,8 +37,8 @@
 //! | [`stall`] | which first replicas begin no responses, and when a request goes elsewhere |
 //! | [`suspect`] | which replicas are avoided for a while after a failure |
 //!
-//! The trade-off: a relay chooses alone, from what it last received. Two relays may choose the same replica at
-//! once; the memory and the slots that no path is planned to use absorb that.
+//! The trade-off: a relay chooses alone, from what it last received. Two relays may choose the same
+//! replica at once; the memory and the slots that no path is planned to use absorb that.
 
 pub mod attempt;
 pub mod backoff;
--- a/crates/router/src/path.rs
+++ b/crates/router/src/path.rs
@@ -1,8 +1,9 @@
-//! Chooses the path of a request: the cheapest sequence of replicas that runs each layer of the model once.
+//! Chooses the path of a request: the cheapest sequence of replicas that runs each layer of the
+//! model once.
 //!
-//! Each replica offers the layers that it holds at a cost for each layer, which grows as its memory for
-//! requests fills up. A stage of a path may use any part of what a replica holds. The path is found by
-//! dynamic programming over layer boundaries and data centres; the worst case is
+//! Each replica offers the layers that it holds at a cost for each layer, which grows as its memory
+//! for requests fills up. A stage of a path may use any part of what a replica holds. The path is
+//! found by dynamic programming over layer boundaries and data centres; the worst case is
 //! boundaries² × replicas × data centres, about 30,000 steps for 40 replicas of 80 layers.
 
 use std::net::SocketAddr;
@@ -12,11 +13,11 @@
 /// Maximum number of stages of a path.
 pub const MAX_STAGES: usize = 32;
 
-/// Costs by which paths are compared, in milliseconds of a token step. Only their ratios matter, not the
-/// unit. Crossing to another data centre moves the activations of a whole prompt over a shared link (20 ms of
-/// it for a usual prompt), and the prompts of two data centres more than fill the link. A path
-/// therefore crosses only if no data centre has a complete one. Starting in another data centre
-/// moves only the bytes of the request.
+/// Costs by which paths are compared, in milliseconds of a token step. Only their ratios matter,
+/// not the unit. Crossing to another data centre moves the activations of a whole prompt over a
+/// shared link (20 ms of it for a usual prompt), and the prompts of two data centres more than fill
+/// the link. A path therefore crosses only if no data centre has a complete one. Starting in
+/// another data centre moves only the bytes of the request.
 #[derive(Clone, Copy, Debug)]
 pub struct PathCosts {
     /// One more stage.
@@ -33,22 +34,22 @@
     }
 }
 
-/// Fraction of a replica's slots up to which new paths start there. The rest is for requests that other
-/// relays start meanwhile, which this relay learns of 0.1 to 0.4 s later.
+/// Fraction of a replica's slots up to which new paths start there. The rest is for requests that
+/// other relays start meanwhile, which this relay learns of 0.1 to 0.4 s later.
 const PLANNED_SLOTS: f64 = 0.95;
 
-/// Factor of the start cost. A replica half of whose planned slots are taken costs half of it, against 0.5 for one
-/// more hop. That is more than starting in another data centre costs, so that relays which do not hear of each
-/// other in time do not all start at the same replica.
+/// Factor of the start cost. A replica half of whose planned slots are taken costs half of it,
+/// against 0.5 for one more hop. That is more than starting in another data centre costs, so that
+/// relays which do not hear of each other in time do not all start at the same replica.
 const SLOT_COST: f64 = 8.0;
 
 /// Cost of starting at a replica without a free slot; used if no other path is left either.
 pub const FULL_START_COST: f64 = 100.0;
 
-/// Returns the cost of starting at a replica where `running` requests started that still run, or `None` if
-/// all of its `slots` are taken; 0 slots mean no limit. A replica accepts only so many requests as the first
-/// of their path and rejects the rest. Without this cost, a replica that is cheap for all relays gets
-/// twice as many requests as it has slots, while others have free ones.
+/// Returns the cost of starting at a replica where `running` requests started that still run, or
+/// `None` if all of its `slots` are taken; 0 slots mean no limit. A replica accepts only so many
+/// requests as the first of their path and rejects the rest. Without this cost, a replica that is
+/// cheap for all relays gets twice as many requests as it has slots, while others have free ones.
 pub fn start_cost(running: f64, slots: u32) -> Option<f64> {
     if slots == 0 {
         return Some(0.0);
@@ -74,8 +75,8 @@
     pub free_token_layers: f64,
     /// Cost of starting here, which grows as its slots fill up; `None` if no slot is free.
     pub start_cost: Option<f64>,
-    /// Whether no path may start here at the moment, at any cost: the replica asked this VM to back off, or
-    /// its rate limit allows no request now.
+    /// Whether no path may start here at the moment, at any cost: the replica asked this VM to back
+    /// off, or its rate limit allows no request now.
     pub is_throttled: bool,
 }
 
@@ -103,8 +104,8 @@
     pub data_centres: usize,
     /// Whether the path may cross from one data centre to another.
     pub may_cross: bool,
-    /// Replica that the path must start with, and the layers that it must run there; set when the path of a
-    /// running request is changed.
+    /// Replica that the path must start with, and the layers that it must run there; set when the
+    /// path of a running request is changed.
     pub first: Option<(&'a ReplicaInstance, LayerRange)>,
 }
 
@@ -116,8 +117,8 @@
     previous: (usize, usize),
 }
 
-/// Returns the cheapest path, or `None` if the offers leave a gap, have too little memory or would need
-/// more than [`MAX_STAGES`] stages.
+/// Returns the cheapest path, or `None` if the offers leave a gap, have too little memory or would
+/// need more than [`MAX_STAGES`] stages.
 pub fn choose_path(
     request: &PathRequest<'_>,
     offers: &[StageOffer],
@@ -225,8 +226,8 @@
     stages
 }
 
-/// Merges stages at the same replica, which may occur only once in a path. The layers between them are within
-/// the replica's own range, so it can run those as well.
+/// Merges stages at the same replica, which may occur only once in a path. The layers between them
+/// are within the replica's own range, so it can run those as well.
 fn merge_revisits(mut stages: Vec<PathStage>) -> Vec<PathStage> {
     let mut index = 0;
     while index < stages.len() {
--- a/crates/router/src/placement/capacity.rs
+++ b/crates/router/src/placement/capacity.rs
@@ -1,27 +1,28 @@
 //! Estimates how many concurrent requests a layout can serve, and scores layouts by it.
 //!
-//! A request holds memory at every replica of its path for as long as it runs, so the capacity of a layout
-//! is memory over time: a path that is twice as fast serves twice as many requests with the same memory.
-//! Requests are assigned to the fastest path first; once one of its replicas is full, the rest take the
-//! next fastest. The capacity is the sum over these paths of their width divided by their time, with widths
-//! in MB for one layer and times in milliseconds of a token step. Only the ratios between layouts matter,
-//! not the unit.
+//! A request holds memory at every replica of its path for as long as it runs, so the capacity of a
+//! layout is memory over time: a path that is twice as fast serves twice as many requests with the
+//! same memory. Requests are assigned to the fastest path first; once one of its replicas is full,
+//! the rest take the next fastest. The capacity is the sum over these paths of their width divided
+//! by their time, with widths in MB for one layer and times in milliseconds of a token step. Only
+//! the ratios between layouts matter, not the unit.
 //!
-//! A replica accepts only a limited number of requests as the first of their path, whatever its memory.
-//! If that limit were ignored, the fastest accelerators alone would get the first layers, and would have
-//! slots for hardly more requests than run under low load.
+//! A replica accepts only a limited number of requests as the first of their path, whatever its
+//! memory. If that limit were ignored, the fastest accelerators alone would get the first layers,
+//! and would have slots for hardly more requests than run under low load.
 //!
-//! Trade-off: batching, prompts and the wait for passes under way are ignored, since they grow with the
-//! load of an engine and affect all layouts alike. The worst case is replicas × boundaries for one
-//! capacity, computed once for the whole layout and once for each replica that may be lost.
+//! Trade-off: batching, prompts and the wait for passes under way are ignored, since they grow with
+//! the load of an engine and affect all layouts alike. The worst case is replicas × boundaries for
+//! one capacity, computed once for the whole layout and once for each replica that may be lost.
 
 use crate::{
     fleet::LayerRange,
     placement::{LayerHolder, ModelShape},
 };
 
-/// Time that a token step takes for one more stage of its path, in milliseconds: on average half of a usual
-/// pass is waited for at each (measured: 15.6 ms a token over ten stages whose steps sum up to 8.1 ms).
+/// Time that a token step takes for one more stage of its path, in milliseconds: on average half of
+/// a usual pass is waited for at each (measured: 15.6 ms a token over ten stages whose steps sum up
+/// to 8.1 ms).
 const HOP_MS: f64 = 0.6;
 
 /// Least width of a path, in MB for one layer; a replica with less free memory counts as full.
@@ -64,15 +65,17 @@
         }
     }
 
-    /// Returns the score of a layout: its capacity now, and on average after the loss of one replica. The
-    /// square root of the capacity is taken, so that capacity that callers may not need counts less.
+    /// Returns the score of a layout: its capacity now, and on average after the loss of one
+    /// replica. The square root of the capacity is taken, so that capacity that callers may not
+    /// need counts less.
     pub(super) fn score(&mut self, holders: &[LayerHolder]) -> f64 {
         self.score_above(holders, 0.0).unwrap_or(0.0)
     }
 
-    /// Returns the score of a layout if it is above `min_score`. Most changes that a search tries are not,
-    /// so the computation ends as soon as that is certain: the capacity of the whole layout bounds its
-    /// capacity after a loss, and the loss of the only holder of a layer leaves none.
+    /// Returns the score of a layout if it is above `min_score`. Most changes that a search tries
+    /// are not, so the computation ends as soon as that is certain: the capacity of the whole
+    /// layout bounds its capacity after a loss, and the loss of the only holder of a layer leaves
+    /// none.
     pub(super) fn score_above(&mut self, holders: &[LayerHolder], min_score: f64) -> Option<f64> {
         self.split(holders);
         let whole = self.capacity(holders, None).sqrt();
@@ -119,8 +122,8 @@
         self.spans = bounds.windows(2).map(span).collect();
     }
 
-    /// Returns the sum of width over time for all paths, the fastest first, without the lost replica if
-    /// there is one.
+    /// Returns the sum of width over time for all paths, the fastest first, without the lost
+    /// replica if there is one.
     fn capacity(&mut self, holders: &[LayerHolder], lost: Option<usize>) -> f64 {
         self.free_mb.clear();
         self.free_mb.extend(holders.iter().map(|holder| free_mb(holder, self.model)));
@@ -147,8 +150,8 @@
         total
     }
 
-    /// Finds the fastest path with free memory, stores it in `path` and `path_layers`, and returns the
-    /// time of its token step in milliseconds.
+    /// Finds the fastest path with free memory, stores it in `path` and `path_layers`, and returns
+    /// the time of its token step in milliseconds.
     fn fastest_path(&mut self, holders: &[LayerHolder]) -> Option<f64> {
         self.path.iter().for_each(|index| self.path_layers[*index] = 0);
         self.path.clear();
--- a/crates/router/src/placement/gaps.rs
+++ b/crates/router/src/placement/gaps.rs
@@ -8,16 +8,16 @@
     },
 };
 
-/// Gap widths, in layers, below which neighbours close a gap: each loads two or three layers, in less time
-/// than one replica takes for the whole gap, but then has less memory for requests. Each threshold is
-/// tried; with the last one no replica is moved.
+/// Gap widths, in layers, below which neighbours close a gap: each loads two or three layers, in
+/// less time than one replica takes for the whole gap, but then has less memory for requests. Each
+/// threshold is tried; with the last one no replica is moved.
 const MIN_MOVE_GAPS: [u32; 4] = [1, 3, 5, u32::MAX];
 
 impl GroupPlan<'_> {
-    /// Closes gaps in the cheapest way: by moving redundant replicas into them, by letting neighbours take
-    /// over layers from each other, or by both. If every way leaves more layers unheld than there are now,
-    /// nothing changes: a group too small for the model would otherwise unload layers that can still be
-    /// used.
+    /// Closes gaps in the cheapest way: by moving redundant replicas into them, by letting
+    /// neighbours take over layers from each other, or by both. If every way leaves more layers
+    /// unheld than there are now, nothing changes: a group too small for the model would otherwise
+    /// unload layers that can still be used.
     pub(super) fn close_gaps(&mut self) {
         if widest_gap(&self.planned_counts()).is_none() {
             return;
@@ -37,13 +37,13 @@
         }
     }
 
-    /// Returns the cost of a layout: the number of unheld layers, then the longest load, in layers, and the
-    /// scarcity of memory at the layer that has least of it.
+    /// Returns the cost of a layout: the number of unheld layers, then the longest load, in layers,
+    /// and the scarcity of memory at the layer that has least of it.
     fn cost(&self, before: &[LayerHolder]) -> f64 {
         const UNHELD_COST: f64 = 1_000.0;
         const LOAD_COST: f64 = 1.0;
-        /// Cost of a layer that has only 1 MB for requests; at a layer that has this many MB, it equals the
-        /// cost of loading one more layer.
+        /// Cost of a layer that has only 1 MB for requests; at a layer that has this many MB, it
+        /// equals the cost of loading one more layer.
         const SCARCITY_COST: f64 = 5_000.0;
         let unheld = self.planned_counts().iter().filter(|count| **count == 0).count();
         let loads = before.iter().zip(&self.holders).map(|(before, after)| {
@@ -62,7 +62,8 @@
     /// neighbours.
     fn close_gaps_from(&mut self, min_move_gap: u32) {
         while let Some(gap) = widest_gap(&self.planned_counts()) {
-            // Layers that others have been ordered to load but do not hold yet must not be unloaded here.
+            // Layers that others have been ordered to load but do not hold yet must not be unloaded
+            // here.
             let held = self.held_counts();
             if gap.len() < min_move_gap || !self.move_into(gap, &held) {
                 break;
@@ -106,8 +107,8 @@
             let can_move = is_redundant(range, counts) && holder.can_order && len > 0;
             can_move.then_some((index, len))
         });
-        // The closest fit: a much larger replica would free more memory where it is than the gap needs,
-        // and would load for longer.
+        // The closest fit: a much larger replica would free more memory where it is than the gap
+        // needs, and would load for longer.
         let best = movable.min_by_key(|(_, len)| (len.abs_diff(gap.len()), *len));
         let Some((index, len)) = best else { return false };
         let from = gap.from.min(self.model.layers - len);
@@ -116,8 +117,8 @@
     }
 }
 
-/// Returns the longest run of layers that no replica holds, where `counts` is the number of holders of each
-/// layer; the first one of equal length, `None` if every layer is held.
+/// Returns the longest run of layers that no replica holds, where `counts` is the number of holders
+/// of each layer; the first one of equal length, `None` if every layer is held.
 pub fn widest_gap(counts: &[u32]) -> Option<LayerRange> {
     let mut best: Option<LayerRange> = None;
     let mut start = None;
--- a/crates/router/src/placement/mod.rs
+++ b/crates/router/src/placement/mod.rs
@@ -1,24 +1,25 @@
 //! Decides which layers each replica should hold.
 //!
-//! The plan is a function of the observed replicas and keeps no state: every relay that computes it from
-//! the same list gets the same plan. It covers one group of replicas at a time. A group never spans data
-//! centres, because activations between data centres share a slow link.
+//! The plan is a function of the observed replicas and keeps no state: every relay that computes it
+//! from the same list gets the same plan. It covers one group of replicas at a time. A group never
+//! spans data centres, because activations between data centres share a slow link.
 //!
 //! The plan has four independent steps:
 //!
-//! 1. **A new group**, in which no replica holds any layer, is laid out greedily at once. While it serves no
-//!    request, [`improve_group`] searches for the layout with the highest capacity, now and after the loss
-//!    of any one replica. The search takes seconds at a small VM, and the group works without it.
+//! 1. **A new group**, in which no replica holds any layer, is laid out greedily at once. While it
+//!    serves no request, [`improve_group`] searches for the layout with the highest capacity, now
+//!    and after the loss of any one replica. The search takes seconds at a small VM, and the group
+//!    works without it.
 //! 2. **Empty replicas** of an existing group get the layers with which the layout scores highest.
-//! 3. **Gaps** that remain are closed. Wide ones are given to a replica all of whose layers others hold as
-//!    well; for the rest, all replicas in the order of their layers take over layers from each other with
-//!    the fewest loads, up to [`PlacementConfig::max_fill`] of their memory.
-//! 4. **Rebalancing**: if nothing else is to do, one replica moves, grows or shrinks: the one with which the
-//!    score rises most, if that is worth a load. A replica that was extended into a gap thereby unloads
-//!    layers that others hold by then.
+//! 3. **Gaps** that remain are closed. Wide ones are given to a replica all of whose layers others
+//!    hold as well; for the rest, all replicas in the order of their layers take over layers from
+//!    each other with the fewest loads, up to [`PlacementConfig::max_fill`] of their memory.
+//! 4. **Rebalancing**: if nothing else is to do, one replica moves, grows or shrinks: the one with
+//!    which the score rises most, if that is worth a load. A replica that was extended into a gap
+//!    thereby unloads layers that others hold by then.
 //!
-//! Trade-off: the loss of a replica costs loads of a few layers (a second or two), not a new layout of the
-//! whole group, which would move the memory of every running request.
+//! Trade-off: the loss of a replica costs loads of a few layers (a second or two), not a new layout
+//! of the whole group, which would move the memory of every running request.
 
 mod capacity;
 mod gaps;
@@ -40,7 +41,8 @@
 /// Bounds on the fraction of a replica's memory that weights may take.
 #[derive(Clone, Copy, Debug)]
 pub struct PlacementConfig {
-    /// Fraction in the usual layout. The rest is memory for requests, which runs out first under load.
+    /// Fraction in the usual layout. The rest is memory for requests, which runs out first under
+    /// load.
     pub usual_fill: f64,
     /// Maximum fraction, used only where the group cannot cover the model otherwise.
     pub max_fill: f64,
@@ -80,8 +82,8 @@
     pub layers: u32,
     /// Memory of one layer's weights in MB.
     pub layer_mb: f64,
-    /// Memory that a usual request takes for one layer, in MB; 0 if it is not known, in which case slots
-    /// are ignored.
+    /// Memory that a usual request takes for one layer, in MB; 0 if it is not known, in which case
+    /// slots are ignored.
     pub request_mb: f64,
 }
 
@@ -121,8 +123,9 @@
 }
 
 impl PlacementOrder {
-    /// Returns the order for a group whose missing layers other groups of the data centre hold meanwhile:
-    /// the replica waits for requests that use the unloaded layers, since the gap fails no request.
+    /// Returns the order for a group whose missing layers other groups of the data centre hold
+    /// meanwhile: the replica waits for requests that use the unloaded layers, since the gap fails
+    /// no request.
     pub fn without_cut(self) -> Self {
         match self.reason.unload_mode() {
             UnloadMode::Cut => Self { reason: PlacementReason::Balance, ..self },
@@ -132,9 +135,10 @@
 }
 
 impl PlacementReason {
-    /// Returns what happens to requests that use layers to be unloaded. While there is a gap, the whole group
-    /// serves no request, and the requests that an order would wait for cannot move within the group either:
-    /// a replica once waited 14 s for them before it began a load of a second and a half.
+    /// Returns what happens to requests that use layers to be unloaded. While there is a gap, the
+    /// whole group serves no request, and the requests that an order would wait for cannot move
+    /// within the group either: a replica once waited 14 s for them before it began a load of a
+    /// second and a half.
     pub fn unload_mode(self) -> UnloadMode {
         match self {
             Self::Gap | Self::Move => UnloadMode::Cut,
@@ -166,8 +170,9 @@
     plan.orders
 }
 
-/// Searches for a better layout of a group that serves no request yet, and returns the orders that lead to it.
-/// The search takes half a second at a small VM for 15 replicas; [`plan_group`] lays out the group before.
+/// Searches for a better layout of a group that serves no request yet, and returns the orders that
+/// lead to it. The search takes half a second at a small VM for 15 replicas; [`plan_group`] lays
+/// out the group before.
 pub fn improve_group(
     holders: &[LayerHolder],
     model: ModelShape,
@@ -187,8 +192,8 @@
     changed.map(|(_, after)| order(after)).collect()
 }
 
-/// Returns the score by which layouts of one group are compared: the capacity for requests, now and on average
-/// after the loss of one replica. Its unit is arbitrary; a layout with a gap scores 0.
+/// Returns the score by which layouts of one group are compared: the capacity for requests, now and
+/// on average after the loss of one replica. Its unit is arbitrary; a layout with a gap scores 0.
 pub fn layout_score(holders: &[LayerHolder], model: ModelShape) -> f64 {
     LayoutScorer::new(holders, model).score(holders)
 }
@@ -200,8 +205,8 @@
     }
 }
 
-/// Score, relative to the present layout, from which a replica is given other layers: that costs a load, and
-/// requests that use its layers must end or move first.
+/// Score, relative to the present layout, from which a replica is given other layers: that costs a
+/// load, and requests that use its layers must end or move first.
 const MIN_GAIN: f64 = 1.08;
 
 /// A plan for one group while it is computed: the holders as the orders so far leave them.
@@ -229,7 +234,8 @@
         plan
     }
 
-    /// Returns the smallest fill, from the usual one up, at which the group reaches the target coverage.
+    /// Returns the smallest fill, from the usual one up, at which the group reaches the target
+    /// coverage.
     fn choose_fill(&self) -> f64 {
         const STEP: f64 = 0.02;
         let target = f64::from(self.model.layers) * self.config.target_coverage;
@@ -319,7 +325,8 @@
         }
     }
 
-    /// Returns the first layer of the range of `len` layers with the largest gain; the lowest of equal ones.
+    /// Returns the first layer of the range of `len` layers with the largest gain; the lowest of
+    /// equal ones.
     fn best_start(&self, len: u32) -> u32 {
         let gains = self.gains();
         let mut best = (0, f64::MIN);
@@ -332,9 +339,10 @@
         best.0
     }
 
-    /// Returns the gain of one more holder, for each layer. A layer that no replica holds gains most. Next comes
-    /// a layer with a single holder, the more the fewer layers that one holds, so that as many replicas as
-    /// possible can be lost without a gap. Last counts the scarcity of memory for requests.
+    /// Returns the gain of one more holder, for each layer. A layer that no replica holds gains
+    /// most. Next comes a layer with a single holder, the more the fewer layers that one holds, so
+    /// that as many replicas as possible can be lost without a gap. Last counts the scarcity of
+    /// memory for requests.
     fn gains(&self) -> Vec<f64> {
         const UNHELD_GAIN: f64 = 1_000.0;
         const SCARCITY_GAIN: f64 = 0.02;
@@ -365,7 +373,8 @@
         let present = scorer.score(&self.holders);
         let mut min_score = present * MIN_GAIN;
         let mut best: Option<(usize, BestRange)> = None;
-        // In a large group only every nth replica is tried, so that the time of a round stays bounded.
+        // In a large group only every nth replica is tried, so that the time of a round stays
+        // bounded.
         let steps = search_steps(self.holders.len());
         let stride = self.holders.len().div_ceil(steps.max(1)).max(1);
         let steps = (steps * stride / self.holders.len().max(1)).max(1);
--- a/crates/router/src/placement/scarcity.rs
+++ b/crates/router/src/placement/scarcity.rs
@@ -1,11 +1,13 @@
 //! Measures how scarce memory for requests is, layer by layer.
 //!
-//! The layer with the least memory limits the requests on a path. Layouts are therefore not compared by
-//! their total free memory, but by the sum, over all layers, of the reciprocal of each layer's free memory.
+//! The layer with the least memory limits the requests on a path. Layouts are therefore not
+//! compared by their total free memory, but by the sum, over all layers, of the reciprocal of each
+//! layer's free memory.
 
 use crate::placement::{LayerHolder, ModelShape};
 
-/// Returns the free memory for requests of each layer, in MB, summed over the replicas that hold it.
+/// Returns the free memory for requests of each layer, in MB, summed over the replicas that hold
+/// it.
 pub(super) fn free_mb_by_layer(holders: &[LayerHolder], model: ModelShape) -> Vec<f64> {
     let mut free_mb = vec![0.0; model.layers as usize];
     for holder in holders {
--- a/crates/router/src/placement/search.rs
+++ b/crates/router/src/placement/search.rs
@@ -1,12 +1,13 @@
 //! Improves layouts by a seeded random search.
 //!
-//! Before the first request loads cost next to nothing, so a whole group may change at once. The search is a
-//! threshold-accepting local search that begins with the present layout. Each step changes the layers of one
-//! replica, or moves the boundary between two; a change is kept if the layout scores higher, and at first
-//! also if it scores slightly lower.
+//! Before the first request loads cost next to nothing, so a whole group may change at once. The
+//! search is a threshold-accepting local search that begins with the present layout. Each step
+//! changes the layers of one replica, or moves the boundary between two; a change is kept if the
+//! layout scores higher, and at first also if it scores slightly lower.
 //!
-//! The worst case is [`SEARCH_STEPS`] evaluations of a layout, fewer for large groups: 50 ms of a fast core
-//! for 15 replicas, and half a second of an entry's share of a slow one. No request waits for it.
+//! The worst case is [`SEARCH_STEPS`] evaluations of a layout, fewer for large groups: 50 ms of a
+//! fast core for 15 replicas, and half a second of an entry's share of a slow one. No request waits
+//! for it.
 
 use switchfold_core::hash::hash_bytes;
 
@@ -18,8 +19,8 @@
 /// Evaluations of a layout in one search, for groups of up to [`USUAL_GROUP`] replicas.
 const SEARCH_STEPS: usize = 20_000;
 
-/// Replicas of a usual group. A larger group gets fewer steps, so that its search takes as long: the time
-/// of one evaluation grows with the cube of the number of replicas.
+/// Replicas of a usual group. A larger group gets fewer steps, so that its search takes as long:
+/// the time of one evaluation grows with the cube of the number of replicas.
 const USUAL_GROUP: usize = 16;
 
 /// Fraction of the score that a change may lose at the first step; it falls to zero at the last.
@@ -28,8 +29,8 @@
 /// Maximum number of layers by which a boundary moves in one step.
 const MAX_SHIFT: u64 = 6;
 
-/// Improves the layout of a group whose replicas all accept orders. `max_layers` holds the maximum number
-/// of layers of each replica.
+/// Improves the layout of a group whose replicas all accept orders. `max_layers` holds the maximum
+/// number of layers of each replica.
 pub(super) fn improve_layout(holders: &mut [LayerHolder], model: ModelShape, max_layers: &[u32]) {
     let mut random = DrawSequence::default();
     let usable: Vec<usize> = (0..holders.len()).filter(|index| max_layers[*index] > 0).collect();
@@ -77,8 +78,9 @@
     pub(super) steps: usize,
 }
 
-/// Returns the layers of one replica that give the best layout while the others keep theirs. The candidates
-/// are ranges of every length that begin or end at a boundary of another replica's range.
+/// Returns the layers of one replica that give the best layout while the others keep theirs. The
+/// candidates are ranges of every length that begin or end at a boundary of another replica's
+/// range.
 pub(super) fn best_range(
     holders: &mut [LayerHolder],
     scorer: &mut LayoutScorer,
@@ -215,7 +217,8 @@
     undo
 }
 
-/// Moves the end of a replica's range to `to`, and with it the beginning of the ranges that begin there.
+/// Moves the end of a replica's range to `to`, and with it the beginning of the ranges that begin
+/// there.
 fn move_bound(
     holders: &mut [LayerHolder],
     model: ModelShape,
--- a/crates/router/src/placement/tiling.rs
+++ b/crates/router/src/placement/tiling.rs
@@ -1,10 +1,11 @@
 //! Reassigns all layers over replicas that keep their order.
 //!
-//! Replicas are ordered by their present layers; each may take over from the one before it at any layer.
-//! `best[frontier]` is the least cost at which the replicas so far cover all layers below `frontier`. The
-//! worst case is replicas × layers × maximum layers of one replica, about 20,000 steps for 13 replicas of
-//! 80 layers. The cost weighs layer loads against the remaining memory for requests, so that no replica
-//! takes many more layers than its neighbours just to save a few loads.
+//! Replicas are ordered by their present layers; each may take over from the one before it at any
+//! layer. `best[frontier]` is the least cost at which the replicas so far cover all layers below
+//! `frontier`. The worst case is replicas × layers × maximum layers of one replica, about 20,000
+//! steps for 13 replicas of 80 layers. The cost weighs layer loads against the remaining memory for
+//! requests, so that no replica takes many more layers than its neighbours just to save a few
+//! loads.
 
 use crate::{
     fleet::LayerRange,
@@ -18,11 +19,12 @@
     pub(super) load: f64,
     /// Unloading one layer: requests that use it must be moved first.
     pub(super) unload: f64,
-    /// Unloading the first layer: a request cannot leave the replica that it began at, so the load waits
-    /// for the longest of them.
+    /// Unloading the first layer: a request cannot leave the replica that it began at, so the load
+    /// waits for the longest of them.
     pub(super) unload_first: f64,
-    /// Weight of scarce memory, in MB: at a replica with this much free memory for each layer, one layer
-    /// costs as much as loading it. A usual request holds 7 MB for each layer, and a hundred run at once.
+    /// Weight of scarce memory, in MB: at a replica with this much free memory for each layer, one
+    /// layer costs as much as loading it. A usual request holds 7 MB for each layer, and a hundred
+    /// run at once.
     pub(super) scarcity_mb: f64,
 }
 
@@ -30,8 +32,9 @@
 pub(super) const URGENT: TilingCosts =
     TilingCosts { load: 1.0, unload: 0.3, unload_first: 30.0, scarcity_mb: 400.0 };
 
-/// Returns ranges that cover the model, by the index of their holder; holders that are not needed have
-/// none. If the holders cannot cover everything, the longest reachable prefix of the layers is covered.
+/// Returns ranges that cover the model, by the index of their holder; holders that are not needed
+/// have none. If the holders cannot cover everything, the longest reachable prefix of the layers is
+/// covered.
 pub(super) fn tile(
     model: ModelShape,
     holders: &[LayerHolder],
@@ -73,7 +76,8 @@
     costs: TilingCosts,
 }
 
-/// Costs by frontier, and for each frontier that the replica extends the first layer that it then serves.
+/// Costs by frontier, and for each frontier that the replica extends the first layer that it then
+/// serves.
 type ExtendedCosts = (Vec<Option<f64>>, Vec<Option<usize>>);
 
 impl Extension<'_> {
@@ -121,8 +125,9 @@
     }
 }
 
-/// Returns the range of a replica that takes over `served`: besides it as much of what the replica holds
-/// as `max_layers` allows, since other replicas may still be loading the layers that it unloads.
+/// Returns the range of a replica that takes over `served`: besides it as much of what the replica
+/// holds as `max_layers` allows, since other replicas may still be loading the layers that it
+/// unloads.
 pub(super) fn extended_range(held: LayerRange, served: LayerRange, max_layers: u32) -> LayerRange {
     if held.to < served.from || served.to < held.from {
         return served;
--- a/crates/router/src/reservations.rs
+++ b/crates/router/src/reservations.rs
@@ -1,16 +1,17 @@
 //! Tracks the memory that requests reserve at each replica.
 //!
-//! An engine that runs out of memory preempts requests and computes their prompts again, and everything queued
-//! behind them waits. Each relay therefore adds up what its own requests may occupy at most, sends the sums
-//! to the other relays, and chooses paths by the total. Amounts are in tokens times layers. The same ledger
-//! counts reserved slots, with an amount of 1 for each request.
+//! An engine that runs out of memory preempts requests and computes their prompts again, and
+//! everything queued behind them waits. Each relay therefore adds up what its own requests may
+//! occupy at most, sends the sums to the other relays, and chooses paths by the total. Amounts are
+//! in tokens times layers. The same ledger counts reserved slots, with an amount of 1 for each
+//! request.
 
 use std::collections::HashMap;
 
 use crate::{Millis, instance::ReplicaInstance};
 
-/// Age at which the reservations of another relay expire, in milliseconds: some of its reports were lost, or it has
-/// stopped and its requests with it.
+/// Age at which the reservations of another relay expire, in milliseconds: some of its reports were
+/// lost, or it has stopped and its requests with it.
 pub const PEER_MAX_AGE: Millis = 2_000;
 
 /// Reservations of one other relay, or the sum over all others.
@@ -22,8 +23,8 @@
 
 /// Reservations at each replica, of this relay and of the others.
 ///
-/// The totals are updated with each change: every choice of a path reads the total of every replica, and adding it up
-/// over hundreds of relays each time would take most of a small VM.
+/// The totals are updated with each change: every choice of a path reads the total of every
+/// replica, and adding it up over hundreds of relays each time would take most of a small VM.
 #[derive(Clone, Debug, Default)]
 pub struct ReservationLedger {
     own: HashMap<ReplicaInstance, f64>,
@@ -79,7 +80,8 @@
         }
     }
 
-    /// Replaces the sum over all other relays at the replicas of a scope, as one of these relays computed it.
+    /// Replaces the sum over all other relays at the replicas of a scope, as one of these relays
+    /// computed it.
     pub fn merge_sum(
         &mut self,
         scope: SumScope,
@@ -92,7 +94,8 @@
         self.subtract(&earlier);
     }
 
-    /// Removes the sums over all other relays; used when this relay starts to receive their reservations one by one.
+    /// Removes the sums over all other relays; used when this relay starts to receive their
+    /// reservations one by one.
     pub fn clear_sums(&mut self) {
         let sums = std::mem::take(&mut self.sums);
         sums.iter().for_each(|sum| self.subtract(sum));
@@ -108,7 +111,8 @@
         expired.iter().for_each(|peer| self.subtract(peer));
     }
 
-    /// Returns the sum of the reservations of this relay and of the peers for which `includes` is true, by replica.
+    /// Returns the sum of the reservations of this relay and of the peers for which `includes` is
+    /// true, by replica.
     pub fn sum_with(&self, includes: impl Fn(&str) -> bool) -> HashMap<&ReplicaInstance, f64> {
         let peers = self.peers.iter().filter(|(name, _)| includes(name));
         let peers = peers.flat_map(|(_, peer)| &peer.amounts);
@@ -159,15 +163,16 @@
     }
 }
 
-/// Time for which a first replica that rejected a request counts as full, in milliseconds: until the
-/// reservations of the other relays there are known, and a few of its requests have ended.
+/// Time for which a first replica that rejected a request counts as full, in milliseconds: until
+/// the reservations of the other relays there are known, and a few of its requests have ended.
 pub const FULL_DURATION: Millis = 250;
 
 /// First replicas that recently had no free slot for a request.
 ///
-/// Guards against a simultaneous restart of all entry VMs: all callers then arrive within a quarter of a second, before
-/// any relay knows of the others' reservations. One first replica gets twice as many requests as it has slots, and
-/// without this table each relay would learn that anew with each request.
+/// Guards against a simultaneous restart of all entry VMs: all callers then arrive within a quarter
+/// of a second, before any relay knows of the others' reservations. One first replica gets twice as
+/// many requests as it has slots, and without this table each relay would learn that anew with each
+/// request.
 #[derive(Clone, Debug, Default)]
 pub struct FullReplicas {
     until: HashMap<ReplicaInstance, Millis>,
--- a/crates/router/src/routing.rs
+++ b/crates/router/src/routing.rs
@@ -1,7 +1,7 @@
 //! The routing configuration: routes, services, organisations and limits.
 //!
-//! A configuration is immutable once decoded. Hosts and keys are looked up by hash; the path prefixes of a
-//! host are scanned, longest first.
+//! A configuration is immutable once decoded. Hosts and keys are looked up by hash; the path
+//! prefixes of a host are scanned, longest first.
 
 use std::{collections::HashMap, rc::Rc};
 
@@ -52,7 +52,8 @@
     pub public: bool,
     /// Whether a broken stream may be resumed at another replica.
     pub resumable: bool,
-    /// Maximum pause between events for a response to count as in time, in milliseconds; 0 if unset.
+    /// Maximum pause between events for a response to count as in time, in milliseconds; 0 if
+    /// unset.
     pub max_event_gap: Millis,
 }
 
@@ -66,7 +67,8 @@
         }
     }
 
-    /// Returns a service chosen by weight, or `None` if the route has no target. `draw` is uniform in `0..1`.
+    /// Returns a service chosen by weight, or `None` if the route has no target. `draw` is uniform
+    /// in `0..1`.
     pub fn choose_service(&self, draw: f64) -> Option<&str> {
         let total: u32 = self.targets.iter().map(|target| target.weight).sum();
         let mut remaining = draw * f64::from(total);
@@ -194,7 +196,8 @@
 /// Result of checking a request's key.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum KeyCheck<'a> {
-    /// The key is not known, and none is needed: the route is public, or no organisation is configured.
+    /// The key is not known, and none is needed: the route is public, or no organisation is
+    /// configured.
     NotNeeded,
     /// The key belongs to this organisation.
     Known(&'a OrganisationRule),
@@ -270,7 +273,8 @@
         Self { current: None }
     }
 
-    /// Replaces the configuration if `version` is higher than that of the one in force; returns whether it did.
+    /// Replaces the configuration if `version` is higher than that of the one in force; returns
+    /// whether it did.
     pub fn replace_if_newer(&mut self, version: u64, config: T) -> bool {
         let newer = self.current.as_ref().is_none_or(|(current, _)| version > *current);
         if newer {
--- a/crates/router/src/slowdown.rs
+++ b/crates/router/src/slowdown.rs
@@ -1,8 +1,8 @@
 //! Tracks how slow each engine is at the moment.
 //!
-//! The reports of an engine contain the factor by which it is slower than its kind of accelerator should be.
-//! Paths avoid slow engines if others hold the same layers. Reported factors expire, so an engine that
-//! recovered is used again without any message.
+//! The reports of an engine contain the factor by which it is slower than its kind of accelerator
+//! should be. Paths avoid slow engines if others hold the same layers. Reported factors expire, so
+//! an engine that recovered is used again without any message.
 
 use std::collections::HashMap;
 
@@ -12,11 +12,12 @@
     origin::{UpdateAudience, UpdateOrigin},
 };
 
-/// Age at which a reported factor expires, in milliseconds. An engine is polled every two seconds, and other relays
-/// repeat its report several times a second.
+/// Age at which a reported factor expires, in milliseconds. An engine is polled every two seconds,
+/// and other relays repeat its report several times a second.
 pub const SLOWDOWN_MAX_AGE: Millis = 3_000;
 
-/// Factor from which an engine counts as slow; smaller ones are within the noise of its own measurement.
+/// Factor from which an engine counts as slow; smaller ones are within the noise of its own
+/// measurement.
 const MIN_SLOWDOWN: f64 = 1.25;
 
 #[derive(Clone, Copy, Debug)]
@@ -34,8 +35,8 @@
 }
 
 impl SlowdownTable {
-    /// Records the factor that an engine reported to this relay; returns whether the engine became slow or ceased to
-    /// be slow.
+    /// Records the factor that an engine reported to this relay; returns whether the engine became
+    /// slow or ceased to be slow.
     pub fn record(&mut self, instance: &ReplicaInstance, factor: f64, now: Millis) -> bool {
         let was_slow = self.factor(instance, now) > 1.0;
         let is_slow = factor >= MIN_SLOWDOWN;
@@ -49,7 +50,8 @@
         was_slow != is_slow
     }
 
-    /// Merges a factor that an engine reported to another relay. A recent factor from a closer origin is kept.
+    /// Merges a factor that an engine reported to another relay. A recent factor from a closer
+    /// origin is kept.
     pub fn merge_peer(
         &mut self,
         instance: &ReplicaInstance,
@@ -69,8 +71,9 @@
         known.map_or(1.0, |known| known.factor)
     }
 
-    /// Returns the slow engines to announce to other relays, with their factors. Only those are announced that the
-    /// audience does not learn of otherwise; two relays would else keep an entry alive between them.
+    /// Returns the slow engines to announce to other relays, with their factors. Only those are
+    /// announced that the audience does not learn of otherwise; two relays would else keep an entry
+    /// alive between them.
     pub fn shared_with(
         &self,
         audience: UpdateAudience,
--- a/crates/router/tests/attempts.rs
+++ b/crates/router/tests/attempts.rs
@@ -55,8 +55,9 @@
 }
 
 proptest! {
-    /// In any sequence of attempts, a request that may not be repeated is not sent again after an attempt that may
-    /// have run it, and the caller is told "not run" only if no attempt may have run it.
+    /// In any sequence of attempts, a request that may not be repeated is not sent again after an
+    /// attempt that may have run it, and the caller is told "not run" only if no attempt may have
+    /// run it.
     #[test]
     fn unrepeatable_requests_run_at_most_once(
         repeatable: bool,
@@ -70,7 +71,9 @@
             match next {
                 NextStep::TryElsewhere => prop_assert!(repeatable || !may_have_run),
                 NextStep::AnswerNotRun => prop_assert!(!may_have_run),
-                NextStep::PassOn => assert_matches!(end, AttemptEnd::Answered(status) if !promises_not_run(status)),
+                NextStep::PassOn => {
+                    assert_matches!(end, AttemptEnd::Answered(status) if !promises_not_run(status));
+                }
                 NextStep::AnswerUnknown => {}
             }
             if next != NextStep::TryElsewhere {
--- a/crates/router/tests/groups.rs
+++ b/crates/router/tests/groups.rs
@@ -37,7 +37,8 @@
     }
 }
 
-/// When the number of groups doubles, each is split in two; no replica moves to a part of another group.
+/// When the number of groups doubles, each is split in two; no replica moves to a part of another
+/// group.
 #[test]
 fn groups_are_split_in_two() {
     for instance in instances(500) {
--- a/crates/router/tests/layouts.rs
+++ b/crates/router/tests/layouts.rs
@@ -1,4 +1,5 @@
-//! Tests of layouts: how they are scored, and what the greedy plan, the search and rebalancing make of a group.
+//! Tests of layouts: how they are scored, and what the greedy plan, the search and rebalancing make
+//! of a group.
 
 use proptest::prelude::*;
 use switchfold_router::{
@@ -71,8 +72,9 @@
     widest_gap(&counts)
 }
 
-/// Returns the layout that a greedy plan made of two large, four small and four slow replicas under low load. One
-/// replica held the first layers for all requests, and was full before the others were half full.
+/// Returns the layout that a greedy plan made of two large, four small and four slow replicas under
+/// low load. One replica held the first layers for all requests, and was full before the others
+/// were half full.
 fn greedy_layout() -> Vec<LayerHolder> {
     let parts = [
         (LARGE, 0, 28),
@@ -135,8 +137,8 @@
     }
 }
 
-/// A replica that was extended far into a gap has little memory for requests. After its neighbour is back,
-/// rebalancing gives the layers to replicas with more memory, and then settles.
+/// A replica that was extended far into a gap has little memory for requests. After its neighbour
+/// is back, rebalancing gives the layers to replicas with more memory, and then settles.
 #[test]
 fn rebalancing_relieves_an_overextended_replica() {
     let mut holders = searched(&planned(&empty_group(1, 6, 6)));
@@ -153,7 +155,8 @@
     assert_eq!(plan_group(&holders, MODEL, &PlacementConfig::default()), []);
 }
 
-/// An accelerator with less memory than one layer takes gets no layers, neither planned nor searched.
+/// An accelerator with less memory than one layer takes gets no layers, neither planned nor
+/// searched.
 #[test]
 fn an_accelerator_too_small_for_a_layer_gets_none() {
     let mut group = empty_group(2, 4, 4);
@@ -174,12 +177,18 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(24))]
 
-    /// Any group that can hold the model is covered by its first layout, within its memory. The same group always gets
-    /// the same layout. Rebalancing never opens a gap, raises the score each time and comes to an end.
+    /// Any group that can hold the model is covered by its first layout, within its memory. The
+    /// same group always gets the same layout. Rebalancing never opens a gap, raises the score each
+    /// time and comes to an end.
     #[test]
-    fn first_layouts_cover_the_model_and_settle(large in 1usize..4, small in 0usize..8, slow in 2usize..8) {
+    fn first_layouts_cover_the_model_and_settle(
+        large in 1usize..4,
+        small in 0usize..8,
+        slow in 2usize..8,
+    ) {
         let group = empty_group(large, small, slow);
-        let held: f64 = group.iter().map(|holder| (holder.memory_mb * 0.6 / MODEL.layer_mb).floor()).sum();
+        let held: f64 =
+            group.iter().map(|holder| (holder.memory_mb * 0.6 / MODEL.layer_mb).floor()).sum();
         prop_assume!(held >= 80.0);
         let greedy = planned(&group);
         prop_assert_eq!(gap(&greedy), None);
@@ -220,8 +229,9 @@
     apply(&holders, improve_group(&holders, model, &config))
 }
 
-/// Guards against layouts with too few slots at the first layer. Under 240 requests a second that run for three seconds,
-/// over three such data centres, layouts that were scored by memory alone had two replicas with the first layer.
+/// Guards against layouts with too few slots at the first layer. Under 240 requests a second that
+/// run for three seconds, over three such data centres, layouts that were scored by memory alone
+/// had two replicas with the first layer.
 #[test]
 fn first_layers_have_slots_for_the_running_requests() {
     let first_slots = |holders: &[LayerHolder]| -> u32 {
--- a/crates/router/tests/paths.rs
+++ b/crates/router/tests/paths.rs
@@ -1,4 +1,5 @@
-//! Tests of paths, which run each layer once, and of plans, which respect the memory of each replica.
+//! Tests of paths, which run each layer once, and of plans, which respect the memory of each
+//! replica.
 
 use proptest::prelude::*;
 use switchfold_router::{
@@ -41,7 +42,7 @@
 fn paths_stay_inside_a_data_centre_if_possible() {
     let offers = [offer(0, 0, 40, 0, 1.0), offer(1, 40, 80, 0, 1.0), offer(2, 40, 80, 1, 0.5)];
     let path = choose_path(&request(), &offers, &PathCosts::default()).expect("a path");
-    let ids: Vec<&str> = path.iter().map(|part| part.instance.id()).collect();
+    let ids: Vec<&str> = path.iter().map(|stage| stage.instance.id()).collect();
     assert_eq!(ids, ["r0", "r1"]);
 }
 
@@ -59,9 +60,10 @@
     started.iter().filter(move |(at, _, of)| now < at + RUN_TIME && *of == first).copied()
 }
 
-/// Guards against overloading a cheap first replica while half of the large ones are lost. The load: 324 requests per
-/// second over 20 relays. Each request runs for 1.5 s, and relays hear of the others' requests after 0.3 s on average.
-/// One of the three remaining first replicas is far cheaper than the others; together they have 576 slots.
+/// Guards against overloading a cheap first replica while half of the large ones are lost. The
+/// load: 324 requests per second over 20 relays. Each request runs for 1.5 s, and relays hear of
+/// the others' requests after 0.3 s on average. One of the three remaining first replicas is far
+/// cheaper than the others; together they have 576 slots.
 #[test]
 fn a_cheap_first_replica_gets_no_more_requests_than_it_accepts() {
     const SLOTS: u32 = 192;
@@ -122,7 +124,7 @@
 fn paths_cross_once_if_the_local_data_centre_lacks_layers() {
     let offers = [offer(0, 0, 40, 0, 1.0), offer(1, 48, 80, 0, 1.0), offer(2, 30, 80, 1, 1.0)];
     let path = choose_path(&request(), &offers, &PathCosts::default()).expect("a path");
-    let ids: Vec<&str> = path.iter().map(|part| part.instance.id()).collect();
+    let ids: Vec<&str> = path.iter().map(|stage| stage.instance.id()).collect();
     assert_eq!(ids, ["r0", "r2"]);
     assert!(is_complete_path(&path, LAYERS));
 }
@@ -169,17 +171,22 @@
 }
 
 proptest! {
-    /// Any path runs each layer once, in order, contains no replica twice and uses only layers that each holds.
+    /// Any path runs each layer once, in order, contains no replica twice and uses only layers that
+    /// each holds.
     #[test]
     fn paths_run_each_layer_once(offers in offers()) {
         let Some(path) = choose_path(&request(), &offers, &PathCosts::default()) else {
             return Ok(());
         };
         prop_assert!(is_complete_path(&path, LAYERS));
-        for (index, part) in path.iter().enumerate() {
-            let held = offers.iter().find(|offer| offer.instance == part.instance).expect("an offer").range;
-            prop_assert!(held.from <= part.range.from && part.range.to <= held.to);
-            prop_assert!(path[index + 1..].iter().all(|later| later.instance != part.instance));
+        for (index, stage) in path.iter().enumerate() {
+            let held = offers
+                .iter()
+                .find(|offer| offer.instance == stage.instance)
+                .expect("an offer")
+                .range;
+            prop_assert!(held.from <= stage.range.from && stage.range.to <= held.to);
+            prop_assert!(path[index + 1..].iter().all(|later| later.instance != stage.instance));
         }
     }
 
@@ -252,8 +259,8 @@
     assert_eq!(widest_gap(&counts(&planned(&mixed_group()))), None);
 }
 
-/// After the loss of a large replica, redundant small ones move into the gap. Otherwise its neighbours would be
-/// extended until they had memory for a third of the usual requests only.
+/// After the loss of a large replica, redundant small ones move into the gap. Otherwise its
+/// neighbours would be extended until they had memory for a third of the usual requests only.
 #[test]
 fn closing_a_wide_gap_leaves_free_memory_at_every_layer() {
     let mut holders = vec![
@@ -277,7 +284,8 @@
     }
 }
 
-/// While there is a gap, an order does not wait for requests: they cannot move to other replicas either.
+/// While there is a gap, an order does not wait for requests: they cannot move to other replicas
+/// either.
 #[test]
 fn only_orders_that_close_gaps_cut_requests() {
     for reason in [PlacementReason::Gap, PlacementReason::Move] {
@@ -305,7 +313,8 @@
     }
 }
 
-/// The neighbours alone cannot close the gap that two adjacent lost replicas leave; all replicas together can.
+/// The neighbours alone cannot close the gap that two adjacent lost replicas leave; all replicas
+/// together can.
 #[test]
 fn the_gap_after_any_two_losses_is_closed() {
     let settled = settle(mixed_group());
@@ -328,7 +337,8 @@
     }
 }
 
-/// A replica that was extended for a lost neighbour has little free memory; redundant replicas take layers over.
+/// A replica that was extended for a lost neighbour has little free memory; redundant replicas take
+/// layers over.
 #[test]
 fn redundant_replicas_relieve_overextended_ones() {
     let mut holders = settle(mixed_group());
@@ -359,8 +369,8 @@
     assert_eq!(plan_group(&holders, MODEL, &PlacementConfig::default()), []);
 }
 
-/// A replica is not moved into a gap while others have only been ordered to load its layers. In an incident, requests
-/// could not leave such a replica, and its load waited twelve seconds for them.
+/// A replica is not moved into a gap while others have only been ordered to load its layers. In an
+/// incident, requests could not leave such a replica, and its load waited twelve seconds for them.
 #[test]
 fn a_replica_is_not_moved_before_others_hold_its_layers() {
     let mut holders = vec![
@@ -382,8 +392,8 @@
     assert_eq!(widest_gap(&counts(&planned(&holders))), None);
 }
 
-/// Found with seed 9212 of the property below: three replicas can cover a fifth of the model, and one of them accepts
-/// no orders.
+/// Found with seed 9212 of the property below: three replicas can cover a fifth of the model, and
+/// one of them accepts no orders.
 #[test]
 fn a_gap_that_cannot_be_closed_is_not_widened() {
     let mut holders = vec![
@@ -402,7 +412,8 @@
 }
 
 proptest! {
-    /// No order asks for more layers than fit into the replica's memory, and no plan increases the number of unheld layers.
+    /// No order asks for more layers than fit into the replica's memory, and no plan increases the
+    /// number of unheld layers.
     #[test]
     fn plans_stay_within_memory(
         parts in prop::collection::vec(
@@ -423,7 +434,10 @@
         for _ in 0..4 {
             let orders = plan_group(&holders, MODEL, &PlacementConfig::default());
             for order in &orders {
-                let holder = holders.iter_mut().find(|holder| holder.instance == order.instance).expect("one");
+                let holder = holders
+                    .iter_mut()
+                    .find(|holder| holder.instance == order.instance)
+                    .expect("a holder");
                 prop_assert!(holder.can_order);
                 prop_assert!(f64::from(order.range.len()) * MODEL.layer_mb <= holder.memory_mb);
                 prop_assert!(order.range.to <= LAYERS);
--- a/crates/router/tests/reconnects.rs
+++ b/crates/router/tests/reconnects.rs
@@ -1,4 +1,5 @@
-//! Tests of callers that reconnect after all relays were stopped at once, simulated in virtual time.
+//! Tests of callers that reconnect after all relays were stopped at once, simulated in virtual
+//! time.
 
 use switchfold_router::reconnects::{
     CONFIG_WAIT, RECONNECT_SPREAD, RECONNECT_WINDOW, awaits_config, reconnect_delay,
@@ -10,8 +11,9 @@
 /// Latency objective of new requests, in milliseconds.
 const OBJECTIVE_MS: f64 = 500.0;
 
-/// Returns how many of the 240 new requests of the first second meet their objective, where `cut` streams are resumed
-/// within 250 ms of the start. Engines process prompts in the order in which requests reach them.
+/// Returns how many of the 240 new requests of the first second meet their objective, where `cut`
+/// streams are resumed within 250 ms of the start. Engines process prompts in the order in which
+/// requests reach them.
 fn count_in_time(cut: usize, delay: impl Fn(u64, bool, f64) -> u64) -> usize {
     let draw = |number: usize| (number * 7 % 100) as f64 / 100.0;
     let cut = (0..cut).map(|number| {
@@ -53,9 +55,9 @@
     }
 }
 
-/// Guards against refusing requests that arrive before the first configuration. The load: 104 requests reach relays that
-/// receive their configuration 0.02 to 0.3 s later. Requests that wait for it are in time; a refused caller retries after
-/// 0.7 s and is late.
+/// Guards against refusing requests that arrive before the first configuration. The load: 104
+/// requests reach relays that receive their configuration 0.02 to 0.3 s later. Requests that wait
+/// for it are in time; a refused caller retries after 0.7 s and is late.
 #[test]
 fn requests_wait_for_the_first_configuration() {
     const CONFIG_AT_MS: u64 = 300;
