--- a/crates/relay/benches/backoffs.rs
+++ b/crates/relay/benches/backoffs.rs
@@ -32,7 +32,7 @@
 };
 
 use futures_util::future::join_all;
-use harness::{ROUTES, RunningRelay, bounds, run_test, serve};
+use harness::{ROUTES, RunningRelay, bounds, respond_healthy, run_test};
 use http::StatusCode;
 use serde_json::Value;
 use switchfold_platform::{
@@ -98,7 +98,7 @@
         let replica = StandinReplica::start(move |request: &ReceivedRequest| {
             let closed = number < asking && is_closed.load(Ordering::SeqCst);
             if is_control(request) || !closed {
-                return serve(request);
+                return respond_healthy(request);
             }
             reached.note();
             with_header(reject(request, 503, None), "Retry-After", "3")
@@ -108,7 +108,7 @@
         own["slots"] = 1_000.into();
         store.put(REPLICA_KIND, &format!("i-{number}"), own);
     }
-    let relay = RunningRelay::start_beside(store, bounds()).await;
+    let relay = RunningRelay::start_with_store(store, bounds()).await;
     relay.wait_ready(StatusCode::OK).await;
     let served = Mutex::new(Served::default());
     let relay = &relay;
--- a/crates/relay/benches/limits.rs
+++ b/crates/relay/benches/limits.rs
@@ -29,7 +29,7 @@
 };
 
 use futures_util::future::join_all;
-use harness::{ROUTES, RunningRelay, bounds, run_test, serve};
+use harness::{ROUTES, RunningRelay, bounds, respond_healthy, run_test};
 use http::StatusCode;
 use serde_json::Value;
 use switchfold_platform::{
@@ -84,8 +84,8 @@
                 served.lock().expect("no script panics").reached[number] += 1;
             }
             match number < limited && begun.elapsed() > NAMED_FROM {
-                true => with_header(serve(request), "Server-Limit", &limit.to_string()),
-                false => serve(request),
+                true => with_header(respond_healthy(request), "Server-Limit", &limit.to_string()),
+                false => respond_healthy(request),
             }
         })
         .await;
@@ -93,7 +93,7 @@
         own["slots"] = 1_000.into();
         store.put(REPLICA_KIND, &format!("i-{number}"), own);
     }
-    let relay = &RunningRelay::start_beside(store, bounds()).await;
+    let relay = &RunningRelay::start_with_store(store, bounds()).await;
     relay.wait_ready(StatusCode::OK).await;
     let calls = (0..CALLERS).map(|caller| {
         let served = &served;
--- a/crates/relay/src/admit.rs
+++ b/crates/relay/src/admit.rs
@@ -1,6 +1,6 @@
 //! Admission: which route, service and organisation a request has.
 //!
-//! Asked at the moment of each dispatch, not once: a request that waited, or that goes to a second
+//! AdmissionRequest at the moment of each dispatch, not once: a request that waited, or that goes to a second
 //! replica, is let in by the configuration in force then.
 
 use std::rc::Rc;
@@ -12,11 +12,11 @@
     routing::{KeyCheck, RouteRule, RoutingConfig},
 };
 
-use crate::{answers::Refusal, state::Relay};
+use crate::{responses::Refusal, state::Relay};
 
 /// What a caller asks for.
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub struct AdmissionRequest {
     /// Host, without port.
     pub host: String,
     /// Path, without query.
@@ -45,7 +45,7 @@
 /// # Errors
 ///
 /// Gives the answer for the caller.
-pub fn admit(relay: &Relay, asked: &Asked) -> Result<Permit, Refusal> {
+pub fn admit(relay: &Relay, asked: &AdmissionRequest) -> Result<Permit, Refusal> {
     let now = now_millis();
     let config = relay.config().ok_or(Refusal::NoConfiguration)?;
     let is_fresh = is_config_fresh(relay, now);
--- a/crates/relay/src/engines.rs
+++ b/crates/relay/src/engines.rs
@@ -171,8 +171,8 @@
     match call(relay, address, Method::POST, ORDER_PATH, body).await {
         Ok((StatusCode::OK | StatusCode::ACCEPTED, _)) => OrderEnd::Taken,
         Ok((status, body)) => OrderEnd::Refused(status.as_u16(), decode_refusal(&body)),
-        Err(SendError::NotSent { .. } | SendError::HeldBack { .. }) => OrderEnd::NotSent,
-        Err(SendError::Broken { .. }) => OrderEnd::Unknown,
+        Err(SendError::NotSent { .. } | SendError::Throttled { .. }) => OrderEnd::NotSent,
+        Err(SendError::NoResponse { .. }) => OrderEnd::Unknown,
     }
 }
 
@@ -239,7 +239,7 @@
     path: &str,
     body: Vec<u8>,
 ) -> Result<(StatusCode, Bytes), SendError> {
-    let late = || SendError::Broken { detail: "no answer in time".to_owned() };
+    let late = || SendError::NoResponse { detail: "no answer in time".to_owned() };
     let exchange = exchange(relay, address, method, path, body, false);
     timeout(CALL_TIME, exchange).await.unwrap_or_else(|_| Err(late()))
 }
@@ -263,9 +263,9 @@
         HeardAnswer { status: parts.status, marks: &marks, sent, is_own: true },
     );
     let body = Limited::new(body, MOST_ANSWER).collect().await;
-    let body = body.map_err(|error| SendError::Broken { detail: error.to_string() })?;
+    let body = body.map_err(|error| SendError::NoResponse { detail: error.to_string() })?;
     if !marks.closes_connection {
-        link.give_back(&relay.pool, marks.keep_alive);
+        link.return_to(&relay.pool, marks.keep_alive);
     }
     Ok((parts.status, body.to_bytes()))
 }
--- a/crates/relay/src/flow.rs
+++ b/crates/relay/src/forward.rs
@@ -22,16 +22,16 @@
 use self::recovery::StreamLoss;
 use crate::{
     admit::Permit,
-    answers::{BodyBroken, RelayBody},
     counts::count,
-    paths::RoomGuard,
-    pool::BusyLink,
+    paths::PathReservation,
+    pool::ActiveConnection,
     quarantine::note_result,
     request::CallerRequest,
-    runs::RunWatch,
+    responses::{BodyAborted, RelayBody},
+    run_tracker::RunTracker,
+    shutdown::InFlightGuard,
     state::Relay,
-    stop::FlightGuard,
-    stream::{OpenStream, TriedReplicas},
+    stream::{OpenStream, SendHistory},
 };
 
 /// Pause between events that is too long where the route names none: events usually come every 30 to
@@ -51,17 +51,17 @@
 /// Time between two looks into a stream that stands still.
 const LOOK_EVERY: Millis = 100;
 
-struct StreamFlow {
+struct StreamForwarder {
     relay: Rc<Relay>,
     request: Rc<CallerRequest>,
     permit: Permit,
-    tried: TriedReplicas,
+    tried: SendHistory,
     body: Incoming,
-    link: Option<BusyLink>,
+    link: Option<ActiveConnection>,
     marks: ResponseHeaders,
     path: Vec<PathStage>,
-    room: RoomGuard,
-    run: RunWatch,
+    room: PathReservation,
+    run: RunTracker,
     framer: EventFramer,
     opened_at: Millis,
     last_progress: Millis,
@@ -75,7 +75,7 @@
     next_look: Millis,
     next_try: Millis,
     ended: bool,
-    _in_flight: FlightGuard,
+    _in_flight: InFlightGuard,
 }
 
 /// Body that passes a stream on.
@@ -83,13 +83,13 @@
     relay: Rc<Relay>,
     request: Rc<CallerRequest>,
     permit: Permit,
-    tried: TriedReplicas,
+    tried: SendHistory,
     opened: OpenStream,
-    in_flight: FlightGuard,
+    in_flight: InFlightGuard,
 ) -> RelayBody {
-    let flow = StreamFlow {
+    let flow = StreamForwarder {
         alarms_seen: relay.alarms.get(),
-        framer: EventFramer::resume_after(request.marks.last_event_id),
+        framer: EventFramer::resume_after(request.headers.last_event_id),
         marks: read_response_headers(&opened.head.headers),
         body: opened.body,
         link: Some(opened.link),
@@ -128,8 +128,8 @@
     TimeUp,
 }
 
-impl StreamFlow {
-    async fn next_frame(&mut self) -> Option<Result<Frame<Bytes>, BodyBroken>> {
+impl StreamForwarder {
+    async fn next_frame(&mut self) -> Option<Result<Frame<Bytes>, BodyAborted>> {
         while !self.ended {
             match self.wait().await {
                 Waited::Bytes(chunk) => {
@@ -138,7 +138,7 @@
                     self.last_progress = now;
                     self.is_probed = false;
                     if let Some(events) = self.framer.push(chunk) {
-                        self.run.note_events(&self.relay, &self.request);
+                        self.run.record_event(&self.relay, &self.request);
                         self.leave_in_turn().await;
                         return Some(Ok(Frame::data(events)));
                     }
@@ -157,7 +157,7 @@
                 Waited::TimeUp => self.give_up("time is up", "time is up"),
             }
         }
-        Some(Err(BodyBroken))
+        Some(Err(BodyAborted))
     }
 
     async fn wait(&mut self) -> Waited {
@@ -168,7 +168,7 @@
             false => self.probe_pause().min(self.longest_gap()),
         };
         let look_at = (self.last_progress + quiet_after).max(self.next_look);
-        let left = self.request.time_left(now);
+        let left = self.request.time_remaining(now);
         if left == 0 {
             return Waited::TimeUp;
         }
@@ -211,7 +211,7 @@
         self.relay.metrics.note_end(&self.permit, took, Some(self.longest_pause));
         tracing::info!(
             event = "stream-ended",
-            request = self.request.marks.attempt_id,
+            request = self.request.headers.attempt_id,
             took_ms = took,
             longest_pause_ms = self.longest_pause,
             events = self.framer.event_count(),
@@ -219,7 +219,7 @@
             first = %self.path[0].instance,
         );
         if let Some(link) = self.link.take().filter(|_| !self.marks.closes_connection) {
-            link.give_back(&self.relay.pool, self.marks.keep_alive);
+            link.return_to(&self.relay.pool, self.marks.keep_alive);
         }
     }
 
@@ -230,7 +230,7 @@
         let quiet_ms = now_millis() - self.last_progress;
         tracing::warn!(
             event = "stream-broken",
-            request = self.request.marks.attempt_id,
+            request = self.request.headers.attempt_id,
             why,
             not_resumed,
             sends = self.tried.sends,
--- a/crates/relay/src/flow/recovery.rs
+++ b/crates/relay/src/forward/recovery.rs
@@ -11,16 +11,16 @@
 use switchfold_router::{Millis, instance::ReplicaInstance, path::PathStage};
 use tokio::time::sleep;
 
-use super::StreamFlow;
+use super::StreamForwarder;
 use crate::{
     admit::admit,
     counts::count,
     engines::{OrderEnd, order_repath, probe_replicas},
-    paths::{CrossingRule, PathWish, RoomGuard, RoomRule, find_path},
+    paths::{CrossingRule, MemoryRule, PathCriteria, PathReservation, find_path},
     quarantine::quarantine_left,
-    runs::RunWatch,
+    run_tracker::RunTracker,
     state::PartState,
-    stream::{OpenEnd, OpenStream, find_stall, may_repeat, note_fault, open_stream},
+    stream::{OpenOutcome, OpenStream, find_stalled_replica, open_stream, suspect_at, take_retry},
 };
 
 /// Pause after which a stream whose replicas all seem well is taken up elsewhere. Callers give up
@@ -54,7 +54,7 @@
     Silent,
 }
 
-impl StreamFlow {
+impl StreamForwarder {
     /// Looks at the path after something happened to a replica. A lost one is replaced at once; those
     /// that still serve are left one stream after the other, since the whole request is read again where
     /// it goes.
@@ -104,7 +104,7 @@
     }
 
     async fn replace_lost(&mut self) {
-        self.run.note_lost(&self.relay, &self.request, "a replica of the path is lost");
+        self.run.record_loss(&self.relay, &self.request, "a replica of the path is lost");
         if !self.repath().await {
             self.recover("a replica of the path is lost", StreamLoss::Silent).await;
         }
@@ -123,9 +123,10 @@
                 probe_replicas(&self.relay, self.path.iter().map(|part| part.address));
                 return;
             }
-            let id = &self.request.marks.attempt_id;
-            if let Some(faulty_replica) = find_stall(&self.relay, first.address, id).await {
-                note_fault(&self.relay, faulty_replica, "stalled");
+            let id = &self.request.headers.attempt_id;
+            if let Some(faulty_replica) = find_stalled_replica(&self.relay, first.address, id).await
+            {
+                suspect_at(&self.relay, faulty_replica, "stalled");
             }
         }
         if self.relay.part_state(&first) == PartState::Lost {
@@ -185,7 +186,7 @@
         let engine = service.and_then(|service| service.engine.as_ref())?;
         let tokens = self.request.tokens((engine.mean_prompt_tokens, engine.mean_answer_tokens));
         let first = self.path[0].clone();
-        let wish = PathWish {
+        let wish = PathCriteria {
             service: &self.permit.service,
             engine,
             tokens,
@@ -193,8 +194,8 @@
             avoid,
             first: Some((&first.instance, first.range)),
         };
-        let path = find_path(&self.relay, &wish, RoomRule::Wanted, CrossingRule::Never);
-        let id = &self.request.marks.attempt_id;
+        let path = find_path(&self.relay, &wish, MemoryRule::Wanted, CrossingRule::Never);
+        let id = &self.request.headers.attempt_id;
         let Some(path) = path else {
             tracing::info!(event = "repath-impossible", request = id, first = %first.instance);
             return None;
@@ -203,9 +204,9 @@
         let quiet_ms = now_millis() - self.last_progress;
         tracing::info!(event = "repath", request = id, ?end, quiet_ms, parts = path.len());
         if end == OrderEnd::Taken {
-            self.run = RunWatch::over_path(&path);
-            self.run.note_begun();
-            self.room = RoomGuard::new(&self.relay, &path, tokens);
+            self.run = RunTracker::over_path(&path);
+            self.run.record_start();
+            self.room = PathReservation::new(&self.relay, &path, tokens);
             self.path = path;
         }
         Some(end)
@@ -220,7 +221,7 @@
         }
         tracing::info!(
             event = "stream-lost",
-            request = self.request.marks.attempt_id,
+            request = self.request.headers.attempt_id,
             why,
             ?loss,
             sends = self.tried.sends,
@@ -228,7 +229,7 @@
             last_event = self.framer.last_id(),
         );
         if loss == StreamLoss::Broken || self.is_path_lost() {
-            self.run.note_lost(&self.relay, &self.request, why);
+            self.run.record_loss(&self.relay, &self.request, why);
         }
         if loss == StreamLoss::Broken {
             // The replica may be gone, and with it others' streams that pass through it.
@@ -245,7 +246,7 @@
             }
             (Err(not_resumed), StreamLoss::Silent) => {
                 self.next_try = now_millis() + TRY_AGAIN;
-                let id = &self.request.marks.attempt_id;
+                let id = &self.request.headers.attempt_id;
                 tracing::info!(event = "stream-waits", request = id, why, not_resumed);
             }
         }
@@ -258,8 +259,8 @@
         }
         // Many streams are lost together: they come back one after the other.
         sleep(self.draw_delay(MOST_STAGGER)).await;
-        while may_repeat(&self.relay, &self.permit, &self.tried) {
-            self.permit = match admit(&self.relay, &self.request.asked) {
+        while take_retry(&self.relay, &self.permit, &self.tried) {
+            self.permit = match admit(&self.relay, &self.request.admission) {
                 Ok(permit) => permit,
                 Err(refusal) => return Err(refusal.to_string()),
             };
@@ -276,13 +277,13 @@
                 patience,
             );
             match opened.await {
-                Some(OpenEnd::Open(stream)) => return Ok(*stream),
-                Some(OpenEnd::Barred(refusal)) => return Err(refusal.to_string()),
-                Some(OpenEnd::Failed(end, detail)) => {
-                    let id = &self.request.marks.attempt_id;
+                Some(OpenOutcome::Open(stream)) => return Ok(*stream),
+                Some(OpenOutcome::Barred(refusal)) => return Err(refusal.to_string()),
+                Some(OpenOutcome::Failed(end, detail)) => {
+                    let id = &self.request.headers.attempt_id;
                     tracing::info!(event = "resume-failed", request = id, ?end, detail);
                 }
-                Some(OpenEnd::Answered(answer)) => {
+                Some(OpenOutcome::Answered(answer)) => {
                     return Err(format!("answered with status {}", answer.status()));
                 }
                 None => return Err("no path".to_owned()),
@@ -300,7 +301,11 @@
         count(&self.relay.counts.resumes);
         let quiet_ms = now_millis() - self.last_progress;
         self.longest_pause = self.longest_pause.max(quiet_ms);
-        tracing::info!(event = "stream-resumed", request = self.request.marks.attempt_id, quiet_ms);
+        tracing::info!(
+            event = "stream-resumed",
+            request = self.request.headers.attempt_id,
+            quiet_ms
+        );
         self.framer.drop_partial();
         self.marks = read_response_headers(&stream.head.headers);
         self.body = stream.body;
--- a/crates/relay/src/heads.rs
+++ b/crates/relay/src/heads.rs
@@ -15,10 +15,10 @@
 use crate::{
     admit::Permit,
     engines::probe_replicas,
-    pool::{BusyLink, SendError},
+    pool::{ActiveConnection, SendError},
     request::CallerRequest,
     state::{PartState, Relay},
-    stream::{find_stall, note_fault},
+    stream::{find_stalled_replica, suspect_at},
     tell::{TellReach, tell_state},
 };
 
@@ -34,7 +34,7 @@
 const LOOK_EVERY: Duration = Duration::from_millis(50);
 
 /// An answer's head, and the connection that it came on.
-pub type Sent = (Response<Incoming>, BusyLink);
+pub type Sent = (Response<Incoming>, ActiveConnection);
 
 /// A request that waits for the head of its answer, as its first replica is watched; dropping it ends that.
 #[derive(Debug)]
@@ -112,7 +112,7 @@
         tokio::pin!(sending);
         let mut look_at = Instant::now() + PROBE_HEAD;
         loop {
-            let left = Duration::from_millis(self.request.time_left(now_millis()));
+            let left = Duration::from_millis(self.request.time_remaining(now_millis()));
             let end = Instant::now() + left;
             let looked = async {
                 sleep_until(look_at.min(end)).await;
@@ -140,7 +140,7 @@
 
     /// Looks at the path of a request that has waited for a while.
     async fn look(&self, waited: Duration) -> Result<(), WaitEnd> {
-        if self.request.time_left(now_millis()) == 0 {
+        if self.request.time_remaining(now_millis()) == 0 {
             return Err(WaitEnd::TimeUp);
         }
         self.look_at_parts()?;
@@ -150,9 +150,9 @@
             return Ok(());
         }
         let first = self.path[0].address;
-        let id = &self.request.marks.attempt_id;
-        if let Some(faulty_replica) = find_stall(self.relay, first, id).await {
-            let detail = note_fault(self.relay, faulty_replica, "stalled");
+        let id = &self.request.headers.attempt_id;
+        if let Some(faulty_replica) = find_stalled_replica(self.relay, first, id).await {
+            let detail = suspect_at(self.relay, faulty_replica, "stalled");
             if self.is_repeatable() {
                 return Err(WaitEnd::Stalled(detail));
             }
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -10,8 +10,8 @@
 //! |---|---|
 //! | [`serve`], [`request`], [`admit`] | callers, and what the configuration lets them do |
 //! | [`plain`] | requests to plain services |
-//! | [`stream`], [`heads`], [`flow`], [`paths`] | requests over engines: opening, running, paths |
-//! | [`runs`] | runs of requests at replicas, and what is left of lost ones |
+//! | [`stream`], [`heads`], [`forward`], [`paths`] | requests over engines: opening, running, paths |
+//! | [`run_tracker`] | runs of requests at replicas, and what is left of lost ones |
 //! | [`pool`], [`engines`] | connections and calls to replicas |
 //! | [`watch`], [`replicas`], [`peers`], [`news`] | what the relay knows, from the store and from other relays |
 //! | [`copies`] | what the store lost when it came back from a copy |
@@ -19,14 +19,13 @@
 //! | [`quarantine`] | requests that end the replicas that run them |
 //! | [`survey`] | which engines are slow |
 //! | [`placer`] | orders to engines to hold layers |
-//! | [`stop`], [`run`], [`reload`], [`settings`], [`logs`], [`counts`], [`metrics`] | the process |
+//! | [`shutdown`], [`run`], [`reload`], [`settings`], [`logs`], [`counts`], [`metrics`] | the process |
 
 pub mod admit;
-pub mod answers;
 pub mod copies;
 pub mod counts;
 pub mod engines;
-pub mod flow;
+pub mod forward;
 pub mod heads;
 pub mod limits;
 pub mod logs;
@@ -44,13 +43,14 @@
 pub mod reload;
 pub mod replicas;
 pub mod request;
+pub mod responses;
 pub mod run;
-pub mod runs;
+pub mod run_tracker;
 pub mod serve;
 pub mod settings;
+pub mod shutdown;
 pub mod snapshot;
 pub mod state;
-pub mod stop;
 pub mod store_calls;
 pub mod stream;
 pub mod survey;
--- a/crates/relay/src/limits.rs
+++ b/crates/relay/src/limits.rs
@@ -45,7 +45,7 @@
     // One that stops leaves them to the others while it is there, so that nobody waits for its silence.
     // What a member hears of the others is too little to tell whether it is cut off.
     let speaks = !beliefs.peers.is_member();
-    speaks && now >= COORDINATES_AFTER && !(relay.stop.is_raised() && has_others())
+    speaks && now >= COORDINATES_AFTER && !(relay.stop.is_stopping() && has_others())
 }
 
 fn own_stamp(relay: &Relay, now: Millis) -> PeerStamp {
--- a/crates/relay/src/notices.rs
+++ b/crates/relay/src/notices.rs
@@ -14,10 +14,10 @@
 };
 
 use crate::{
-    answers::Refusal,
     counts::count,
     limits::take_word,
     replicas::apply_draining,
+    responses::Refusal,
     state::{Beliefs, Relay},
 };
 
@@ -169,12 +169,12 @@
     let now = now_millis();
     let per_second = limited_rate(&relay.beliefs.borrow(), service, &begins, now);
     if per_second == 0.0 {
-        return Refusal::HeldBack(left + relay.draw(RETURN_SPREAD));
+        return Refusal::Throttled(left + relay.draw(RETURN_SPREAD));
     }
     let draw = relay.random.borrow_mut().random();
     let mut beliefs = relay.beliefs.borrow_mut();
     let slots = beliefs.return_slots.entry(service.to_owned()).or_default();
-    Refusal::HeldBack(slots.next_delay(left, per_second, draw, now))
+    Refusal::Throttled(slots.next_delay(left, per_second, draw, now))
 }
 
 /// Time over which callers come back that were refused until the same end, in milliseconds.
--- a/crates/relay/src/paths.rs
+++ b/crates/relay/src/paths.rs
@@ -26,7 +26,7 @@
 
 /// What a path is wanted for.
 #[derive(Clone, Debug)]
-pub struct PathWish<'a> {
+pub struct PathCriteria<'a> {
     /// Service whose engines may be used.
     pub service: &'a str,
     /// The model.
@@ -50,7 +50,7 @@
 
 /// Whether a path must have room for the request at each of its replicas.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum RoomRule {
+pub enum MemoryRule {
     /// It must.
     Needed,
     /// It should: an engine that is short of memory refuses, or makes its newest requests wait.
@@ -88,16 +88,16 @@
 /// others.
 pub fn find_path(
     relay: &Relay,
-    wish: &PathWish<'_>,
-    rule: RoomRule,
+    wish: &PathCriteria<'_>,
+    rule: MemoryRule,
     crossing: CrossingRule,
 ) -> Option<Vec<PathStage>> {
     let scope = draw_scope(relay, wish.service);
     if let PathScope::Groups { .. } = scope {
         let path = find_within(relay, wish, scope, rule, crossing);
         let is_crowded = path.is_none()
-            && rule == RoomRule::Needed
-            && find_within(relay, wish, scope, RoomRule::Wanted, crossing).is_some();
+            && rule == MemoryRule::Needed
+            && find_within(relay, wish, scope, MemoryRule::Wanted, crossing).is_some();
         if path.is_some() || is_crowded {
             return path;
         }
@@ -135,9 +135,9 @@
 
 fn find_within(
     relay: &Relay,
-    wish: &PathWish<'_>,
+    wish: &PathCriteria<'_>,
     scope: PathScope,
-    rule: RoomRule,
+    rule: MemoryRule,
     crossing: CrossingRule,
 ) -> Option<Vec<PathStage>> {
     let beliefs = relay.beliefs.borrow();
@@ -156,7 +156,7 @@
     };
     let costs = PathCosts::default();
     let path = choose_path(&request, &offers, &costs);
-    if path.is_some() || rule == RoomRule::Needed {
+    if path.is_some() || rule == MemoryRule::Needed {
         return path;
     }
     for offer in &mut offers {
@@ -174,17 +174,17 @@
 /// Where no data centre has a whole path, one that crosses is taken at once, if the pipe has room.
 pub async fn wait_for_path(
     relay: &Rc<Relay>,
-    wish: &PathWish<'_>,
+    wish: &PathCriteria<'_>,
     patience: Duration,
 ) -> Option<Vec<PathStage>> {
     let end = Instant::now() + patience;
     let mut grant_wait = None;
     loop {
-        if let Some(path) = find_path(relay, wish, RoomRule::Needed, CrossingRule::Never) {
+        if let Some(path) = find_path(relay, wish, MemoryRule::Needed, CrossingRule::Never) {
             note_missed(relay, wish, &path);
             return Some(path);
         }
-        let crowded = find_path(relay, wish, RoomRule::Wanted, CrossingRule::Never);
+        let crowded = find_path(relay, wish, MemoryRule::Wanted, CrossingRule::Never);
         if crowded.is_none() {
             let left = soonest_beginning(relay, wish);
             let Some(left) = left.filter(|left| Instant::now() + *left <= end) else {
@@ -211,7 +211,7 @@
 
 /// Notes a replica with a limit at which a request would have begun, where it found no grant: one of its own data centre, or
 /// any where it begins elsewhere all the same.
-fn note_missed(relay: &Rc<Relay>, wish: &PathWish<'_>, path: &[PathStage]) {
+fn note_missed(relay: &Rc<Relay>, wish: &PathCriteria<'_>, path: &[PathStage]) {
     let home = &relay.settings.data_centre;
     let begins_at_home = {
         let beliefs = relay.beliefs.borrow();
@@ -230,24 +230,24 @@
     want_grant(relay, wish.service, wish.rank, begins);
 }
 
-fn begins_for(replica: &ReplicaEntry, wish: &PathWish<'_>) -> bool {
-    can_begin(replica) && !wish.avoid.contains(&replica.instance)
+fn begins_for(replica: &ReplicaEntry, wish: &PathCriteria<'_>) -> bool {
+    can_start_path(replica) && !wish.avoid.contains(&replica.instance)
 }
 
 /// Whether a path may begin at a replica, as far as its layers tell.
-pub fn can_begin(replica: &ReplicaEntry) -> bool {
+pub fn can_start_path(replica: &ReplicaEntry) -> bool {
     replica.layers.is_some_and(|range| range.from == 0)
 }
 
 /// Time until the first replica at which a path could begin takes requests again; nothing where one does now.
-fn soonest_beginning(relay: &Relay, wish: &PathWish<'_>) -> Option<Duration> {
+fn soonest_beginning(relay: &Relay, wish: &PathCriteria<'_>) -> Option<Duration> {
     let begins = |replica: &ReplicaEntry| begins_for(replica, wish);
     let left = soonest_end(&relay.beliefs.borrow(), wish.service, wish.rank, begins)?;
     Some(Duration::from_millis(left))
 }
 
 /// Tells which replica of a path has least room.
-fn log_crowded(relay: &Relay, wish: &PathWish<'_>, path: &[PathStage]) {
+fn log_crowded(relay: &Relay, wish: &PathCriteria<'_>, path: &[PathStage]) {
     let beliefs = relay.beliefs.borrow();
     let fill = |part: &PathStage| {
         let replica = beliefs.fleet.view.get_current(&part.instance)?;
@@ -262,8 +262,8 @@
 }
 
 /// A path over several data centres, where this relay's share of the pipe has room for the request.
-fn crossing_path(relay: &Relay, wish: &PathWish<'_>) -> Option<Vec<PathStage>> {
-    let path = find_path(relay, wish, RoomRule::Wanted, CrossingRule::Allowed)?;
+fn crossing_path(relay: &Relay, wish: &PathCriteria<'_>) -> Option<Vec<PathStage>> {
+    let path = find_path(relay, wish, MemoryRule::Wanted, CrossingRule::Allowed)?;
     let crossings = count_crossings(relay, &path);
     let pipe_time = wish.engine.transfer_ms(wish.tokens) * f64::from(crossings);
     let now = now_millis();
@@ -305,7 +305,7 @@
 
 fn offers(
     beliefs: &Beliefs,
-    wish: &PathWish<'_>,
+    wish: &PathCriteria<'_>,
     in_scope: impl Fn(&ReplicaEntry) -> bool,
     data_centres: &mut DataCentres,
 ) -> Vec<StageOffer> {
@@ -369,7 +369,7 @@
 /// The first part of a request that runs: its replica goes on with it whatever it is to hold later.
 fn kept_part(
     beliefs: &Beliefs,
-    wish: &PathWish<'_>,
+    wish: &PathCriteria<'_>,
     data_centres: &mut DataCentres,
 ) -> Option<StageOffer> {
     let (instance, range) = wish.first?;
@@ -396,13 +396,13 @@
 
 /// Room promised along a path, and a place at its first replica; dropping it releases them.
 #[derive(Debug)]
-pub struct RoomGuard {
+pub struct PathReservation {
     relay: Rc<Relay>,
     parts: Vec<(ReplicaInstance, f64)>,
     first: Option<ReplicaInstance>,
 }
 
-impl RoomGuard {
+impl PathReservation {
     /// Promises room for `tokens` along a path.
     pub fn new(relay: &Rc<Relay>, path: &[PathStage], tokens: f64) -> Self {
         let amount = |part: &PathStage| tokens * f64::from(part.range.len());
@@ -416,7 +416,7 @@
     }
 }
 
-impl Drop for RoomGuard {
+impl Drop for PathReservation {
     fn drop(&mut self) {
         let mut beliefs = self.relay.beliefs.borrow_mut();
         self.parts.iter().for_each(|(instance, amount)| beliefs.room.release(instance, *amount));
--- a/crates/relay/src/plain.rs
+++ b/crates/relay/src/plain.rs
@@ -27,14 +27,14 @@
 
 use crate::{
     admit::{Permit, admit},
-    answers::{Refusal, RelayAnswer, whole},
     counts::count,
     limits::{GrantWait, want_grant},
     notices::{SendGate, hear_notices, refusal_without_replica, soonest_end},
-    pool::{BusyLink, SendError},
+    pool::{ActiveConnection, SendError},
     quarantine::{check_quarantine, note_result},
     request::{CallerRequest, ReplicaTarget},
-    runs::RunWatch,
+    responses::{Refusal, RelayResponse, full_body},
+    run_tracker::RunTracker,
     state::Relay,
 };
 
@@ -228,7 +228,7 @@
     relay: &Rc<Relay>,
     request: &CallerRequest,
     permit: Permit,
-) -> Result<RelayAnswer, Refusal> {
+) -> Result<RelayResponse, Refusal> {
     let mut permit = permit;
     let mut tried = Vec::new();
     let (mut sends, mut unsent, mut may_have_run) = (0, 0, false);
@@ -236,12 +236,12 @@
         let replica = wait_for_replica(relay, request, &permit, &tried).await;
         let Some(replica) = replica else {
             return Err(match may_have_run {
-                true => Refusal::Unknown,
+                true => Refusal::OutcomeUnknown,
                 false => refusal(relay, &permit, Refusal::NoReplica),
             });
         };
         if let Err(refusal) = check_quarantine(relay, request) {
-            return Err(if may_have_run { Refusal::Unknown } else { refusal });
+            return Err(if may_have_run { Refusal::OutcomeUnknown } else { refusal });
         }
         let report = attempt(relay, request, &permit, &replica).await;
         tried.push(replica.instance.clone());
@@ -252,7 +252,7 @@
         may_have_run |= matches!(report.end, AttemptEnd::Answered(_) | AttemptEnd::Broken);
         let now = now_millis();
         let repeatable = permit.route.is_repeatable();
-        let time_left = request.time_left(now) > MIN_TIME_LEFT;
+        let time_left = request.time_remaining(now) > MIN_TIME_LEFT;
         let within = sends < permit.route.max_attempts.max(1) && unsent < MOST_UNSENT;
         let others = choose_replica(relay, &permit, &tried).is_some();
         let paid = |sends| sends == 0 || relay.spend_repeat(&permit.service, now);
@@ -285,13 +285,13 @@
                 if sends > 0 {
                     count(&relay.counts.repeats);
                 }
-                permit = admit(relay, &request.asked)?;
+                permit = admit(relay, &request.admission)?;
             }
             (NextStep::AnswerNotRun, _) => {
                 return Err(refusal(relay, &permit, Refusal::NotRun));
             }
-            _ if request.time_left(now) == 0 => return Err(Refusal::TimedOut),
-            _ => return Err(Refusal::Unknown),
+            _ if request.time_remaining(now) == 0 => return Err(Refusal::TimedOut),
+            _ => return Err(Refusal::OutcomeUnknown),
         }
     }
 }
@@ -321,7 +321,7 @@
     let begun = now_millis();
     request.log_dispatch(relay, permit, &replica.instance, None, None);
     let _in_flight = LoadGuard::new(relay, &replica.instance);
-    let mut run = RunWatch::at_replica(&replica.instance);
+    let mut run = RunTracker::at_replica(&replica.instance);
     let target = ReplicaTarget { replica, path: None, last_event: None };
     let patience = attempt_patience(request, permit, begun);
     // A request that must not run twice gets a connection of its own: nothing that an earlier answer
@@ -335,7 +335,7 @@
     });
     match report.end {
         AttemptEnd::Broken => {
-            run.note_lost(relay, request, &report.detail);
+            run.record_loss(relay, request, &report.detail);
             look_whether_there(relay, replica).await;
         }
         AttemptEnd::Answered(_) => note_result(relay, request),
@@ -365,7 +365,7 @@
 async fn look_whether_there(relay: &Rc<Relay>, replica: &ReplicaEntry) {
     let (relay, instance, address) = (relay.clone(), replica.instance.clone(), replica.address);
     let look = spawn_local(async move {
-        if let Err(error) = relay.pool.reach(address).await {
+        if let Err(error) = relay.pool.open_idle(address).await {
             relay.suspect(&instance, &error.to_string());
         }
     });
@@ -379,7 +379,7 @@
 /// How long to wait for one attempt. A request that may run again leaves a replica that has not
 /// answered within the objective while another try can still be in time for the caller.
 fn attempt_patience(request: &CallerRequest, permit: &Permit, now: Millis) -> Millis {
-    let left = request.time_left(now);
+    let left = request.time_remaining(now);
     match permit.route.is_repeatable() && permit.route.max_attempts > 1 {
         true if request.attempt_count.get() == 0 => permit.route.objective.clamp(1, left.max(1)),
         _ => left,
@@ -406,26 +406,26 @@
         Err(SendError::NotSent { detail }) => {
             return AttemptReport::without_reply(AttemptEnd::NotSent, detail);
         }
-        Err(error @ SendError::HeldBack { .. }) => {
+        Err(error @ SendError::Throttled { .. }) => {
             let unsent = AttemptReport::without_reply(AttemptEnd::NotSent, error.to_string());
             return AttemptReport { is_held_back: true, ..unsent };
         }
-        Err(SendError::Broken { detail }) => {
+        Err(SendError::NoResponse { detail }) => {
             return AttemptReport::without_reply(AttemptEnd::Broken, detail);
         }
     };
     let (parts, body) = response.into_parts();
     let marks = read_response_headers(&parts.headers);
-    let answer = request.heard(&marks, parts.status, begun);
+    let answer = request.received_response(&marks, parts.status, begun);
     hear_notices(relay, &target.replica.instance, answer);
-    if let Some(end) = early_end(request, &marks, parts.status) {
-        finish_quietly(relay, link, body, &marks).await;
+    if let Some(end) = end_from_headers(request, &marks, parts.status) {
+        drain_rejection(relay, link, body, &marks).await;
         return AttemptReport::without_reply(end, format!("status {}", parts.status));
     }
     match Limited::new(body, MOST_ANSWER).collect().await {
         Ok(whole) => {
             if !marks.closes_connection {
-                link.give_back(&relay.pool, marks.keep_alive);
+                link.return_to(&relay.pool, marks.keep_alive);
             }
             let end = AttemptEnd::Answered(parts.status.as_u16());
             let reply =
@@ -440,12 +440,12 @@
 }
 
 /// End of an attempt that its head alone decides: an answer to another request, or a rejection.
-pub fn early_end(
+pub fn end_from_headers(
     request: &CallerRequest,
     marks: &ResponseHeaders,
     status: StatusCode,
 ) -> Option<AttemptEnd> {
-    if !request.is_answered_by(marks) {
+    if !request.matches_response(marks) {
         return Some(AttemptEnd::Broken);
     }
     let rejected = marks.not_executed || status == StatusCode::MISDIRECTED_REQUEST;
@@ -460,9 +460,9 @@
 const REJECTION_TIME: Duration = Duration::from_millis(20);
 
 /// Reads a rejection's body to its end, so that the connection can be kept.
-pub async fn finish_quietly(
+pub async fn drain_rejection(
     relay: &Relay,
-    link: BusyLink,
+    link: ActiveConnection,
     body: Incoming,
     marks: &ResponseHeaders,
 ) {
@@ -474,13 +474,13 @@
         () = sleep(REJECTION_TIME) => false,
     };
     if read {
-        link.give_back(&relay.pool, marks.keep_alive);
+        link.return_to(&relay.pool, marks.keep_alive);
     }
 }
 
-fn pass_on(reply: WholeReply) -> RelayAnswer {
+fn pass_on(reply: WholeReply) -> RelayResponse {
     let (mut parts, ()) = reply.head.into_parts();
     strip_hop_headers(&mut parts.headers);
     parts.headers.remove(http::header::CONTENT_LENGTH);
-    Response::from_parts(parts, whole(reply.body))
+    Response::from_parts(parts, full_body(reply.body))
 }
--- a/crates/relay/src/pool.rs
+++ b/crates/relay/src/pool.rs
@@ -26,7 +26,7 @@
 
 /// Time for a connection to open. Links take under a millisecond; a lost packet is sent again only
 /// after a second, so a later answer is not worth waiting for.
-pub const CONNECT_TIME: Duration = Duration::from_millis(250);
+pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Time after which the kernel gives up on bytes that the other side does not acknowledge.
 const UNACKNOWLEDGED_TIME: Duration = Duration::from_secs(3);
@@ -52,13 +52,13 @@
     },
     /// No byte of it left, since the replica wants no requests at the moment.
     #[display("held back for {left} ms")]
-    HeldBack {
+    Throttled {
         /// Milliseconds for which it wants none.
         left: Millis,
     },
     /// It was sent, at least in part.
     #[display("no valid answer: {detail}")]
-    Broken {
+    NoResponse {
         /// What happened.
         detail: String,
     },
@@ -67,29 +67,29 @@
 impl SendError {
     /// Whether no byte of the request left.
     pub fn is_unsent(&self) -> bool {
-        matches!(self, Self::NotSent { .. } | Self::HeldBack { .. })
+        matches!(self, Self::NotSent { .. } | Self::Throttled { .. })
     }
 }
 
-/// A connection in use. Dropping it closes it; [`BusyLink::give_back`] keeps it.
+/// A connection in use. Dropping it closes it; [`ActiveConnection::return_to`] keeps it.
 #[derive(Debug)]
-pub struct BusyLink {
+pub struct ActiveConnection {
     address: SocketAddr,
     sender: Option<SendRequest<Full<Bytes>>>,
     task: AbortHandle,
 }
 
-impl BusyLink {
+impl ActiveConnection {
     /// Keeps the connection for another request, once the answer was read to its end.
-    pub fn give_back(mut self, pool: &EndpointPool, keep_alive: Option<Millis>) {
+    pub fn return_to(mut self, pool: &ConnectionPool, keep_alive: Option<Millis>) {
         let Some(sender) = self.sender.take() else { return };
         let idle = keep_alive.unwrap_or(DEFAULT_IDLE) * IDLE_PERCENT / 100;
-        let link = IdleLink { sender, task: self.task.clone(), until: now_millis() + idle };
+        let link = IdleConnection { sender, task: self.task.clone(), until: now_millis() + idle };
         pool.keep(self.address, link);
     }
 }
 
-impl Drop for BusyLink {
+impl Drop for ActiveConnection {
     fn drop(&mut self) {
         if self.sender.is_some() {
             self.task.abort();
@@ -98,7 +98,7 @@
 }
 
 #[derive(Debug)]
-struct IdleLink {
+struct IdleConnection {
     sender: SendRequest<Full<Bytes>>,
     task: AbortHandle,
     until: Millis,
@@ -106,11 +106,11 @@
 
 /// Connections to replicas, by address.
 #[derive(Debug, Default)]
-pub struct EndpointPool {
-    idle: RefCell<HashMap<SocketAddr, Vec<IdleLink>>>,
+pub struct ConnectionPool {
+    idle: RefCell<HashMap<SocketAddr, Vec<IdleConnection>>>,
 }
 
-impl EndpointPool {
+impl ConnectionPool {
     /// Sends a request and waits for the head of its answer. `fresh` asks for a new connection: what
     /// is left over on a kept one cannot be taken for this request's answer. `may_go` is asked before a connection is
     /// taken, and again before the request is written on one that had to be opened; it gives the time for which not.
@@ -124,8 +124,8 @@
         request: Request<Full<Bytes>>,
         fresh: bool,
         may_go: impl Fn() -> Result<(), Millis>,
-    ) -> Result<(Response<Incoming>, BusyLink), SendError> {
-        let held_back = |left| SendError::HeldBack { left };
+    ) -> Result<(Response<Incoming>, ActiveConnection), SendError> {
+        let held_back = |left| SendError::Throttled { left };
         let mut request = request;
         may_go().map_err(held_back)?;
         while let Some(link) = self.take(address).filter(|_| !fresh) {
@@ -145,19 +145,19 @@
     /// # Errors
     ///
     /// Fails where none opens.
-    pub async fn reach(&self, address: SocketAddr) -> Result<(), SendError> {
-        connect(address).await?.give_back(self, None);
+    pub async fn open_idle(&self, address: SocketAddr) -> Result<(), SendError> {
+        connect(address).await?.return_to(self, None);
         Ok(())
     }
 
     /// Closes the idle connections to a replica.
-    pub fn forget(&self, address: SocketAddr) {
+    pub fn close_idle(&self, address: SocketAddr) {
         let links = self.idle.borrow_mut().remove(&address);
         links.into_iter().flatten().for_each(|link| link.task.abort());
     }
 
     /// Closes connections that were idle for too long.
-    pub fn sweep(&self) {
+    pub fn close_expired(&self) {
         let now = now_millis();
         self.idle.borrow_mut().retain(|_, links| {
             links.retain(|link| {
@@ -176,19 +176,23 @@
         self.idle.borrow().values().map(Vec::len).sum()
     }
 
-    fn take(&self, address: SocketAddr) -> Option<BusyLink> {
+    fn take(&self, address: SocketAddr) -> Option<ActiveConnection> {
         let mut idle = self.idle.borrow_mut();
         let links = idle.get_mut(&address)?;
         while let Some(link) = links.pop() {
             if link.until > now_millis() && link.sender.is_ready() {
-                return Some(BusyLink { address, sender: Some(link.sender), task: link.task });
+                return Some(ActiveConnection {
+                    address,
+                    sender: Some(link.sender),
+                    task: link.task,
+                });
             }
             link.task.abort();
         }
         None
     }
 
-    fn keep(&self, address: SocketAddr, link: IdleLink) {
+    fn keep(&self, address: SocketAddr, link: IdleConnection) {
         let mut idle = self.idle.borrow_mut();
         let links = idle.entry(address).or_default();
         match links.len() < MOST_IDLE {
@@ -198,9 +202,9 @@
     }
 }
 
-async fn connect(address: SocketAddr) -> Result<BusyLink, SendError> {
+async fn connect(address: SocketAddr) -> Result<ActiveConnection, SendError> {
     let not_sent = |detail: String| SendError::NotSent { detail };
-    let stream = match timeout(CONNECT_TIME, TcpStream::connect(address)).await {
+    let stream = match timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
         Ok(Ok(stream)) => stream,
         Ok(Err(error)) => return Err(not_sent(error.to_string())),
         Err(_) => return Err(not_sent("connection did not open in time".to_owned())),
@@ -212,7 +216,7 @@
         // How the connection ended is told to the request that was on it.
         let _ended = connection.await;
     });
-    Ok(BusyLink { address, sender: Some(sender), task: task.abort_handle() })
+    Ok(ActiveConnection { address, sender: Some(sender), task: task.abort_handle() })
 }
 
 fn set_options(stream: &TcpStream) -> std::io::Result<()> {
@@ -223,9 +227,9 @@
 type Unsent = Option<Request<Full<Bytes>>>;
 
 async fn send_on(
-    mut link: BusyLink,
+    mut link: ActiveConnection,
     request: Request<Full<Bytes>>,
-) -> Result<(Response<Incoming>, BusyLink), (SendError, Unsent)> {
+) -> Result<(Response<Incoming>, ActiveConnection), (SendError, Unsent)> {
     let sender = link.sender.as_mut().expect("a busy link has its sender");
     match sender.try_send_request(request).await {
         Ok(answer) => Ok((answer, link)),
@@ -234,7 +238,7 @@
             let detail = failure.into_error().to_string();
             let error = match unsent {
                 Some(_) => SendError::NotSent { detail },
-                None => SendError::Broken { detail },
+                None => SendError::NoResponse { detail },
             };
             Err((error, unsent))
         }
--- a/crates/relay/src/quarantine.rs
+++ b/crates/relay/src/quarantine.rs
@@ -21,12 +21,12 @@
 use tokio::time::sleep;
 
 use crate::{
-    answers::Refusal,
     counts::count,
     news::StateNews,
     peers::pass_on,
     registry::wait_at_start,
     request::CallerRequest,
+    responses::Refusal,
     settings::RelaySettings,
     state::{Beliefs, Relay},
     store_calls::{CallCause, CallKind, CallVerb, CountedStore},
@@ -48,7 +48,7 @@
     count(&relay.counts.quarantined);
     tracing::warn!(
         event = "request-quarantined",
-        request = request.marks.attempt_id,
+        request = request.headers.attempt_id,
         fingerprint = %request.fingerprint,
         left_ms = left,
     );
--- a/crates/relay/src/replicas.rs
+++ b/crates/relay/src/replicas.rs
@@ -259,6 +259,6 @@
         beliefs.loads.forget(instance);
         beliefs.paces.forget(instance);
     }
-    relay.pool.forget(address);
+    relay.pool.close_idle(address);
     relay.reports.forget(address);
 }
--- a/crates/relay/src/request.rs
+++ b/crates/relay/src/request.rs
@@ -23,14 +23,14 @@
 use tokio::time::sleep;
 
 use crate::{
-    admit::{Asked, Permit, admit},
-    answers::{Refusal, RelayAnswer},
+    admit::{AdmissionRequest, Permit, admit},
     counts::count,
     notices::HeardAnswer,
     plain::run_plain,
     quarantine::check_quarantine,
+    responses::{Refusal, RelayResponse},
+    shutdown::InFlightGuard,
     state::Relay,
-    stop::FlightGuard,
     stream::run_stream,
 };
 
@@ -51,14 +51,14 @@
 pub struct CallerRequest {
     method: Method,
     uri: Uri,
-    headers: HeaderMap,
+    raw_headers: HeaderMap,
     body: Bytes,
     /// What it is, whatever its id.
     pub fingerprint: RequestFingerprint,
     /// What its headers ask for.
-    pub marks: RequestHeaders,
+    pub headers: RequestHeaders,
     /// Host, path and key.
-    pub asked: Asked,
+    pub admission: AdmissionRequest,
     /// When it arrived.
     pub arrived: Millis,
     /// When it must have its answer.
@@ -80,29 +80,29 @@
 
 impl CallerRequest {
     /// Time that is left, in milliseconds.
-    pub fn time_left(&self, now: Millis) -> Millis {
+    pub fn time_remaining(&self, now: Millis) -> Millis {
         self.deadline.saturating_sub(now)
     }
 
     /// Whether an answer that says this beside its status is one to this request.
-    pub fn is_answered_by(&self, marks: &ResponseHeaders) -> bool {
-        marks.attempt_id.as_ref().is_none_or(|id| *id == self.marks.attempt_id)
+    pub fn matches_response(&self, marks: &ResponseHeaders) -> bool {
+        marks.attempt_id.as_ref().is_none_or(|id| *id == self.headers.attempt_id)
     }
 
     /// An answer to it that was sent for at `sent`.
-    pub fn heard<'a>(
+    pub fn received_response<'a>(
         &self,
         marks: &'a ResponseHeaders,
         status: StatusCode,
         sent: Millis,
     ) -> HeardAnswer<'a> {
-        HeardAnswer { status, marks, sent, is_own: self.is_answered_by(marks) }
+        HeardAnswer { status, marks, sent, is_own: self.matches_response(marks) }
     }
 
     /// Tokens that it may hold: those of its prompt, and of its answer as far as they can be told.
     pub fn tokens(&self, usual: (u32, u32)) -> f64 {
-        let (prompt, most) = self.marks.tokens.unwrap_or((usual.0, usual.1 * 2));
-        let answer = self.marks.length_hint.unwrap_or(usual.1).min(most);
+        let (prompt, most) = self.headers.tokens.unwrap_or((usual.0, usual.1 * 2));
+        let answer = self.headers.length_hint.unwrap_or(usual.1).min(most);
         f64::from(prompt) + f64::from(answer)
     }
 
@@ -115,10 +115,10 @@
 
     /// Builds the request for a replica.
     pub fn to_replica(&self, permit: &Permit, target: &ReplicaTarget<'_>) -> Request<Full<Bytes>> {
-        let mut headers = self.headers.clone();
+        let mut headers = self.raw_headers.clone();
         let marks = ForwardHeaders {
             replica: target.replica.instance.id(),
-            time_left: self.time_left(now_millis()).max(1),
+            time_left: self.time_remaining(now_millis()).max(1),
             organisation: permit.organisation.as_deref(),
             priority: target.path.is_some().then_some(self.priority(permit, target)),
             path: target.path,
@@ -146,7 +146,7 @@
         let beliefs = relay.beliefs.borrow();
         tracing::info!(
             event = "dispatch",
-            request = self.marks.attempt_id,
+            request = self.headers.attempt_id,
             fingerprint = %self.fingerprint,
             route = permit.route.name,
             organisation = permit.organisation,
@@ -184,7 +184,7 @@
         relay.metrics.note_attempt(end, next);
         tracing::warn!(
             event = "attempt-failed",
-            request = self.marks.attempt_id,
+            request = self.headers.attempt_id,
             replica = replica.map(ReplicaInstance::to_string),
             route = permit.route.name,
             config = permit.config.version,
@@ -196,14 +196,14 @@
 }
 
 /// Answers a request; the answer always comes.
-pub async fn handle(relay: Rc<Relay>, request: Request<Incoming>) -> RelayAnswer {
-    let in_flight = FlightGuard::new(&relay);
+pub async fn handle(relay: Rc<Relay>, request: Request<Incoming>) -> RelayResponse {
+    let in_flight = InFlightGuard::new(&relay);
     count(&relay.counts.requests);
     let arrived = now_millis();
     let (parts, body) = request.into_parts();
-    let marks = read_request_headers(&parts.headers);
-    let id = marks.attempt_id.clone();
-    let outcome = serve(&relay, parts, body, marks, arrived, in_flight).await;
+    let headers = read_request_headers(&parts.headers);
+    let id = headers.attempt_id.clone();
+    let outcome = serve(&relay, parts, body, headers, arrived, in_flight).await;
     let mut answer = match outcome {
         Ok(answer) => {
             let status = answer.status().as_u16();
@@ -219,7 +219,7 @@
         }
         Err(refusal) => refuse(&relay, &id, refusal, arrived),
     };
-    if relay.stop.is_raised() || relay.steps_aside(now_millis()) {
+    if relay.stop.is_stopping() || relay.steps_aside(now_millis()) {
         let close = http::HeaderValue::from_static("close");
         answer.headers_mut().insert(header::CONNECTION, close);
     }
@@ -238,30 +238,30 @@
     relay: &Rc<Relay>,
     parts: Parts,
     body: Incoming,
-    marks: RequestHeaders,
+    headers: RequestHeaders,
     arrived: Millis,
-    in_flight: FlightGuard,
-) -> Result<RelayAnswer, Refusal> {
-    let asked = asked_for(&parts, &marks);
+    in_flight: InFlightGuard,
+) -> Result<RelayResponse, Refusal> {
+    let admission = asked_for(&parts, &headers);
     wait_for_config(relay).await;
-    let permit = admit(relay, &asked)?;
+    let permit = admit(relay, &admission)?;
     let most = permit.config.limits.map_or(DEFAULT_BODY, |limits| limits.max_body_bytes);
     let body = match Limited::new(body, most).collect().await {
         Ok(body) => body.to_bytes(),
         Err(error) if error.is::<http_body_util::LengthLimitError>() => {
             return Err(Refusal::BodyTooLarge);
         }
-        Err(_) => return Err(Refusal::BodyBroken),
+        Err(_) => return Err(Refusal::BodyTruncated),
     };
     let timeout = match permit.route.timeout {
         0 => DEFAULT_TIMEOUT,
         timeout => timeout,
     };
-    let patience = marks.deadline.unwrap_or(timeout).min(timeout);
+    let patience = headers.deadline.unwrap_or(timeout).min(timeout);
     let uri = origin_form(&parts.uri);
     let fingerprint = RequestFingerprint::of(&RequestParts {
         method: parts.method.as_str(),
-        host: &asked.host,
+        host: &admission.host,
         target: uri.path_and_query().map_or("/", |target| target.as_str()),
         organisation: permit.organisation.as_deref(),
         body: &body,
@@ -269,11 +269,11 @@
     let request = CallerRequest {
         method: parts.method,
         uri,
-        headers: parts.headers,
+        raw_headers: parts.headers,
         body,
         fingerprint,
-        marks,
-        asked,
+        headers,
+        admission,
         arrived,
         deadline: arrived + patience,
         attempt_count: Cell::new(0),
@@ -282,17 +282,21 @@
     relay.note_request(&permit.service, now_millis());
     let has_engine = permit.config.services.get(&permit.service);
     match has_engine.is_some_and(|service| service.engine.is_some()) {
-        true if relay.stop.is_late() => Err(Refusal::Stopping),
+        true if relay.stop.refuses_streams() => Err(Refusal::Stopping),
         true => run_stream(relay, Rc::new(request), permit, in_flight).await,
-        false if relay.stop.is_too_short_for(patience) => Err(Refusal::Stopping),
+        false if relay.stop.would_cut(patience) => Err(Refusal::Stopping),
         false => run_plain(relay, &request, permit).await,
     }
 }
 
-fn asked_for(parts: &Parts, marks: &RequestHeaders) -> Asked {
+fn asked_for(parts: &Parts, headers: &RequestHeaders) -> AdmissionRequest {
     let header = parts.headers.get(header::HOST).and_then(|value| value.to_str().ok());
     let host = parts.uri.host().or(header).unwrap_or_default();
-    Asked { host: host.to_owned(), path: parts.uri.path().to_owned(), key: marks.key.clone() }
+    AdmissionRequest {
+        host: host.to_owned(),
+        path: parts.uri.path().to_owned(),
+        key: headers.key.clone(),
+    }
 }
 
 /// Path and query alone, as replicas are asked.
@@ -301,7 +305,7 @@
     path.parse().unwrap_or_else(|_| Uri::from_static("/"))
 }
 
-fn refuse(relay: &Relay, id: &str, refusal: Refusal, arrived: Millis) -> RelayAnswer {
+fn refuse(relay: &Relay, id: &str, refusal: Refusal, arrived: Millis) -> RelayResponse {
     let held_ms = now_millis() - arrived;
     let status = refusal.status().as_u16();
     match status {
@@ -314,5 +318,5 @@
     tracing::warn!(
         event = "refused", request = id, status, reason = %refusal, held_ms, config, config_age,
     );
-    refusal.answer()
+    refusal.response()
 }
--- a/crates/relay/src/answers.rs
+++ b/crates/relay/src/responses.rs
@@ -12,16 +12,16 @@
 /// A body broke off: the caller's connection is closed without its end.
 #[derive(Clone, Copy, Debug, Display, Error)]
 #[display("answer broke off")]
-pub struct BodyBroken;
+pub struct BodyAborted;
 
 /// Body of every answer.
-pub type RelayBody = Pin<Box<dyn Body<Data = Bytes, Error = BodyBroken>>>;
+pub type RelayBody = Pin<Box<dyn Body<Data = Bytes, Error = BodyAborted>>>;
 
 /// An answer to a caller.
-pub type RelayAnswer = Response<RelayBody>;
+pub type RelayResponse = Response<RelayBody>;
 
 /// Body of whole bytes.
-pub fn whole(bytes: Bytes) -> RelayBody {
+pub fn full_body(bytes: Bytes) -> RelayBody {
     Box::pin(Full::new(bytes).map_err(|never| match never {}))
 }
 
@@ -45,7 +45,7 @@
     BodyTooLarge,
     /// The body did not arrive whole.
     #[display("body-broken")]
-    BodyBroken,
+    BodyTruncated,
     /// The relay stops too soon for it to end here.
     #[display("stopping")]
     Stopping,
@@ -57,7 +57,7 @@
     NotRun,
     /// It may have run, and there is no answer.
     #[display("outcome-unknown")]
-    Unknown,
+    OutcomeUnknown,
     /// Its time is up, and it may have run.
     #[display("timed-out")]
     TimedOut,
@@ -66,7 +66,7 @@
     TimedOutUnsent,
     /// All replicas that could begin it want no requests of this relay for so many milliseconds more.
     #[display("held-back")]
-    HeldBack(Millis),
+    Throttled(Millis),
     /// The same request ended the replicas that ran it: for so many milliseconds more it is sent nowhere.
     #[display("quarantined")]
     Quarantined(Millis),
@@ -82,13 +82,13 @@
             | Self::NoReplica
             | Self::NotRun
             | Self::TimedOutUnsent
-            | Self::HeldBack(_)
+            | Self::Throttled(_)
             | Self::Quarantined(_) => StatusCode::SERVICE_UNAVAILABLE,
             Self::NoRoute => StatusCode::NOT_FOUND,
             Self::UnknownKey => StatusCode::UNAUTHORIZED,
             Self::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
-            Self::BodyBroken => StatusCode::BAD_REQUEST,
-            Self::Unknown => StatusCode::BAD_GATEWAY,
+            Self::BodyTruncated => StatusCode::BAD_REQUEST,
+            Self::OutcomeUnknown => StatusCode::BAD_GATEWAY,
             Self::TimedOut => StatusCode::GATEWAY_TIMEOUT,
         }
     }
@@ -101,7 +101,7 @@
             Self::NoReplica | Self::NotRun => 1_400,
             Self::StaleConfiguration => 1_500,
             // Sooner, it would be refused again.
-            Self::HeldBack(left) | Self::Quarantined(left) => left,
+            Self::Throttled(left) | Self::Quarantined(left) => left,
             _ => 700,
         }
     }
@@ -117,8 +117,8 @@
     }
 
     /// Builds the answer; one that promises that nothing ran tells when to come back.
-    pub fn answer(self) -> RelayAnswer {
-        let mut answer = Response::new(whole(Bytes::from_static(self.explanation())));
+    pub fn response(self) -> RelayResponse {
+        let mut answer = Response::new(full_body(Bytes::from_static(self.explanation())));
         *answer.status_mut() = self.status();
         let promised = self.status() == StatusCode::SERVICE_UNAVAILABLE;
         if promised {
--- a/crates/relay/src/run.rs
+++ b/crates/relay/src/run.rs
@@ -32,14 +32,14 @@
     metrics::RelayMetrics,
     peers::talk,
     placer::place_layers,
-    pool::EndpointPool,
+    pool::ConnectionPool,
     quarantine::{follow_quarantine, store_quarantine},
     reload::follow_settings,
     serve::{serve_callers, serve_metrics, serve_readiness},
     settings::RelaySettings,
+    shutdown::ShutdownState,
     snapshot::{fetch::new_client, serve::serve_snapshots},
     state::{Beliefs, Relay},
-    stop::StopState,
     store_calls::CountedStore,
     survey::survey_engines,
     watch::{follow_config, follow_replicas},
@@ -150,7 +150,7 @@
     spawn_local(async move {
         shutdown.raised().await;
         tracing::info!(event = "stopping", in_flight = stopping.stop.in_flight());
-        stopping.stop.raise(stopping.bounds.borrow().grace());
+        stopping.stop.begin(stopping.bounds.borrow().grace());
     });
     serve_callers(relay.clone(), sockets.callers).await;
     tracing::info!(
@@ -198,7 +198,7 @@
         bounds: RefCell::new(settings.bounds.clone()),
         settings,
         beliefs: RefCell::new(Beliefs::default()),
-        pool: EndpointPool::default(),
+        pool: ConnectionPool::default(),
         reports: ReportCache::default(),
         peer_socket,
         incarnation: random.random(),
@@ -206,7 +206,7 @@
         metrics,
         registered_era: Cell::default(),
         is_aside: Cell::new(false),
-        stop: StopState::default(),
+        stop: ShutdownState::default(),
         random: RefCell::new(random),
         alarms: Cell::new(0),
         alarm_bell: Notify::new(),
@@ -223,7 +223,7 @@
     let mut rounds: u32 = 0;
     loop {
         sleep(SWEEP_EVERY).await;
-        relay.pool.sweep();
+        relay.pool.close_expired();
         rounds += 1;
         if rounds.is_multiple_of(FIGURES_ONE_IN) {
             log_figures(&relay);
--- a/crates/relay/src/runs.rs
+++ b/crates/relay/src/run_tracker.rs
@@ -23,7 +23,7 @@
 
 /// A run of a request at the replicas of its path.
 #[derive(Clone, Debug)]
-pub struct RunWatch {
+pub struct RunTracker {
     instances: Vec<ReplicaInstance>,
     sent: Millis,
     progress: RunProgress,
@@ -31,7 +31,7 @@
     is_proven: bool,
 }
 
-impl RunWatch {
+impl RunTracker {
     /// Watches a run that is sent now to one replica, and whose answer comes as a whole.
     pub fn at_replica(instance: &ReplicaInstance) -> Self {
         Self::new(vec![instance.clone()], RunProgress::Unary)
@@ -48,14 +48,14 @@
     }
 
     /// Notes that the first replica began to run it.
-    pub fn note_begun(&mut self) {
+    pub fn record_start(&mut self) {
         if let RunProgress::Stream { begun, .. } = &mut self.progress {
             *begun = begun.or(Some(now_millis()));
         }
     }
 
     /// Notes that something came of it.
-    pub fn note_events(&mut self, relay: &Rc<Relay>, request: &CallerRequest) {
+    pub fn record_event(&mut self, relay: &Rc<Relay>, request: &CallerRequest) {
         let RunProgress::Stream { begun, events } = &mut self.progress else { return };
         *events += 1;
         let ran_for = begun.map_or(0, |begun| now_millis().saturating_sub(begun));
@@ -65,7 +65,7 @@
     }
 
     /// Notes that the run ended without a result, or that a replica of it is lost; once for each run.
-    pub fn note_lost(&mut self, relay: &Rc<Relay>, request: &CallerRequest, why: &str) {
+    pub fn record_loss(&mut self, relay: &Rc<Relay>, request: &CallerRequest, why: &str) {
         if replace(&mut self.is_lost, true) {
             return;
         }
@@ -77,7 +77,7 @@
         };
         tracing::info!(
             event = "run-lost",
-            request = request.marks.attempt_id,
+            request = request.headers.attempt_id,
             fingerprint = %request.fingerprint,
             first = self.instances.first().map(ReplicaInstance::to_string),
             parts = self.instances.len(),
--- a/crates/relay/src/serve.rs
+++ b/crates/relay/src/serve.rs
@@ -14,10 +14,10 @@
 };
 
 use crate::{
-    answers::{RelayAnswer, whole},
     request::handle,
+    responses::{RelayResponse, full_body},
+    shutdown::IDLE_CLOSE_DELAY,
     state::Relay,
-    stop::CLOSE_IDLE,
 };
 
 /// Time that a kept connection may rest where the configuration is not known yet.
@@ -52,11 +52,11 @@
 /// Waits for the end of a planned stop: nothing is in flight and callers had time to leave, or the time
 /// is nearly up.
 async fn stopped(relay: &Relay) {
-    relay.stop.raised().await;
-    let left = relay.stop.end().saturating_sub(now_millis());
+    relay.stop.wait_until_stopping().await;
+    let left = relay.stop.deadline().saturating_sub(now_millis());
     sleep(LEAST_STOP.min(Duration::from_millis(left))).await;
     const STEP: Duration = Duration::from_millis(50);
-    while relay.stop.in_flight() > 0 && now_millis() < relay.stop.end() {
+    while relay.stop.in_flight() > 0 && now_millis() < relay.stop.deadline() {
         sleep(STEP).await;
     }
 }
@@ -68,7 +68,7 @@
     let header_bytes = limits.map_or(DEFAULT_HEADER_BYTES, |limits| limits.max_header_bytes);
     let service = service_fn(|request: Request<Incoming>| {
         let relay = relay.clone();
-        async move { Ok::<RelayAnswer, Infallible>(handle(relay, request).await) }
+        async move { Ok::<RelayResponse, Infallible>(handle(relay, request).await) }
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
@@ -94,8 +94,8 @@
 
 /// Waits until a stopping relay closes its idle connections.
 async fn idle_closes(relay: &Relay) {
-    relay.stop.raised().await;
-    sleep(Duration::from_millis(CLOSE_IDLE)).await;
+    relay.stop.wait_until_stopping().await;
+    sleep(Duration::from_millis(IDLE_CLOSE_DELAY)).await;
 }
 
 /// Answers questions for readiness until the process ends.
@@ -106,10 +106,10 @@
 /// Serves metrics until the process ends.
 pub async fn serve_metrics(relay: Rc<Relay>, listener: TcpListener) {
     serve_simple(listener, move || match relay.metrics.render(&relay) {
-        Ok(text) => Response::new(whole(Bytes::from(text))),
+        Ok(text) => Response::new(full_body(Bytes::from(text))),
         Err(error) => {
             tracing::error!(event = "metrics-unreadable", %error);
-            let mut answer = Response::new(whole(Bytes::new()));
+            let mut answer = Response::new(full_body(Bytes::new()));
             *answer.status_mut() = StatusCode::INTERNAL_SERVER_ERROR;
             answer
         }
@@ -118,7 +118,7 @@
 }
 
 /// Gives every request the same answer, made anew for each.
-async fn serve_simple(listener: TcpListener, answer: impl Fn() -> RelayAnswer + 'static) {
+async fn serve_simple(listener: TcpListener, answer: impl Fn() -> RelayResponse + 'static) {
     let answer = Rc::new(answer);
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -129,7 +129,7 @@
         spawn_local(async move {
             let service = service_fn(|_: Request<Incoming>| {
                 let answer = answer();
-                async move { Ok::<RelayAnswer, Infallible>(answer) }
+                async move { Ok::<RelayResponse, Infallible>(answer) }
             });
             let _ended =
                 http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
@@ -137,8 +137,8 @@
     }
 }
 
-fn readiness(ready: bool) -> RelayAnswer {
-    let mut answer = Response::new(whole(Bytes::new()));
+fn readiness(ready: bool) -> RelayResponse {
+    let mut answer = Response::new(full_body(Bytes::new()));
     if !ready {
         *answer.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
     }
@@ -158,5 +158,5 @@
     let beliefs = relay.beliefs.borrow();
     let knows = beliefs.config.get().is_some() && !beliefs.fleet.view.is_empty();
     let bound = relay.bounds.borrow().revoke();
-    knows && !relay.stop.is_raised() && beliefs.config_lease.is_valid(bound, now)
+    knows && !relay.stop.is_stopping() && beliefs.config_lease.is_valid(bound, now)
 }
--- a/crates/relay/src/stop.rs
+++ b/crates/relay/src/shutdown.rs
@@ -14,7 +14,7 @@
 
 /// Time after SIGTERM at which idle connections are closed, in milliseconds: the balancer asks for
 /// readiness once a second and takes a VM out after two misses.
-pub const CLOSE_IDLE: Millis = 2_500;
+pub const IDLE_CLOSE_DELAY: Millis = 2_500;
 
 /// Time after SIGTERM up to which streams are begun, in milliseconds: callers are told to go elsewhere
 /// at once after it, rather than to lose their stream midway.
@@ -29,45 +29,45 @@
 
 /// Whether a relay is stopping, and what is still in flight.
 #[derive(Debug, Default)]
-pub struct StopState {
+pub struct ShutdownState {
     raised_at: Cell<Option<Millis>>,
     end: Cell<Millis>,
     in_flight: Cell<usize>,
     raised: Notify,
 }
 
-impl StopState {
+impl ShutdownState {
     /// Begins the stop; the process would be killed after `grace` milliseconds.
-    pub fn raise(&self, grace: Millis) {
+    pub fn begin(&self, grace: Millis) {
         self.end.set(now_millis() + grace.saturating_sub(STOP_MARGIN));
         self.raised_at.set(self.raised_at.get().or(Some(now_millis())));
         self.raised.notify_waiters();
     }
 
     /// Whether the relay is stopping.
-    pub fn is_raised(&self) -> bool {
+    pub fn is_stopping(&self) -> bool {
         self.raised_at.get().is_some()
     }
 
     /// Whether it is too late to begin a stream.
-    pub fn is_late(&self) -> bool {
+    pub fn refuses_streams(&self) -> bool {
         self.raised_at.get().is_some_and(|raised| now_millis() - raised > LAST_STREAM)
     }
 
     /// When the stop ends at the latest.
-    pub fn end(&self) -> Millis {
+    pub fn deadline(&self) -> Millis {
         self.end.get()
     }
 
     /// Whether a request that may take so long could be cut by the end of the stop.
-    pub fn is_too_short_for(&self, patience: Millis) -> bool {
-        self.is_raised() && now_millis() + patience.min(LONGEST_WORK) > self.end.get()
+    pub fn would_cut(&self, patience: Millis) -> bool {
+        self.is_stopping() && now_millis() + patience.min(LONGEST_WORK) > self.end.get()
     }
 
     /// Waits until the stop begins.
-    pub async fn raised(&self) {
+    pub async fn wait_until_stopping(&self) {
         let notified = self.raised.notified();
-        if !self.is_raised() {
+        if !self.is_stopping() {
             notified.await;
         }
     }
@@ -88,11 +88,11 @@
 
 /// A request in flight; dropping it ends it.
 #[derive(Debug)]
-pub struct FlightGuard {
+pub struct InFlightGuard {
     relay: std::rc::Rc<crate::state::Relay>,
 }
 
-impl FlightGuard {
+impl InFlightGuard {
     /// Notes a request in flight.
     pub fn new(relay: &std::rc::Rc<crate::state::Relay>) -> Self {
         relay.stop.enter();
@@ -100,7 +100,7 @@
     }
 }
 
-impl Drop for FlightGuard {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.relay.stop.leave();
     }
--- a/crates/relay/src/snapshot/serve.rs
+++ b/crates/relay/src/snapshot/serve.rs
@@ -17,10 +17,10 @@
 
 use super::{RelayRecord, Snapshot, SnapshotBody, read_target};
 use crate::{
-    answers::{RelayAnswer, whole},
     counts::count,
     news::ReplicaRecord,
     registry::{PeerAddress, relays_digest},
+    responses::{RelayResponse, full_body},
     state::{Beliefs, Relay},
     store_calls::CallKind,
 };
@@ -58,7 +58,7 @@
 async fn serve_neighbour(relay: &Relay, stream: TcpStream) {
     let _without_delay = stream.set_nodelay(true);
     let service = service_fn(async |request: Request<Incoming>| {
-        Ok::<RelayAnswer, Infallible>(answer_neighbour(relay, &request))
+        Ok::<RelayResponse, Infallible>(answer_neighbour(relay, &request))
     });
     let served = http1::Builder::new()
         .timer(TokioTimer::new())
@@ -71,7 +71,7 @@
     }
 }
 
-fn answer_neighbour(relay: &Relay, request: &Request<Incoming>) -> RelayAnswer {
+fn answer_neighbour(relay: &Relay, request: &Request<Incoming>) -> RelayResponse {
     let uri = request.uri();
     let asked = read_target(uri.path(), uri.query());
     let Some((kind, held)) = asked.filter(|_| request.method() == Method::GET) else {
@@ -82,14 +82,14 @@
     match compose(relay, kind, held, now_millis()) {
         Some(snapshot) => {
             count(&relay.counts.snapshots_told);
-            Response::new(whole(Bytes::from(snapshot.encode())))
+            Response::new(full_body(Bytes::from(snapshot.encode())))
         }
         None => empty(StatusCode::NO_CONTENT),
     }
 }
 
-fn empty(status: StatusCode) -> RelayAnswer {
-    let mut answer = Response::new(whole(Bytes::new()));
+fn empty(status: StatusCode) -> RelayResponse {
+    let mut answer = Response::new(full_body(Bytes::new()));
     *answer.status_mut() = status;
     answer
 }
--- a/crates/relay/src/state.rs
+++ b/crates/relay/src/state.rs
@@ -42,11 +42,11 @@
     engines::ReportCache,
     metrics::RelayMetrics,
     plain::ServiceLoads,
-    pool::EndpointPool,
+    pool::ConnectionPool,
     quarantine::note_ended,
     registry::PeerAddress,
     settings::{BoundSettings, RelaySettings},
-    stop::StopState,
+    shutdown::ShutdownState,
     store_calls::{CallTally, CountedStore},
     tell::{TellReach, tell_state},
 };
@@ -162,7 +162,7 @@
     /// What it knows.
     pub beliefs: RefCell<Beliefs>,
     /// Connections to replicas.
-    pub pool: EndpointPool,
+    pub pool: ConnectionPool,
     /// Latest reports of engines.
     pub reports: ReportCache,
     /// The platform's object store.
@@ -184,7 +184,7 @@
     /// Whether new callers were left to other relays when readiness was last asked for.
     pub is_aside: Cell<bool>,
     /// Whether it is stopping.
-    pub stop: StopState,
+    pub stop: ShutdownState,
     /// Draws for weights and jitter.
     pub random: RefCell<ChaCha8Rng>,
     /// Grows whenever a replica becomes one to keep away from; running streams then look at their path.
--- a/crates/relay/src/stream.rs
+++ b/crates/relay/src/stream.rs
@@ -20,24 +20,24 @@
 
 use crate::{
     admit::{Permit, admit},
-    answers::{Refusal, RelayAnswer, whole},
     counts::count,
     engines::{ReportState, probe_replicas, recent_report},
-    flow::stream_body,
+    forward::stream_body,
     heads::{HeadGuard, HeadWait, Sent, WaitEnd},
     notices::{SendGate, hear_notices, refusal_without_replica},
-    paths::{PathWish, RoomGuard, can_begin, wait_for_path},
-    plain::{early_end, finish_quietly},
-    pool::{BusyLink, SendError},
+    paths::{PathCriteria, PathReservation, can_start_path, wait_for_path},
+    plain::{drain_rejection, end_from_headers},
+    pool::{ActiveConnection, SendError},
     quarantine::{check_quarantine, note_result},
     request::{CallerRequest, ReplicaTarget},
-    runs::RunWatch,
+    responses::{Refusal, RelayResponse, full_body},
+    run_tracker::RunTracker,
+    shutdown::InFlightGuard,
     state::Relay,
-    stop::FlightGuard,
 };
 
 /// Sends of one request that no engine ran.
-pub const MOST_REJECTED: u32 = 4;
+pub const MAX_REJECTIONS: u32 = 4;
 
 /// A stream that a replica began to answer.
 pub struct OpenStream {
@@ -46,21 +46,21 @@
     /// Its body.
     pub body: Incoming,
     /// Connection that it comes on.
-    pub link: BusyLink,
+    pub link: ActiveConnection,
     /// Path that it runs over.
     pub path: Vec<PathStage>,
     /// Room promised along the path.
-    pub room: RoomGuard,
+    pub room: PathReservation,
     /// Its run.
-    pub run: RunWatch,
+    pub run: RunTracker,
 }
 
 /// How an attempt to open a stream ended.
-pub enum OpenEnd {
+pub enum OpenOutcome {
     /// It is open.
     Open(Box<OpenStream>),
     /// The replica answered, whole, with something else than a stream.
-    Answered(RelayAnswer),
+    Answered(RelayResponse),
     /// It may be sent nowhere.
     Barred(Refusal),
     /// It is not open.
@@ -69,7 +69,7 @@
 
 /// What was tried for one request.
 #[derive(Clone, Debug, Default)]
-pub struct TriedReplicas {
+pub struct SendHistory {
     /// Replicas not to use again.
     pub avoid: Vec<ReplicaInstance>,
     /// Sends that a replica may have run.
@@ -83,31 +83,31 @@
     relay: &Rc<Relay>,
     request: Rc<CallerRequest>,
     permit: Permit,
-    in_flight: FlightGuard,
-) -> Result<RelayAnswer, Refusal> {
+    in_flight: InFlightGuard,
+) -> Result<RelayResponse, Refusal> {
     let mut permit = permit;
     if wait_in_turn(relay, &request).await {
-        permit = admit(relay, &request.asked)?;
+        permit = admit(relay, &request.admission)?;
     }
-    let mut tried = TriedReplicas::default();
+    let mut tried = SendHistory::default();
     loop {
-        let last_event = request.marks.last_event_id;
+        let last_event = request.headers.last_event_id;
         let patience = room_patience(&request, &permit);
         let opened = open_stream(relay, &request, &permit, &mut tried, last_event, patience).await;
         let (end, detail) = match opened {
-            None if tried.sends > 0 => return Err(Refusal::Unknown),
+            None if tried.sends > 0 => return Err(Refusal::OutcomeUnknown),
             None => return Err(refusal(relay, &permit, Refusal::NoReplica)),
-            Some(OpenEnd::Open(stream)) => {
+            Some(OpenOutcome::Open(stream)) => {
                 return Ok(begin_answer(relay, request, permit, tried, *stream, in_flight));
             }
-            Some(OpenEnd::Answered(answer)) => return Ok(answer),
-            Some(OpenEnd::Barred(_)) if tried.sends > 0 => return Err(Refusal::Unknown),
-            Some(OpenEnd::Barred(refusal)) => return Err(refusal),
-            Some(OpenEnd::Failed(end, detail)) => (end, detail),
+            Some(OpenOutcome::Answered(answer)) => return Ok(answer),
+            Some(OpenOutcome::Barred(_)) if tried.sends > 0 => return Err(Refusal::OutcomeUnknown),
+            Some(OpenOutcome::Barred(refusal)) => return Err(refusal),
+            Some(OpenOutcome::Failed(end, detail)) => (end, detail),
         };
         let now = now_millis();
         let can_repeat =
-            may_repeat(relay, &permit, &tried) && request.time_left(now) > MIN_TIME_LEFT;
+            take_retry(relay, &permit, &tried) && request.time_remaining(now) > MIN_TIME_LEFT;
         let state = AttemptState {
             repeatable: permit.route.is_repeatable(),
             may_have_run: tried.sends > 0,
@@ -119,19 +119,19 @@
         match next {
             NextStep::TryElsewhere => {
                 count(&relay.counts.repeats);
-                permit = admit(relay, &request.asked)?;
+                permit = admit(relay, &request.admission)?;
             }
             NextStep::AnswerNotRun => {
                 return Err(refusal(relay, &permit, Refusal::NotRun));
             }
-            _ if request.time_left(now) == 0 => return Err(Refusal::TimedOut),
-            _ => return Err(Refusal::Unknown),
+            _ if request.time_remaining(now) == 0 => return Err(Refusal::TimedOut),
+            _ => return Err(Refusal::OutcomeUnknown),
         }
     }
 }
 
 fn refusal(relay: &Relay, permit: &Permit, otherwise: Refusal) -> Refusal {
-    refusal_without_replica(relay, &permit.service, permit.priority, can_begin, otherwise)
+    refusal_without_replica(relay, &permit.service, permit.priority, can_start_path, otherwise)
 }
 
 /// Lets requests that can be in time go before streams that were cut, where all callers come back at once; tells
@@ -139,7 +139,7 @@
 async fn wait_in_turn(relay: &Relay, request: &CallerRequest) -> bool {
     let draw = relay.random.borrow_mut().random();
     let age = now_millis();
-    let delay = reconnect_delay(age, request.marks.last_event_id.is_some(), draw);
+    let delay = reconnect_delay(age, request.headers.last_event_id.is_some(), draw);
     if delay > 0 {
         sleep(Duration::from_millis(delay)).await;
     }
@@ -160,8 +160,8 @@
 const MIN_TIME_LEFT: Millis = 100;
 
 /// Whether attempts and budget allow another send; takes it from the budget.
-pub fn may_repeat(relay: &Relay, permit: &Permit, tried: &TriedReplicas) -> bool {
-    let within = tried.sends < permit.route.max_attempts.max(1) && tried.rejected < MOST_REJECTED;
+pub fn take_retry(relay: &Relay, permit: &Permit, tried: &SendHistory) -> bool {
+    let within = tried.sends < permit.route.max_attempts.max(1) && tried.rejected < MAX_REJECTIONS;
     let first = tried.sends + tried.rejected == 0;
     within && (first || relay.spend_repeat(&permit.service, now_millis()))
 }
@@ -172,13 +172,13 @@
     relay: &Rc<Relay>,
     request: &CallerRequest,
     permit: &Permit,
-    tried: &mut TriedReplicas,
+    tried: &mut SendHistory,
     last_event: Option<u64>,
     patience: Duration,
-) -> Option<OpenEnd> {
+) -> Option<OpenOutcome> {
     let engine = permit.config.services.get(&permit.service)?.engine.as_ref()?;
     let tokens = request.tokens((engine.mean_prompt_tokens, engine.mean_answer_tokens));
-    let wish = PathWish {
+    let wish = PathCriteria {
         service: &permit.service,
         engine,
         tokens,
@@ -189,14 +189,14 @@
     let path = wait_for_path(relay, &wish, patience).await?;
     let first = relay.beliefs.borrow().fleet.view.get_current(&path[0].instance).cloned()?;
     if let Err(refusal) = check_quarantine(relay, request) {
-        return Some(OpenEnd::Barred(refusal));
+        return Some(OpenOutcome::Barred(refusal));
     }
-    let room = RoomGuard::new(relay, &path, tokens);
+    let room = PathReservation::new(relay, &path, tokens);
     request.log_dispatch(relay, permit, &first.instance, last_event, Some(&path));
     let target = ReplicaTarget { replica: &first, path: Some(&path), last_event };
     let outgoing = request.to_replica(permit, &target);
     let fresh = !permit.route.is_repeatable();
-    let mut run = RunWatch::over_path(&path);
+    let mut run = RunTracker::over_path(&path);
     let head = HeadGuard::new(relay, &first.instance);
     let begun = now_millis();
     let sent = {
@@ -214,30 +214,30 @@
         Err(WaitEnd::Send(SendError::NotSent { detail })) => {
             relay.suspect(&first.instance, &detail);
             tried.avoid.push(first.instance);
-            return Some(OpenEnd::Failed(AttemptEnd::NotSent, detail));
+            return Some(OpenOutcome::Failed(AttemptEnd::NotSent, detail));
         }
-        Err(WaitEnd::Send(error @ SendError::HeldBack { .. })) => {
+        Err(WaitEnd::Send(error @ SendError::Throttled { .. })) => {
             tried.avoid.push(first.instance);
-            return Some(OpenEnd::Failed(AttemptEnd::NotSent, error.to_string()));
+            return Some(OpenOutcome::Failed(AttemptEnd::NotSent, error.to_string()));
         }
-        Err(WaitEnd::Send(SendError::Broken { detail })) => {
+        Err(WaitEnd::Send(SendError::NoResponse { detail })) => {
             // Not a reason to keep others away: an answer that is garbled or cut says little of the next.
             // A replica that is gone shows in a probe.
             probe_replicas(relay, std::iter::once(first.address));
-            run.note_lost(relay, request, &detail);
+            run.record_loss(relay, request, &detail);
             tried.sends += 1;
             tried.avoid.push(first.instance);
-            return Some(OpenEnd::Failed(AttemptEnd::Broken, detail));
+            return Some(OpenOutcome::Failed(AttemptEnd::Broken, detail));
         }
         Err(WaitEnd::Stalled(detail)) => {
-            run.note_lost(relay, request, &detail);
+            run.record_loss(relay, request, &detail);
             tried.sends += 1;
             tried.avoid.push(first.instance);
-            return Some(OpenEnd::Failed(AttemptEnd::Broken, detail));
+            return Some(OpenOutcome::Failed(AttemptEnd::Broken, detail));
         }
         Err(WaitEnd::TimeUp) => {
             tried.sends += 1;
-            return Some(OpenEnd::Failed(AttemptEnd::Broken, "time is up".to_owned()));
+            return Some(OpenOutcome::Failed(AttemptEnd::Broken, "time is up".to_owned()));
         }
     };
     head.answered(sent.0.status() == StatusCode::OK);
@@ -246,7 +246,11 @@
 
 /// Asks the first engine of a path what a request waits for; gives the replica that holds it up, which
 /// is the first one itself where that does not answer.
-pub async fn find_stall(relay: &Relay, first: SocketAddr, attempt_id: &str) -> Option<SocketAddr> {
+pub async fn find_stalled_replica(
+    relay: &Relay,
+    first: SocketAddr,
+    attempt_id: &str,
+) -> Option<SocketAddr> {
     let report = match recent_report(relay, first).await {
         ReportState::Asking => return None,
         ReportState::Silent => return Some(first),
@@ -257,7 +261,7 @@
 }
 
 /// Keeps away from the replica at an address.
-pub fn note_fault(relay: &Relay, faulty_replica: SocketAddr, why: &str) -> String {
+pub fn suspect_at(relay: &Relay, faulty_replica: SocketAddr, why: &str) -> String {
     let instance = relay
         .beliefs
         .borrow()
@@ -277,8 +281,8 @@
 /// What goes with a request that was sent over a path.
 struct SentRun {
     path: Vec<PathStage>,
-    room: RoomGuard,
-    run: RunWatch,
+    room: PathReservation,
+    run: RunTracker,
     begun: Millis,
 }
 
@@ -286,33 +290,33 @@
 async fn read_head(
     relay: &Relay,
     request: &CallerRequest,
-    tried: &mut TriedReplicas,
+    tried: &mut SendHistory,
     first: ReplicaEntry,
     (response, link): Sent,
     sent: SentRun,
-) -> OpenEnd {
+) -> OpenOutcome {
     let SentRun { path, room, mut run, begun } = sent;
     let (head, body) = response.into_parts();
     let marks = read_response_headers(&head.headers);
-    hear_notices(relay, &first.instance, request.heard(&marks, head.status, begun));
-    if let Some(end) = early_end(request, &marks, head.status) {
+    hear_notices(relay, &first.instance, request.received_response(&marks, head.status, begun));
+    if let Some(end) = end_from_headers(request, &marks, head.status) {
         note_rejection(relay, tried, &marks, &first, head.status).await;
         match end {
             AttemptEnd::Rejected => tried.rejected += 1,
             _ => tried.sends += 1,
         }
-        finish_quietly(relay, link, body, &marks).await;
+        drain_rejection(relay, link, body, &marks).await;
         let detail = format!("status {} at {:?}", head.status, marks.faulty_replica);
-        return OpenEnd::Failed(end, detail);
+        return OpenOutcome::Failed(end, detail);
     }
     tried.sends += 1;
     tried.avoid.push(first.instance);
     if head.status == StatusCode::OK {
-        run.note_begun();
-        return OpenEnd::Open(Box::new(OpenStream { head, body, link, path, room, run }));
+        run.record_start();
+        return OpenOutcome::Open(Box::new(OpenStream { head, body, link, path, room, run }));
     }
     let end = read_whole(relay, head, body, link, &marks).await;
-    if matches!(end, OpenEnd::Answered(_) | OpenEnd::Failed(AttemptEnd::Answered(_), _)) {
+    if matches!(end, OpenOutcome::Answered(_) | OpenOutcome::Failed(AttemptEnd::Answered(_), _)) {
         note_result(relay, request);
     }
     end
@@ -322,7 +326,7 @@
 /// is kept away from; one that is well is short of memory, or holds other layers than were listed.
 async fn note_rejection(
     relay: &Relay,
-    tried: &mut TriedReplicas,
+    tried: &mut SendHistory,
     marks: &ResponseHeaders,
     first: &ReplicaEntry,
     status: StatusCode,
@@ -366,24 +370,24 @@
     relay: &Relay,
     head: response::Parts,
     body: Incoming,
-    link: BusyLink,
+    link: ActiveConnection,
     marks: &ResponseHeaders,
-) -> OpenEnd {
+) -> OpenOutcome {
     /// Largest failure of an engine that is read, in bytes.
     const MOST_FAILURE: usize = 1 << 20;
     let status = head.status.as_u16();
     match Limited::new(body, MOST_FAILURE).collect().await {
         Ok(body) if status < 500 => {
             if !marks.closes_connection {
-                link.give_back(&relay.pool, marks.keep_alive);
+                link.return_to(&relay.pool, marks.keep_alive);
             }
             let mut head = head;
             strip_hop_headers(&mut head.headers);
             head.headers.remove(http::header::CONTENT_LENGTH);
-            OpenEnd::Answered(Response::from_parts(head, whole(body.to_bytes())))
+            OpenOutcome::Answered(Response::from_parts(head, full_body(body.to_bytes())))
         }
-        Ok(_) => OpenEnd::Failed(AttemptEnd::Answered(status), format!("status {status}")),
-        Err(error) => OpenEnd::Failed(AttemptEnd::Broken, error.to_string()),
+        Ok(_) => OpenOutcome::Failed(AttemptEnd::Answered(status), format!("status {status}")),
+        Err(error) => OpenOutcome::Failed(AttemptEnd::Broken, error.to_string()),
     }
 }
 
@@ -391,10 +395,10 @@
     relay: &Rc<Relay>,
     request: Rc<CallerRequest>,
     permit: Permit,
-    tried: TriedReplicas,
+    tried: SendHistory,
     stream: OpenStream,
-    in_flight: FlightGuard,
-) -> RelayAnswer {
+    in_flight: InFlightGuard,
+) -> RelayResponse {
     let took = now_millis() - request.arrived;
     relay.metrics.note_head(&permit, took);
     let mut head = stream.head.clone();
--- a/crates/relay/tests/copies.rs
+++ b/crates/relay/tests/copies.rs
@@ -4,7 +4,7 @@
 
 use std::{net::SocketAddr, time::Duration};
 
-use harness::{ROUTES, RunningRelay, bounds, call, request, run_test, serve, wait_until};
+use harness::{ROUTES, RunningRelay, bounds, call, request, respond_healthy, run_test, wait_until};
 use http::StatusCode;
 use serde_json::Value;
 use switchfold_platform::{CONFIG_KIND, CONFIG_NAME, ENTRY_KIND, REPLICA_KIND};
@@ -49,14 +49,14 @@
         [("/stream/", whole_model as fn(SocketAddr) -> Value), ("/once/", desk_entry)]
     {
         run_test(async {
-            let left = StandinReplica::start(serve).await;
-            let joined = StandinReplica::start(serve).await;
-            let last = StandinReplica::start(serve).await;
+            let left = StandinReplica::start(respond_healthy).await;
+            let joined = StandinReplica::start(respond_healthy).await;
+            let last = StandinReplica::start(respond_healthy).await;
             let store = StandinStore::start().await;
             store.put(CONFIG_KIND, CONFIG_NAME, config(1, &ROUTES, &[KEY, OLD_KEY]));
             store.put(REPLICA_KIND, "i-left", entry(left.address()));
             store.take_backup();
-            let relay = RunningRelay::start_beside(store, bounds()).await;
+            let relay = RunningRelay::start_with_store(store, bounds()).await;
             relay.wait_ready(StatusCode::OK).await;
             let newer = config(2, &ROUTES, &[KEY]);
             relay.store.put(CONFIG_KIND, CONFIG_NAME, newer.clone());
--- a/crates/relay/tests/crashes.rs
+++ b/crates/relay/tests/crashes.rs
@@ -24,7 +24,7 @@
 };
 
 use harness::{
-    BoundRelay, ROUTES, RunningRelay, bounds, call, event_ids, listed, run_test, wait_until,
+    BoundRelay, ROUTES, RunningRelay, bounds, call, entry_of, event_ids, run_test, wait_until,
 };
 use http::{Request, StatusCode};
 use http_body_util::Full;
@@ -182,7 +182,7 @@
         })
         .await;
         let store = store_of(&later, |address| model_entry(address, 4, LAYERS)).await;
-        let (id, entry) = listed("i-first", &first, |address| model_entry(address, 0, 4));
+        let (id, entry) = entry_of("i-first", &first, |address| model_entry(address, 0, 4));
         store.put(REPLICA_KIND, id, entry);
         let relays = start_relays(&["hall"], &store).await;
         relays[0].get("/stream/bad", "bad-0").await;
--- a/crates/relay/tests/harness/mod.rs
+++ b/crates/relay/tests/harness/mod.rs
@@ -32,7 +32,7 @@
 };
 
 /// Longest wait of a test for what must come; no assertion depends on how long it really takes.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(20);
+pub(crate) const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Route of calls that may be repeated.
 pub(crate) const SAFE: RouteSample = RouteSample {
@@ -94,7 +94,7 @@
 pub(crate) fn run_test(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), async {
-        timeout(PATIENCE * 3, test).await.expect("the test ends");
+        timeout(WAIT_TIMEOUT * 3, test).await.expect("the test ends");
     });
 }
 
@@ -123,13 +123,13 @@
         for (id, entry) in entries {
             store.put(REPLICA_KIND, id, entry.clone());
         }
-        let relay = Self::start_beside(store, bounds).await;
+        let relay = Self::start_with_store(store, bounds).await;
         relay.wait_ready(StatusCode::OK).await;
         relay
     }
 
     /// Starts a relay beside a store, whatever that holds.
-    pub(crate) async fn start_beside(store: StandinStore, bounds: BoundSettings) -> Self {
+    pub(crate) async fn start_with_store(store: StandinStore, bounds: BoundSettings) -> Self {
         BoundRelay::new("relay-1", store, bounds).await.run()
     }
 
@@ -140,7 +140,7 @@
     }
 
     /// Calls a path of a route with the sample key.
-    pub(crate) async fn get(&self, path: &str, id: &str) -> Called {
+    pub(crate) async fn get(&self, path: &str, id: &str) -> CallResult {
         call(self.address, request(path, id)).await
     }
 }
@@ -189,7 +189,7 @@
     }
 
     /// Makes itself known to another relay, as one does that restarts, and waits for a message of it.
-    pub(crate) async fn meet(&self, other: &RunningRelay) {
+    pub(crate) async fn exchange_state(&self, other: &RunningRelay) {
         let news = StateNews {
             name: self.settings.name.clone(),
             data_centre: self.settings.data_centre.clone(),
@@ -197,7 +197,10 @@
         };
         let datagram = PeerMessage::State(Box::new(news)).encode();
         self.sockets.peers.send_to(&datagram, other.peers).await.expect("loopback takes it");
-        timeout(PATIENCE, self.sockets.peers.readable()).await.expect("in time").expect("bound");
+        timeout(WAIT_TIMEOUT, self.sockets.peers.readable())
+            .await
+            .expect("in time")
+            .expect("bound");
     }
 
     /// Runs it.
@@ -227,7 +230,7 @@
 
 /// What a caller got.
 #[derive(Debug)]
-pub(crate) struct Called {
+pub(crate) struct CallResult {
     /// Status.
     pub(crate) status: StatusCode,
     /// Headers.
@@ -235,18 +238,18 @@
     /// Body, as far as it came.
     pub(crate) body: String,
     /// Whether the body ended as it should.
-    pub(crate) whole: bool,
+    pub(crate) is_complete: bool,
 }
 
-impl Called {
+impl CallResult {
     /// Whether it carries a replica's signature.
-    pub(crate) fn is_sealed(&self) -> bool {
+    pub(crate) fn is_signed(&self) -> bool {
         self.headers.contains_key(REPLICA_SEAL)
     }
 }
 
 /// Makes one call on a connection of its own.
-pub(crate) async fn call(address: SocketAddr, request: Request<Full<Bytes>>) -> Called {
+pub(crate) async fn call(address: SocketAddr, request: Request<Full<Bytes>>) -> CallResult {
     let exchange = async {
         let stream = TcpStream::connect(address).await.expect("the relay listens");
         let (mut sender, connection) =
@@ -254,25 +257,25 @@
         let connection = tokio::spawn(connection);
         let answer = sender.send_request(request).await.expect("an answer");
         let (parts, mut body) = answer.into_parts();
-        let (mut bytes, mut whole) = (Vec::new(), true);
+        let (mut bytes, mut is_complete) = (Vec::new(), true);
         while let Some(frame) = body.frame().await {
             match frame {
                 Ok(frame) => bytes.extend_from_slice(&frame.into_data().unwrap_or_default()),
                 Err(_) => {
-                    whole = false;
+                    is_complete = false;
                     break;
                 }
             }
         }
         connection.abort();
         let body = String::from_utf8_lossy(&bytes).into_owned();
-        Called { status: parts.status, headers: parts.headers, body, whole }
+        CallResult { status: parts.status, headers: parts.headers, body, is_complete }
     };
-    timeout(PATIENCE, exchange).await.expect("the call ends")
+    timeout(WAIT_TIMEOUT, exchange).await.expect("the call ends")
 }
 
 /// What a replica of either service answers while it is well; an engine holds all layers.
-pub(crate) fn serve(request: &ReceivedRequest) -> Reply {
+pub(crate) fn respond_healthy(request: &ReceivedRequest) -> Reply {
     match request.target.as_str() {
         REPORT_PATH => signed_response(request, 200, &samples::report(0, samples::LAYERS, &[])),
         ORDER_PATH => signed_response(request, 200, ""),
@@ -290,7 +293,7 @@
             sleep(Duration::from_millis(10)).await;
         }
     };
-    timeout(PATIENCE, waiting).await.expect("it holds in the end");
+    timeout(WAIT_TIMEOUT, waiting).await.expect("it holds in the end");
 }
 
 /// Ids of the events in a stream's body.
@@ -300,7 +303,7 @@
 }
 
 /// A replica's entry, with its id.
-pub(crate) fn listed<'a>(
+pub(crate) fn entry_of<'a>(
     id: &'a str,
     replica: &StandinReplica,
     entry: impl Fn(SocketAddr) -> serde_json::Value,
--- a/crates/relay/tests/limits.rs
+++ b/crates/relay/tests/limits.rs
@@ -25,7 +25,7 @@
 };
 
 use futures_util::future::join_all;
-use harness::{BoundRelay, RunningRelay, bounds, listed, run_test, serve};
+use harness::{BoundRelay, RunningRelay, bounds, entry_of, respond_healthy, run_test};
 use http::StatusCode;
 use serde_json::Value;
 use switchfold_platform::engine::{ORDER_PATH, REPORT_PATH};
@@ -74,7 +74,7 @@
         if ![REPORT_PATH, ORDER_PATH].contains(&request.target.as_str()) {
             seen.0.lock().expect("no script panics").push(Instant::now());
         }
-        with_header(serve(request), "Server-Limit", NAMED)
+        with_header(respond_healthy(request), "Server-Limit", NAMED)
     }
 }
 
@@ -101,9 +101,9 @@
         run_test(async {
             let seen = SeenTimes::default();
             let near = StandinReplica::start(names_limit(&seen)).await;
-            let other = StandinReplica::start(serve).await;
+            let other = StandinReplica::start(respond_healthy).await;
             let far = |address| in_data_centre(entry(address), "far");
-            let entries = [listed("i-1", &near, entry), listed("i-2", &other, far)];
+            let entries = [entry_of("i-1", &near, entry), entry_of("i-2", &other, far)];
             let one = RunningRelay::start(bounds(), &entries).await;
             let two = BoundRelay::new("relay-2", one.store.clone(), bounds()).await.run();
             two.wait_ready(StatusCode::OK).await;
--- a/crates/relay/tests/notices.rs
+++ b/crates/relay/tests/notices.rs
@@ -29,7 +29,7 @@
 };
 
 use futures_util::future::join_all;
-use harness::{RunningRelay, bounds, listed, run_test, serve, wait_until};
+use harness::{RunningRelay, bounds, entry_of, respond_healthy, run_test, wait_until};
 use http::StatusCode;
 use serde_json::Value;
 use switchfold_platform::{
@@ -103,13 +103,13 @@
     let (is_closed, seen) = (is_closed.clone(), seen.clone());
     move |request| {
         if is_control(request) {
-            return serve(request);
+            return respond_healthy(request);
         }
         let closed = is_closed.load(Ordering::SeqCst);
         seen.note(closed);
         match closed {
             true => with_header(reject(request, 503, None), "Retry-After", asks),
-            false => serve(request),
+            false => respond_healthy(request),
         }
     }
 }
@@ -128,8 +128,8 @@
         run_test(async {
             let seen = SeenTimes::default();
             let near = StandinReplica::start(turns_away(&closed(), "3", &seen)).await;
-            let other = StandinReplica::start(serve).await;
-            let entries = [listed("i-1", &near, entry), listed("i-2", &other, far(entry))];
+            let other = StandinReplica::start(respond_healthy).await;
+            let entries = [entry_of("i-1", &near, entry), entry_of("i-2", &other, far(entry))];
             let relay = RunningRelay::start(bounds(), &entries).await;
             let begun = Instant::now();
             let mut count = 0;
@@ -156,7 +156,7 @@
             let seen = [SeenTimes::default(), SeenTimes::default()];
             let one = StandinReplica::start(turns_away(&closed(), "6", &seen[0])).await;
             let two = StandinReplica::start(turns_away(&closed(), "4", &seen[1])).await;
-            let entries = [listed("i-1", &one, entry), listed("i-2", &two, entry)];
+            let entries = [entry_of("i-1", &one, entry), entry_of("i-2", &two, entry)];
             let relay = RunningRelay::start(bounds(), &entries).await;
             wait_until(async || {
                 relay.get(&format!("{path}first"), "first").await;
@@ -184,7 +184,7 @@
         run_test(async {
             let (is_closed, seen) = (closed(), SeenTimes::default());
             let replica = StandinReplica::start(turns_away(&is_closed, "0.15", &seen)).await;
-            let relay = RunningRelay::start(bounds(), &[listed("i-1", &replica, entry)]).await;
+            let relay = RunningRelay::start(bounds(), &[entry_of("i-1", &replica, entry)]).await;
             relay.get(&format!("{path}first"), "first").await;
             is_closed.store(false, Ordering::SeqCst);
             let called = relay.get(&format!("{path}second"), "second").await;
@@ -203,7 +203,7 @@
         run_test(async {
             let seen = SeenTimes::default();
             let replica = StandinReplica::start(turns_away(&closed(), "0.15", &seen)).await;
-            let relay = RunningRelay::start(bounds(), &[listed("i-1", &replica, entry)]).await;
+            let relay = RunningRelay::start(bounds(), &[entry_of("i-1", &replica, entry)]).await;
             relay.get(&format!("{path}first"), "first").await;
             let before = seen.len();
             let paths: Vec<String> = (0..20).map(|number| format!("{path}{number}")).collect();
@@ -232,8 +232,8 @@
             seen.note(leaving);
         }
         match leaving {
-            true => with_header(serve(request), "Server-Leaving", "1"),
-            false => serve(request),
+            true => with_header(respond_healthy(request), "Server-Leaving", "1"),
+            false => respond_healthy(request),
         }
     }
 }
@@ -248,9 +248,9 @@
         run_test(async {
             let (is_leaving, seen) = (Arc::new(AtomicBool::new(true)), SeenTimes::default());
             let near = StandinReplica::start(leaves(&is_leaving, &seen)).await;
-            let other = StandinReplica::start(serve).await;
+            let other = StandinReplica::start(respond_healthy).await;
             let own = started_at(entry(near.address()), 1_000);
-            let entries = [("i-1", own.clone()), listed("i-2", &other, far(entry))];
+            let entries = [("i-1", own.clone()), entry_of("i-2", &other, far(entry))];
             let relay = RunningRelay::start(soon(), &entries).await;
             let mut count = 0;
             let mut call = async || {
--- a/crates/relay/tests/plain.rs
+++ b/crates/relay/tests/plain.rs
@@ -11,7 +11,7 @@
     time::Duration,
 };
 
-use harness::{RunningRelay, bounds, call, listed, request, run_test, wait_until};
+use harness::{RunningRelay, bounds, call, entry_of, request, run_test, wait_until};
 use http::{Request, StatusCode};
 use http_body_util::Full;
 use serde_json::{Value, json};
@@ -73,12 +73,12 @@
     };
     let one = StandinReplica::start(script(row.first)).await;
     let two = StandinReplica::start(script(row.first)).await;
-    let entries = [listed("i-1", &one, desk_entry), listed("i-2", &two, desk_entry)];
+    let entries = [entry_of("i-1", &one, desk_entry), entry_of("i-2", &two, desk_entry)];
     let relay = RunningRelay::start(bounds(), &entries).await;
     let called = relay.get(row.path, "attempt-1").await;
     assert_eq!(called.status.as_u16(), row.status, "{}: {called:?}", row.name);
-    assert_eq!(called.is_sealed(), row.sealed, "{}: {called:?}", row.name);
-    assert!(called.whole, "{}", row.name);
+    assert_eq!(called.is_signed(), row.sealed, "{}: {called:?}", row.name);
+    assert!(called.is_complete, "{}", row.name);
     if row.sealed && row.status == 200 {
         assert_eq!(called.body, "confirmed", "{}", row.name);
     }
@@ -126,7 +126,7 @@
     run_test(async {
         let well_one = StandinReplica::start(well).await;
         let dead = "127.0.0.1:1".parse().expect("an address that nobody listens on");
-        let entries = [("i-dead", desk_entry(dead)), listed("i-2", &well_one, desk_entry)];
+        let entries = [("i-dead", desk_entry(dead)), entry_of("i-2", &well_one, desk_entry)];
         let relay = RunningRelay::start(bounds(), &entries).await;
         for id in ["a", "b", "c", "d"] {
             assert_eq!(relay.get("/once/a", id).await.status, StatusCode::OK);
@@ -140,7 +140,7 @@
     run_test(async {
         let model = StandinReplica::start(well).await;
         let entry = |address| samples::model_entry(address, 0, 8);
-        let relay = RunningRelay::start(bounds(), &[listed("i-m", &model, entry)]).await;
+        let relay = RunningRelay::start(bounds(), &[entry_of("i-m", &model, entry)]).await;
         let called = relay.get("/once/a", "a").await;
         assert_eq!(called.status, StatusCode::SERVICE_UNAVAILABLE);
         assert!(called.headers.contains_key("retry-after"));
@@ -151,7 +151,7 @@
 fn replicas_see_the_request_as_it_came() {
     run_test(async {
         let replica = StandinReplica::start(well).await;
-        let relay = RunningRelay::start(bounds(), &[listed("i-1", &replica, desk_entry)]).await;
+        let relay = RunningRelay::start(bounds(), &[entry_of("i-1", &replica, desk_entry)]).await;
         let mut asked = request("/safe/a%20b?x=1&y", "attempt-7");
         let headers = asked.headers_mut();
         headers.insert(ORGANISATION_HEADER, "somebody-else".parse().expect("a value"));
@@ -178,7 +178,7 @@
 fn who_may_not_is_told_so() {
     run_test(async {
         let replica = StandinReplica::start(well).await;
-        let relay = RunningRelay::start(bounds(), &[listed("i-1", &replica, desk_entry)]).await;
+        let relay = RunningRelay::start(bounds(), &[entry_of("i-1", &replica, desk_entry)]).await;
         let mut unknown = request("/safe/a", "a");
         unknown.headers_mut().insert("authorization", "Bearer other".parse().expect("a value"));
         let mut large = request("/safe/a", "c");
@@ -199,7 +199,7 @@
 fn a_relay_without_configuration_denies_nothing() {
     run_test(async {
         let store = StandinStore::start().await;
-        let relay = RunningRelay::start_beside(store, bounds()).await;
+        let relay = RunningRelay::start_with_store(store, bounds()).await;
         relay.wait_ready(StatusCode::SERVICE_UNAVAILABLE).await;
         let called = relay.get("/nowhere/", "a").await;
         assert_eq!(called.status, StatusCode::SERVICE_UNAVAILABLE);
@@ -212,7 +212,7 @@
 fn a_removed_key_stays_removed() {
     run_test(async {
         let replica = StandinReplica::start(well).await;
-        let relay = RunningRelay::start(bounds(), &[listed("i-1", &replica, desk_entry)]).await;
+        let relay = RunningRelay::start(bounds(), &[entry_of("i-1", &replica, desk_entry)]).await;
         assert_eq!(relay.get("/safe/a", "a").await.status, StatusCode::OK);
         let store = &relay.store;
         store.put(CONFIG_KIND, CONFIG_NAME, samples::config(5, &harness::ROUTES, &["other"]));
@@ -235,7 +235,7 @@
             let replica = StandinReplica::start(well).await;
             // A lease of half a second.
             let bounds = BoundSettings { revoke_ms: 3_800.0, ..bounds() };
-            let relay = RunningRelay::start(bounds, &[listed("i-1", &replica, desk_entry)]).await;
+            let relay = RunningRelay::start(bounds, &[entry_of("i-1", &replica, desk_entry)]).await;
             relay.store.set_behaviour(mood);
             wait_until(async || {
                 relay.get("/safe/a", "a").await.status == StatusCode::SERVICE_UNAVAILABLE
@@ -270,7 +270,7 @@
             well(request)
         };
         let replica = StandinReplica::start(script).await;
-        let relay = RunningRelay::start(bounds(), &[listed("i-1", &replica, desk_entry)]).await;
+        let relay = RunningRelay::start(bounds(), &[entry_of("i-1", &replica, desk_entry)]).await;
         relay.store.set_behaviour(StoreBehaviour::Unavailable);
         // The outage lasts for some tries to read the list: each comes half a second after the last.
         let reads = || {
@@ -297,7 +297,7 @@
 fn changes_are_learnt_after_the_history_is_gone() {
     run_test(async {
         let replica = StandinReplica::start(well).await;
-        let relay = RunningRelay::start(bounds(), &[listed("i-1", &replica, desk_entry)]).await;
+        let relay = RunningRelay::start(bounds(), &[entry_of("i-1", &replica, desk_entry)]).await;
         relay.store.set_behaviour(StoreBehaviour::Unavailable);
         relay.store.put(CONFIG_KIND, CONFIG_NAME, samples::config(2, &harness::ROUTES, &["new"]));
         relay.store.compact();
@@ -322,7 +322,7 @@
 async fn gets_nothing_more(changed: fn(SocketAddr) -> Value) {
     let leaves = StandinReplica::start(well).await;
     let stays = StandinReplica::start(well).await;
-    let entries = [listed("i-1", &leaves, desk_entry), listed("i-2", &stays, desk_entry)];
+    let entries = [entry_of("i-1", &leaves, desk_entry), entry_of("i-2", &stays, desk_entry)];
     let relay = RunningRelay::start(bounds(), &entries).await;
     relay.store.put(REPLICA_KIND, "i-1", changed(leaves.address()));
     let mut number = 0;
@@ -350,7 +350,7 @@
     run_test(async {
         let replica = StandinReplica::start(well).await;
         let bounds = BoundSettings { revoke_ms: 3_800.0, ..bounds() };
-        let relay = RunningRelay::start(bounds, &[listed("i-1", &replica, desk_entry)]).await;
+        let relay = RunningRelay::start(bounds, &[entry_of("i-1", &replica, desk_entry)]).await;
         relay.store.put(CONFIG_KIND, CONFIG_NAME, json!({"version": 2, "routes": 7}));
         wait_until(async || {
             relay.get("/safe/a", "a").await.status == StatusCode::SERVICE_UNAVAILABLE
@@ -366,7 +366,7 @@
 fn a_caller_that_leaves_ends_the_work() {
     run_test(async {
         let replica = StandinReplica::start(|_| Reply::Silence).await;
-        let relay = RunningRelay::start(bounds(), &[listed("i-1", &replica, desk_entry)]).await;
+        let relay = RunningRelay::start(bounds(), &[entry_of("i-1", &replica, desk_entry)]).await;
         let asked = call(relay.address, request("/once/a", "a"));
         let gone = tokio::time::timeout(Duration::from_millis(300), asked).await;
         assert!(gone.is_err(), "the replica never answers");
@@ -380,13 +380,16 @@
 fn a_planned_stop_answers_what_is_there() {
     run_test(async {
         let replica = StandinReplica::start(well).await;
-        let relay = RunningRelay::start(bounds(), &[listed("i-1", &replica, desk_entry)]).await;
+        let relay = RunningRelay::start(bounds(), &[entry_of("i-1", &replica, desk_entry)]).await;
         relay.shutdown.raise();
         relay.wait_ready(StatusCode::SERVICE_UNAVAILABLE).await;
         let called = relay.get("/once/a", "a").await;
         assert_eq!(called.status, StatusCode::OK);
         assert_eq!(called.headers["connection"], "close");
-        tokio::time::timeout(harness::PATIENCE, relay.task).await.expect("ends").expect("in order");
+        tokio::time::timeout(harness::WAIT_TIMEOUT, relay.task)
+            .await
+            .expect("ends")
+            .expect("in order");
     });
 }
 
@@ -402,7 +405,7 @@
         let replica = StandinReplica::start(slow).await;
         let hung = StandinReplica::start(|_| Reply::Silence).await;
         let whole = |address| samples::model_entry(address, 0, samples::LAYERS);
-        let entries = [listed("i-1", &replica, desk_entry), listed("i-2", &hung, whole)];
+        let entries = [entry_of("i-1", &replica, desk_entry), entry_of("i-2", &hung, whole)];
         let bounds = switchfold_relay::settings::BoundSettings { grace_s: 5.0, ..bounds() };
         let relay = RunningRelay::start(bounds, &entries).await;
         // A stream that does not end keeps the relay going to the end of its grace time.
@@ -414,7 +417,7 @@
             number += 1;
             let called = relay.get("/once/a", &format!("a{number}")).await;
             match called.status {
-                StatusCode::OK => assert!(called.whole),
+                StatusCode::OK => assert!(called.is_complete),
                 status => {
                     assert_eq!(status, StatusCode::SERVICE_UNAVAILABLE);
                     assert!(called.headers.contains_key("retry-after"));
@@ -430,7 +433,7 @@
 fn figures_are_served() {
     run_test(async {
         let replica = StandinReplica::start(well).await;
-        let relay = RunningRelay::start(bounds(), &[listed("i-1", &replica, desk_entry)]).await;
+        let relay = RunningRelay::start(bounds(), &[entry_of("i-1", &replica, desk_entry)]).await;
         relay.get("/once/a", "a").await;
         let asked = Request::get("/metrics").body(Full::default()).expect("a request");
         let text = call(relay.metrics, asked).await.body;
--- a/crates/relay/tests/restarts.rs
+++ b/crates/relay/tests/restarts.rs
@@ -79,7 +79,7 @@
         let mut late = entry.clone();
         late["slots"] = 7.into();
         relay.store.put(REPLICA_KIND, "i-1", late);
-        assert!(relay.get("/stream/5", "a5").await.whole);
+        assert!(relay.get("/stream/5", "a5").await.is_complete);
         assert_eq!(restarted.requests().len(), 1);
         // Its own entry tells what the later life holds.
         relay.store.put(REPLICA_KIND, "i-1", started_at(entry, later));
@@ -105,11 +105,11 @@
         let mut entries = vec![("i-05x", own.clone())];
         entries.extend(names.iter().map(String::as_str).zip(odd.iter().cloned()));
         let relay = RunningRelay::start(bounds(), &entries).await;
-        assert!(relay.get("/stream/a", "a").await.whole, "in a list");
+        assert!(relay.get("/stream/a", "a").await.is_complete, "in a list");
         for (number, entry) in odd.iter().enumerate() {
             relay.store.put(REPLICA_KIND, &format!("j-{number}"), entry.clone());
         }
-        assert!(relay.get("/stream/b", "b").await.whole, "in a watch");
+        assert!(relay.get("/stream/b", "b").await.is_complete, "in a watch");
         // In place of the good one: it names no replica until the replica writes again.
         let mut attempt = 0;
         for entry in odd {
--- a/crates/relay/tests/snapshots.rs
+++ b/crates/relay/tests/snapshots.rs
@@ -51,7 +51,7 @@
         let second = BoundRelay::new("relay-2", store.clone(), bounds()).await;
         let address = json!({"address": second.peers(), "data_centre": "hall"});
         store.put(ENTRY_KIND, "relay-2", address);
-        second.meet(&first).await;
+        second.exchange_state(&first).await;
         let second = second.run();
         second.wait_ready(StatusCode::OK).await;
         assert_eq!(second.get("/safe/a", "a").await.status, StatusCode::OK);
@@ -79,7 +79,7 @@
         first.wait_ready(StatusCode::OK).await;
         let second = BoundRelay::new("relay-2", store.clone(), lasting).await;
         store.set_behaviour(StoreBehaviour::Unavailable);
-        second.meet(&first).await;
+        second.exchange_state(&first).await;
         let second = second.run();
         second.wait_ready(StatusCode::OK).await;
         assert_eq!(second.get("/safe/a", "a").await.status, StatusCode::OK);
--- a/crates/relay/tests/streams.rs
+++ b/crates/relay/tests/streams.rs
@@ -8,7 +8,7 @@
     time::{Duration, Instant},
 };
 
-use harness::{RunningRelay, bounds, call, event_ids, listed, request, run_test, wait_until};
+use harness::{RunningRelay, bounds, call, entry_of, event_ids, request, run_test, wait_until};
 use http::StatusCode;
 use switchfold_platform::{
     REPLICA_KIND,
@@ -78,10 +78,10 @@
 fn a_stream_is_passed_on_whole() {
     run_test(async {
         let replica = StandinReplica::start(engine(0, LAYERS, whole_stream)).await;
-        let relay = RunningRelay::start(bounds(), &[listed("i-1", &replica, whole_model)]).await;
+        let relay = RunningRelay::start(bounds(), &[entry_of("i-1", &replica, whole_model)]).await;
         let called = relay.get("/stream/a", "a").await;
         assert_eq!(called.status, StatusCode::OK);
-        assert!(called.whole && called.is_sealed());
+        assert!(called.is_complete && called.is_signed());
         assert_eq!(event_ids(&called.body), (0..EVENTS).collect::<Vec<u64>>());
         let seen = &replica.requests()[0];
         assert_eq!(
@@ -96,7 +96,7 @@
 fn a_caller_takes_a_stream_up_after_its_last_event() {
     run_test(async {
         let replica = StandinReplica::start(engine(0, LAYERS, whole_stream)).await;
-        let relay = RunningRelay::start(bounds(), &[listed("i-1", &replica, whole_model)]).await;
+        let relay = RunningRelay::start(bounds(), &[entry_of("i-1", &replica, whole_model)]).await;
         let mut asked = request("/stream/a", "a");
         asked.headers_mut().insert(LAST_EVENT_ID, "4".parse().expect("a value"));
         let called = call(relay.address, asked).await;
@@ -110,11 +110,11 @@
         let one = StandinReplica::start(engine(0, 5, whole_stream)).await;
         let two = StandinReplica::start(engine(3, LAYERS, whole_stream)).await;
         let entries = [
-            listed("i-1", &one, |address| model_entry(address, 0, 5)),
-            listed("i-2", &two, |address| model_entry(address, 3, LAYERS)),
+            entry_of("i-1", &one, |address| model_entry(address, 0, 5)),
+            entry_of("i-2", &two, |address| model_entry(address, 3, LAYERS)),
         ];
         let relay = RunningRelay::start(bounds(), &entries).await;
-        assert!(relay.get("/stream/a", "a").await.whole);
+        assert!(relay.get("/stream/a", "a").await.is_complete);
         let seen = &one.requests()[0];
         let path = seen.header(PATH.as_str()).expect("a path");
         let parts: Vec<(u32, u32)> = path
@@ -140,12 +140,13 @@
                 let script = || fails_first(&count, move |r| events(r, 5, PAUSE, end));
                 let one = StandinReplica::start(script()).await;
                 let two = StandinReplica::start(script()).await;
-                let entries = [listed("i-1", &one, whole_model), listed("i-2", &two, whole_model)];
+                let entries =
+                    [entry_of("i-1", &one, whole_model), entry_of("i-2", &two, whole_model)];
                 let relay = RunningRelay::start(bounds(), &entries).await;
                 let called = relay.get(path, "a").await;
                 let expected = if resumes { EVENTS } else { 5 };
                 assert_eq!(event_ids(&called.body), (0..expected).collect::<Vec<u64>>(), "{end:?}");
-                assert_eq!(called.whole, resumes, "{end:?}");
+                assert_eq!(called.is_complete, resumes, "{end:?}");
                 let sent = one.requests().len() + two.requests().len();
                 assert_eq!(sent, if resumes { 2 } else { 1 });
             });
@@ -171,7 +172,7 @@
             let count = Arc::new(Mutex::new(0));
             let one = StandinReplica::start(fails_first(&count, fails)).await;
             let two = StandinReplica::start(fails_first(&count, fails)).await;
-            let entries = [listed("i-1", &one, whole_model), listed("i-2", &two, whole_model)];
+            let entries = [entry_of("i-1", &one, whole_model), entry_of("i-2", &two, whole_model)];
             let relay = RunningRelay::start(bounds(), &entries).await;
             let called = relay.get(path, "a").await;
             assert_eq!(called.status.as_u16(), status, "{name}");
@@ -195,8 +196,8 @@
         })
         .await;
         let entries = [
-            listed("i-1", &first, |address| model_entry(address, 0, 4)),
-            listed("i-2", &lost, |address| model_entry(address, 4, LAYERS)),
+            entry_of("i-1", &first, |address| model_entry(address, 0, 4)),
+            entry_of("i-2", &lost, |address| model_entry(address, 4, LAYERS)),
         ];
         let relay = RunningRelay::start(bounds(), &entries).await;
         let asked = request("/stream/a", "a");
@@ -222,11 +223,11 @@
         };
         let one = StandinReplica::start(engine(0, LAYERS, script)).await;
         let two = StandinReplica::start(engine(0, LAYERS, script)).await;
-        let entries = [listed("i-1", &one, whole_model), listed("i-2", &two, whole_model)];
+        let entries = [entry_of("i-1", &one, whole_model), entry_of("i-2", &two, whole_model)];
         let relay = RunningRelay::start(bounds(), &entries).await;
         let called = relay.get("/stream/a", "a").await;
         // The second engine pauses longer than any stream should; it is waited for all the same.
-        assert!(called.whole, "{called:?}");
+        assert!(called.is_complete, "{called:?}");
         assert_eq!(event_ids(&called.body), (0..EVENTS).collect::<Vec<u64>>());
         assert_eq!(one.requests().len() + two.requests().len(), 2);
     });
@@ -240,9 +241,9 @@
             events(request, 3, Duration::from_millis(2_500), StreamEnd::Complete)
         };
         let only = StandinReplica::start(engine(0, LAYERS, slow)).await;
-        let relay = RunningRelay::start(bounds(), &[listed("i-1", &only, whole_model)]).await;
+        let relay = RunningRelay::start(bounds(), &[entry_of("i-1", &only, whole_model)]).await;
         let called = relay.get("/stream-once/a", "a").await;
-        assert!(called.whole, "{called:?}");
+        assert!(called.is_complete, "{called:?}");
         assert_eq!(event_ids(&called.body), [0, 1, 2]);
     });
 }
@@ -268,11 +269,13 @@
             })
             .await;
             let spare = StandinReplica::start(engine(0, LAYERS, whole_stream)).await;
-            let entries =
-                [listed("i-1", &first, whole_model), listed("i-2", &spare, elsewhere(whole_model))];
+            let entries = [
+                entry_of("i-1", &first, whole_model),
+                entry_of("i-2", &spare, elsewhere(whole_model)),
+            ];
             let relay = RunningRelay::start(bounds(), &entries).await;
             let called = relay.get(path, "a").await;
-            assert!(called.whole, "{called:?}");
+            assert!(called.is_complete, "{called:?}");
             assert_eq!(called.status, StatusCode::OK);
             assert_eq!((first.requests().len(), spare.requests().len()), (1, 1));
             // Given up at once, its connection is closed; waited for, it is kept.
@@ -293,10 +296,10 @@
             })
             .await;
         let well = StandinReplica::start(engine(0, LAYERS, whole_stream)).await;
-        let entries = [listed("i-1", &full, whole_model), listed("i-2", &well, whole_model)];
+        let entries = [entry_of("i-1", &full, whole_model), entry_of("i-2", &well, whole_model)];
         let relay = RunningRelay::start(bounds(), &entries).await;
         for id in ["a", "b", "c"] {
-            assert!(relay.get("/stream/a", id).await.whole);
+            assert!(relay.get("/stream/a", id).await.is_complete);
         }
         assert_eq!(well.requests().len(), 3);
     });
@@ -307,7 +310,7 @@
     run_test(async {
         let leaves = StandinReplica::start(engine(0, LAYERS, whole_stream)).await;
         let stays = StandinReplica::start(engine(0, LAYERS, whole_stream)).await;
-        let entries = [listed("i-1", &leaves, whole_model), listed("i-2", &stays, whole_model)];
+        let entries = [entry_of("i-1", &leaves, whole_model), entry_of("i-2", &stays, whole_model)];
         let relay = RunningRelay::start(bounds(), &entries).await;
         relay.store.put(REPLICA_KIND, "i-1", draining(whole_model(leaves.address())));
         wait_until(async || {
@@ -347,7 +350,7 @@
     run_test(async {
         let script = |r: &ReceivedRequest| events(r, 3, PAUSE, StreamEnd::Silence);
         let replica = StandinReplica::start(engine(0, LAYERS, script)).await;
-        let relay = RunningRelay::start(bounds(), &[listed("i-1", &replica, whole_model)]).await;
+        let relay = RunningRelay::start(bounds(), &[entry_of("i-1", &replica, whole_model)]).await;
         let calling = call(relay.address, request("/stream/a", "a"));
         let gone = tokio::time::timeout(Duration::from_millis(300), calling).await;
         assert!(gone.is_err(), "the stream never ends");
@@ -373,13 +376,13 @@
         .await;
         let other = StandinReplica::start(engine(0, LAYERS, whole_stream)).await;
         let entries = [
-            listed("i-1", &first, |address| model_entry(address, 0, 5)),
-            listed("i-2", &dark, |address| model_entry(address, 5, LAYERS)),
-            listed("i-3", &other, elsewhere(whole_model)),
+            entry_of("i-1", &first, |address| model_entry(address, 0, 5)),
+            entry_of("i-2", &dark, |address| model_entry(address, 5, LAYERS)),
+            entry_of("i-3", &other, elsewhere(whole_model)),
         ];
         let relay = RunningRelay::start(bounds(), &entries).await;
         let called = relay.get("/stream/a", "a").await;
-        assert!(called.whole);
+        assert!(called.is_complete);
         assert_eq!(event_ids(&called.body), (0..EVENTS).collect::<Vec<u64>>());
         assert!(*probes.lock().expect("no script panics") > 0);
     });
@@ -396,7 +399,7 @@
                 other => other,
             };
         let replica = StandinReplica::start(engine(0, LAYERS, late)).await;
-        let relay = RunningRelay::start(bounds(), &[listed("i-1", &replica, whole_model)]).await;
+        let relay = RunningRelay::start(bounds(), &[entry_of("i-1", &replica, whole_model)]).await;
         let news = StateNews {
             name: "relay-0".to_owned(),
             data_centre: "far".to_owned(),
@@ -411,7 +414,7 @@
         };
         let (called, ()) = tokio::join!(relay.get("/stream-single/a", "a"), telling);
         assert_eq!(called.status, StatusCode::OK);
-        assert!(called.whole && called.is_sealed());
+        assert!(called.is_complete && called.is_signed());
     });
 }
 
@@ -459,15 +462,15 @@
         let ranges = [(2, 4), (4, 5), (5, 7), (7, LAYERS)];
         let ids = ["i-2", "i-3", "i-4", "i-5"];
         let mut entries = vec![
-            listed("i-1", &first, |address| model_entry(address, 0, 2)),
-            listed("i-6", &elsewhere_seen, elsewhere(whole_model)),
+            entry_of("i-1", &first, |address| model_entry(address, 0, 2)),
+            entry_of("i-6", &elsewhere_seen, elsewhere(whole_model)),
         ];
         for ((id, other), (from, to)) in ids.iter().zip(&others).zip(ranges) {
-            entries.push(listed(id, other, |address| model_entry(address, from, to)));
+            entries.push(entry_of(id, other, |address| model_entry(address, from, to)));
         }
         let relay = RunningRelay::start(bounds(), &entries).await;
         let called = relay.get("/stream/a", "a").await;
-        assert!(called.whole);
+        assert!(called.is_complete);
         assert_eq!(event_ids(&called.body), (0..EVENTS).collect::<Vec<u64>>());
         assert_eq!(first.requests().len(), 1);
         assert_eq!(elsewhere_seen.requests().len(), 0);
