--- a/crates/relay/src/forward/recovery.rs
+++ b/crates/relay/src/forward/recovery.rs
@@ -184,7 +184,8 @@
     async fn order_path(&mut self, avoid: &[ReplicaInstance]) -> Option<OrderEnd> {
         let service = self.permit.config.services.get(&self.permit.service);
         let engine = service.and_then(|service| service.engine.as_ref())?;
-        let tokens = self.request.tokens((engine.mean_prompt_tokens, engine.mean_answer_tokens));
+        let tokens =
+            self.request.tokens((engine.mean_prompt_tokens, engine.mean_completion_tokens));
         let first = self.path[0].clone();
         let wish = PathCriteria {
             service: &self.permit.service,
--- a/crates/relay/src/placer.rs
+++ b/crates/relay/src/placer.rs
@@ -404,7 +404,7 @@
 }
 
 fn model_shape(engine: &EngineSpec) -> ModelShape {
-    let tokens = f64::from(engine.mean_prompt_tokens) + f64::from(engine.mean_answer_tokens);
+    let tokens = f64::from(engine.mean_prompt_tokens) + f64::from(engine.mean_completion_tokens);
     ModelShape {
         layers: engine.layers,
         layer_mb: engine.layer_mb,
--- a/crates/relay/src/stream.rs
+++ b/crates/relay/src/stream.rs
@@ -177,7 +177,7 @@
     patience: Duration,
 ) -> Option<OpenOutcome> {
     let engine = permit.config.services.get(&permit.service)?.engine.as_ref()?;
-    let tokens = request.tokens((engine.mean_prompt_tokens, engine.mean_answer_tokens));
+    let tokens = request.tokens((engine.mean_prompt_tokens, engine.mean_completion_tokens));
     let wish = PathCriteria {
         service: &permit.service,
         engine,
--- a/crates/router/benches/plans.rs
+++ b/crates/router/benches/plans.rs
@@ -144,7 +144,7 @@
 
 /// Looks up whether each of 3,000 replicas asked this VM to back off, as each choice of a path
 /// does, with none, one or a third of them asking. It takes 7 us, 65 us and 69 us of a core,
-/// measured beside a running scenario search; reading the reservations above takes 67 us.
+/// measured while a fault search was running; reading the reservations above takes 67 us.
 fn backoffs(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("held_back");
     let instances: Vec<ReplicaInstance> =
--- a/crates/router/src/groups.rs
+++ b/crates/router/src/groups.rs
@@ -25,10 +25,10 @@
 pub const TARGET_GROUP_SIZE: usize = 64;
 
 /// Maximum number of groups that a single relay plans for all. It knows all orders under way, so
-/// that no more loads run at once than the store of weights serves at full speed.
+/// that no more loads run at once than the weight store serves at full speed.
 pub const MAX_GROUPS_ONE_PLANNER: usize = 6;
 
-/// Groups that each relay plans if there are more: some 125 replicas, which take 250 calls of a
+/// Groups that each relay plans if there are more: some 125 replicas, which need 250 calls from a
 /// small VM within the seconds between a simultaneous start of all replicas and the first traffic.
 pub const GROUPS_PER_PLANNER: usize = 2;
 
--- a/crates/router/src/path.rs
+++ b/crates/router/src/path.rs
@@ -36,7 +36,7 @@
 
 /// Fraction of a replica's slots up to which new paths start there. The rest is for requests that
 /// other relays start meanwhile, which this relay learns of 0.1 to 0.4 s later.
-const PLANNED_SLOTS: f64 = 0.95;
+const PLANNED_SLOT_FRACTION: f64 = 0.95;
 
 /// Factor of the start cost. A replica half of whose planned slots are taken costs half of it,
 /// against 0.5 for one more hop. That is more than starting in another data centre costs, so that
@@ -54,7 +54,7 @@
     if slots == 0 {
         return Some(0.0);
     }
-    let taken = running / (f64::from(slots) * PLANNED_SLOTS);
+    let taken = running / (f64::from(slots) * PLANNED_SLOT_FRACTION);
     (taken < 1.0).then(|| SLOT_COST * taken * taken / (1.0 - taken))
 }
 
--- a/crates/router/src/placement/search.rs
+++ b/crates/router/src/placement/search.rs
@@ -16,12 +16,12 @@
     placement::{LayerHolder, ModelShape, capacity::LayoutScorer},
 };
 
-/// Evaluations of a layout in one search, for groups of up to [`USUAL_GROUP`] replicas.
+/// Evaluations of a layout in one search, for groups of up to [`TYPICAL_GROUP_SIZE`] replicas.
 const SEARCH_STEPS: usize = 20_000;
 
 /// Replicas of a usual group. A larger group gets fewer steps, so that its search takes as long:
 /// the time of one evaluation grows with the cube of the number of replicas.
-const USUAL_GROUP: usize = 16;
+const TYPICAL_GROUP_SIZE: usize = 16;
 
 /// Fraction of the score that a change may lose at the first step; it falls to zero at the last.
 const INITIAL_SLACK: f64 = 0.02;
@@ -56,7 +56,7 @@
 
 /// Returns the number of evaluations that one decision for a group of `replicas` replicas may take.
 pub(super) fn search_steps(replicas: usize) -> usize {
-    let ratio = (replicas as f64 / USUAL_GROUP as f64).max(1.0);
+    let ratio = (replicas as f64 / TYPICAL_GROUP_SIZE as f64).max(1.0);
     (SEARCH_STEPS as f64 / ratio.powi(3)) as usize
 }
 
--- a/crates/router/src/routing.rs
+++ b/crates/router/src/routing.rs
@@ -107,14 +107,14 @@
     pub step_ms: f64,
     /// Kinds of accelerators that the engines run on.
     pub kinds: Vec<AcceleratorKind>,
-    /// Number of concurrent loads that the store of weights serves at full speed.
+    /// Number of concurrent loads that the weight store serves at full speed.
     pub max_parallel_loads: u32,
     /// Time to load the whole model, in milliseconds.
     pub load_time: Millis,
     /// Mean number of tokens of a prompt.
     pub mean_prompt_tokens: u32,
     /// Mean number of tokens of a completion.
-    pub mean_answer_tokens: u32,
+    pub mean_completion_tokens: u32,
     /// Bytes of activations that are sent from one replica to the next for one token.
     pub activation_bytes: f64,
     /// Bandwidth of the link between data centres, in Mbit/s; 0 if it is unlimited.
--- a/crates/router/src/slowdown.rs
+++ b/crates/router/src/slowdown.rs
@@ -72,8 +72,8 @@
     }
 
     /// Returns the slow engines to announce to other relays, with their factors. Only those are
-    /// announced that the audience does not learn of otherwise; two relays would else keep an entry
-    /// alive between them.
+    /// announced that the audience does not learn of otherwise: two relays that repeat each other's
+    /// entries would keep them alive.
     pub fn shared_with(
         &self,
         audience: UpdateAudience,
