--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -69,7 +69,7 @@
     meter: Arc<StoreMeter>,
 }
 
-/// Longest time that the store may hold a watch open. The client waits this long and
+/// Longest time that the store may hold a watch open. The client waits this long plus
 /// [`StoreConfig::timeout`] for the response.
 const MAX_WATCH_WAIT: Duration = Duration::from_secs(20);
 
@@ -125,7 +125,7 @@
         if value.len() > MAX_VALUE_BYTES {
             return Err(StoreError::TooLarge { len: value.len(), max: MAX_VALUE_BYTES });
         }
-        self.change(Method::PUT, key, expected, Bytes::copy_from_slice(value)).await
+        self.write_once(Method::PUT, key, expected, Bytes::copy_from_slice(value)).await
     }
 
     /// Deletes an object if its version is still `expected`, and returns the tombstone's version.
@@ -134,7 +134,7 @@
     ///
     /// As [`StoreClient::write`].
     pub async fn delete(&self, key: &ObjectKey, expected: u64) -> Result<u64, StoreError> {
-        self.change(Method::DELETE, key, expected, Bytes::new()).await
+        self.write_once(Method::DELETE, key, expected, Bytes::new()).await
     }
 
     /// Lists all objects of a kind, tombstones included.
@@ -146,7 +146,7 @@
         self.meter.reads.fetch_add(1, Ordering::Relaxed);
         let path = format!("/v1/objects/{kind}");
         let request = self.request(Method::GET, &path, None, Bytes::new())?;
-        parse(&read_outcome(self.http.call(request).await)?)
+        parse_json(&read_outcome(self.http.call(request).await)?)
     }
 
     /// Returns the changes of some kinds after the revision `after`, waiting for the first one for
@@ -167,7 +167,7 @@
         let kinds = kinds.join(",");
         let path = format!("/v1/watch?kinds={kinds}&after={after}&wait_ms={wait_ms}");
         let request = self.request(Method::GET, &path, None, Bytes::new())?;
-        parse(&read_outcome(self.watch_http.call(request).await)?)
+        parse_json(&read_outcome(self.watch_http.call(request).await)?)
     }
 
     /// Lists the VMs. The list may lag behind the platform.
@@ -178,7 +178,7 @@
     pub async fn list_vms(&self) -> Result<VmList, StoreError> {
         self.meter.reads.fetch_add(1, Ordering::Relaxed);
         let request = self.request(Method::GET, "/v1/vms", None, Bytes::new())?;
-        parse(&read_outcome(self.http.call(request).await)?)
+        parse_json(&read_outcome(self.http.call(request).await)?)
     }
 
     /// Writes like [`StoreClient::write`], retries until `timeout`, and reads the object back when
@@ -235,6 +235,7 @@
         }
     }
 
+    /// Reads an object to find out whether a write with the expected version took effect.
     async fn read_back(
         &self,
         key: &ObjectKey,
@@ -254,13 +255,15 @@
         }
     }
 
+    /// Returns a back-off whose waits differ between processes and objects.
     fn backoff(&self, key: &ObjectKey) -> Backoff<ChaCha8Rng> {
         let process = hash_bytes(0, self.config.process.as_bytes());
         let seed = hash_bytes(process, key.name.as_bytes());
         Backoff::new(ChaCha8Rng::seed_from_u64(seed))
     }
 
-    async fn change(
+    /// Makes a conditional write, without retries, and returns the new version.
+    async fn write_once(
         &self,
         method: Method,
         key: &ObjectKey,
@@ -336,7 +339,7 @@
     })
 }
 
-fn parse<T: serde::de::DeserializeOwned>(response: &FullResponse) -> Result<T, StoreError> {
+fn parse_json<T: serde::de::DeserializeOwned>(response: &FullResponse) -> Result<T, StoreError> {
     if response.status != StatusCode::OK {
         return Err(status_error(response.status));
     }
