--- a/crates/relay/src/store_calls.rs
+++ b/crates/relay/src/store_calls.rs
@@ -8,7 +8,7 @@
 use derive_more::Display;
 use serde::Serialize;
 use switchfold_platform::{
-    CONFIG_KIND, ENTRY_KIND, QUARANTINE_KIND, REPLICA_KIND,
+    CONFIG_KIND, QUARANTINE_KIND, RELAY_KIND, REPLICA_KIND,
     era::StoreEra,
     objects::{ObjectChanges, ObjectList, ObjectStore},
 };
@@ -41,7 +41,7 @@
         match self {
             CallKind::Config => CONFIG_KIND,
             CallKind::Replicas => REPLICA_KIND,
-            CallKind::Relays => ENTRY_KIND,
+            CallKind::Relays => RELAY_KIND,
             CallKind::Quarantine => QUARANTINE_KIND,
         }
     }
--- a/crates/relay/tests/copies.rs
+++ b/crates/relay/tests/copies.rs
@@ -7,7 +7,7 @@
 use harness::{ROUTES, RunningRelay, bounds, call, request, respond_healthy, run_test, wait_until};
 use http::StatusCode;
 use serde_json::Value;
-use switchfold_platform::{CONFIG_KIND, CONFIG_NAME, ENTRY_KIND, REPLICA_KIND};
+use switchfold_platform::{CONFIG_KIND, CONFIG_NAME, RELAY_KIND, REPLICA_KIND};
 use switchfold_platform_standin::{
     StandinReplica, StandinStore, StoreBehaviour,
     samples::{KEY, LAYERS, config, desk_entry, draining, in_data_centre, model_entry},
@@ -29,7 +29,7 @@
 }
 
 fn registrations(store: &StandinStore) -> usize {
-    let target = format!("POST /objects/{ENTRY_KIND}");
+    let target = format!("POST /objects/{RELAY_KIND}");
     store.calls().iter().filter(|call| **call == target).count()
 }
 
--- a/crates/relay/tests/snapshots.rs
+++ b/crates/relay/tests/snapshots.rs
@@ -9,7 +9,7 @@
 use http_body_util::Full;
 use proptest::prelude::*;
 use serde_json::json;
-use switchfold_platform::{CONFIG_KIND, CONFIG_NAME, ENTRY_KIND, REPLICA_KIND};
+use switchfold_platform::{CONFIG_KIND, CONFIG_NAME, RELAY_KIND, REPLICA_KIND};
 use switchfold_platform_standin::{
     ReceivedRequest, Reply, StandinReplica, StandinStore, StoreBehaviour,
     samples::{self, KEY, desk_entry},
@@ -50,7 +50,7 @@
         // Its address stands in the store, and the first one tells it of itself as it does a restarted one.
         let second = BoundRelay::new("relay-2", store.clone(), bounds()).await;
         let address = json!({"address": second.peers(), "data_centre": "hall"});
-        store.put(ENTRY_KIND, "relay-2", address);
+        store.put(RELAY_KIND, "relay-2", address);
         second.exchange_state(&first).await;
         let second = second.run();
         second.wait_ready(StatusCode::OK).await;
