--- a/crates/router/src/bandwidth.rs
+++ b/crates/router/src/bandwidth.rs
@@ -23,7 +23,7 @@
 
 impl BandwidthShare {
     /// Reserves `link_ms` milliseconds of the link, which `relays` relays share equally. Returns
-    /// whether the share had room for it; otherwise nothing is reserved.
+    /// whether the share allows it; otherwise nothing is reserved.
     pub fn try_reserve(&mut self, link_ms: f64, relays: usize, now: Millis) -> bool {
         let now = now as f64;
         let start = self.reserved_until.max(now);
--- a/crates/router/tests/paths.rs
+++ b/crates/router/tests/paths.rs
@@ -279,8 +279,8 @@
     assert_eq!(widest_gap(&counts(&repaired)), None);
     for holder in &repaired {
         let len = f64::from(holder.range.expect("all hold layers").len());
-        let room = (holder.memory_mb - len * MODEL.layer_mb) / len;
-        assert!(room > 600.0, "{holder:?} of {repaired:?}");
+        let layer_free_mb = (holder.memory_mb - len * MODEL.layer_mb) / len;
+        assert!(layer_free_mb > 600.0, "{holder:?} of {repaired:?}");
     }
 }
 
@@ -350,9 +350,9 @@
     let settled = settle(holders);
     for holder in &settled {
         let range = holder.range.expect("all hold layers");
-        let room =
+        let layer_free_mb =
             (holder.memory_mb - f64::from(range.len()) * MODEL.layer_mb) / f64::from(range.len());
-        assert!(room > 300.0, "{holder:?} of {settled:?}");
+        assert!(layer_free_mb > 300.0, "{holder:?} of {settled:?}");
     }
 }
 
