--- a/crates/relay/src/peers.rs
+++ b/crates/relay/src/peers.rs
@@ -85,7 +85,7 @@
     let state = peer_state(news);
     let kind = ReportKind::from(news.report);
     let origin = match kind {
-        ReportKind::None => UpdateOrigin::Told,
+        ReportKind::None => UpdateOrigin::Peer,
         ReportKind::Spare | ReportKind::Counted => UpdateOrigin::Member,
     };
     let (written, lost);
@@ -154,8 +154,8 @@
         return;
     }
     match origin {
-        UpdateOrigin::Told => tell_soon(relay, TellReach::Near),
-        UpdateOrigin::Member | UpdateOrigin::Own => tell_soon(relay, TellReach::All),
+        UpdateOrigin::Peer => tell_soon(relay, TellReach::Near),
+        UpdateOrigin::Member | UpdateOrigin::Local => tell_soon(relay, TellReach::All),
     }
 }
 
@@ -236,7 +236,7 @@
     beliefs.fleet.record_proof(proofs.fleet);
     drop(guard);
     if passes_on {
-        pass_on(relay, UpdateOrigin::Told, now);
+        pass_on(relay, UpdateOrigin::Peer, now);
     }
 }
 
--- a/crates/relay/src/snapshot/take.rs
+++ b/crates/relay/src/snapshot/take.rs
@@ -76,7 +76,7 @@
     if let SnapshotBody::Replicas(records) = told.body {
         let listed = records.into_iter().map(ReplicaUpdate::from).collect();
         let sent = told.proof.proved.map_or(0, |proved| proved.max(0) as Millis);
-        apply_list(relay, FleetList { listed, at: told.at }, UpdateSource::Told, sent);
+        apply_list(relay, FleetList { listed, at: told.at }, UpdateSource::Snapshot, sent);
     }
     let mut beliefs = relay.beliefs.borrow_mut();
     beliefs.fleet.record_snapshot(told.proof, told.at);
--- a/crates/router/src/membership/sources.rs
+++ b/crates/router/src/membership/sources.rs
@@ -250,8 +250,8 @@
 
 impl Peer {
     /// Returns whether a reported age, advanced to now, is below [`MAX_PEER_READ_AGE`].
-    fn is_recent_read(&self, told: Option<Millis>, now: Millis) -> bool {
+    fn is_recent_read(&self, reported: Option<Millis>, now: Millis) -> bool {
         let since = self.last_heard.map(|last_heard| now.saturating_sub(last_heard));
-        told.zip(since).is_some_and(|(told, since)| told + since < MAX_PEER_READ_AGE)
+        reported.zip(since).is_some_and(|(reported, since)| reported + since < MAX_PEER_READ_AGE)
     }
 }
--- a/crates/router/src/origin.rs
+++ b/crates/router/src/origin.rs
@@ -1,27 +1,27 @@
 //! Where an update between relays comes from, which decides to whom a relay forwards it.
 //!
-//! Each relay forwards only updates that come from below: its own and its members' go to all relays
-//! that it sends to, those of speakers go to its members alone. So no update returns to where it
+//! Each relay forwards only updates from its own level of the hierarchy and below: its own and its
+//! members' go to all relays that it sends to, those of other speakers to its members alone. So no update returns to where it
 //! came from, and none is kept alive by relays that repeat it to each other.
 
 /// Where an update comes from, in increasing order of precedence.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd)]
 pub enum UpdateOrigin {
-    /// A relay that sends it on its own account.
+    /// A relay that does not report to this one.
     #[default]
-    Told,
+    Peer,
     /// A relay that reports to this one.
     Member,
     /// This relay itself.
-    Own,
+    Local,
 }
 
 /// Relays that an update is sent to.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum UpdateAudience {
-    /// Relays that hear the updates of the other speakers from these themselves.
+    /// Speakers, which hear the updates of other speakers from these directly.
     Speakers,
-    /// Relays that hear all updates from this one.
+    /// Members, which hear all updates from this relay.
     Members,
 }
 
--- a/crates/router/src/replicas.rs
+++ b/crates/router/src/replicas.rs
@@ -29,7 +29,7 @@
     List,
     /// A list of the store, sent by a relay that read it.
     #[display("told")]
-    Told,
+    Snapshot,
     /// A watch of the store.
     #[display("watch")]
     Watch,
--- a/crates/router/src/slowdown.rs
+++ b/crates/router/src/slowdown.rs
@@ -42,7 +42,7 @@
         match is_slow {
             true => self.insert(
                 instance,
-                EngineSlowdown { factor, received: now, origin: UpdateOrigin::Own },
+                EngineSlowdown { factor, received: now, origin: UpdateOrigin::Local },
             ),
             false => self.forget(instance),
         }
--- a/crates/router/src/suspect.rs
+++ b/crates/router/src/suspect.rs
@@ -49,7 +49,7 @@
         let duration = match known {
             Some(known) if now < known.until => {
                 self.suspicions
-                    .insert(instance.clone(), Suspicion { origin: UpdateOrigin::Own, ..known });
+                    .insert(instance.clone(), Suspicion { origin: UpdateOrigin::Local, ..known });
                 return None;
             }
             Some(known) if now < known.until + HISTORY_RETENTION => {
@@ -59,7 +59,7 @@
         };
         let until = now + duration;
         self.suspicions
-            .insert(instance.clone(), Suspicion { until, duration, origin: UpdateOrigin::Own });
+            .insert(instance.clone(), Suspicion { until, duration, origin: UpdateOrigin::Local });
         Some(until)
     }
 
@@ -84,15 +84,16 @@
 
     /// Returns whether a replica is suspected because of a failure that this relay observed itself.
     pub fn is_local(&self, instance: &ReplicaInstance, now: Millis) -> bool {
-        self.suspicions
-            .get(instance)
-            .is_some_and(|suspicion| suspicion.origin == UpdateOrigin::Own && now < suspicion.until)
+        self.suspicions.get(instance).is_some_and(|suspicion| {
+            suspicion.origin == UpdateOrigin::Local && now < suspicion.until
+        })
     }
 
     /// Returns whether a suspicion for a failure that this relay observed itself ended within the
     /// last `period` milliseconds.
     pub fn ended_recently(&self, instance: &ReplicaInstance, period: Millis, now: Millis) -> bool {
-        let known = self.suspicions.get(instance).filter(|known| known.origin == UpdateOrigin::Own);
+        let known =
+            self.suspicions.get(instance).filter(|known| known.origin == UpdateOrigin::Local);
         known.is_some_and(|known| known.until <= now && now < known.until + period)
     }
 
--- a/crates/router/tests/fleets.rs
+++ b/crates/router/tests/fleets.rs
@@ -208,7 +208,7 @@
         }
         fleet.apply_all(vec![listed("i-new", 1, 6, false)], source, 0);
         let heartbeat = fleet.apply_all(vec![listed("i-old", 1, 8, false)], source, 0);
-        assert_eq!(heartbeat[0].change, FleetChange::Older, "lapsed: {expired}");
+        assert_eq!(heartbeat[0].change, FleetChange::Older, "expired: {expired}");
         assert!(fleet.view.get("i-new").is_some());
         assert!(fleet.view.get("i-old").is_none());
         assert_eq!(
--- a/crates/router/tests/gossip_model/mod.rs
+++ b/crates/router/tests/gossip_model/mod.rs
@@ -351,7 +351,7 @@
             _ => {}
         }
         let origin =
-            if report == ReportKind::None { UpdateOrigin::Told } else { UpdateOrigin::Member };
+            if report == ReportKind::None { UpdateOrigin::Peer } else { UpdateOrigin::Member };
         let mut is_new = false;
         for (instance, left) in &message.suspects {
             if !own.suspects.is_suspect(instance, now) {
--- a/crates/router/tests/model/relay.rs
+++ b/crates/router/tests/model/relay.rs
@@ -355,7 +355,7 @@
             Kind::Replicas => {
                 let sent = proof.proved.unwrap_or_default();
                 if let Some(list) = snapshot.list {
-                    self.fleet.apply_list(list, UpdateSource::Told, sent.max(0) as Millis, now);
+                    self.fleet.apply_list(list, UpdateSource::Snapshot, sent.max(0) as Millis, now);
                 }
                 self.fleet.record_snapshot(proof, snapshot.at);
                 self.peers.record_answers(None, proof.answered);
--- a/crates/router/tests/stalls.rs
+++ b/crates/router/tests/stalls.rs
@@ -161,7 +161,7 @@
         .map(|(instance, duration)| (instance.clone(), duration))
         .collect();
     assert_eq!(shared, [(instance.clone(), duration + TRIAL_GRACE)]);
-    peer.merge_peer("own", UpdateOrigin::Told, shared.clone().into_iter(), 200);
+    peer.merge_peer("own", UpdateOrigin::Peer, shared.clone().into_iter(), 200);
     assert_eq!(
         peer.shared_with(UpdateAudience::Speakers, 200).count(),
         0,
@@ -180,9 +180,9 @@
     assert!(!local.is_stalled(&instance, end + 71));
     assert!(!peer.is_stalled(&instance, end + TRIAL_GRACE));
     // A stall ends at other relays when the relay that detected it no longer sends it.
-    peer.merge_peer("own", UpdateOrigin::Told, shared.into_iter(), end);
+    peer.merge_peer("own", UpdateOrigin::Peer, shared.into_iter(), end);
     assert!(peer.is_stalled(&instance, end + 1));
-    peer.merge_peer("own", UpdateOrigin::Told, std::iter::empty(), end + 2);
+    peer.merge_peer("own", UpdateOrigin::Peer, std::iter::empty(), end + 2);
     assert!(!peer.is_stalled(&instance, end + 3));
 }
 
--- a/crates/router/tests/state.rs
+++ b/crates/router/tests/state.rs
@@ -238,7 +238,7 @@
     let mut slowdowns = SlowdownTable::default();
     assert!(slowdowns.record(&instance("i-1"), 4.0, 0));
     assert!(!slowdowns.record(&instance("i-1"), 3.0, 100));
-    slowdowns.merge_peer(&instance("i-2"), 2.0, UpdateOrigin::Told, 100);
+    slowdowns.merge_peer(&instance("i-2"), 2.0, UpdateOrigin::Peer, 100);
     assert_eq!(slowdowns.factor(&instance("i-1"), 200), 3.0);
     assert_eq!(slowdowns.factor(&instance("i-2"), 200), 2.0);
     let reported = slowdowns.shared_with(UpdateAudience::Speakers, 200);
@@ -261,7 +261,7 @@
     assert!(missing.should_keep("back", 7, 4_000));
     missing.record_answer(4_000);
     missing.record_listed("back", 7);
-    assert!(missing.is_awaited("back"), "that was told before it was missing");
+    assert!(missing.is_awaited("back"), "that revision is from before it was missing");
     missing.record_listed("back", 8);
     let end = 4_000 + REAPPEAR_GRACE;
     assert!(missing.should_keep("late", 8, end - 1));
@@ -300,7 +300,7 @@
             let now = round * SEND_INTERVAL;
             for (_, to, lasts) in in_flight.extract_if(.., |(arrives, ..)| *arrives <= now) {
                 if !entries[to].is_suspect(&instance("x"), now) {
-                    entries[to].merge_peer(&instance("x"), now + lasts, UpdateOrigin::Told);
+                    entries[to].merge_peer(&instance("x"), now + lasts, UpdateOrigin::Peer);
                 }
             }
             for from in 0..entries.len() {
