--- a/crates/router/src/grants.rs
+++ b/crates/router/src/grants.rs
@@ -188,7 +188,7 @@
         }
     }
 
-    /// Returns a spent grant whose request was not sent. `expiry` is what [`HeldGrants::spend`]
+    /// Takes back a grant whose request was not sent. `expiry` is what [`HeldGrants::spend`]
     /// returned.
     pub fn give_back(&mut self, id: &str, expiry: Millis) {
         let replica = self.replica(id);
