--- a/crates/router/src/follow.rs
+++ b/crates/router/src/follow.rs
@@ -292,8 +292,8 @@
     }
 
     /// Decides what to do about a neighbour that reads the store, if anything. A relay that needs a
-    /// full list asks it; one that comes after it also asks again as long as it does not read on
-    /// that one's behalf.
+    /// full list asks it; a relay that the neighbour precedes asks again as long as the neighbour
+    /// does not read on its behalf.
     fn next_request(&self, inputs: &FollowInputs, now: Millis) -> Option<FollowStep> {
         let order = inputs.source?;
         if self.revision.is_some() && order == SourceOrder::After {
--- a/crates/router/src/origin.rs
+++ b/crates/router/src/origin.rs
@@ -1,8 +1,9 @@
 //! Where an update between relays comes from, which decides to whom a relay forwards it.
 //!
 //! Each relay forwards only updates from its own level of the hierarchy and below: its own and its
-//! members' go to all relays that it sends to, those of other speakers to its members alone. So no update returns to where it
-//! came from, and none is kept alive by relays that repeat it to each other.
+//! members' go to all relays that it sends to, those of other speakers to its members alone. So no
+//! update returns to where it came from, and none is kept alive by relays that repeat it to each
+//! other.
 
 /// Where an update comes from, in increasing order of precedence.
 #[derive(Clone, Copy, Debug, Default, Eq, Ord, PartialEq, PartialOrd)]
--- a/crates/router/src/replicas.rs
+++ b/crates/router/src/replicas.rs
@@ -309,7 +309,7 @@
         }
     }
 
-    /// Treats an entry without a start time, of a replica whose own entry had update, as another
+    /// Treats an entry without a start time, of a replica whose own entry had one, as another
     /// writer's.
     fn check_start(&self, update: ReplicaUpdate) -> ReplicaUpdate {
         let reported = update.entry.as_ref().map(|entry| entry.instance.started_at());
--- a/crates/router/tests/outages.rs
+++ b/crates/router/tests/outages.rs
@@ -72,11 +72,11 @@
     fn inputs(&self, relay: usize, kind: usize, now: Millis) -> FollowInputs {
         let heard = self.heard.iter().rev().find(|(at, _)| at + HEAR_DELAY <= now);
         let Some((_, heard)) = heard else { return FollowInputs::default() };
-        let last_read = |other: &usize| {
+        let is_reader = |other: &usize| {
             let HeardState { last_read, is_lost } = heard[*other][kind];
             !is_lost && last_read.is_some_and(|at| now - at < 1_600)
         };
-        let source = (0..heard.len()).filter(|other| *other != relay).find(last_read);
+        let source = (0..heard.len()).filter(|other| *other != relay).find(is_reader);
         let order = |other| if other < relay { SourceOrder::Before } else { SourceOrder::After };
         let answered = self.relays[relay][kind].answered;
         FollowInputs {
