--- a/crates/relay/src/copies.rs
+++ b/crates/relay/src/copies.rs
@@ -9,7 +9,7 @@
 use switchfold_router::Millis;
 use tokio::time::sleep;
 
-use crate::{quarantine::write_again, registry::register_for_good, state::Relay};
+use crate::{quarantine::store_again, registry::register_for_good, state::Relay};
 
 /// Time between two looks at the store's era.
 const LOOK_EVERY: Duration = Duration::from_millis(250);
@@ -27,7 +27,7 @@
         }
         sleep(Duration::from_millis(relay.draw(SPREAD))).await;
         register_for_good(&relay).await;
-        write_again(&relay);
+        store_again(&relay);
         tracing::info!(event = "written-again", era = present);
     }
 }
--- a/crates/relay/src/engines.rs
+++ b/crates/relay/src/engines.rs
@@ -27,9 +27,9 @@
 
 use crate::{
     counts::count,
-    notices::{HeardAnswer, hear_notices_at},
+    notices::{ReplicaResponse, apply_notices_at},
     pool::SendError,
-    probes::{ProbeEnd, ask_twice, silence_counts},
+    probes::{ProbeOutcome, probe_with_retry, silence_is_conclusive},
     replicas::take_report_start,
     state::Relay,
 };
@@ -42,7 +42,7 @@
 
 /// How an order ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum OrderEnd {
+pub enum OrderOutcome {
     /// It began, or what it asks for holds already.
     Taken,
     /// It does not fit the engine's state, or that of the replica at this address.
@@ -105,11 +105,11 @@
 #[derive(Clone, Debug)]
 pub enum ReportState {
     /// It is being asked, and there is no earlier report.
-    Asking,
+    Pending,
     /// It was asked and did not answer as its interface says.
-    Silent,
+    NoResponse,
     /// Its report.
-    Answered(Rc<EngineReport>),
+    Received(Rc<EngineReport>),
 }
 
 /// Gives an engine's report, asked for lately by anyone.
@@ -117,14 +117,14 @@
     let now = now_millis();
     let cached = relay.reports.reports.borrow().get(&address).cloned();
     let asked = cached.as_ref().map(|cached| cached.asked);
-    let state = cached.map_or(ReportState::Asking, |cached| cached.state);
+    let state = cached.map_or(ReportState::Pending, |cached| cached.state);
     if asked.is_some_and(|asked| now.saturating_sub(asked) < REPORT_AGE) {
         return state;
     }
     keep_report(relay, address, now, state);
-    let state = match ask_report(relay, address).await {
-        Some(report) => ReportState::Answered(Rc::new(report)),
-        None => ReportState::Silent,
+    let state = match fetch_report(relay, address).await {
+        Some(report) => ReportState::Received(Rc::new(report)),
+        None => ReportState::NoResponse,
     };
     keep_report(relay, address, now, state.clone());
     state
@@ -135,7 +135,7 @@
 }
 
 /// Asks an engine for its report; nothing where it does not answer as its interface says.
-pub async fn ask_report(relay: &Relay, address: SocketAddr) -> Option<EngineReport> {
+pub async fn fetch_report(relay: &Relay, address: SocketAddr) -> Option<EngineReport> {
     let (status, body) = call(relay, address, Method::GET, REPORT_PATH, Vec::new()).await.ok()?;
     if status != StatusCode::OK {
         return None;
@@ -156,23 +156,23 @@
     range: LayerRange,
     give_up: UnloadMode,
     orders_taken: u64,
-) -> OrderEnd {
+) -> OrderOutcome {
     count(&relay.counts.orders);
     order(relay, address, encode_place_order(range, give_up, orders_taken)).await
 }
 
 /// Orders the first engine of a request's path to go on over another path.
-pub async fn order_repath(relay: &Relay, attempt_id: &str, path: &[PathStage]) -> OrderEnd {
+pub async fn order_repath(relay: &Relay, attempt_id: &str, path: &[PathStage]) -> OrderOutcome {
     count(&relay.counts.repaths);
     order(relay, path[0].address, encode_repath_order(attempt_id, path)).await
 }
 
-async fn order(relay: &Relay, address: SocketAddr, body: Vec<u8>) -> OrderEnd {
+async fn order(relay: &Relay, address: SocketAddr, body: Vec<u8>) -> OrderOutcome {
     match call(relay, address, Method::POST, ORDER_PATH, body).await {
-        Ok((StatusCode::OK | StatusCode::ACCEPTED, _)) => OrderEnd::Taken,
-        Ok((status, body)) => OrderEnd::Refused(status.as_u16(), decode_refusal(&body)),
-        Err(SendError::NotSent { .. } | SendError::Throttled { .. }) => OrderEnd::NotSent,
-        Err(SendError::NoResponse { .. }) => OrderEnd::Unknown,
+        Ok((StatusCode::OK | StatusCode::ACCEPTED, _)) => OrderOutcome::Taken,
+        Ok((status, body)) => OrderOutcome::Refused(status.as_u16(), decode_refusal(&body)),
+        Err(SendError::NotSent { .. } | SendError::Throttled { .. }) => OrderOutcome::NotSent,
+        Err(SendError::NoResponse { .. }) => OrderOutcome::Unknown,
     }
 }
 
@@ -191,7 +191,7 @@
     let relay = relay.clone();
     spawn_local(async move {
         let ends = join_all(due.iter().map(|address| probe(&relay, *address))).await;
-        let silence_counts = silence_counts(&ends);
+        let silence_counts = silence_is_conclusive(&ends);
         for (address, end) in due.into_iter().zip(ends) {
             take_probe(&relay, address, end, silence_counts);
         }
@@ -199,12 +199,12 @@
 }
 
 /// Keeps away from a replica that a probe showed to be lost.
-fn take_probe(relay: &Relay, address: SocketAddr, end: ProbeEnd, silence_counts: bool) {
+fn take_probe(relay: &Relay, address: SocketAddr, end: ProbeOutcome, silence_counts: bool) {
     let lost = match &end {
-        ProbeEnd::Reached => return,
-        ProbeEnd::Refused(detail) => Some(detail.as_str()),
-        ProbeEnd::Silent if silence_counts => Some("no answer to a probe"),
-        ProbeEnd::Silent | ProbeEnd::Unclear => None,
+        ProbeOutcome::Reached => return,
+        ProbeOutcome::Refused(detail) => Some(detail.as_str()),
+        ProbeOutcome::Silent if silence_counts => Some("no answer to a probe"),
+        ProbeOutcome::Silent | ProbeOutcome::Unclear => None,
     };
     let instance = relay
         .beliefs
@@ -221,12 +221,12 @@
 }
 
 /// Whether a replica answers, as far as a probe can tell.
-pub async fn answers(relay: &Relay, address: SocketAddr) -> bool {
-    matches!(probe(relay, address).await, ProbeEnd::Reached | ProbeEnd::Unclear)
+pub async fn is_reachable(relay: &Relay, address: SocketAddr) -> bool {
+    matches!(probe(relay, address).await, ProbeOutcome::Reached | ProbeOutcome::Unclear)
 }
 
-async fn probe(relay: &Relay, address: SocketAddr) -> ProbeEnd {
-    ask_twice(async |fresh| {
+async fn probe(relay: &Relay, address: SocketAddr) -> ProbeOutcome {
+    probe_with_retry(async |fresh| {
         exchange(relay, address, Method::GET, REPORT_PATH, Vec::new(), fresh).await.map(drop)
     })
     .await
@@ -257,10 +257,10 @@
     let (response, link) = relay.pool.send(address, request, fresh, || Ok(())).await?;
     let (parts, body) = response.into_parts();
     let marks = read_response_headers(&parts.headers);
-    hear_notices_at(
+    apply_notices_at(
         relay,
         address,
-        HeardAnswer { status: parts.status, marks: &marks, sent, is_own: true },
+        ReplicaResponse { status: parts.status, headers: &marks, sent_at: sent, is_own: true },
     );
     let body = Limited::new(body, MOST_ANSWER).collect().await;
     let body = body.map_err(|error| SendError::NoResponse { detail: error.to_string() })?;
--- a/crates/relay/src/forward.rs
+++ b/crates/relay/src/forward.rs
@@ -25,7 +25,7 @@
     counts::count,
     paths::PathReservation,
     pool::ActiveConnection,
-    quarantine::note_result,
+    quarantine::record_result,
     request::CallerRequest,
     responses::{BodyAborted, RelayBody},
     run_tracker::RunTracker,
@@ -206,9 +206,9 @@
 
     fn finish(&mut self) {
         self.ended = true;
-        note_result(&self.relay, &self.request);
+        record_result(&self.relay, &self.request);
         let took = now_millis() - self.request.arrived;
-        self.relay.metrics.note_end(&self.permit, took, Some(self.longest_pause));
+        self.relay.metrics.record_end(&self.permit, took, Some(self.longest_pause));
         tracing::info!(
             event = "stream-ended",
             request = self.request.headers.attempt_id,
--- a/crates/relay/src/forward/recovery.rs
+++ b/crates/relay/src/forward/recovery.rs
@@ -15,9 +15,9 @@
 use crate::{
     admit::admit,
     counts::count,
-    engines::{OrderEnd, order_repath, probe_replicas},
+    engines::{OrderOutcome, order_repath, probe_replicas},
     paths::{CrossingRule, MemoryRule, PathCriteria, PathReservation, find_path},
-    quarantine::quarantine_left,
+    quarantine::quarantine_remaining,
     run_tracker::RunTracker,
     state::PartState,
     stream::{OpenOutcome, OpenStream, find_stalled_replica, open_stream, suspect_at, take_retry},
@@ -150,13 +150,13 @@
     async fn repath(&mut self) -> bool {
         let mut avoid = self.restarted_parts();
         // A move is a send: the new parts begin to run the request.
-        if quarantine_left(&self.relay, &self.request).is_some() {
+        if quarantine_remaining(&self.relay, &self.request).is_some() {
             return false;
         }
         for _ in 0..MOST_REPATHS {
             match self.order_path(&avoid).await {
-                Some(OrderEnd::Taken) => return true,
-                Some(OrderEnd::Refused(_, Some(faulty_replica))) => {
+                Some(OrderOutcome::Taken) => return true,
+                Some(OrderOutcome::Refused(_, Some(faulty_replica))) => {
                     probe_replicas(&self.relay, std::iter::once(faulty_replica));
                     let beliefs = self.relay.beliefs.borrow();
                     let Some(replica) = beliefs.fleet.view.at_address(faulty_replica) else {
@@ -181,7 +181,7 @@
     }
 
     /// Orders the best path without some replicas; nothing where there is none.
-    async fn order_path(&mut self, avoid: &[ReplicaInstance]) -> Option<OrderEnd> {
+    async fn order_path(&mut self, avoid: &[ReplicaInstance]) -> Option<OrderOutcome> {
         let service = self.permit.config.services.get(&self.permit.service);
         let engine = service.and_then(|service| service.engine.as_ref())?;
         let tokens =
@@ -204,7 +204,7 @@
         let end = order_repath(&self.relay, id, &path).await;
         let quiet_ms = now_millis() - self.last_progress;
         tracing::info!(event = "repath", request = id, ?end, quiet_ms, parts = path.len());
-        if end == OrderEnd::Taken {
+        if end == OrderOutcome::Taken {
             self.run = RunTracker::over_path(&path);
             self.run.record_start();
             self.room = PathReservation::new(&self.relay, &path, tokens);
@@ -241,7 +241,7 @@
             (Err(not_resumed), StreamLoss::Broken) => self.give_up(why, &not_resumed),
             // It can be taken up nowhere: its caller need not wait.
             (Err(not_resumed), StreamLoss::Silent)
-                if quarantine_left(&self.relay, &self.request).is_some() =>
+                if quarantine_remaining(&self.relay, &self.request).is_some() =>
             {
                 self.give_up(why, &not_resumed);
             }
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -10,7 +10,7 @@
 //! |---|---|
 //! | [`serve`], [`request`], [`admit`] | callers, and what the configuration lets them do |
 //! | [`plain`] | requests to plain services |
-//! | [`stream`], [`heads`], [`forward`], [`paths`] | requests over engines: opening, running, paths |
+//! | [`stream`], [`response_head`], [`forward`], [`paths`] | requests over engines: opening, running, paths |
 //! | [`run_tracker`] | runs of requests at replicas, and what is left of lost ones |
 //! | [`pool`], [`engines`] | connections and calls to replicas |
 //! | [`watch`], [`replicas`], [`peers`], [`news`] | what the relay knows, from the store and from other relays |
@@ -26,7 +26,6 @@
 pub mod counts;
 pub mod engines;
 pub mod forward;
-pub mod heads;
 pub mod limits;
 pub mod logs;
 pub mod metrics;
@@ -43,6 +42,7 @@
 pub mod reload;
 pub mod replicas;
 pub mod request;
+pub mod response_head;
 pub mod responses;
 pub mod run;
 pub mod run_tracker;
--- a/crates/relay/src/limits.rs
+++ b/crates/relay/src/limits.rs
@@ -40,7 +40,7 @@
 const MOST_IN_TURN: usize = 8;
 
 /// Whether this relay keeps limits of replicas.
-pub fn keeps_limits(relay: &Relay, beliefs: &Beliefs, now: Millis) -> bool {
+pub fn can_coordinate_limits(relay: &Relay, beliefs: &Beliefs, now: Millis) -> bool {
     let has_others = || beliefs.peers.live_count(now) > 0;
     // One that stops leaves them to the others while it is there, so that nobody waits for its silence.
     // What a member hears of the others is too little to tell whether it is cut off.
@@ -59,13 +59,14 @@
     now: Millis,
 ) -> LimitCoordinator<'a> {
     let RelaySettings { name, data_centre, .. } = &relay.settings;
-    let own = LocalRelay { name, data_centre, is_eligible: keeps_limits(relay, beliefs, now) };
+    let own =
+        LocalRelay { name, data_centre, is_eligible: can_coordinate_limits(relay, beliefs, now) };
     let place = beliefs.fleet.view.get(id).map_or("", |entry| &entry.data_centre);
     limit_coordinator(&own, &beliefs.peers, id, place, now)
 }
 
 /// Takes over what a replica said of its limit; `from` is the relay that told it, where it was not said to this one.
-pub fn take_word(relay: &Relay, id: &str, word: LimitReport, from: Option<&str>) {
+pub fn update_limit(relay: &Relay, id: &str, word: LimitReport, from: Option<&str>) {
     let now = now_millis();
     let changed = relay.beliefs.borrow_mut().limits.update(id, word, now);
     let Some(change) = changed else { return };
@@ -82,7 +83,7 @@
 }
 
 /// Limits to tell another relay with this one's state: those that changed lately, and to `near` ones some of all in turn.
-pub fn limits_to_tell(
+pub fn limits_to_share(
     beliefs: &Beliefs,
     near: bool,
     round: usize,
@@ -98,13 +99,13 @@
 }
 
 /// Takes over limits that another relay told in a message that it wrote at `written`.
-pub fn hear_limits(relay: &Relay, limits: &[LimitRecord], from: &str, written: i64) {
-    limits.iter().for_each(|limit| take_word(relay, &limit.id, limit.word(written), Some(from)));
+pub fn merge_peer_limits(relay: &Relay, limits: &[LimitRecord], from: &str, written: i64) {
+    limits.iter().for_each(|limit| update_limit(relay, &limit.id, limit.word(written), Some(from)));
 }
 
 /// Notes that a request would have begun at a replica for which this relay has no grant, and asks for one: of those that
 /// could begin it, the one with most places left.
-pub fn want_grant(
+pub fn request_grant(
     relay: &Rc<Relay>,
     service: &str,
     rank: u8,
@@ -245,11 +246,11 @@
 }
 
 /// Takes asks of another relay.
-pub fn hear_asks(relay: &Relay, news: &AskNews) {
+pub fn handle_grant_requests(relay: &Relay, news: &AskNews) {
     let now = now_millis();
     let (stamp, written) = read_stamp(relay, &news.name, news.stamp, now);
     for ask in &news.asks {
-        take_word(relay, &ask.limit.id, ask.limit.word(written), Some(&news.name));
+        update_limit(relay, &ask.limit.id, ask.limit.word(written), Some(&news.name));
         let mut beliefs = relay.beliefs.borrow_mut();
         beliefs.issuer.request(&ask.due(), &news.name, stamp, now);
     }
@@ -263,7 +264,7 @@
     let mut told: Vec<(String, GrantRecord)> = Vec::new();
     {
         let mut guard = relay.beliefs.borrow_mut();
-        if !keeps_limits(relay, &guard, now) {
+        if !can_coordinate_limits(relay, &guard, now) {
             return;
         }
         let beliefs = &mut *guard;
@@ -308,11 +309,11 @@
 }
 
 /// Takes grants of the keeper.
-pub fn hear_grants(relay: &Relay, news: &GrantNews) {
+pub fn handle_grants(relay: &Relay, news: &GrantNews) {
     let now = now_millis();
     let (_, written) = read_stamp(relay, &news.name, news.stamp, now);
     for grant in &news.grants {
-        take_word(relay, &grant.limit.id, grant.limit.word(written), Some(&news.name));
+        update_limit(relay, &grant.limit.id, grant.limit.word(written), Some(&news.name));
         let IssuedGrants { stamp, held_for, count, share, .. } = grant.issued();
         if stamp.incarnation == relay.incarnation {
             let issued = (stamp.time + held_for) as i64;
@@ -332,7 +333,7 @@
 }
 
 /// Asks for grants and hands them out for good.
-pub async fn keep_limits(relay: Rc<Relay>) {
+pub async fn exchange_grants(relay: Rc<Relay>) {
     loop {
         let now = now_millis();
         let is_busy = {
--- a/crates/relay/src/logs.rs
+++ b/crates/relay/src/logs.rs
@@ -63,7 +63,7 @@
 static FAILURES: LineBudget = LineBudget::new(FAILURE_LINES);
 
 /// Lines left out since the start, for want of a place in their second.
-pub fn lines_left_out() -> u64 {
+pub fn dropped_lines() -> u64 {
     USUAL.left_out() + FAILURES.left_out()
 }
 
--- a/crates/relay/src/metrics.rs
+++ b/crates/relay/src/metrics.rs
@@ -106,12 +106,12 @@
     }
 
     /// Notes the head of an answer.
-    pub fn note_head(&self, permit: &Permit, took: Millis) {
+    pub fn record_head(&self, permit: &Permit, took: Millis) {
         self.first_byte.record(took as f64, &self.labels(permit));
     }
 
     /// Notes the end of an answer that a replica made.
-    pub fn note_end(&self, permit: &Permit, took: Millis, longest_pause: Option<Millis>) {
+    pub fn record_end(&self, permit: &Permit, took: Millis, longest_pause: Option<Millis>) {
         let labels = self.labels(permit);
         self.total.record(took as f64, &labels);
         if let Some(pause) = longest_pause {
@@ -120,7 +120,7 @@
     }
 
     /// Notes how a request ended.
-    pub fn note_outcome(&self, status: u16, reason: &str) {
+    pub fn record_outcome(&self, status: u16, reason: &str) {
         let labels = [
             KeyValue::new("status", i64::from(status)),
             KeyValue::new("reason", reason.to_owned()),
@@ -129,7 +129,7 @@
     }
 
     /// Notes an attempt.
-    pub fn note_attempt(&self, end: AttemptEnd, next: NextStep) {
+    pub fn record_attempt(&self, end: AttemptEnd, next: NextStep) {
         let labels =
             [KeyValue::new("end", format!("{end:?}")), KeyValue::new("next", format!("{next:?}"))];
         self.attempts.add(1, &labels);
--- a/crates/relay/src/notices.rs
+++ b/crates/relay/src/notices.rs
@@ -15,7 +15,7 @@
 
 use crate::{
     counts::count,
-    limits::take_word,
+    limits::update_limit,
     replicas::apply_draining,
     responses::Refusal,
     state::{Beliefs, Relay},
@@ -23,34 +23,34 @@
 
 /// An answer of a replica, as far as it says something of that replica.
 #[derive(Clone, Copy, Debug)]
-pub struct HeardAnswer<'a> {
+pub struct ReplicaResponse<'a> {
     /// Its status.
     pub status: StatusCode,
     /// What it says beside.
-    pub marks: &'a ResponseHeaders,
+    pub headers: &'a ResponseHeaders,
     /// When the request was sent.
-    pub sent: Millis,
+    pub sent_at: Millis,
     /// Whether it answers that request: one to an earlier request may come in its place.
     pub is_own: bool,
 }
 
 /// Hears what an answer to a request says of the replica that it was sent to.
-pub fn hear_notices(relay: &Relay, instance: &ReplicaInstance, answer: HeardAnswer<'_>) {
-    let HeardAnswer { status, marks, .. } = answer;
-    if status != StatusCode::SERVICE_UNAVAILABLE && !marks.not_executed {
+pub fn apply_notices(relay: &Relay, instance: &ReplicaInstance, answer: ReplicaResponse<'_>) {
+    let ReplicaResponse { status, headers, .. } = answer;
+    if status != StatusCode::SERVICE_UNAVAILABLE && !headers.not_executed {
         relay.beliefs.borrow_mut().backoffs.record_success(instance, now_millis());
     }
     hear_word(relay, instance, answer);
     // Another replica may answer this way at the address of one that ended.
     let is_its_own = answer.is_own && status != StatusCode::MISDIRECTED_REQUEST;
-    if is_its_own && marks.limit.is_none() {
-        let word = LimitReport { per_second: None, sent: answer.sent as i64 };
-        take_word(relay, instance.id(), word, None);
+    if is_its_own && headers.limit.is_none() {
+        let word = LimitReport { per_second: None, sent: answer.sent_at as i64 };
+        update_limit(relay, instance.id(), word, None);
     }
 }
 
 /// Hears what an answer to a call of an engine's own interface says of the replica that is listed at an address.
-pub fn hear_notices_at(relay: &Relay, address: SocketAddr, answer: HeardAnswer<'_>) {
+pub fn apply_notices_at(relay: &Relay, address: SocketAddr, answer: ReplicaResponse<'_>) {
     let instance = relay
         .beliefs
         .borrow()
@@ -65,18 +65,18 @@
 
 /// Hears what an answer says of its replica, whatever it answers. That it names no limit says something only where the
 /// replica names them in such answers, and nothing tells that it does so in those to calls of its own interface.
-fn hear_word(relay: &Relay, instance: &ReplicaInstance, answer: HeardAnswer<'_>) {
-    let HeardAnswer { status, marks, sent, .. } = answer;
+fn hear_word(relay: &Relay, instance: &ReplicaInstance, answer: ReplicaResponse<'_>) {
+    let ReplicaResponse { status, headers, sent_at, .. } = answer;
     if status == StatusCode::SERVICE_UNAVAILABLE {
-        hear_backoff(relay, instance, marks);
+        hear_backoff(relay, instance, headers);
     }
-    if marks.is_leaving {
+    if headers.is_leaving {
         apply_draining(relay, instance);
     }
-    match &marks.limit {
+    match &headers.limit {
         Some(ServerLimit::PerSecond(limit)) => {
-            let word = LimitReport { per_second: Some(*limit), sent: sent as i64 };
-            take_word(relay, instance.id(), word, None);
+            let word = LimitReport { per_second: Some(*limit), sent: sent_at as i64 };
+            update_limit(relay, instance.id(), word, None);
         }
         Some(ServerLimit::Unreadable(value)) => {
             tracing::warn!(event = "limit-unreadable", replica = %instance, value);
@@ -85,8 +85,8 @@
     }
 }
 
-fn hear_backoff(relay: &Relay, instance: &ReplicaInstance, marks: &ResponseHeaders) {
-    match &marks.retry_after {
+fn hear_backoff(relay: &Relay, instance: &ReplicaInstance, headers: &ResponseHeaders) {
+    match &headers.retry_after {
         Some(RetryAfter::Millis(asked)) => {
             count(&relay.counts.backoffs_asked);
             relay.beliefs.borrow_mut().backoffs.record(instance, *asked, now_millis());
@@ -147,7 +147,7 @@
     }
 
     /// Notes that no byte of the request left: its grant serves another one.
-    pub fn note_unsent(&self) {
+    pub fn record_unsent(&self) {
         if let Some(end) = self.grant.take() {
             self.relay.beliefs.borrow_mut().grants.give_back(self.instance.id(), end);
         }
@@ -163,7 +163,7 @@
     begins: impl Fn(&ReplicaEntry) -> bool,
     otherwise: Refusal,
 ) -> Refusal {
-    let Some(left) = soonest_end(&relay.beliefs.borrow(), service, rank, &begins) else {
+    let Some(left) = min_send_wait(&relay.beliefs.borrow(), service, rank, &begins) else {
         return otherwise;
     };
     let now = now_millis();
@@ -196,7 +196,7 @@
 
 /// Time until the first of the replicas that could begin a request of a rank takes it; nothing where one does now, or there
 /// is none.
-pub fn soonest_end(
+pub fn min_send_wait(
     beliefs: &Beliefs,
     service: &str,
     rank: u8,
--- a/crates/relay/src/paths.rs
+++ b/crates/relay/src/paths.rs
@@ -19,8 +19,8 @@
 use tokio::time::{Instant, sleep};
 
 use crate::{
-    limits::{GrantWait, want_grant},
-    notices::soonest_end,
+    limits::{GrantWait, request_grant},
+    notices::min_send_wait,
     state::{Beliefs, Relay},
 };
 
@@ -227,7 +227,7 @@
     let begins = |replica: &ReplicaEntry| {
         begins_for(replica, wish) && (!begins_at_home || replica.data_centre == *home)
     };
-    want_grant(relay, wish.service, wish.rank, begins);
+    request_grant(relay, wish.service, wish.rank, begins);
 }
 
 fn begins_for(replica: &ReplicaEntry, wish: &PathCriteria<'_>) -> bool {
@@ -242,7 +242,7 @@
 /// Time until the first replica at which a path could begin takes requests again; nothing where one does now.
 fn soonest_beginning(relay: &Relay, wish: &PathCriteria<'_>) -> Option<Duration> {
     let begins = |replica: &ReplicaEntry| begins_for(replica, wish);
-    let left = soonest_end(&relay.beliefs.borrow(), wish.service, wish.rank, begins)?;
+    let left = min_send_wait(&relay.beliefs.borrow(), wish.service, wish.rank, begins)?;
     Some(Duration::from_millis(left))
 }
 
--- a/crates/relay/src/peers.rs
+++ b/crates/relay/src/peers.rs
@@ -20,9 +20,9 @@
 
 use crate::{
     counts::count,
-    limits::{hear_asks, hear_grants, hear_limits},
+    limits::{handle_grant_requests, handle_grants, merge_peer_limits},
     news::{FleetNews, InstanceRecord, LoadNews, LoadRecord, PeerMessage, StateNews},
-    quarantine::{hear_crashes, note_ended},
+    quarantine::{merge_peer_crashes, record_replica_loss},
     registry::find_peers,
     replicas::take_news,
     state::{Beliefs, Relay},
@@ -48,8 +48,8 @@
         match PeerMessage::decode(&buffer[..len]) {
             Some(PeerMessage::State(news)) => take_state(relay, &news, from),
             Some(PeerMessage::Fleet(news)) => take_fleet(relay, news, from),
-            Some(PeerMessage::Asks(news)) => hear_asks(relay, &news),
-            Some(PeerMessage::Grants(news)) => hear_grants(relay, &news),
+            Some(PeerMessage::Asks(news)) => handle_grant_requests(relay, &news),
+            Some(PeerMessage::Grants(news)) => handle_grants(relay, &news),
             None => drop_datagram(relay, from, "unreadable"),
         }
     }
@@ -116,9 +116,9 @@
         beliefs.heads.merge_peer(&news.name, origin, mutes, now);
         lost = take_suspects(beliefs, news, origin, now);
     }
-    hear_limits(relay, &news.limits, &news.name, written);
-    lost.iter().for_each(|instance| note_ended(relay, instance));
-    hear_crashes(relay, news, origin, now);
+    merge_peer_limits(relay, &news.limits, &news.name, written);
+    lost.iter().for_each(|instance| record_replica_loss(relay, instance));
+    merge_peer_crashes(relay, news, origin, now);
     if news.data_centre == relay.settings.data_centre {
         take_proofs(relay, news, &state, now);
     }
--- a/crates/relay/src/placer.rs
+++ b/crates/relay/src/placer.rs
@@ -40,7 +40,7 @@
     searches::LayoutSearches,
 };
 use crate::{
-    engines::{OrderEnd, ReportState, ask_report, order_layers, recent_report},
+    engines::{OrderOutcome, ReportState, fetch_report, order_layers, recent_report},
     state::Relay,
 };
 
@@ -84,7 +84,7 @@
 
 /// What asking a suspected replica told.
 #[derive(Clone, Copy, Debug)]
-struct ProbeEnd {
+struct ProbeOutcome {
     asked: Millis,
     holds: bool,
 }
@@ -97,7 +97,7 @@
 #[derive(Debug)]
 struct Placer {
     pending: HashMap<ReplicaInstance, PendingOrder>,
-    probes: HashMap<ReplicaInstance, ProbeEnd>,
+    probes: HashMap<ReplicaInstance, ProbeOutcome>,
     refused: Rc<RefCell<Vec<ReplicaInstance>>>,
     /// Places for orders that are being given.
     ordering: Rc<Semaphore>,
@@ -215,14 +215,14 @@
         let reports = join_all(asked).await;
         for (replica, report) in due.iter().zip(reports) {
             let holds = match report {
-                ReportState::Asking => continue,
-                ReportState::Silent => false,
-                ReportState::Answered(report) => report.layers.is_some(),
+                ReportState::Pending => continue,
+                ReportState::NoResponse => false,
+                ReportState::Received(report) => report.layers.is_some(),
             };
             if holds {
                 relay.beliefs.borrow_mut().quarantine.record_alive(&replica.instance);
             }
-            let probe = ProbeEnd { asked: now, holds };
+            let probe = ProbeOutcome { asked: now, holds };
             let known = self.probes.insert(replica.instance.clone(), probe);
             if known.is_none_or(|known| known.holds != holds) {
                 tracing::info!(event = "suspect-probed", replica = %replica.instance, holds);
@@ -451,7 +451,7 @@
 async fn carry_out(relay: &Relay, replica: &ReplicaEntry, order: &PlacementOrder) -> bool {
     let range = order.range;
     let (from, to) = (range.from, range.to);
-    let Some(report) = ask_report(relay, replica.address).await else {
+    let Some(report) = fetch_report(relay, replica.address).await else {
         tracing::warn!(event = "order-unsent", replica = %replica.instance, from, to, why = "no report");
         return false;
     };
@@ -478,8 +478,8 @@
         orders_taken = report.orders_taken,
         ?end,
     );
-    if end == OrderEnd::NotSent {
+    if end == OrderOutcome::NotSent {
         relay.suspect(&replica.instance, "order not sent");
     }
-    matches!(end, OrderEnd::Taken | OrderEnd::Unknown)
+    matches!(end, OrderOutcome::Taken | OrderOutcome::Unknown)
 }
--- a/crates/relay/src/plain.rs
+++ b/crates/relay/src/plain.rs
@@ -28,10 +28,10 @@
 use crate::{
     admit::{Permit, admit},
     counts::count,
-    limits::{GrantWait, want_grant},
-    notices::{SendGate, hear_notices, refusal_without_replica, soonest_end},
+    limits::{GrantWait, request_grant},
+    notices::{SendGate, apply_notices, min_send_wait, refusal_without_replica},
     pool::{ActiveConnection, SendError},
-    quarantine::{check_quarantine, note_result},
+    quarantine::{check_quarantine, record_result},
     request::{CallerRequest, ReplicaTarget},
     responses::{Refusal, RelayResponse, full_body},
     run_tracker::RunTracker,
@@ -188,11 +188,11 @@
     loop {
         if let Some(replica) = choose_replica(relay, permit, tried) {
             if grant_wait.is_none() {
-                want_grant(relay, service, *priority, untried);
+                request_grant(relay, service, *priority, untried);
             }
             return Some(replica);
         }
-        let left = soonest_end(&relay.beliefs.borrow(), service, *priority, untried)?;
+        let left = min_send_wait(&relay.beliefs.borrow(), service, *priority, untried)?;
         if now_millis() + left > end {
             return None;
         }
@@ -277,8 +277,8 @@
         match (next, report.reply) {
             (NextStep::PassOn, Some(reply)) => {
                 let took = now - request.arrived;
-                relay.metrics.note_head(&permit, took);
-                relay.metrics.note_end(&permit, took, None);
+                relay.metrics.record_head(&permit, took);
+                relay.metrics.record_end(&permit, took, None);
                 return Ok(pass_on(reply));
             }
             (NextStep::TryElsewhere, _) => {
@@ -338,7 +338,7 @@
             run.record_loss(relay, request, &report.detail);
             look_whether_there(relay, replica).await;
         }
-        AttemptEnd::Answered(_) => note_result(relay, request),
+        AttemptEnd::Answered(_) => record_result(relay, request),
         AttemptEnd::NotSent | AttemptEnd::Rejected => {}
     }
     if report.is_held_back {
@@ -399,7 +399,7 @@
     let begun = now_millis();
     let sent = relay.pool.send(target.replica.address, outgoing, fresh, || gate.pass()).await;
     if sent.as_ref().is_err_and(SendError::is_unsent) {
-        gate.note_unsent();
+        gate.record_unsent();
     }
     let (response, link) = match sent {
         Ok(sent) => sent,
@@ -417,7 +417,7 @@
     let (parts, body) = response.into_parts();
     let marks = read_response_headers(&parts.headers);
     let answer = request.received_response(&marks, parts.status, begun);
-    hear_notices(relay, &target.replica.instance, answer);
+    apply_notices(relay, &target.replica.instance, answer);
     if let Some(end) = end_from_headers(request, &marks, parts.status) {
         drain_rejection(relay, link, body, &marks).await;
         return AttemptReport::without_reply(end, format!("status {}", parts.status));
--- a/crates/relay/src/probes.rs
+++ b/crates/relay/src/probes.rs
@@ -21,7 +21,7 @@
 
 /// What a probe of a replica showed.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum ProbeEnd {
+pub enum ProbeOutcome {
     /// It answered.
     Reached,
     /// Its connection failed.
@@ -35,27 +35,31 @@
 /// Whether the silence of replicas that were probed together proves that they are lost. Those whose
 /// probes ended unclear count as silent here: counted by themselves, a relay that was late during some of the
 /// questions took the one or two others for lost, and moved streams off replicas that were well.
-pub fn silence_counts(ends: &[ProbeEnd]) -> bool {
-    let unanswered =
-        ends.iter().filter(|end| matches!(end, ProbeEnd::Silent | ProbeEnd::Unclear)).count();
+pub fn silence_is_conclusive(ends: &[ProbeOutcome]) -> bool {
+    let unanswered = ends
+        .iter()
+        .filter(|end| matches!(end, ProbeOutcome::Silent | ProbeOutcome::Unclear))
+        .count();
     unanswered <= (ends.len() / SILENT_ONE_IN).max(1)
 }
 
 /// Asks once, and again over a new connection where no answer came: a lost packet is sent again only
 /// after 200 ms, and a kept connection may be dead alone. `ask` is told whether the connection is to be new.
-pub async fn ask_twice<E: Display>(ask: impl AsyncFn(bool) -> Result<(), E>) -> ProbeEnd {
+pub async fn probe_with_retry<E: Display>(
+    ask: impl AsyncFn(bool) -> Result<(), E>,
+) -> ProbeOutcome {
     match ask_once(ask(false)).await {
-        ProbeEnd::Reached => ProbeEnd::Reached,
+        ProbeOutcome::Reached => ProbeOutcome::Reached,
         _ => ask_once(ask(true)).await,
     }
 }
 
-async fn ask_once<E: Display>(asking: impl Future<Output = Result<(), E>>) -> ProbeEnd {
+async fn ask_once<E: Display>(asking: impl Future<Output = Result<(), E>>) -> ProbeOutcome {
     let begun = Instant::now();
     match timeout(PROBE_TIME, asking).await {
-        Ok(Ok(())) => ProbeEnd::Reached,
-        Ok(Err(error)) => ProbeEnd::Refused(error.to_string()),
-        Err(_) if begun.elapsed() > PROBE_TIME + PROBE_LATE => ProbeEnd::Unclear,
-        Err(_) => ProbeEnd::Silent,
+        Ok(Ok(())) => ProbeOutcome::Reached,
+        Ok(Err(error)) => ProbeOutcome::Refused(error.to_string()),
+        Err(_) if begun.elapsed() > PROBE_TIME + PROBE_LATE => ProbeOutcome::Unclear,
+        Err(_) => ProbeOutcome::Silent,
     }
 }
--- a/crates/relay/src/quarantine.rs
+++ b/crates/relay/src/quarantine.rs
@@ -34,7 +34,7 @@
 };
 
 /// Time for which a request still is sent nowhere; nothing where it may be.
-pub fn quarantine_left(relay: &Relay, request: &CallerRequest) -> Option<Millis> {
+pub fn quarantine_remaining(relay: &Relay, request: &CallerRequest) -> Option<Millis> {
     relay.beliefs.borrow().quarantine.remaining(&request.fingerprint, now_millis())
 }
 
@@ -44,7 +44,7 @@
 ///
 /// Gives the refusal.
 pub fn check_quarantine(relay: &Relay, request: &CallerRequest) -> Result<(), Refusal> {
-    let Some(left) = quarantine_left(relay, request) else { return Ok(()) };
+    let Some(left) = quarantine_remaining(relay, request) else { return Ok(()) };
     count(&relay.counts.quarantined);
     tracing::warn!(
         event = "request-quarantined",
@@ -56,13 +56,13 @@
 }
 
 /// Notes that a replica is lost: found silent, refusing connections, or listed no more without having said that it leaves.
-pub fn note_ended(relay: &Relay, instance: &ReplicaInstance) {
+pub fn record_replica_loss(relay: &Relay, instance: &ReplicaInstance) {
     let change = relay.beliefs.borrow_mut().quarantine.record_crash(instance, now_millis());
-    take_change(relay, &change);
+    apply_change(relay, &change);
 }
 
 /// Notes that a replica gave a result of a request, and lives.
-pub fn note_result(relay: &Relay, request: &CallerRequest) {
+pub fn record_result(relay: &Relay, request: &CallerRequest) {
     let fingerprint = &request.fingerprint;
     let was_known = relay.beliefs.borrow_mut().quarantine.record_result(fingerprint, now_millis());
     if was_known {
@@ -72,7 +72,7 @@
 }
 
 /// Takes over what another relay tells of requests.
-pub fn hear_crashes(relay: &Relay, news: &StateNews, origin: UpdateOrigin, now: Millis) {
+pub fn merge_peer_crashes(relay: &Relay, news: &StateNews, origin: UpdateOrigin, now: Millis) {
     if news.crashes.is_empty() && news.cleared.is_empty() {
         return;
     }
@@ -88,14 +88,14 @@
         beliefs.quarantine.merge_cleared(&cleared.collect::<Vec<_>>(), tells_on, now);
         beliefs.quarantine.merge(crashes, is_member_news, now)
     };
-    take_change(relay, &change);
+    apply_change(relay, &change);
     if !change.quarantined.is_empty() {
         pass_on(relay, origin, now);
     }
 }
 
 /// Writes lines of requests that are sent nowhere from now on, and tells others at once where that matters.
-pub fn take_change(relay: &Relay, change: &QuarantineChange) {
+pub fn apply_change(relay: &Relay, change: &QuarantineChange) {
     for (fingerprint, weight) in &change.quarantined {
         count(&relay.counts.stopped_requests);
         tracing::warn!(event = "request-stopped", %fingerprint, weight, for_ms = QUARANTINE_TIME);
@@ -239,7 +239,7 @@
 }
 
 /// Tells the store again what this relay told it before it came back from a copy.
-pub fn write_again(relay: &Relay) {
+pub fn store_again(relay: &Relay) {
     relay.beliefs.borrow_mut().quarantine.reset_stored();
     relay.quarantine_bell.notify_one();
 }
@@ -302,7 +302,7 @@
         return;
     }
     let change = relay.beliefs.borrow_mut().quarantine.merge(told, true, now);
-    take_change(relay, &change);
+    apply_change(relay, &change);
 }
 
 impl StoredRequest {
--- a/crates/relay/src/reload.rs
+++ b/crates/relay/src/reload.rs
@@ -43,11 +43,11 @@
 
 /// What came of reading the settings file again.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum ReloadEnd {
+pub enum ReloadOutcome {
     /// A field is at fault: all settings stay as they were.
-    Kept,
+    Rejected,
     /// The bounds of the file are in force.
-    Taken {
+    Applied {
         /// Whether a bound changed.
         changed: bool,
         /// Whether something else changed that takes a restart.
@@ -56,12 +56,16 @@
 }
 
 /// Reads the settings file again, and puts its bounds in force where no field is at fault.
-pub fn reload(settings: &RelaySettings, bounds: &RefCell<BoundSettings>, file: &Path) -> ReloadEnd {
+pub fn reload(
+    settings: &RelaySettings,
+    bounds: &RefCell<BoundSettings>,
+    file: &Path,
+) -> ReloadOutcome {
     let read = match load_settings(file).map(RelaySettings::with_ranked_name) {
         Ok(read) => read,
         Err(error) => {
             tracing::error!(event = "reload-failed", %error);
-            return ReloadEnd::Kept;
+            return ReloadOutcome::Rejected;
         }
     };
     let needs_restart = read.listen != settings.listen
@@ -71,5 +75,5 @@
     let changed = read.bounds != *bounds.borrow();
     tracing::info!(event = "reload", changed, needs_restart);
     bounds.replace(read.bounds);
-    ReloadEnd::Taken { changed, needs_restart }
+    ReloadOutcome::Applied { changed, needs_restart }
 }
--- a/crates/relay/src/replicas.rs
+++ b/crates/relay/src/replicas.rs
@@ -19,7 +19,8 @@
 use tokio::task::spawn_local;
 
 use crate::{
-    counts::count, engines::answers, quarantine::note_ended, state::Relay, tell::tell_fleet,
+    counts::count, engines::is_reachable, quarantine::record_replica_loss, state::Relay,
+    tell::tell_fleet,
 };
 
 /// Takes over a whole list of the store, sent for at `sent`.
@@ -70,9 +71,9 @@
     let Some(address) = engine_address(relay, &id) else { return };
     let relay = relay.clone();
     spawn_local(async move {
-        let answers = answers(&relay, address).await;
+        let is_reachable = is_reachable(&relay, address).await;
         let still_missing = relay.beliefs.borrow().fleet.is_awaited(&id);
-        if !answers && still_missing {
+        if !is_reachable && still_missing {
             tell_and_take(&relay, vec![gone(id, at)], UpdateSource::Expiry);
         }
     });
@@ -216,7 +217,7 @@
     let Some(address) = *address else { return };
     ended.iter().for_each(|ended| {
         if !taken.is_planned {
-            note_ended(relay, ended);
+            record_replica_loss(relay, ended);
         }
         forget_life(relay, ended, address);
     });
--- a/crates/relay/src/request.rs
+++ b/crates/relay/src/request.rs
@@ -25,7 +25,7 @@
 use crate::{
     admit::{AdmissionRequest, Permit, admit},
     counts::count,
-    notices::HeardAnswer,
+    notices::ReplicaResponse,
     plain::run_plain,
     quarantine::check_quarantine,
     responses::{Refusal, RelayResponse},
@@ -95,8 +95,13 @@
         marks: &'a ResponseHeaders,
         status: StatusCode,
         sent: Millis,
-    ) -> HeardAnswer<'a> {
-        HeardAnswer { status, marks, sent, is_own: self.matches_response(marks) }
+    ) -> ReplicaResponse<'a> {
+        ReplicaResponse {
+            status,
+            headers: marks,
+            sent_at: sent,
+            is_own: self.matches_response(marks),
+        }
     }
 
     /// Tokens that it may hold: those of its prompt, and of its answer as far as they can be told.
@@ -181,7 +186,7 @@
         if plain {
             return;
         }
-        relay.metrics.note_attempt(end, next);
+        relay.metrics.record_attempt(end, next);
         tracing::warn!(
             event = "attempt-failed",
             request = self.headers.attempt_id,
@@ -208,7 +213,7 @@
         Ok(answer) => {
             let status = answer.status().as_u16();
             count(&relay.counts.answered);
-            relay.metrics.note_outcome(status, "answered");
+            relay.metrics.record_outcome(status, "answered");
             tracing::info!(
                 event = "answered",
                 request = id,
@@ -312,7 +317,7 @@
         503 => count(&relay.counts.refused),
         _ => count(&relay.counts.failed),
     }
-    relay.metrics.note_outcome(status, &refusal.to_string());
+    relay.metrics.record_outcome(status, &refusal.to_string());
     let config = relay.config().map_or(0, |config| config.version);
     let config_age = relay.beliefs.borrow().config_lease.age(now_millis());
     tracing::warn!(
--- a/crates/relay/src/heads.rs
+++ b/crates/relay/src/response_head.rs
@@ -34,18 +34,18 @@
 const LOOK_EVERY: Duration = Duration::from_millis(50);
 
 /// An answer's head, and the connection that it came on.
-pub type Sent = (Response<Incoming>, ActiveConnection);
+pub type ReceivedHead = (Response<Incoming>, ActiveConnection);
 
 /// A request that waits for the head of its answer, as its first replica is watched; dropping it ends that.
 #[derive(Debug)]
-pub struct HeadGuard {
+pub struct PendingHead {
     relay: Rc<Relay>,
     instance: ReplicaInstance,
     sent: Millis,
     is_answered: bool,
 }
 
-impl HeadGuard {
+impl PendingHead {
     /// Notes that a request is sent.
     pub fn new(relay: &Rc<Relay>, instance: &ReplicaInstance) -> Self {
         let sent = now_millis();
@@ -64,7 +64,7 @@
     }
 }
 
-impl Drop for HeadGuard {
+impl Drop for PendingHead {
     fn drop(&mut self) {
         if !self.is_answered {
             self.relay.beliefs.borrow_mut().heads.record_abandoned(&self.instance);
@@ -74,13 +74,13 @@
 
 /// Why no head came.
 #[derive(Debug)]
-pub enum WaitEnd {
+pub enum HeadError {
     /// The connection failed.
     Send(SendError),
     /// The path is left.
     Stalled(String),
     /// The request's time is up.
-    TimeUp,
+    DeadlinePassed,
 }
 
 /// A request that waits for the head of its answer.
@@ -106,8 +106,8 @@
     /// Tells why there is none.
     pub async fn run(
         &self,
-        sending: impl Future<Output = Result<Sent, SendError>>,
-    ) -> Result<Sent, WaitEnd> {
+        sending: impl Future<Output = Result<ReceivedHead, SendError>>,
+    ) -> Result<ReceivedHead, HeadError> {
         let begun = Instant::now();
         tokio::pin!(sending);
         let mut look_at = Instant::now() + PROBE_HEAD;
@@ -120,7 +120,7 @@
             };
             tokio::select! {
                 sent = sending.as_mut() => {
-                    return sent.map_err(WaitEnd::Send);
+                    return sent.map_err(HeadError::Send);
                 }
                 left = looked => left?,
             }
@@ -139,9 +139,9 @@
     }
 
     /// Looks at the path of a request that has waited for a while.
-    async fn look(&self, waited: Duration) -> Result<(), WaitEnd> {
+    async fn look(&self, waited: Duration) -> Result<(), HeadError> {
         if self.request.time_remaining(now_millis()) == 0 {
-            return Err(WaitEnd::TimeUp);
+            return Err(HeadError::DeadlinePassed);
         }
         self.look_at_parts()?;
         self.leave_mute(waited)?;
@@ -154,19 +154,19 @@
         if let Some(faulty_replica) = find_stalled_replica(self.relay, first, id).await {
             let detail = suspect_at(self.relay, faulty_replica, "stalled");
             if self.is_repeatable() {
-                return Err(WaitEnd::Stalled(detail));
+                return Err(HeadError::Stalled(detail));
             }
         }
         let late = reroute_after(self.permit.route.objective);
         match waited.as_millis() as Millis > late && self.has_another() {
-            true => Err(WaitEnd::Stalled("no answer for long".to_owned())),
+            true => Err(HeadError::Stalled("no answer for long".to_owned())),
             false => Ok(()),
         }
     }
 
     /// Leaves a first replica that begins no answers, and tells others of it. What another relay found ends the wait
     /// as well, where another try is possible.
-    fn leave_mute(&self, waited: Duration) -> Result<(), WaitEnd> {
+    fn leave_mute(&self, waited: Duration) -> Result<(), HeadError> {
         let now = now_millis();
         let instance = &self.path[0].instance;
         let silent_after = {
@@ -181,14 +181,14 @@
         let is_mute = self.relay.beliefs.borrow().heads.is_stalled(instance, now);
         let has_waited = waited.as_millis() as Millis >= silent_after;
         match is_mute && has_waited && self.has_another() {
-            true => Err(WaitEnd::Stalled("begins no answers".to_owned())),
+            true => Err(HeadError::Stalled("begins no answers".to_owned())),
             false => Ok(()),
         }
     }
 
     /// Leaves a path with a lost replica. A request without another send leaves only on this relay's own
     /// evidence: what another one heard may be a fault of its link.
-    fn look_at_parts(&self) -> Result<(), WaitEnd> {
+    fn look_at_parts(&self) -> Result<(), HeadError> {
         let now = now_millis();
         let is_lost = |part: &&PathStage| self.relay.part_state(part) == PartState::Lost;
         let Some(lost) = self.path.iter().find(is_lost) else { return Ok(()) };
@@ -198,7 +198,7 @@
         drop(beliefs);
         if self.has_another() || (own && self.is_repeatable()) {
             let detail = format!("a replica of the path is lost ({})", lost.instance);
-            return Err(WaitEnd::Stalled(detail));
+            return Err(HeadError::Stalled(detail));
         }
         Ok(())
     }
--- a/crates/relay/src/run.rs
+++ b/crates/relay/src/run.rs
@@ -27,8 +27,8 @@
     copies::write_after_copies,
     counts::Counts,
     engines::ReportCache,
-    limits::keep_limits,
-    logs::lines_left_out,
+    limits::exchange_grants,
+    logs::dropped_lines,
     metrics::RelayMetrics,
     peers::talk,
     placer::place_layers,
@@ -137,7 +137,7 @@
     spawn_local(follow_quarantine(relay.clone()));
     spawn_local(store_quarantine(relay.clone()));
     spawn_local(write_after_copies(relay.clone()));
-    spawn_local(keep_limits(relay.clone()));
+    spawn_local(exchange_grants(relay.clone()));
     spawn_local(place_layers(relay.clone()));
     spawn_local(survey_engines(relay.clone()));
     spawn_local(serve_readiness(relay.clone(), sockets.readiness));
@@ -308,6 +308,6 @@
         in_flight = relay.stop.in_flight(),
         idle_links = relay.pool.idle_count(),
         replicas = relay.beliefs.borrow().fleet.view.len(),
-        lines_left_out = lines_left_out(),
+        lines_left_out = dropped_lines(),
     );
 }
--- a/crates/relay/src/run_tracker.rs
+++ b/crates/relay/src/run_tracker.rs
@@ -16,7 +16,7 @@
 
 use crate::{
     counts::count,
-    quarantine::{note_result, take_change},
+    quarantine::{apply_change, record_result},
     request::CallerRequest,
     state::Relay,
 };
@@ -60,7 +60,7 @@
         *events += 1;
         let ran_for = begun.map_or(0, |begun| now_millis().saturating_sub(begun));
         if ran_for >= SURVIVAL_TIME && !replace(&mut self.is_proven, true) {
-            note_result(relay, request);
+            record_result(relay, request);
         }
     }
 
@@ -92,6 +92,6 @@
             let mut beliefs = relay.beliefs.borrow_mut();
             beliefs.quarantine.record_lost(request.fingerprint, &run, now)
         };
-        take_change(relay, &change);
+        apply_change(relay, &change);
     }
 }
--- a/crates/relay/src/settings.rs
+++ b/crates/relay/src/settings.rs
@@ -99,7 +99,7 @@
     }
 
     /// Time after which no state of the store may be acted on that is older.
-    pub fn old_state(&self) -> Millis {
+    pub fn max_state_age(&self) -> Millis {
         self.drain_ms.min(self.config_apply_ms).floor() as Millis
     }
 
--- a/crates/relay/src/state.rs
+++ b/crates/relay/src/state.rs
@@ -43,7 +43,7 @@
     metrics::RelayMetrics,
     plain::ServiceLoads,
     pool::ConnectionPool,
-    quarantine::note_ended,
+    quarantine::record_replica_loss,
     registry::PeerAddress,
     settings::{BoundSettings, RelaySettings},
     shutdown::ShutdownState,
@@ -256,7 +256,7 @@
     /// Keeps away from a replica for a while.
     pub fn suspect(&self, instance: &ReplicaInstance, why: &str) {
         let now = now_millis();
-        note_ended(self, instance);
+        record_replica_loss(self, instance);
         let until = self.beliefs.borrow_mut().suspects.record_failure(instance, now);
         if let Some(until) = until {
             self.raise_alarm();
--- a/crates/relay/src/stream.rs
+++ b/crates/relay/src/stream.rs
@@ -23,13 +23,13 @@
     counts::count,
     engines::{ReportState, probe_replicas, recent_report},
     forward::stream_body,
-    heads::{HeadGuard, HeadWait, Sent, WaitEnd},
-    notices::{SendGate, hear_notices, refusal_without_replica},
+    notices::{SendGate, apply_notices, refusal_without_replica},
     paths::{PathCriteria, PathReservation, can_start_path, wait_for_path},
     plain::{drain_rejection, end_from_headers},
     pool::{ActiveConnection, SendError},
-    quarantine::{check_quarantine, note_result},
+    quarantine::{check_quarantine, record_result},
     request::{CallerRequest, ReplicaTarget},
+    response_head::{HeadError, HeadWait, PendingHead, ReceivedHead},
     responses::{Refusal, RelayResponse, full_body},
     run_tracker::RunTracker,
     shutdown::InFlightGuard,
@@ -197,30 +197,30 @@
     let outgoing = request.to_replica(permit, &target);
     let fresh = !permit.route.is_repeatable();
     let mut run = RunTracker::over_path(&path);
-    let head = HeadGuard::new(relay, &first.instance);
+    let head = PendingHead::new(relay, &first.instance);
     let begun = now_millis();
     let sent = {
         let gate = SendGate::new(relay, &first.instance, permit.priority);
         let sending = relay.pool.send(first.address, outgoing, fresh, || gate.pass());
         let wait = HeadWait { relay, request, permit, earlier_sends: tried.sends, path: &path };
         let sent = wait.run(sending).await;
-        if matches!(&sent, Err(WaitEnd::Send(error)) if error.is_unsent()) {
-            gate.note_unsent();
+        if matches!(&sent, Err(HeadError::Send(error)) if error.is_unsent()) {
+            gate.record_unsent();
         }
         sent
     };
     let sent = match sent {
         Ok(sent) => sent,
-        Err(WaitEnd::Send(SendError::NotSent { detail })) => {
+        Err(HeadError::Send(SendError::NotSent { detail })) => {
             relay.suspect(&first.instance, &detail);
             tried.avoid.push(first.instance);
             return Some(OpenOutcome::Failed(AttemptEnd::NotSent, detail));
         }
-        Err(WaitEnd::Send(error @ SendError::Throttled { .. })) => {
+        Err(HeadError::Send(error @ SendError::Throttled { .. })) => {
             tried.avoid.push(first.instance);
             return Some(OpenOutcome::Failed(AttemptEnd::NotSent, error.to_string()));
         }
-        Err(WaitEnd::Send(SendError::NoResponse { detail })) => {
+        Err(HeadError::Send(SendError::NoResponse { detail })) => {
             // Not a reason to keep others away: an answer that is garbled or cut says little of the next.
             // A replica that is gone shows in a probe.
             probe_replicas(relay, std::iter::once(first.address));
@@ -229,13 +229,13 @@
             tried.avoid.push(first.instance);
             return Some(OpenOutcome::Failed(AttemptEnd::Broken, detail));
         }
-        Err(WaitEnd::Stalled(detail)) => {
+        Err(HeadError::Stalled(detail)) => {
             run.record_loss(relay, request, &detail);
             tried.sends += 1;
             tried.avoid.push(first.instance);
             return Some(OpenOutcome::Failed(AttemptEnd::Broken, detail));
         }
-        Err(WaitEnd::TimeUp) => {
+        Err(HeadError::DeadlinePassed) => {
             tried.sends += 1;
             return Some(OpenOutcome::Failed(AttemptEnd::Broken, "time is up".to_owned()));
         }
@@ -252,9 +252,9 @@
     attempt_id: &str,
 ) -> Option<SocketAddr> {
     let report = match recent_report(relay, first).await {
-        ReportState::Asking => return None,
-        ReportState::Silent => return Some(first),
-        ReportState::Answered(report) => report,
+        ReportState::Pending => return None,
+        ReportState::NoResponse => return Some(first),
+        ReportState::Received(report) => report,
     };
     let own = report.stalled.iter().find(|stalled| stalled.attempt_id == attempt_id);
     own.and_then(|stalled| stalled.faulty_replica)
@@ -292,13 +292,13 @@
     request: &CallerRequest,
     tried: &mut SendHistory,
     first: ReplicaEntry,
-    (response, link): Sent,
+    (response, link): ReceivedHead,
     sent: SentRun,
 ) -> OpenOutcome {
     let SentRun { path, room, mut run, begun } = sent;
     let (head, body) = response.into_parts();
     let marks = read_response_headers(&head.headers);
-    hear_notices(relay, &first.instance, request.received_response(&marks, head.status, begun));
+    apply_notices(relay, &first.instance, request.received_response(&marks, head.status, begun));
     if let Some(end) = end_from_headers(request, &marks, head.status) {
         note_rejection(relay, tried, &marks, &first, head.status).await;
         match end {
@@ -317,7 +317,7 @@
     }
     let end = read_whole(relay, head, body, link, &marks).await;
     if matches!(end, OpenOutcome::Answered(_) | OpenOutcome::Failed(AttemptEnd::Answered(_), _)) {
-        note_result(relay, request);
+        record_result(relay, request);
     }
     end
 }
@@ -349,15 +349,15 @@
     }
     if marks.faulty_replica.is_some() && status == StatusCode::SERVICE_UNAVAILABLE {
         match recent_report(relay, faulty_replica).await {
-            ReportState::Asking => {}
-            ReportState::Silent => relay.suspect(&instance, "rejected and silent"),
-            ReportState::Answered(report) if report.layers.is_none() => {
+            ReportState::Pending => {}
+            ReportState::NoResponse => relay.suspect(&instance, "rejected and silent"),
+            ReportState::Received(report) if report.layers.is_none() => {
                 relay.suspect(&instance, "rejected and empty");
             }
-            ReportState::Answered(report) if report.kv_used > report.kv_total * FULL => {
+            ReportState::Received(report) if report.kv_used > report.kv_total * FULL => {
                 relay.note_full(&instance);
             }
-            ReportState::Answered(_) => {}
+            ReportState::Received(_) => {}
         }
     }
     tried.avoid.push(instance);
@@ -400,7 +400,7 @@
     in_flight: InFlightGuard,
 ) -> RelayResponse {
     let took = now_millis() - request.arrived;
-    relay.metrics.note_head(&permit, took);
+    relay.metrics.record_head(&permit, took);
     let mut head = stream.head.clone();
     strip_hop_headers(&mut head.headers);
     let body = stream_body(relay.clone(), request, permit, tried, stream, in_flight);
--- a/crates/relay/src/survey.rs
+++ b/crates/relay/src/survey.rs
@@ -11,7 +11,7 @@
 use tokio::time::sleep;
 
 use crate::{
-    engines::ask_report,
+    engines::fetch_report,
     settings::RelaySettings,
     state::Relay,
     tell::{TellReach, tell_state},
@@ -73,7 +73,7 @@
     let address =
         relay.beliefs.borrow().fleet.view.get_current(engine).map(|replica| replica.address);
     let Some(address) = address else { return };
-    let Some(report) = ask_report(relay, address).await else { return };
+    let Some(report) = fetch_report(relay, address).await else { return };
     let changed = relay.beliefs.borrow_mut().paces.record(engine, report.slowdown, now_millis());
     if changed {
         tracing::info!(event = "engine-pace", replica = %engine, factor = report.slowdown);
--- a/crates/relay/src/tell.rs
+++ b/crates/relay/src/tell.rs
@@ -19,7 +19,7 @@
 
 use crate::{
     counts::count,
-    limits::{keeps_limits, limits_to_tell},
+    limits::{can_coordinate_limits, limits_to_share},
     news::{
         CrashRecord, FleetNews, InstanceRecord, LoadNews, LoadRecord, PeerMessage, ReplicaRecord,
         ReportRecord, StateNews, encode_state,
@@ -191,7 +191,7 @@
     let mut news = compose_state(relay, UpdateAudience::Speakers, now);
     let beliefs = relay.beliefs.borrow();
     let round = (now / TELL_EVERY.as_millis() as Millis) as usize;
-    let limits = [false, true].map(|near| limits_to_tell(&beliefs, near, round, now));
+    let limits = [false, true].map(|near| limits_to_share(&beliefs, near, round, now));
     let members = beliefs.peers.member_hashes(now);
     let gathered = LoadNews::Gathered(gathered_load(&beliefs, now));
     for (peer, parts) in due {
@@ -214,7 +214,7 @@
     let mut news = compose_state(relay, UpdateAudience::Members, now);
     let beliefs = relay.beliefs.borrow();
     let round = (now / TELL_EVERY.as_millis() as Millis) as usize;
-    news.limits = limits_to_tell(&beliefs, true, round, now);
+    news.limits = limits_to_share(&beliefs, true, round, now);
     news.keepers = beliefs.peers.coordinator_hashes(now);
     if news.keeps_limits {
         news.keepers.push(name_hash(&relay.settings.name));
@@ -299,7 +299,7 @@
         config_version: beliefs.config_version(),
         config_age: beliefs.config_lease.age(now),
         config_answer_age: beliefs.config_lease.answer_age(now),
-        keeps_limits: keeps_limits(relay, &beliefs, now),
+        keeps_limits: can_coordinate_limits(relay, &beliefs, now),
         is_member: beliefs.peers.is_member(),
         paces: paces.map(|(instance, factor)| (instance.into(), (factor * 100.0) as u32)).collect(),
         mutes: mutes.map(|(instance, left)| (instance.into(), left as u32)).collect(),
--- a/crates/relay/src/watch.rs
+++ b/crates/relay/src/watch.rs
@@ -134,7 +134,7 @@
 async fn follow(relay: Rc<Relay>, followed: Followed) {
     let times = {
         let bounds = relay.bounds.borrow();
-        followed.times.within_bounds(bounds.contact(), bounds.old_state())
+        followed.times.within_bounds(bounds.contact(), bounds.max_state_age())
     };
     let platform = relay.settings.platform.to_string();
     let lists = Duration::from_millis(times.list_timeout);
--- a/crates/relay/tests/probes.rs
+++ b/crates/relay/tests/probes.rs
@@ -3,10 +3,10 @@
 use std::{future::pending, time::Duration};
 
 use futures_util::future::join_all;
-use switchfold_relay::probes::{PROBE_TIME, ProbeEnd, ask_twice, silence_counts};
+use switchfold_relay::probes::{PROBE_TIME, ProbeOutcome, probe_with_retry, silence_is_conclusive};
 use tokio::time::{advance, sleep};
 
-use ProbeEnd::{Reached, Refused, Silent, Unclear};
+use ProbeOutcome::{Reached, Refused, Silent, Unclear};
 
 #[test]
 fn silence_counts_where_few_are_without_an_answer() {
@@ -23,18 +23,18 @@
         (vec![refused(), refused(), refused(), Silent], true),
     ];
     for (ends, counts) in rows {
-        assert_eq!(silence_counts(&ends), counts, "{ends:?}");
+        assert_eq!(silence_is_conclusive(&ends), counts, "{ends:?}");
     }
 }
 
 /// A replica that never answers; the first question fails at once where its kept connection is dead, so
 /// that its second one begins earlier than those of the others.
-async fn probe_silent(kept_is_dead: bool) -> ProbeEnd {
+async fn probe_silent(kept_is_dead: bool) -> ProbeOutcome {
     let ask = async |fresh: bool| match kept_is_dead && !fresh {
         true => Err("reset"),
         false => pending().await,
     };
-    ask_twice(ask).await
+    probe_with_retry(ask).await
 }
 
 /// A relay that stands still while the probes of a path are out, so that some end unclear and one does
@@ -49,5 +49,5 @@
     };
     let (ends, ()) = tokio::join!(probing, standing_still);
     assert_eq!(ends, [Unclear, Unclear, Unclear, Silent]);
-    assert!(!silence_counts(&ends));
+    assert!(!silence_is_conclusive(&ends));
 }
--- a/crates/relay/tests/settings.rs
+++ b/crates/relay/tests/settings.rs
@@ -5,7 +5,7 @@
 use serde_json::{Value, json};
 use switchfold_kernel::settings::{SettingsError, parse_settings};
 use switchfold_relay::{
-    reload::{ReloadEnd, reload},
+    reload::{ReloadOutcome, reload},
     settings::RelaySettings,
 };
 
@@ -129,9 +129,9 @@
     let file = std::env::temp_dir().join(format!("switchfold-reload-{}.json", std::process::id()));
     let changed = EXAMPLE.replace("\"grace_s\": 8", "\"grace_s\": 6.5");
     let rows = [
-        (changed.replace("0.2,", "-1,"), ReloadEnd::Kept, 8_000),
-        ("{".to_owned(), ReloadEnd::Kept, 8_000),
-        (changed, ReloadEnd::Taken { changed: true, needs_restart: false }, 6_500),
+        (changed.replace("0.2,", "-1,"), ReloadOutcome::Rejected, 8_000),
+        ("{".to_owned(), ReloadOutcome::Rejected, 8_000),
+        (changed, ReloadOutcome::Applied { changed: true, needs_restart: false }, 6_500),
     ];
     for (text, end, grace) in rows {
         fs::write(&file, &text).expect("a file");
