--- a/crates/agent/src/admin.rs
+++ b/crates/agent/src/admin.rs
@@ -9,7 +9,7 @@
 use tokio::net::TcpListener;
 use xtra::Address;
 
-use crate::service::{GateReading, GateService, ReadCounts};
+use crate::service::{GateService, GateStatus, ReadCounts};
 
 /// Serves until the signal is raised.
 pub(crate) async fn serve_admin(
@@ -38,7 +38,7 @@
 }
 
 /// Counters as Prometheus text.
-pub fn render(reading: &GateReading) -> String {
+pub fn render(reading: &GateStatus) -> String {
     let counts = &reading.counts;
     let counters = [
         ("admitted", counts.admitted),
--- a/crates/agent/src/calls.rs
+++ b/crates/agent/src/calls.rs
@@ -9,7 +9,7 @@
 use xtra::Address;
 
 use crate::{
-    gate::{CallEnd, ServiceCall},
+    gate::{CallOutcome, ServiceCall},
     service::{CallEnded, GateService},
 };
 
@@ -50,14 +50,14 @@
         });
     }
 
-    async fn call(&self, call: &ServiceCall) -> CallEnd {
+    async fn call(&self, call: &ServiceCall) -> CallOutcome {
         let Ok(request) = self.request(call) else {
-            return CallEnd::NotSent;
+            return CallOutcome::NotSent;
         };
         match self.http.call(request).await {
             Ok(answer) => answered(answer),
-            Err(CallError::NotConnected { .. }) => CallEnd::NotSent,
-            Err(CallError::NoResponse { .. }) => CallEnd::Unclear,
+            Err(CallError::NotConnected { .. }) => CallOutcome::NotSent,
+            Err(CallError::NoResponse { .. }) => CallOutcome::Unknown,
         }
     }
 
@@ -76,13 +76,13 @@
     }
 }
 
-fn answered(answer: FullResponse) -> CallEnd {
+fn answered(answer: FullResponse) -> CallOutcome {
     let kept =
         answer.headers.iter().filter(|(name, _)| !CONNECTION_HEADERS.contains(&name.as_str()));
     let headers = kept.filter_map(|(name, value)| {
         Some(Header { name: name.to_string(), value: value.to_str().ok()?.to_owned() })
     });
-    CallEnd::Answered {
+    CallOutcome::Responded {
         status: answer.status.as_u16().into(),
         headers: headers.collect(),
         body: answer.body,
--- a/crates/agent/src/engine.rs
+++ b/crates/agent/src/engine.rs
@@ -16,8 +16,8 @@
 
 use crate::{
     AgentError,
-    gate::{EngineShape, GateEndpoint},
-    service::{EngineLost, EngineOutputs, EngineReady, EngineReloaded, EngineWork, GateService},
+    gate::{EngineDescription, GateEndpoint},
+    service::{EngineCommand, EngineLost, EngineOutputs, EngineReady, EngineReloaded, GateService},
 };
 
 /// Outputs that go to the gate in one message at most.
@@ -39,8 +39,8 @@
     Ok((client, GateEndpoint::Engine(shape)))
 }
 
-fn engine_shape(description: Description) -> Result<EngineShape, switchfold_core::Error> {
-    Ok(EngineShape {
+fn engine_shape(description: Description) -> Result<EngineDescription, switchfold_core::Error> {
+    Ok(EngineDescription {
         layers: LayerRange::new(description.first_layer, description.end_layer)?,
         model: description.model,
         max_batch: description.max_batch,
@@ -84,19 +84,19 @@
 }
 
 async fn feed_engine(
-    mut queue: mpsc::UnboundedReceiver<EngineWork>,
+    mut queue: mpsc::UnboundedReceiver<EngineCommand>,
     steps: mpsc::UnboundedSender<StepInput>,
     mut client: EngineClient<Channel>,
     gate: &Address<GateService>,
 ) {
     while let Some(work) = queue.recv().await {
         match work {
-            EngineWork::Step(step) => {
+            EngineCommand::Step(step) => {
                 if steps.send(step).is_err() {
                     return;
                 }
             }
-            EngineWork::Load(order) => load(&mut client, order, gate).await,
+            EngineCommand::Load(order) => load(&mut client, order, gate).await,
         }
     }
 }
--- a/crates/agent/src/gate/action.rs
+++ b/crates/agent/src/gate/action.rs
@@ -52,13 +52,13 @@
         body: Body,
     },
     /// Give the engine a step.
-    Run(StepInput),
+    RunStep(StepInput),
     /// Tell the engine that a request's cache is free.
     ReleaseCache(RequestId),
     /// Call the plain service.
-    Call(ServiceCall),
+    CallService(ServiceCall),
     /// Give the engine an order to load.
-    Load(Assignment),
+    LoadLayers(Assignment),
 }
 
 impl GateAction {
--- a/crates/agent/src/gate/calls.rs
+++ b/crates/agent/src/gate/calls.rs
@@ -10,9 +10,9 @@
 
 /// How a call of the service ended.
 #[derive(Clone, Debug)]
-pub enum CallEnd {
+pub enum CallOutcome {
     /// It answered.
-    Answered {
+    Responded {
         /// Status code.
         status: u32,
         /// Headers.
@@ -23,7 +23,7 @@
     /// No connection was made: nothing was sent.
     NotSent,
     /// Something was sent, and no whole answer came.
-    Unclear,
+    Unknown,
 }
 
 impl GateState {
@@ -40,7 +40,7 @@
         }
         self.counts.admitted += 1;
         self.calls.insert(id, entry.clone());
-        vec![GateAction::Call(ServiceCall {
+        vec![GateAction::CallService(ServiceCall {
             request: id,
             attempt: call.attempt,
             entry: entry.clone(),
@@ -52,11 +52,11 @@
     }
 
     /// Notes how a call ended.
-    pub fn on_call_end(&mut self, call: &ServiceCall, end: CallEnd) -> Vec<GateAction> {
+    pub fn on_call_outcome(&mut self, call: &ServiceCall, end: CallOutcome) -> Vec<GateAction> {
         self.calls.remove(&call.request);
         self.ledger.finish(call.request);
         let action = match end {
-            CallEnd::Answered { status, headers, body } => {
+            CallOutcome::Responded { status, headers, body } => {
                 let answer = link::CallAnswer {
                     request: Some(call.request.into()),
                     attempt: call.attempt,
@@ -66,11 +66,11 @@
                 };
                 GateAction::to_entry(&call.entry, Body::CallAnswer(answer))
             }
-            CallEnd::NotSent => {
+            CallOutcome::NotSent => {
                 let reason = RefusalReason::EndpointUnreached;
                 self.call_refusal(&call.entry, call.request, call.attempt, reason)
             }
-            CallEnd::Unclear => {
+            CallOutcome::Unknown => {
                 let reason = RefusalReason::EndpointFailed;
                 self.call_refusal(&call.entry, call.request, call.attempt, reason)
             }
@@ -83,7 +83,7 @@
             GateEndpoint::Service { name, .. } if *name == call.service => {}
             _ => return Err(RefusalReason::WrongModel),
         }
-        let slots = self.config.open_slots();
+        let slots = self.config.unreserved_slots();
         self.admit(id, call.attempt, call.once, slots)
     }
 
--- a/crates/agent/src/gate/config.rs
+++ b/crates/agent/src/gate/config.rs
@@ -4,7 +4,7 @@
 
 /// An engine, as it describes itself.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct EngineShape {
+pub struct EngineDescription {
     /// Model that it holds.
     pub model: String,
     /// Layers that it holds.
@@ -21,7 +21,7 @@
     pub accelerator: String,
 }
 
-impl EngineShape {
+impl EngineDescription {
     /// Microseconds of a full batch.
     pub fn step_micros(&self) -> u32 {
         self.fixed_micros + self.item_micros * self.max_batch
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum GateEndpoint {
     /// A model engine.
-    Engine(EngineShape),
+    Engine(EngineDescription),
     /// A plain service.
     Service {
         /// Name under which callers know it.
@@ -79,7 +79,7 @@
     /// Requests that may begin here, by memory; the rest of the slots is for replacing lost stages.
     ///
     /// A service has no stages to replace.
-    pub fn open_slots(&self) -> u32 {
+    pub fn unreserved_slots(&self) -> u32 {
         let slots = self.endpoint.slots();
         match self.endpoint {
             GateEndpoint::Engine(_) => {
@@ -90,11 +90,11 @@
     }
 
     /// Bounds of the window on requests that begin here.
-    pub fn window(&self) -> WindowConfig {
+    pub fn window_config(&self) -> WindowConfig {
         match &self.endpoint {
             GateEndpoint::Engine(shape) => WindowConfig {
                 max_batch: shape.max_batch,
-                max_requests: self.open_slots(),
+                max_requests: self.unreserved_slots(),
                 target_hundredths: self.target_hundredths,
             },
             GateEndpoint::Service { slots, .. } => {
--- a/crates/agent/src/gate/mod.rs
+++ b/crates/agent/src/gate/mod.rs
@@ -24,8 +24,8 @@
 };
 
 pub use action::{EntryKey, GateAction, ServiceCall};
-pub use calls::CallEnd;
-pub use config::{EngineShape, GateConfig, GateEndpoint};
+pub use calls::CallOutcome;
+pub use config::{EngineDescription, GateConfig, GateEndpoint};
 pub use counts::GateCounts;
 use request::RequestState;
 
@@ -75,7 +75,7 @@
     /// Makes the state of an agent that has just started.
     pub fn new(config: GateConfig) -> Self {
         let ledger = LedgerConfig { capacity: config.ledger_capacity, ..LedgerConfig::default() };
-        let window = SlotWindow::new(config.window());
+        let window = SlotWindow::new(config.window_config());
         Self {
             window,
             config,
@@ -117,7 +117,7 @@
     }
 
     /// Notes that this process was told to stop.
-    pub fn drain_self(&mut self) -> Vec<GateAction> {
+    pub fn begin_drain(&mut self) -> Vec<GateAction> {
         self.own_drain = true;
         self.make_offers()
     }
@@ -132,7 +132,7 @@
         self.endpoint_up = true;
         if self.config.endpoint != endpoint {
             self.config.endpoint = endpoint;
-            self.window = SlotWindow::new(self.config.window());
+            self.window = SlotWindow::new(self.config.window_config());
         }
     }
 
@@ -143,13 +143,13 @@
     }
 
     /// Notes that an entry opened its link.
-    pub fn entry_opened(&mut self, entry: EntryKey) -> Vec<GateAction> {
+    pub fn entry_connected(&mut self, entry: EntryKey) -> Vec<GateAction> {
         self.entries.insert(entry, EntryState::default());
         self.make_offers()
     }
 
     /// Notes that an entry's link ended: what it had in flight here is released.
-    pub fn entry_closed(&mut self, entry: &EntryKey) -> Vec<GateAction> {
+    pub fn entry_disconnected(&mut self, entry: &EntryKey) -> Vec<GateAction> {
         self.entries.remove(entry);
         let owned = self.requests.iter().filter(|(_, state)| state.entry == *entry);
         let owned: Vec<RequestId> = owned.map(|(id, _)| *id).collect();
@@ -182,7 +182,7 @@
     }
 
     /// Notes that the link to another stage ended.
-    pub fn stage_lost(&mut self, address: &str) -> Vec<GateAction> {
+    pub fn stage_disconnected(&mut self, address: &str) -> Vec<GateAction> {
         let mut actions = Vec::new();
         for (id, state) in &self.requests {
             if state.sends_to(address) {
@@ -320,7 +320,7 @@
             return Vec::new();
         }
         self.plan_version = assignment.plan_version;
-        vec![GateAction::Load(assignment)]
+        vec![GateAction::LoadLayers(assignment)]
     }
 
     fn on_void(&mut self, entry: &EntryKey, void: link::Void) -> Vec<GateAction> {
--- a/crates/agent/src/gate/steps.rs
+++ b/crates/agent/src/gate/steps.rs
@@ -195,7 +195,7 @@
         let is_replacement = pipeline.stages()[place].joined_attempt > route.lineage;
         let slots = match is_replacement {
             true => self.config.endpoint.slots(),
-            false => self.config.open_slots(),
+            false => self.config.unreserved_slots(),
         };
         self.admit(id, attempt, route.once, slots)?;
         self.counts.admitted += 1;
@@ -272,7 +272,7 @@
             input.want_token = state.is_last();
             state.running.push_back(RunningStep { inputs, resend: step.view.resend });
         }
-        GateAction::Run(input)
+        GateAction::RunStep(input)
     }
 
     fn repeat(&mut self, id: RequestId, resend: u32) -> Vec<GateAction> {
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -16,7 +16,7 @@
     engine::{describe_engine, keep_engine},
     gate::{GateConfig, GateEndpoint},
     links::{StageConnector, TaskGroup, read_link},
-    service::{DrainSelf, GATE, GateService, Introduce, OfferTick},
+    service::{BeginDrain, GATE, GateService, GateTick, SetAddress},
     settings::AgentSettings,
 };
 
@@ -117,7 +117,7 @@
         ServiceCaller::new(service.address.clone(), Duration::from_millis(service.call_ms))
     });
     let gate = xtra::spawn_tokio(GateService::new(config, caller, connector), Mailbox::unbounded());
-    let _just_started = gate.send(Introduce(gate.clone())).await;
+    let _just_started = gate.send(SetAddress(gate.clone())).await;
     gate
 }
 
@@ -125,7 +125,7 @@
     let mut ticks = tokio::time::interval(interval);
     loop {
         ticks.tick().await;
-        if gate.send(OfferTick).await.is_err() {
+        if gate.send(GateTick).await.is_err() {
             return;
         }
     }
@@ -139,7 +139,7 @@
 async fn drain(gate: &Address<GateService>, shutdown: &ShutdownSignal) {
     shutdown.raised().await;
     let work = ShutdownSignal::new();
-    if gate.send(DrainSelf(work.guard())).await.is_ok() {
+    if gate.send(BeginDrain(work.guard())).await.is_ok() {
         work.drained().await;
     }
     sleep(LINGER).await;
--- a/crates/agent/src/service.rs
+++ b/crates/agent/src/service.rs
@@ -17,7 +17,8 @@
 use crate::{
     calls::ServiceCaller,
     gate::{
-        CallEnd, EntryKey, GateAction, GateConfig, GateCounts, GateEndpoint, GateState, ServiceCall,
+        CallOutcome, EntryKey, GateAction, GateConfig, GateCounts, GateEndpoint, GateState,
+        ServiceCall,
     },
     links::{LinkId, StageConnector},
 };
@@ -32,7 +33,7 @@
     own_address: String,
     entries: BTreeMap<EntryKey, EntryLink>,
     stages: HashMap<String, StageLink>,
-    engine: Option<mpsc::UnboundedSender<EngineWork>>,
+    engine: Option<mpsc::UnboundedSender<EngineCommand>>,
     caller: Option<ServiceCaller>,
     connector: StageConnector,
     drained: Option<WorkGuard>,
@@ -59,7 +60,7 @@
 
 /// What the engine is to do.
 #[derive(Debug)]
-pub(crate) enum EngineWork {
+pub(crate) enum EngineCommand {
     Step(StepInput),
     Load(LoadOrder),
 }
@@ -103,7 +104,7 @@
 /// The engine is there, with this shape.
 pub(crate) struct EngineReady {
     pub(crate) endpoint: GateEndpoint,
-    pub(crate) work: mpsc::UnboundedSender<EngineWork>,
+    pub(crate) work: mpsc::UnboundedSender<EngineCommand>,
 }
 
 /// The engine is gone.
@@ -118,21 +119,21 @@
 /// A call of the service ended.
 pub(crate) struct CallEnded {
     pub(crate) call: ServiceCall,
-    pub(crate) end: CallEnd,
+    pub(crate) end: CallOutcome,
 }
 
 /// Time to make offers.
-pub(crate) struct OfferTick;
+pub(crate) struct GateTick;
 
 /// The process was told to stop: the guard is dropped once nothing is in flight.
-pub struct DrainSelf(pub WorkGuard);
+pub struct BeginDrain(pub WorkGuard);
 
 /// Asks for what was counted.
 pub struct ReadCounts;
 
 /// What [`ReadCounts`] gives.
 #[derive(Clone, Copy, Debug)]
-pub struct GateReading {
+pub struct GateStatus {
     /// Counters.
     pub counts: GateCounts,
     /// Requests and calls in flight.
@@ -178,14 +179,14 @@
                 GateAction::ToStage { address, body } => {
                     waiting.extend(self.send_stage(address, body))
                 }
-                GateAction::Run(step) => self.send_engine(EngineWork::Step(step)),
+                GateAction::RunStep(step) => self.send_engine(EngineCommand::Step(step)),
                 GateAction::ReleaseCache(id) => {
                     let release =
                         StepInput { key: Some(id.into()), release: true, ..StepInput::default() };
-                    self.send_engine(EngineWork::Step(release));
+                    self.send_engine(EngineCommand::Step(release));
                 }
-                GateAction::Call(call) => self.call(call),
-                GateAction::Load(order) => self.send_engine(EngineWork::Load(LoadOrder {
+                GateAction::CallService(call) => self.call(call),
+                GateAction::LoadLayers(order) => self.send_engine(EngineCommand::Load(LoadOrder {
                     plan_version: order.plan_version,
                     model: order.model,
                     first_layer: order.first_layer,
@@ -215,7 +216,7 @@
             StageLinkState::Open(sender) => {
                 if !sender.send(body) {
                     self.stages.remove(&address);
-                    return self.state.stage_lost(&address);
+                    return self.state.stage_disconnected(&address);
                 }
             }
         }
@@ -234,12 +235,12 @@
     /// Ends what an entry's former connection left behind.
     fn close_entry(&mut self, entry: &EntryKey) {
         self.entries.remove(entry);
-        let actions = self.state.entry_closed(entry);
+        let actions = self.state.entry_disconnected(entry);
         self.carry_out(actions);
     }
 
     /// Steps for an engine that is gone are lost with it; [`EngineLost`] tells the entries.
-    fn send_engine(&mut self, work: EngineWork) {
+    fn send_engine(&mut self, work: EngineCommand) {
         if let Some(engine) = &self.engine {
             let _lost_with_engine = engine.send(work);
         }
@@ -253,12 +254,12 @@
 }
 
 /// Tells the service its own address, so that tasks it starts can answer.
-pub(crate) struct Introduce(pub(crate) Address<GateService>);
+pub(crate) struct SetAddress(pub(crate) Address<GateService>);
 
-impl Handler<Introduce> for GateService {
+impl Handler<SetAddress> for GateService {
     type Return = ();
 
-    async fn handle(&mut self, message: Introduce, _: &mut Context<Self>) {
+    async fn handle(&mut self, message: SetAddress, _: &mut Context<Self>) {
         self.me = Some(message.0);
     }
 }
@@ -273,7 +274,7 @@
         let link = EntryLink { id: message.id, sender: message.sender };
         self.entries.insert(message.entry.clone(), link);
         log::info!("entry={} state=connected", message.entry.name);
-        let actions = self.state.entry_opened(message.entry);
+        let actions = self.state.entry_connected(message.entry);
         self.carry_out(actions);
     }
 }
@@ -341,7 +342,7 @@
         let is_current = |link: &StageLink| link.id == message.id;
         if self.stages.get(&message.address).is_some_and(is_current) {
             self.stages.remove(&message.address);
-            let actions = self.state.stage_lost(&message.address);
+            let actions = self.state.stage_disconnected(&message.address);
             self.carry_out(actions);
         }
     }
@@ -398,36 +399,36 @@
     type Return = ();
 
     async fn handle(&mut self, message: CallEnded, _: &mut Context<Self>) {
-        let actions = self.state.on_call_end(&message.call, message.end);
+        let actions = self.state.on_call_outcome(&message.call, message.end);
         self.carry_out(actions);
     }
 }
 
-impl Handler<OfferTick> for GateService {
+impl Handler<GateTick> for GateService {
     type Return = ();
 
-    async fn handle(&mut self, _: OfferTick, _: &mut Context<Self>) {
+    async fn handle(&mut self, _: GateTick, _: &mut Context<Self>) {
         let actions = self.state.tick();
         self.carry_out(actions);
     }
 }
 
-impl Handler<DrainSelf> for GateService {
+impl Handler<BeginDrain> for GateService {
     type Return = ();
 
-    async fn handle(&mut self, message: DrainSelf, _: &mut Context<Self>) {
+    async fn handle(&mut self, message: BeginDrain, _: &mut Context<Self>) {
         log::info!("state=draining in_flight={}", self.state.in_flight());
         self.drained = Some(message.0);
-        let actions = self.state.drain_self();
+        let actions = self.state.begin_drain();
         self.carry_out(actions);
     }
 }
 
 impl Handler<ReadCounts> for GateService {
-    type Return = GateReading;
+    type Return = GateStatus;
 
-    async fn handle(&mut self, _: ReadCounts, _: &mut Context<Self>) -> GateReading {
-        GateReading {
+    async fn handle(&mut self, _: ReadCounts, _: &mut Context<Self>) -> GateStatus {
+        GateStatus {
             counts: *self.state.counts(),
             in_flight: self.state.in_flight(),
             draining: self.state.is_draining(),
--- a/crates/agent/tests/gate.rs
+++ b/crates/agent/tests/gate.rs
@@ -2,7 +2,8 @@
 
 use assert_matches::assert_matches;
 use switchfold_agent::gate::{
-    CallEnd, EngineShape, EntryKey, GateAction, GateConfig, GateEndpoint, GateState, ServiceCall,
+    CallOutcome, EngineDescription, EntryKey, GateAction, GateConfig, GateEndpoint, GateState,
+    ServiceCall,
 };
 use switchfold_core::route::LayerRange;
 use switchfold_proto::{
@@ -30,7 +31,7 @@
 
 /// A gate before the middle one of three stages.
 fn engine_gate(slots: u32) -> GateState {
-    let mut gate = GateState::new(config(GateEndpoint::Engine(EngineShape {
+    let mut gate = GateState::new(config(GateEndpoint::Engine(EngineDescription {
         model: "m".to_owned(),
         layers: LayerRange::new(2, 4).expect("not empty"),
         max_batch: 2,
@@ -39,14 +40,14 @@
         item_micros: 10,
         accelerator: "test".to_owned(),
     })));
-    gate.entry_opened(entry("e"));
+    gate.entry_connected(entry("e"));
     gate
 }
 
 fn service_gate() -> GateState {
     let mut gate =
         GateState::new(config(GateEndpoint::Service { name: "bidding".to_owned(), slots: 2 }));
-    gate.entry_opened(entry("e"));
+    gate.entry_connected(entry("e"));
     gate
 }
 
@@ -98,7 +99,7 @@
 fn runs(actions: &[GateAction]) -> Vec<&StepInput> {
     let mut steps = Vec::new();
     for action in actions {
-        if let GateAction::Run(step) = action {
+        if let GateAction::RunStep(step) = action {
             steps.push(step);
         }
     }
@@ -217,7 +218,7 @@
     gate.on_entry_message(&entry("e"), Body::Drain(link::Drain { draining: false }));
     assert!(!gate.is_draining());
     assert!(!gate.is_drained());
-    gate.drain_self();
+    gate.begin_drain();
     gate.on_entry_message(&entry("e"), Body::Drain(link::Drain { draining: false }));
     assert!(
         gate.is_draining(),
@@ -291,10 +292,10 @@
         gate.on_entry_message(&entry("e"), Body::Release(later)).is_empty(),
         "an earlier attempt was meant"
     );
-    let actions = gate.entry_closed(&entry("e"));
+    let actions = gate.entry_disconnected(&entry("e"));
     assert_matches!(&actions[..], [GateAction::ReleaseCache(_)]);
     assert_eq!(gate.in_flight(), 0);
-    gate.entry_opened(entry("e"));
+    gate.entry_connected(entry("e"));
     let again = gate.on_stage_message(Body::Step(step(1, 1, 0, 2, Some(route([1, 1, 1])))));
     assert_eq!(refusal(&again), Some(RefusalReason::AlreadyKnown), "the ledger remembers");
 }
@@ -338,7 +339,7 @@
             end_layer: 2,
         })
     };
-    assert_matches!(&gate.on_entry_message(&entry("e"), order(4))[..], [GateAction::Load(_)]);
+    assert_matches!(&gate.on_entry_message(&entry("e"), order(4))[..], [GateAction::LoadLayers(_)]);
     for old in [4, 3, 0] {
         assert!(gate.on_entry_message(&entry("f"), order(old)).is_empty());
     }
@@ -348,7 +349,7 @@
 #[test]
 fn credits_go_where_requests_wait_and_never_above_the_slots() {
     let mut gate = engine_gate(16);
-    gate.entry_opened(entry("f"));
+    gate.entry_connected(entry("f"));
     gate.on_entry_message(&entry("f"), Body::Demand(link::Demand { waiting: 9 }));
     let mut told = std::collections::BTreeMap::new();
     for action in (0..10).flat_map(|_| gate.tick()) {
@@ -376,7 +377,7 @@
 
 fn started(actions: Vec<GateAction>) -> ServiceCall {
     match actions.into_iter().next() {
-        Some(GateAction::Call(call)) => call,
+        Some(GateAction::CallService(call)) => call,
         other => panic!("a call: {other:?}"),
     }
 }
@@ -396,11 +397,11 @@
     );
     assert_eq!(refusal(&other), Some(RefusalReason::WrongModel));
     let table = [
-        (CallEnd::NotSent, RefusalReason::EndpointUnreached),
-        (CallEnd::Unclear, RefusalReason::EndpointFailed),
+        (CallOutcome::NotSent, RefusalReason::EndpointUnreached),
+        (CallOutcome::Unknown, RefusalReason::EndpointFailed),
     ];
     for (end, expected) in table {
-        assert_eq!(refusal(&gate.on_call_end(&first, end)), Some(expected));
+        assert_eq!(refusal(&gate.on_call_outcome(&first, end)), Some(expected));
     }
     assert_eq!(gate.in_flight(), 1);
 }
--- a/crates/entry/src/commands/tables.rs
+++ b/crates/entry/src/commands/tables.rs
@@ -189,7 +189,7 @@
             view.slots.to_string(),
             view.running.to_string(),
             view.credits.to_string(),
-            view.used.to_string(),
+            view.in_flight.to_string(),
             format!("{:.0}", view.weight),
         ]);
     }
--- a/crates/entry/src/config/peers.rs
+++ b/crates/entry/src/config/peers.rs
@@ -77,7 +77,7 @@
             None => OutcomeAnswer { known: false, outcome: String::new(), reason: String::new() },
             Some(outcome) => OutcomeAnswer {
                 known: true,
-                outcome: outcome.word().to_owned(),
+                outcome: outcome.as_str().to_owned(),
                 reason: outcome.reason(),
             },
         }))
--- a/crates/entry/src/dispatch/action.rs
+++ b/crates/entry/src/dispatch/action.rs
@@ -18,14 +18,14 @@
         body: Body,
     },
     /// Tell the caller of a request something.
-    Tell {
+    Notify {
         /// The request.
         request: RequestId,
         /// What to tell.
         event: CallerEvent,
     },
     /// End the link to an agent, so that it releases what it has, and link to it anew.
-    Reset {
+    ResetLink {
         /// Name of the agent's process.
         process: String,
     },
@@ -40,8 +40,8 @@
     }
 
     /// Makes a message to a caller.
-    pub fn tell(request: RequestId, event: CallerEvent) -> Self {
-        Self::Tell { request, event }
+    pub fn notify(request: RequestId, event: CallerEvent) -> Self {
+        Self::Notify { request, event }
     }
 }
 
--- a/crates/entry/src/dispatch/config.rs
+++ b/crates/entry/src/dispatch/config.rs
@@ -25,25 +25,25 @@
     /// How paths are chosen.
     pub policy: PathPolicy,
     /// A request without progress for so long is looked into.
-    pub stall: Millis,
+    pub stall_timeout: Millis,
     /// An agent that runs requests of this entry and says nothing for so long is taken for lost.
-    pub silence: Millis,
+    pub agent_timeout: Millis,
     /// An agent that runs none is given longer, since it speaks less often.
-    pub idle_silence: Millis,
+    pub idle_agent_timeout: Millis,
     /// Time between two ticks that shows that this process itself was paused.
-    pub own_pause: Millis,
+    pub pause_threshold: Millis,
     /// Longest time that a call of a service may take.
-    pub call_patience: Millis,
+    pub call_timeout: Millis,
     /// How long a request that must not be repeated waits for word of a lost agent.
-    pub settle: Millis,
+    pub void_timeout: Millis,
     /// How long a request waits for a replacement of a lost stage.
-    pub strand: Millis,
+    pub replacement_timeout: Millis,
     /// Outcomes remembered.
-    pub outcomes: usize,
+    pub max_outcomes: usize,
     /// Budget for repeating work.
     pub retry: RetryConfig,
     /// Bounds of ejection.
-    pub eject: EjectionConfig,
+    pub ejection: EjectionConfig,
     /// Seed of all choices.
     pub seed: u64,
 }
@@ -56,16 +56,16 @@
             incarnation,
             models,
             policy: PathPolicy::default(),
-            stall: 1_000,
-            silence: 700,
-            idle_silence: 3_500,
-            own_pause: 200,
-            call_patience: 60_000,
-            settle: 1_000,
-            strand: 10_000,
-            outcomes: 50_000,
+            stall_timeout: 1_000,
+            agent_timeout: 700,
+            idle_agent_timeout: 3_500,
+            pause_threshold: 200,
+            call_timeout: 60_000,
+            void_timeout: 1_000,
+            replacement_timeout: 10_000,
+            max_outcomes: 50_000,
             retry: RetryConfig::default(),
-            eject: EjectionConfig::default(),
+            ejection: EjectionConfig::default(),
             seed: incarnation,
         }
     }
--- a/crates/entry/src/dispatch/record.rs
+++ b/crates/entry/src/dispatch/history.rs
@@ -8,13 +8,13 @@
 
 /// The last outcomes of an entry, oldest forgotten first.
 #[derive(Debug)]
-pub struct OutcomeRecord {
+pub struct OutcomeHistory {
     capacity: usize,
     outcomes: HashMap<RequestId, Outcome>,
     order: VecDeque<RequestId>,
 }
 
-impl OutcomeRecord {
+impl OutcomeHistory {
     /// Makes a record of at most `capacity` outcomes.
     pub fn new(capacity: usize) -> Self {
         Self { capacity, outcomes: HashMap::new(), order: VecDeque::new() }
--- a/crates/entry/src/dispatch/loss.rs
+++ b/crates/entry/src/dispatch/loss.rs
@@ -22,7 +22,7 @@
     }
 
     /// Forgets a replica that is no longer on the list and not linked.
-    pub fn forget_replica(&mut self, process: &str) {
+    pub fn remove_replica(&mut self, process: &str) {
         if self.replicas.get(process).is_some_and(|view| !view.connected) {
             self.replicas.remove(process);
             self.weights_stale = true;
@@ -31,15 +31,16 @@
 
     /// Takes agents that have gone silent for lost, though their links are open.
     pub(super) fn find_silent(&mut self, now: Millis) -> Vec<DispatchAction> {
-        let (busy, idle) = (self.config.silence, self.config.idle_silence);
-        let patience = |view: &ReplicaView| if view.used > 0 { busy } else { idle };
-        let is_silent = |view: &ReplicaView| view.connected && view.heard + patience(view) < now;
+        let (busy, idle) = (self.config.agent_timeout, self.config.idle_agent_timeout);
+        let patience = |view: &ReplicaView| if view.in_flight > 0 { busy } else { idle };
+        let is_silent =
+            |view: &ReplicaView| view.connected && view.last_message_at + patience(view) < now;
         let silent = self.replicas.iter().filter(|(_, view)| is_silent(view));
         let silent: Vec<String> = silent.map(|(process, _)| process.clone()).collect();
         let mut actions = Vec::new();
         for process in silent {
             // It may be paused: ending the link makes it release, once it wakes, what it had.
-            actions.push(DispatchAction::Reset { process: process.clone() });
+            actions.push(DispatchAction::ResetLink { process: process.clone() });
             actions.extend(self.replica_lost(now, &process));
         }
         actions
@@ -53,7 +54,7 @@
             return Vec::new();
         }
         view.connected = false;
-        view.used = 0;
+        view.in_flight = 0;
         let incarnation = view.incarnation;
         self.weights_stale = true;
         self.counts.replicas_lost += 1;
@@ -81,7 +82,7 @@
         let once = request.submission.once;
         if once && stage == 0 && request.assembly.delivered().is_empty() {
             // Only the first stage starts a request: what it says settles it for all.
-            let until = now + self.config.settle;
+            let until = now + self.config.void_timeout;
             let process = process.to_owned();
             let settling = SettlingRun { process, incarnation, until, asked: false };
             return self.begin_settling(id, settling);
@@ -107,7 +108,7 @@
         let mut actions = Vec::new();
         for process in others {
             if let Some(view) = self.replicas.get_mut(process) {
-                view.give_back();
+                view.return_credit();
                 actions.push(DispatchAction::send(process, Body::Release(release)));
             }
         }
@@ -150,7 +151,7 @@
         if let RequestPhase::Running(run) = phase {
             for process in &run.processes {
                 if let Some(view) = self.replicas.get_mut(process) {
-                    view.give_back();
+                    view.return_credit();
                 }
             }
         }
--- a/crates/entry/src/dispatch/mod.rs
+++ b/crates/entry/src/dispatch/mod.rs
@@ -11,15 +11,15 @@
 //! | `progress` | what tokens, answers and refusals mean |
 //! | `loss` | what the loss of an agent means for its requests |
 //! | `recovery` | how a lost stage is replaced under a running request |
-//! | [`record`] | outcomes that can be asked for later |
+//! | [`history`] | outcomes that can be asked for later |
 
 mod action;
 mod config;
 mod counts;
+pub mod history;
 mod loss;
 mod progress;
 mod pump;
-pub mod record;
 mod recovery;
 pub mod replica;
 mod request;
@@ -41,7 +41,7 @@
 pub use action::{DispatchAction, Observation, ObservationKind};
 pub use config::{DispatchConfig, ModelConfig};
 pub use counts::DispatchCounts;
-use record::OutcomeRecord;
+use history::OutcomeHistory;
 use replica::ReplicaView;
 use request::{RequestPhase, RequestRecord};
 use submission::{CallerEvent, NotRunReason, Outcome, Submission, UnknownReason};
@@ -61,7 +61,7 @@
     replicas: BTreeMap<String, ReplicaView>,
     targets: BTreeMap<String, TargetQueue>,
     requests: HashMap<RequestId, RequestRecord>,
-    record: OutcomeRecord,
+    record: OutcomeHistory,
     budget: RetryBudget,
     random: ChaCha8Rng,
     cursor: PathCursor,
@@ -72,7 +72,7 @@
 
 /// One row of what waits.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct WaitingRow {
+pub struct QueueDepth {
     /// Model or service.
     pub target: String,
     /// Organisation.
@@ -86,7 +86,7 @@
     pub fn new(config: DispatchConfig) -> Self {
         Self {
             issuer: IdIssuer::new(config.incarnation),
-            record: OutcomeRecord::new(config.outcomes),
+            record: OutcomeHistory::new(config.max_outcomes),
             budget: RetryBudget::new(config.retry),
             random: ChaCha8Rng::seed_from_u64(config.seed),
             config,
@@ -129,19 +129,19 @@
     }
 
     /// Remembers that a request was refused before it was submitted.
-    pub fn note_not_run(&mut self, id: RequestId, reason: NotRunReason) {
+    pub fn record_not_run(&mut self, id: RequestId, reason: NotRunReason) {
         if !self.requests.contains_key(&id) {
             self.record.put(id, Outcome::NotRun(reason));
         }
     }
 
     /// What waits, by model or service and organisation.
-    pub fn waiting(&self) -> Vec<WaitingRow> {
+    pub fn queue_depths(&self) -> Vec<QueueDepth> {
         let mut rows = Vec::new();
         for (target, state) in &self.targets {
             for (organisation, waiting) in state.queue.by_organisation() {
                 let organisation = organisation.to_string();
-                rows.push(WaitingRow { target: target.clone(), organisation, waiting });
+                rows.push(QueueDepth { target: target.clone(), organisation, waiting });
             }
         }
         rows
@@ -195,11 +195,11 @@
     fn forgive_own_pause(&mut self, now: Millis) {
         let last = self.last_tick.replace(now).unwrap_or(now);
         let paused = now.saturating_sub(last);
-        if paused < self.config.own_pause {
+        if paused < self.config.pause_threshold {
             return;
         }
         for view in self.replicas.values_mut() {
-            view.heard = (view.heard + paused).min(now);
+            view.last_message_at = (view.last_message_at + paused).min(now);
         }
         for request in self.requests.values_mut() {
             request.last_progress = (request.last_progress + paused).min(now);
@@ -224,8 +224,8 @@
         for (process, replica) in &mut self.replicas {
             let queue = self.targets.get(&replica.target);
             let waiting = queue.map_or(0, |state| state.queue.len()) as u32;
-            if replica.connected && replica.told_waiting != waiting {
-                replica.told_waiting = waiting;
+            if replica.connected && replica.last_demand != waiting {
+                replica.last_demand = waiting;
                 actions.push(DispatchAction::send(process, Body::Demand(link::Demand { waiting })));
             }
         }
@@ -244,7 +244,7 @@
         self.record.put(id, outcome);
         let observed = Observation::ended(submission, outcome, 0);
         let event = CallerEvent::NotRun { reason, retry_after };
-        vec![DispatchAction::tell(id, event), DispatchAction::Observe(observed)]
+        vec![DispatchAction::notify(id, event), DispatchAction::Observe(observed)]
     }
 
     fn end_not_run(
@@ -291,7 +291,7 @@
             }
             Outcome::Running => None,
         };
-        actions.extend(event.map(|event| DispatchAction::tell(id, event)));
+        actions.extend(event.map(|event| DispatchAction::notify(id, event)));
         let total = now.saturating_sub(request.submitted);
         let observed = Observation::ended(&request.submission, outcome, total);
         actions.push(DispatchAction::Observe(observed));
@@ -315,7 +315,7 @@
                 continue;
             }
             if let Some(replica) = self.replicas.get_mut(process) {
-                replica.give_back();
+                replica.return_credit();
                 if replica.connected && !is_call {
                     let attempt = request.attempt;
                     let release = link::Release { request: Some(id.into()), cancelled, attempt };
--- a/crates/entry/src/dispatch/progress.rs
+++ b/crates/entry/src/dispatch/progress.rs
@@ -20,7 +20,7 @@
         body: Body,
     ) -> Vec<DispatchAction> {
         if let Some(view) = self.replicas.get_mut(process).filter(|view| view.connected) {
-            view.heard = now;
+            view.last_message_at = now;
         }
         match body {
             Body::Heartbeat(heartbeat) => self.on_heartbeat(now, process, heartbeat),
@@ -50,7 +50,7 @@
         let is_new = match self.replicas.get_mut(process) {
             Some(view) => {
                 let before = (view.connected, view.draining, view.role.clone(), view.step_micros);
-                view.update(offer, now);
+                view.apply_offer(offer, now);
                 before != (view.connected, view.draining, view.role.clone(), view.step_micros)
             }
             None => {
@@ -78,7 +78,7 @@
         let Some(view) = self.replicas.get_mut(process).filter(|view| view.connected) else {
             return Vec::new();
         };
-        view.beat(heartbeat);
+        view.apply_heartbeat(heartbeat);
         self.pump(now)
     }
 
@@ -115,7 +115,7 @@
             if let Some(run) = request.run_mut() {
                 run.nudges = 0;
             }
-            actions.push(DispatchAction::tell(id, CallerEvent::Tokens(tokens)));
+            actions.push(DispatchAction::notify(id, CallerEvent::Tokens(tokens)));
         }
         if is_whole {
             self.note_success(now, id);
@@ -142,12 +142,12 @@
             return Vec::new();
         }
         self.note_success(now, id);
-        let event = CallerEvent::Answer {
+        let event = CallerEvent::Response {
             status: answer.status,
             headers: answer.headers,
             body: answer.body,
         };
-        let mut actions = vec![DispatchAction::tell(id, event)];
+        let mut actions = vec![DispatchAction::notify(id, event)];
         actions.extend(self.end(now, id, Outcome::Done, false));
         actions.extend(self.pump(now));
         actions
@@ -223,7 +223,7 @@
         if self.budget.try_spend() {
             return self.requeue(now, id);
         }
-        self.end_not_run(now, id, NotRunReason::ServiceUnreachable, self.config.stall)
+        self.end_not_run(now, id, NotRunReason::ServiceUnreachable, self.config.stall_timeout)
     }
 
     fn call_failed(&mut self, now: Millis, id: RequestId, process: &str) -> Vec<DispatchAction> {
--- a/crates/entry/src/dispatch/pump.rs
+++ b/crates/entry/src/dispatch/pump.rs
@@ -100,7 +100,7 @@
     /// Layers from which the end of the model can be reached over replicas that take work.
     fn completable(&self, target: &str, layers: u32) -> BTreeSet<u32> {
         let usable =
-            self.replicas.values().filter(|view| view.target == target && view.takes_work());
+            self.replicas.values().filter(|view| view.target == target && view.can_accept());
         let ranges: BTreeSet<(u32, u32)> = usable
             .filter_map(ReplicaView::layers)
             .map(|range| (range.first(), range.end()))
@@ -126,7 +126,9 @@
         target: &str,
         suits: impl Fn(&ReplicaView) -> bool,
     ) -> Option<String> {
-        self.choose_free(now, ReplicaView::free, |view| view.target == target && suits(view))
+        self.choose_free(now, ReplicaView::free_credits, |view| {
+            view.target == target && suits(view)
+        })
     }
 
     /// Chooses one open replica that has room; those that are ejected only where no other has.
@@ -136,7 +138,7 @@
         room: impl Fn(&ReplicaView) -> u32,
         suits: impl Fn(&ReplicaView) -> bool,
     ) -> Option<String> {
-        let usable = |view: &ReplicaView| view.is_open() && room(view) > 0 && suits(view);
+        let usable = |view: &ReplicaView| view.is_available() && room(view) > 0 && suits(view);
         let all: Vec<(&String, &ReplicaView)> =
             self.replicas.iter().filter(|(_, view)| usable(view)).collect();
         let healthy: Vec<(&String, &ReplicaView)> =
@@ -158,7 +160,7 @@
     fn dispatch(&mut self, now: Millis, id: RequestId, path: ChosenPath) -> Vec<DispatchAction> {
         for process in &path.processes {
             if let Some(replica) = self.replicas.get_mut(process) {
-                replica.take_credit(now);
+                replica.use_credit(now);
             }
         }
         let Some(request) = self.requests.get_mut(&id) else {
@@ -227,7 +229,7 @@
             let is_same = view.target == target && view.layers() == Some(place.layers);
             is_same && !used.contains(&view.address)
         };
-        self.choose_free(now, ReplicaView::free_for_replacement, suits)
+        self.choose_free(now, ReplicaView::free_replacement_slots, suits)
     }
 
     /// Shares of the maximum flow, computed anew when replicas came, went or changed.
--- a/crates/entry/src/dispatch/recovery.rs
+++ b/crates/entry/src/dispatch/recovery.rs
@@ -57,7 +57,7 @@
         if let Some(view) = self.replicas.get_mut(&process)
             && view.connected
         {
-            view.give_back();
+            view.return_credit();
             let release = link::Release { request: Some(id.into()), cancelled: true, attempt };
             actions.push(DispatchAction::send(&process, Body::Release(release)));
         }
@@ -122,7 +122,7 @@
             let Some(view) = self.replicas.get_mut(process) else {
                 continue;
             };
-            view.take_credit(now);
+            view.use_credit(now);
             let layers = pipeline.stages()[*stage].layers;
             let place = RouteStage {
                 address: view.address.clone(),
@@ -263,14 +263,14 @@
             return Vec::new();
         };
         let is_call = request.submission.is_call();
-        let is_stalled = request.last_progress + self.config.stall < now;
-        let is_overdue = is_call && request.last_progress + self.config.call_patience < now;
+        let is_stalled = request.last_progress + self.config.stall_timeout < now;
+        let is_overdue = is_call && request.last_progress + self.config.call_timeout < now;
         match &request.phase {
             RequestPhase::Settling(run) if run.until < now => {
                 self.end(now, id, Outcome::Unknown(UnknownReason::StageLost), false)
             }
             RequestPhase::Running(run) if !run.missing.is_empty() => {
-                if run.missing_since + self.config.strand < now {
+                if run.missing_since + self.config.replacement_timeout < now {
                     return self.end(now, id, Outcome::Unknown(UnknownReason::NoReplacement), true);
                 }
                 Vec::new()
@@ -294,7 +294,7 @@
             groups.entry(group).or_default().push(&mut view.health);
         }
         for group in groups.values_mut() {
-            let ejected = eject_outliers(group, &self.config.eject, now);
+            let ejected = eject_outliers(group, &self.config.ejection, now);
             self.counts.ejections += ejected.len() as u64;
         }
     }
--- a/crates/entry/src/dispatch/replica.rs
+++ b/crates/entry/src/dispatch/replica.rs
@@ -34,9 +34,9 @@
     /// Requests that it runs, of all entries, as last reported.
     pub running: u32,
     /// Requests of this entry that it runs.
-    pub used: u32,
+    pub in_flight: u32,
     /// Requests sent to it since its last offer.
-    pub sent_since: u32,
+    pub sent_since_report: u32,
     /// Microseconds of a full batch.
     pub step_micros: u32,
     /// Sequences of a full batch.
@@ -50,13 +50,13 @@
     /// Its link is open and it speaks.
     pub connected: bool,
     /// When it last spoke.
-    pub heard: Millis,
+    pub last_message_at: Millis,
     /// Share of the maximum flow.
     pub weight: f64,
     /// How it does against its like.
     pub health: ReplicaHealth,
     /// What it was last told about waiting requests.
-    pub told_waiting: u32,
+    pub last_demand: u32,
 }
 
 impl ReplicaView {
@@ -72,24 +72,24 @@
             credits: 0,
             spare: 0,
             running: 0,
-            used: 0,
-            sent_since: 0,
+            in_flight: 0,
+            sent_since_report: 0,
             step_micros: 0,
             max_batch: 0,
             draining: false,
             plan_version: 0,
             accelerator: offer.accelerator.clone(),
             connected: true,
-            heard: now,
+            last_message_at: now,
             weight: 0.0,
             health: ReplicaHealth::default(),
-            told_waiting: 0,
+            last_demand: 0,
         };
-        view.update(offer, now).then_some(view)
+        view.apply_offer(offer, now).then_some(view)
     }
 
     /// Takes a later offer of the same run. Returns whether it was well-formed.
-    pub fn update(&mut self, offer: &link::Offer, now: Millis) -> bool {
+    pub fn apply_offer(&mut self, offer: &link::Offer, now: Millis) -> bool {
         if offer.service.is_empty() {
             let Ok(layers) = LayerRange::new(offer.first_layer, offer.end_layer) else {
                 return false;
@@ -101,7 +101,7 @@
             self.target.clone_from(&offer.service);
         }
         self.slots = offer.slots;
-        self.beat(link::Heartbeat {
+        self.apply_heartbeat(link::Heartbeat {
             credits: offer.credits,
             running: offer.running,
             spare: offer.spare,
@@ -111,16 +111,16 @@
         self.draining = offer.draining;
         self.plan_version = offer.plan_version;
         self.connected = true;
-        self.heard = now;
+        self.last_message_at = now;
         true
     }
 
     /// Takes what changes while the endpoint stays what it is.
-    pub fn beat(&mut self, heartbeat: link::Heartbeat) {
+    pub fn apply_heartbeat(&mut self, heartbeat: link::Heartbeat) {
         self.credits = heartbeat.credits;
         self.running = heartbeat.running;
         self.spare = heartbeat.spare;
-        self.sent_since = 0;
+        self.sent_since_report = 0;
     }
 
     /// Layers that it holds, where it holds any.
@@ -132,28 +132,28 @@
     }
 
     /// Further requests that this entry may send.
-    pub fn free(&self) -> u32 {
-        self.credits.saturating_sub(self.used)
+    pub fn free_credits(&self) -> u32 {
+        self.credits.saturating_sub(self.in_flight)
     }
 
     /// Tells whether new requests may go to it, its health aside.
-    pub fn takes_work(&self) -> bool {
-        self.is_open() && self.free() > 0
+    pub fn can_accept(&self) -> bool {
+        self.is_available() && self.free_credits() > 0
     }
 
     /// Tells whether it is there and does not drain.
-    pub fn is_open(&self) -> bool {
+    pub fn is_available(&self) -> bool {
         self.connected && !self.draining
     }
 
     /// Further replacements of lost stages that this entry may send.
-    pub fn free_for_replacement(&self) -> u32 {
-        self.spare.saturating_sub(self.sent_since)
+    pub fn free_replacement_slots(&self) -> u32 {
+        self.spare.saturating_sub(self.sent_since_report)
     }
 
     /// Requests there: as reported, plus those sent since.
     pub fn outstanding(&self) -> u32 {
-        self.running + self.sent_since
+        self.running + self.sent_since_report
     }
 
     /// Tokens a thousand seconds at full batches.
@@ -163,16 +163,16 @@
     }
 
     /// Takes one credit. An idle agent speaks seldom: its silence counts from its first request on.
-    pub fn take_credit(&mut self, now: Millis) {
-        if self.used == 0 {
-            self.heard = self.heard.max(now);
+    pub fn use_credit(&mut self, now: Millis) {
+        if self.in_flight == 0 {
+            self.last_message_at = self.last_message_at.max(now);
         }
-        self.used += 1;
-        self.sent_since += 1;
+        self.in_flight += 1;
+        self.sent_since_report += 1;
     }
 
     /// Gives one credit back.
-    pub fn give_back(&mut self) {
-        self.used = self.used.saturating_sub(1);
+    pub fn return_credit(&mut self) {
+        self.in_flight = self.in_flight.saturating_sub(1);
     }
 }
--- a/crates/entry/src/dispatch/submission.rs
+++ b/crates/entry/src/dispatch/submission.rs
@@ -172,7 +172,7 @@
 
 impl Outcome {
     /// Word in the `Switchfold-Outcome` header.
-    pub fn word(&self) -> &'static str {
+    pub fn as_str(&self) -> &'static str {
         match self {
             Self::Running => "running",
             Self::Done => "done",
@@ -202,7 +202,7 @@
         count: u32,
     },
     /// The service's answer.
-    Answer {
+    Response {
         /// Status code.
         status: u32,
         /// Headers.
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -80,7 +80,7 @@
             }
             ObservationKind::Ended { outcome, total } => {
                 self.total.record(total as f64, &labels);
-                labels.push(KeyValue::new("outcome", outcome.word()));
+                labels.push(KeyValue::new("outcome", outcome.as_str()));
                 labels.push(KeyValue::new("reason", outcome.reason()));
                 self.outcomes.add(1, &labels);
             }
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -172,9 +172,9 @@
     let incarnation = process_incarnation(&settings.name, epoch_millis());
     let mut config = DispatchConfig::new(&settings.name, incarnation, settings.models.clone());
     config.policy = settings.policy;
-    config.stall = settings.stall_ms;
-    config.silence = settings.silence_ms;
-    config.idle_silence = config.idle_silence.max(settings.silence_ms);
+    config.stall_timeout = settings.stall_ms;
+    config.agent_timeout = settings.silence_ms;
+    config.idle_agent_timeout = config.idle_agent_timeout.max(settings.silence_ms);
     config.seed = dispatch_seed(&settings.name, incarnation);
     let identity = LinkIdentity {
         process: settings.name.clone(),
--- a/crates/entry/src/service.rs
+++ b/crates/entry/src/service.rs
@@ -18,7 +18,7 @@
 
 use crate::{
     dispatch::{
-        DispatchAction, DispatchConfig, DispatchCounts, DispatchState, WaitingRow,
+        DispatchAction, DispatchConfig, DispatchCounts, DispatchState, QueueDepth,
         replica::ReplicaView,
         submission::{CallerEvent, NotRunReason, Outcome, Submission},
     },
@@ -185,8 +185,8 @@
                         waiting.extend(self.state.on_link_lost(now_millis(), &process));
                     }
                 }
-                DispatchAction::Tell { request, event } => self.tell(request, event),
-                DispatchAction::Reset { process } => self.reset(&process),
+                DispatchAction::Notify { request, event } => self.tell(request, event),
+                DispatchAction::ResetLink { process } => self.reset(&process),
                 DispatchAction::Observe(observation) => self.metrics.observe(&observation),
             }
         }
@@ -202,7 +202,7 @@
 
     /// A caller that has gone cancels its request by itself.
     fn tell(&mut self, request: RequestId, event: CallerEvent) {
-        let is_last = !matches!(event, CallerEvent::Tokens(_) | CallerEvent::Answer { .. });
+        let is_last = !matches!(event, CallerEvent::Tokens(_) | CallerEvent::Response { .. });
         if let Some(caller) = self.callers.get(&request) {
             let _gone_callers_cancel = caller.sink.send(event);
         }
@@ -242,7 +242,7 @@
             let actions = self.state.on_link_lost(now_millis(), &process);
             self.carry_out(actions);
             self.keepers.remove(&process);
-            self.state.forget_replica(&process);
+            self.state.remove_replica(&process);
         }
         for (process, address) in agents {
             if self.keepers.get(&process).is_none_or(|keeper| keeper.address != address) {
@@ -331,7 +331,7 @@
     type Return = ();
 
     async fn handle(&mut self, message: NoteNotRun, _: &mut Context<Self>) {
-        self.state.note_not_run(message.request, message.reason);
+        self.state.record_not_run(message.request, message.reason);
     }
 }
 
@@ -419,10 +419,10 @@
 }
 
 impl Handler<ReadWaiting> for DispatchService {
-    type Return = Vec<WaitingRow>;
+    type Return = Vec<QueueDepth>;
 
-    async fn handle(&mut self, _: ReadWaiting, _: &mut Context<Self>) -> Vec<WaitingRow> {
-        self.state.waiting()
+    async fn handle(&mut self, _: ReadWaiting, _: &mut Context<Self>) -> Vec<QueueDepth> {
+        self.state.queue_depths()
     }
 }
 
--- a/crates/entry/src/web/answer.rs
+++ b/crates/entry/src/web/answer.rs
@@ -73,7 +73,7 @@
 ) -> HttpResponse {
     let reason = outcome.reason();
     let detail = ErrorDetail {
-        outcome: outcome.word(),
+        outcome: outcome.as_str(),
         reason: &reason,
         message,
         request: Some(id.to_string()),
@@ -86,7 +86,7 @@
 /// Adds the outcome's headers.
 pub(super) fn state(answer: &mut HttpResponse, id: RequestId, outcome: Outcome) {
     set_header(answer, REQUEST, &id.to_string());
-    set_header(answer, OUTCOME, outcome.word());
+    set_header(answer, OUTCOME, outcome.as_str());
     let reason = outcome.reason();
     if !reason.is_empty() {
         set_header(answer, REASON, &reason);
--- a/crates/entry/src/web/calls.rs
+++ b/crates/entry/src/web/calls.rs
@@ -74,7 +74,7 @@
     let mut result = None;
     while let Some(event) = caller.events.recv().await {
         match event {
-            CallerEvent::Answer { status, headers, body } => {
+            CallerEvent::Response { status, headers, body } => {
                 result = Some(service_answer(status, headers, body))
             }
             CallerEvent::Tokens(_) => {}
--- a/crates/entry/src/web/completions.rs
+++ b/crates/entry/src/web/completions.rs
@@ -309,7 +309,7 @@
             CallerEvent::Done { .. } => Outcome::Done,
             CallerEvent::NotRun { reason, .. } => Outcome::NotRun(reason),
             CallerEvent::Unknown { reason } => Outcome::Unknown(reason),
-            CallerEvent::Answer { .. } => continue,
+            CallerEvent::Response { .. } => continue,
         };
         caller.finished();
         // A caller that has gone has what it wanted of the answer.
@@ -335,13 +335,13 @@
     tokens: u32,
 ) -> Result<(), http_body_util::channel::SendError> {
     let reason = outcome.reason();
-    let event = OutcomeEvent { outcome: outcome.word(), reason: &reason, tokens };
+    let event = OutcomeEvent { outcome: outcome.as_str(), reason: &reason, tokens };
     let json = serde_json::to_string(&event).unwrap_or_default();
     sender
         .send_data(Bytes::from(format!("event: outcome\ndata: {json}\n\ndata: [DONE]\n\n")))
         .await?;
     let mut trailers = HeaderMap::new();
-    trailers.insert(answer::OUTCOME, HeaderValue::from_static(outcome.word()));
+    trailers.insert(answer::OUTCOME, HeaderValue::from_static(outcome.as_str()));
     if let Ok(reason) = HeaderValue::from_str(&reason) {
         trailers.insert(answer::REASON, reason);
     }
--- a/crates/entry/src/web/keyed.rs
+++ b/crates/entry/src/web/keyed.rs
@@ -108,7 +108,7 @@
 async fn outcome_of(context: &WebContext, holder: &ClaimHolder) -> Option<HolderOutcome> {
     if holder.entry == context.settings.name {
         let outcome = context.dispatch.send(ReadOutcome(holder.request)).await.ok()??;
-        return Some(HolderOutcome { word: outcome.word().to_owned() });
+        return Some(HolderOutcome { word: outcome.as_str().to_owned() });
     }
     let peer = context.book.address_of(&holder.entry)?;
     let mut client = context.book.client(&peer.address).await?;
--- a/crates/entry/tests/dispatch.rs
+++ b/crates/entry/tests/dispatch.rs
@@ -85,7 +85,7 @@
 fn told(actions: &[DispatchAction]) -> Vec<&CallerEvent> {
     let mut events = Vec::new();
     for action in actions {
-        if let DispatchAction::Tell { event, .. } = action {
+        if let DispatchAction::Notify { event, .. } = action {
             events.push(event);
         }
     }
@@ -156,7 +156,7 @@
     let asked = submission(&mut state, 100, false);
     let id = asked.id;
     assert!(told(&state.submit(0, asked)).is_empty());
-    assert_eq!(state.waiting()[0].waiting, 1);
+    assert_eq!(state.queue_depths()[0].waiting, 1);
     let actions = state.tick(150);
     assert_matches!(
         told(&actions)[..],
@@ -352,7 +352,7 @@
         }
         let actions = state.tick(now);
         let reset = actions.iter().any(
-            |action| matches!(action, DispatchAction::Reset { process } if *process == stages[0]),
+            |action| matches!(action, DispatchAction::ResetLink { process } if *process == stages[0]),
         );
         assert_eq!(reset, state.counts().replicas_lost == 1 && now == 750, "at {now}");
     }
--- a/crates/local/tests/interleavings.rs
+++ b/crates/local/tests/interleavings.rs
@@ -14,7 +14,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use switchfold_agent::gate::{
-    EngineShape, EntryKey, GateAction, GateConfig, GateEndpoint, GateState,
+    EngineDescription, EntryKey, GateAction, GateConfig, GateEndpoint, GateState,
 };
 use switchfold_core::{id::RequestId, route::LayerRange};
 use switchfold_entry::dispatch::{
@@ -101,7 +101,7 @@
         incarnation,
         address: name.to_owned(),
         data_centre: "here".to_owned(),
-        endpoint: GateEndpoint::Engine(EngineShape {
+        endpoint: GateEndpoint::Engine(EngineDescription {
             model: MODEL.to_owned(),
             layers,
             max_batch: 4,
@@ -122,10 +122,10 @@
         let models = vec![ModelConfig { name: MODEL.to_owned(), layers: LAYERS }];
         let mut config = DispatchConfig::new("entry", 1, models);
         config.seed = seed;
-        config.stall = 200;
-        config.silence = 400;
-        config.settle = 300;
-        config.strand = 2_000;
+        config.stall_timeout = 200;
+        config.agent_timeout = 400;
+        config.void_timeout = 300;
+        config.replacement_timeout = 2_000;
         let mut world = Self {
             random: ChaCha8Rng::seed_from_u64(seed),
             roughness,
@@ -169,7 +169,7 @@
             return;
         }
         agent.linked = true;
-        let actions = agent.gate.entry_opened(entry_key());
+        let actions = agent.gate.entry_connected(entry_key());
         self.carry_out(name, actions);
     }
 
@@ -182,7 +182,7 @@
             return;
         };
         agent.linked = false;
-        let actions = agent.gate.entry_closed(&entry_key());
+        let actions = agent.gate.entry_disconnected(&entry_key());
         self.carry_out(name, actions);
         let actions = self.entry.on_link_lost(self.now, name);
         self.dispatch(actions);
@@ -202,7 +202,7 @@
         for other in others {
             let agent = self.agents.get_mut(&other).expect("known");
             if agent.alive {
-                let actions = agent.gate.stage_lost(name);
+                let actions = agent.gate.stage_disconnected(name);
                 self.carry_out(&other, actions);
             }
         }
@@ -240,8 +240,8 @@
                         self.post(Party::Entry, Party::Agent(process), body);
                     }
                 }
-                DispatchAction::Tell { request, event } => self.tell(request, event),
-                DispatchAction::Reset { process } => self.cut(&process),
+                DispatchAction::Notify { request, event } => self.tell(request, event),
+                DispatchAction::ResetLink { process } => self.cut(&process),
                 DispatchAction::Observe(_) => {}
             }
         }
@@ -272,11 +272,11 @@
                         self.post(Party::Agent(name.to_owned()), Party::Agent(address), body);
                     } else {
                         let agent = self.agents.get_mut(name).expect("known");
-                        let actions = agent.gate.stage_lost(&address);
+                        let actions = agent.gate.stage_disconnected(&address);
                         self.carry_out(name, actions);
                     }
                 }
-                GateAction::Run(step) => {
+                GateAction::RunStep(step) => {
                     self.agents.get_mut(name).expect("known").engine.waiting.push_back(step)
                 }
                 GateAction::ReleaseCache(id) => {
@@ -284,7 +284,7 @@
                     engine.caches.remove(&id);
                     engine.waiting.retain(|step| step_id(step) != id);
                 }
-                GateAction::Call(_) | GateAction::Load(_) => {}
+                GateAction::CallService(_) | GateAction::LoadLayers(_) => {}
             }
         }
     }
