--- a/crates/relay/src/admit.rs
+++ b/crates/relay/src/admit.rs
@@ -75,5 +75,5 @@
 /// Whether the configuration is recent enough to let keys in.
 pub fn is_config_fresh(relay: &Relay, now: Millis) -> bool {
     let bound = relay.bounds.borrow().revoke();
-    relay.beliefs.borrow().config_lease.is_valid(bound, now)
+    relay.state.borrow().config_lease.is_valid(bound, now)
 }
--- a/crates/relay/src/survey.rs
+++ b/crates/relay/src/engine_poll.rs
@@ -12,9 +12,9 @@
 
 use crate::{
     engines::ask_report,
+    gossip::{SendScope, send_state},
     settings::RelaySettings,
     state::Relay,
-    tell::{TellReach, tell_state},
 };
 
 /// Least time between two questions to one engine: a slow one shows within two seconds or so, and each
@@ -32,7 +32,7 @@
 const QUIET_SIGN: Millis = 4_000;
 
 /// Surveys the engines of the data centre for good.
-pub async fn survey_engines(relay: Rc<Relay>) {
+pub async fn poll_engines(relay: Rc<Relay>) {
     loop {
         let engines = own_engines(&relay);
         if engines.is_empty() || !is_surveyor(&relay) || !has_sign(&relay) {
@@ -49,7 +49,7 @@
 
 fn is_surveyor(relay: &Relay) -> bool {
     let RelaySettings { name, data_centre, .. } = &relay.settings;
-    relay.beliefs.borrow().peers.is_data_centre_leader(name, data_centre, now_millis())
+    relay.state.borrow().peers.is_data_centre_leader(name, data_centre, now_millis())
 }
 
 /// Whether a request was quiet lately.
@@ -61,8 +61,8 @@
 /// Engines of the data centre that hold layers.
 fn own_engines(relay: &Relay) -> Vec<ReplicaInstance> {
     let Some(config) = relay.config() else { return Vec::new() };
-    let beliefs = relay.beliefs.borrow();
-    let services = config.engines().flat_map(|(service, _)| beliefs.fleet.view.of_service(service));
+    let state = relay.state.borrow();
+    let services = config.engines().flat_map(|(service, _)| state.fleet.view.of_service(service));
     let own = services.filter(|replica| {
         replica.data_centre == relay.settings.data_centre && replica.layers.is_some()
     });
@@ -71,12 +71,12 @@
 
 async fn ask(relay: &Relay, engine: &ReplicaInstance) {
     let address =
-        relay.beliefs.borrow().fleet.view.get_current(engine).map(|replica| replica.address);
+        relay.state.borrow().fleet.view.get_current(engine).map(|replica| replica.address);
     let Some(address) = address else { return };
     let Some(report) = ask_report(relay, address).await else { return };
-    let changed = relay.beliefs.borrow_mut().paces.record(engine, report.slowdown, now_millis());
+    let changed = relay.state.borrow_mut().slowdowns.record(engine, report.slowdown, now_millis());
     if changed {
         tracing::info!(event = "engine-pace", replica = %engine, factor = report.slowdown);
-        tell_state(relay, TellReach::All);
+        send_state(relay, SendScope::All);
     }
 }
--- a/crates/relay/src/engines.rs
+++ b/crates/relay/src/engines.rs
@@ -30,7 +30,7 @@
     notices::{HeardAnswer, hear_notices_at},
     pool::SendError,
     probes::{ProbeEnd, ask_twice, silence_counts},
-    replicas::take_report_start,
+    replicas::accept_report_start,
     state::Relay,
 };
 
@@ -141,7 +141,7 @@
         return None;
     }
     match decode_report(&body) {
-        Ok(report) => take_report_start(relay, address, report.started_at).then_some(report),
+        Ok(report) => accept_report_start(relay, address, report.started_at).then_some(report),
         Err(error) => {
             tracing::warn!(event = "report-unreadable", %address, %error);
             None
@@ -181,7 +181,7 @@
 pub fn probe_replicas(relay: &Rc<Relay>, addresses: impl Iterator<Item = SocketAddr>) {
     let now = now_millis();
     relay.reports.last_probe.set(Some(now));
-    let near = relay.beliefs.borrow().peers.known_count_in(&relay.settings.data_centre);
+    let near = relay.state.borrow().peers.known_count_in(&relay.settings.data_centre);
     let pause = PROBE_EVERY * (1 + near as Millis);
     let due: Vec<SocketAddr> =
         addresses.filter(|address| relay.reports.begin_probe(*address, pause, now)).collect();
@@ -206,13 +206,8 @@
         ProbeEnd::Silent if silence_counts => Some("no answer to a probe"),
         ProbeEnd::Silent | ProbeEnd::Unclear => None,
     };
-    let instance = relay
-        .beliefs
-        .borrow()
-        .fleet
-        .view
-        .at_address(address)
-        .map(|replica| replica.instance.clone());
+    let instance =
+        relay.state.borrow().fleet.view.at_address(address).map(|replica| replica.instance.clone());
     let replica = instance.as_ref().map(ReplicaInstance::to_string);
     tracing::info!(event = "probe-failed", %address, replica, ?end, silence_counts);
     if let (Some(instance), Some(why)) = (instance, lost) {
--- a/crates/relay/src/forward.rs
+++ b/crates/relay/src/forward.rs
@@ -88,7 +88,7 @@
     in_flight: InFlightGuard,
 ) -> RelayBody {
     let flow = StreamForwarder {
-        alarms_seen: relay.alarms.get(),
+        alarms_seen: relay.path_check_epoch.get(),
         framer: EventFramer::resume_after(request.headers.last_event_id),
         marks: read_response_headers(&opened.head.headers),
         body: opened.body,
@@ -172,7 +172,7 @@
         if left == 0 {
             return Waited::TimeUp;
         }
-        if self.alarms_seen != self.relay.alarms.get() {
+        if self.alarms_seen != self.relay.path_check_epoch.get() {
             return Waited::Alarm;
         }
         let until = Instant::now() + Duration::from_millis(look_at.saturating_sub(now).min(left));
@@ -183,7 +183,7 @@
                 Some(Err(error)) => Waited::Broken(error.to_string()),
                 None => Waited::End,
             },
-            () = self.relay.alarm_bell.notified() => Waited::Alarm,
+            () = self.relay.path_check_notify.notified() => Waited::Alarm,
             () = sleep_until(until) => Waited::Quiet,
         }
     }
--- a/crates/relay/src/forward/recovery.rs
+++ b/crates/relay/src/forward/recovery.rs
@@ -19,7 +19,7 @@
     paths::{CrossingRule, MemoryRule, PathCriteria, PathReservation, find_path},
     quarantine::quarantine_left,
     run_tracker::RunTracker,
-    state::PartState,
+    state::StageState,
     stream::{OpenOutcome, OpenStream, find_stalled_replica, open_stream, suspect_at, take_retry},
 };
 
@@ -59,17 +59,17 @@
     /// that still serve are left one stream after the other, since the whole request is read again where
     /// it goes.
     pub(super) fn answer_alarm(&mut self) {
-        self.alarms_seen = self.relay.alarms.get();
+        self.alarms_seen = self.relay.path_check_epoch.get();
         match self.path_state() {
-            PartState::Well => self.leave_at = None,
-            PartState::Leaving => {
+            StageState::Serving => self.leave_at = None,
+            StageState::Leaving => {
                 let delay = self.draw_delay(MOST_LEAVING_DELAY).as_millis() as Millis;
                 self.leave_at = self.leave_at.or(Some(now_millis() + delay));
             }
             // A suspicion may be wrong: a stream that still flows has lost nothing.
-            PartState::Lost => self.doubtful = true,
+            StageState::Lost => self.doubtful = true,
         }
-        self.doubtful |= self.relay.part_state(&self.path[0]) == PartState::Lost;
+        self.doubtful |= self.relay.stage_state(&self.path[0]) == StageState::Lost;
         if self.doubtful {
             // One that is quiet already is looked into at once: waiting for the next look takes much of the time that
             // a pause may last.
@@ -81,26 +81,26 @@
     pub(super) async fn leave_in_turn(&mut self) {
         if self.leave_at.is_some_and(|at| now_millis() >= at) {
             self.leave_at = None;
-            if self.path_state() == PartState::Leaving {
+            if self.path_state() == StageState::Leaving {
                 self.repath().await;
             }
         }
     }
 
     /// Worst state of the path's parts after the first, whose loss shows by itself.
-    fn path_state(&self) -> PartState {
-        let states = self.path.iter().skip(1).map(|part| self.relay.part_state(part));
-        states.fold(PartState::Well, |worst, state| match (worst, state) {
-            (PartState::Lost, _) | (_, PartState::Lost) => PartState::Lost,
-            (PartState::Leaving, _) | (_, PartState::Leaving) => PartState::Leaving,
-            _ => PartState::Well,
+    fn path_state(&self) -> StageState {
+        let states = self.path.iter().skip(1).map(|part| self.relay.stage_state(part));
+        states.fold(StageState::Serving, |worst, state| match (worst, state) {
+            (StageState::Lost, _) | (_, StageState::Lost) => StageState::Lost,
+            (StageState::Leaving, _) | (_, StageState::Leaving) => StageState::Leaving,
+            _ => StageState::Serving,
         })
     }
 
     /// Whether any replica of the path is lost.
     fn is_path_lost(&self) -> bool {
-        self.relay.part_state(&self.path[0]) == PartState::Lost
-            || self.path_state() == PartState::Lost
+        self.relay.stage_state(&self.path[0]) == StageState::Lost
+            || self.path_state() == StageState::Lost
     }
 
     async fn replace_lost(&mut self) {
@@ -116,8 +116,8 @@
         self.doubtful = false;
         let first = self.path[0].clone();
         let quiet = now_millis() - self.last_progress;
-        let first_is_lost = self.relay.part_state(&first) == PartState::Lost;
-        if !first_is_lost && self.path_state() != PartState::Lost {
+        let first_is_lost = self.relay.stage_state(&first) == StageState::Lost;
+        if !first_is_lost && self.path_state() != StageState::Lost {
             if quiet < self.longest_gap() {
                 self.is_probed = true;
                 probe_replicas(&self.relay, self.path.iter().map(|part| part.address));
@@ -129,10 +129,10 @@
                 suspect_at(&self.relay, faulty_replica, "stalled");
             }
         }
-        if self.relay.part_state(&first) == PartState::Lost {
+        if self.relay.stage_state(&first) == StageState::Lost {
             return self.recover("the first replica is lost", StreamLoss::Silent).await;
         }
-        if self.path_state() == PartState::Lost {
+        if self.path_state() == StageState::Lost {
             return self.replace_lost().await;
         }
         if now_millis() - self.last_progress > LONGEST_QUIET {
@@ -158,8 +158,8 @@
                 Some(OrderEnd::Taken) => return true,
                 Some(OrderEnd::Refused(_, Some(faulty_replica))) => {
                     probe_replicas(&self.relay, std::iter::once(faulty_replica));
-                    let beliefs = self.relay.beliefs.borrow();
-                    let Some(replica) = beliefs.fleet.view.at_address(faulty_replica) else {
+                    let state = self.relay.state.borrow();
+                    let Some(replica) = state.fleet.view.at_address(faulty_replica) else {
                         return false;
                     };
                     avoid.push(replica.instance.clone());
@@ -173,10 +173,10 @@
     /// Replicas that started again since the request came to them: the first engine takes them for what they
     /// were, with memory of it.
     fn restarted_parts(&self) -> Vec<ReplicaInstance> {
-        let beliefs = self.relay.beliefs.borrow();
-        let ended = |part: &&PathStage| beliefs.fleet.view.get_current(&part.instance).is_none();
+        let state = self.relay.state.borrow();
+        let ended = |part: &&PathStage| state.fleet.view.get_current(&part.instance).is_none();
         let present = self.path.iter().filter(ended);
-        let present = present.filter_map(|part| beliefs.fleet.view.at_address(part.address));
+        let present = present.filter_map(|part| state.fleet.view.at_address(part.address));
         present.map(|replica| replica.instance.clone()).collect()
     }
 
--- a/crates/relay/src/heads.rs
+++ b/crates/relay/src/heads.rs
@@ -15,11 +15,11 @@
 use crate::{
     admit::Permit,
     engines::probe_replicas,
+    gossip::{SendScope, send_state},
     pool::{ActiveConnection, SendError},
     request::CallerRequest,
-    state::{PartState, Relay},
+    state::{Relay, StageState},
     stream::{find_stalled_replica, suspect_at},
-    tell::{TellReach, tell_state},
 };
 
 /// Time without the head of an answer after which the replicas of the path are probed: twice what a
@@ -49,7 +49,7 @@
     /// Notes that a request is sent.
     pub fn new(relay: &Rc<Relay>, instance: &ReplicaInstance) -> Self {
         let sent = now_millis();
-        relay.beliefs.borrow_mut().heads.record_sent(instance, sent);
+        relay.state.borrow_mut().stalls.record_sent(instance, sent);
         Self { relay: relay.clone(), instance: instance.clone(), sent, is_answered: false }
     }
 
@@ -58,7 +58,7 @@
         self.is_answered = true;
         let now = now_millis();
         let took = begins.then_some(now - self.sent);
-        if self.relay.beliefs.borrow_mut().heads.record_response(&self.instance, took, now) {
+        if self.relay.state.borrow_mut().stalls.record_response(&self.instance, took, now) {
             tracing::info!(event = "mute-ended", replica = %self.instance, took);
         }
     }
@@ -67,7 +67,7 @@
 impl Drop for HeadGuard {
     fn drop(&mut self) {
         if !self.is_answered {
-            self.relay.beliefs.borrow_mut().heads.record_abandoned(&self.instance);
+            self.relay.state.borrow_mut().stalls.record_abandoned(&self.instance);
         }
     }
 }
@@ -131,7 +131,9 @@
     /// Whether another send is possible.
     fn has_another(&self) -> bool {
         let within = self.earlier_sends + 1 < self.permit.route.max_attempts;
-        self.is_repeatable() && within && self.relay.has_repeat(&self.permit.service, now_millis())
+        self.is_repeatable()
+            && within
+            && self.relay.can_retry_service(&self.permit.service, now_millis())
     }
 
     fn is_repeatable(&self) -> bool {
@@ -170,15 +172,15 @@
         let now = now_millis();
         let instance = &self.path[0].instance;
         let silent_after = {
-            let beliefs = self.relay.beliefs.borrow();
-            beliefs.heads.stall_threshold(self.permit.route.objective)
+            let state = self.relay.state.borrow();
+            state.stalls.stall_threshold(self.permit.route.objective)
         };
-        let found = self.relay.beliefs.borrow_mut().heads.detect_stall(instance, silent_after, now);
+        let found = self.relay.state.borrow_mut().stalls.detect_stall(instance, silent_after, now);
         if let Some(for_ms) = found {
             tracing::warn!(event = "mute", replica = %instance, silent_after, for_ms);
-            tell_state(self.relay, TellReach::All);
+            send_state(self.relay, SendScope::All);
         }
-        let is_mute = self.relay.beliefs.borrow().heads.is_stalled(instance, now);
+        let is_mute = self.relay.state.borrow().stalls.is_stalled(instance, now);
         let has_waited = waited.as_millis() as Millis >= silent_after;
         match is_mute && has_waited && self.has_another() {
             true => Err(WaitEnd::Stalled("begins no answers".to_owned())),
@@ -190,12 +192,12 @@
     /// evidence: what another one heard may be a fault of its link.
     fn look_at_parts(&self) -> Result<(), WaitEnd> {
         let now = now_millis();
-        let is_lost = |part: &&PathStage| self.relay.part_state(part) == PartState::Lost;
+        let is_lost = |part: &&PathStage| self.relay.stage_state(part) == StageState::Lost;
         let Some(lost) = self.path.iter().find(is_lost) else { return Ok(()) };
-        let beliefs = self.relay.beliefs.borrow();
-        let is_listed = beliefs.fleet.view.get_current(&lost.instance).is_some();
-        let own = !is_listed || beliefs.suspects.is_local(&lost.instance, now);
-        drop(beliefs);
+        let state = self.relay.state.borrow();
+        let is_listed = state.fleet.view.get_current(&lost.instance).is_some();
+        let own = !is_listed || state.suspects.is_local(&lost.instance, now);
+        drop(state);
         if self.has_another() || (own && self.is_repeatable()) {
             let detail = format!("a replica of the path is lost ({})", lost.instance);
             return Err(WaitEnd::Stalled(detail));
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -13,24 +13,25 @@
 //! | [`stream`], [`heads`], [`forward`], [`paths`] | requests over engines: opening, running, paths |
 //! | [`run_tracker`] | runs of requests at replicas, and what is left of lost ones |
 //! | [`pool`], [`engines`] | connections and calls to replicas |
-//! | [`watch`], [`replicas`], [`peers`], [`news`] | what the relay knows, from the store and from other relays |
-//! | [`copies`] | what the store lost when it came back from a copy |
+//! | [`watch`], [`replicas`], [`peers`], [`messages`] | what the relay knows, from the store and from other relays |
+//! | [`restore`] | what the store lost when it came back from a copy |
 //! | [`notices`] | what replicas say of themselves in their answers |
 //! | [`quarantine`] | requests that end the replicas that run them |
-//! | [`survey`] | which engines are slow |
+//! | [`engine_poll`] | which engines are slow |
 //! | [`placer`] | orders to engines to hold layers |
 //! | [`shutdown`], [`run`], [`reload`], [`settings`], [`logs`], [`counts`], [`metrics`] | the process |
 
 pub mod admit;
-pub mod copies;
 pub mod counts;
+pub mod engine_poll;
 pub mod engines;
 pub mod forward;
+pub mod gossip;
 pub mod heads;
 pub mod limits;
 pub mod logs;
+pub mod messages;
 pub mod metrics;
-pub mod news;
 pub mod notices;
 pub mod paths;
 pub mod peers;
@@ -44,6 +45,7 @@
 pub mod replicas;
 pub mod request;
 pub mod responses;
+pub mod restore;
 pub mod run;
 pub mod run_tracker;
 pub mod serve;
@@ -53,6 +55,4 @@
 pub mod state;
 pub mod store_calls;
 pub mod stream;
-pub mod survey;
-pub mod tell;
 pub mod watch;
--- a/crates/relay/src/limits.rs
+++ b/crates/relay/src/limits.rs
@@ -23,9 +23,12 @@
 
 use crate::{
     counts::{add, count},
-    news::{AskNews, AskRecord, GrantNews, GrantRecord, LimitRecord, PeerMessage},
+    messages::{
+        GrantMessage, GrantRecord, GrantRequestMessage, GrantRequestRecord, LimitRecord,
+        PeerMessage,
+    },
     settings::RelaySettings,
-    state::{Beliefs, Relay},
+    state::{Relay, RelayState},
 };
 
 /// Time between two looks of a relay that keeps a limit or wants grants, and of one that does not.
@@ -40,12 +43,12 @@
 const MOST_IN_TURN: usize = 8;
 
 /// Whether this relay keeps limits of replicas.
-pub fn keeps_limits(relay: &Relay, beliefs: &Beliefs, now: Millis) -> bool {
-    let has_others = || beliefs.peers.live_count(now) > 0;
+pub fn keeps_limits(relay: &Relay, state: &RelayState, now: Millis) -> bool {
+    let has_others = || state.peers.live_count(now) > 0;
     // One that stops leaves them to the others while it is there, so that nobody waits for its silence.
     // What a member hears of the others is too little to tell whether it is cut off.
-    let speaks = !beliefs.peers.is_member();
-    speaks && now >= COORDINATES_AFTER && !(relay.stop.is_stopping() && has_others())
+    let speaks = !state.peers.is_member();
+    speaks && now >= COORDINATES_AFTER && !(relay.shutdown.is_stopping() && has_others())
 }
 
 fn own_stamp(relay: &Relay, now: Millis) -> PeerStamp {
@@ -54,27 +57,27 @@
 
 fn find_keeper<'a>(
     relay: &Relay,
-    beliefs: &'a Beliefs,
+    state: &'a RelayState,
     id: &str,
     now: Millis,
 ) -> LimitCoordinator<'a> {
     let RelaySettings { name, data_centre, .. } = &relay.settings;
-    let own = LocalRelay { name, data_centre, is_eligible: keeps_limits(relay, beliefs, now) };
-    let place = beliefs.fleet.view.get(id).map_or("", |entry| &entry.data_centre);
-    limit_coordinator(&own, &beliefs.peers, id, place, now)
+    let own = LocalRelay { name, data_centre, is_eligible: keeps_limits(relay, state, now) };
+    let place = state.fleet.view.get(id).map_or("", |entry| &entry.data_centre);
+    limit_coordinator(&own, &state.peers, id, place, now)
 }
 
 /// Takes over what a replica said of its limit; `from` is the relay that told it, where it was not said to this one.
 pub fn take_word(relay: &Relay, id: &str, word: LimitReport, from: Option<&str>) {
     let now = now_millis();
-    let changed = relay.beliefs.borrow_mut().limits.update(id, word, now);
+    let changed = relay.state.borrow_mut().limits.update(id, word, now);
     let Some(change) = changed else { return };
     count(&relay.counts.limits_changed);
-    relay.limit_bell.notify_one();
+    relay.limit_notify.notify_one();
     let age = now as i64 - word.sent;
     match change {
         LimitChange::Set(limit) => {
-            relay.beliefs.borrow_mut().grants.record_limit(id, limit);
+            relay.state.borrow_mut().grants.record_limit(id, limit);
             tracing::info!(event = "limit-named", replica = id, limit, age, from);
         }
         LimitChange::Removed => tracing::info!(event = "limit-ended", replica = id, age, from),
@@ -83,23 +86,23 @@
 
 /// Limits to tell another relay with this one's state: those that changed lately, and to `near` ones some of all in turn.
 pub fn limits_to_tell(
-    beliefs: &Beliefs,
+    state: &RelayState,
     near: bool,
     round: usize,
     now: Millis,
 ) -> Vec<LimitRecord> {
-    if beliefs.limits.is_empty() {
+    if state.limits.is_empty() {
         return Vec::new();
     }
-    let changed = beliefs.limits.changed_since(now.saturating_sub(TELL_TIME)).take(MOST_CHANGED);
-    let turn = near.then(|| beliefs.limits.page(round, MOST_IN_TURN));
+    let changed = state.limits.changed_since(now.saturating_sub(TELL_TIME)).take(MOST_CHANGED);
+    let turn = near.then(|| state.limits.page(round, MOST_IN_TURN));
     let told = changed.chain(turn.into_iter().flatten());
-    told.map(|(id, word)| LimitRecord::of(id, word, now)).collect()
+    told.map(|(id, word)| LimitRecord::new(id, word, now)).collect()
 }
 
 /// Takes over limits that another relay told in a message that it wrote at `written`.
 pub fn hear_limits(relay: &Relay, limits: &[LimitRecord], from: &str, written: i64) {
-    limits.iter().for_each(|limit| take_word(relay, &limit.id, limit.word(written), Some(from)));
+    limits.iter().for_each(|limit| take_word(relay, &limit.id, limit.report(written), Some(from)));
 }
 
 /// Notes that a request would have begun at a replica for which this relay has no grant, and asks for one: of those that
@@ -112,36 +115,36 @@
 ) {
     let now = now_millis();
     {
-        let mut guard = relay.beliefs.borrow_mut();
-        let beliefs = &mut *guard;
-        let Some(id) = wanted_replica(beliefs, service, rank, begins, now) else { return };
-        beliefs.grants.record_miss(&id, now);
+        let mut guard = relay.state.borrow_mut();
+        let state = &mut *guard;
+        let Some(id) = wanted_replica(state, service, rank, begins, now) else { return };
+        state.grants.record_miss(&id, now);
     }
     ask_for_grants(relay);
 }
 
 /// The replica with most places left, of those for which no grant is left.
 fn wanted_replica(
-    beliefs: &Beliefs,
+    state: &RelayState,
     service: &str,
     rank: u8,
     begins: impl Fn(&ReplicaEntry) -> bool,
     now: Millis,
 ) -> Option<String> {
-    if beliefs.limits.is_empty() {
+    if state.limits.is_empty() {
         return None;
     }
     let lacks = |replica: &&ReplicaEntry| {
         replica.is_ready()
             && begins(replica)
-            && !beliefs.suspects.is_suspect(&replica.instance, now)
-            && beliefs.backoffs.remaining(&replica.instance, now).is_none()
-            && beliefs.limit_wait(&replica.instance, rank, now).is_some()
+            && !state.suspects.is_suspect(&replica.instance, now)
+            && state.backoffs.remaining(&replica.instance, now).is_none()
+            && state.limit_wait(&replica.instance, rank, now).is_some()
     };
     let load = |replica: &ReplicaEntry| {
-        beliefs.places.reserved(&replica.instance) / f64::from(replica.slots.max(1))
+        state.slot_reservations.reserved(&replica.instance) / f64::from(replica.slots.max(1))
     };
-    let replicas = beliefs.fleet.view.of_service(service).filter(lacks);
+    let replicas = state.fleet.view.of_service(service).filter(lacks);
     let least = replicas.min_by(|left, right| load(left).total_cmp(&load(right)));
     least.map(|replica| replica.instance.id().to_owned())
 }
@@ -164,16 +167,16 @@
     ) -> Option<Self> {
         let now = now_millis();
         let id = {
-            let mut beliefs = relay.beliefs.borrow_mut();
+            let mut state = relay.state.borrow_mut();
             let wait = |replica: &&ReplicaEntry| {
                 let is_usable = replica.is_ready() && begins(replica);
-                is_usable.then(|| beliefs.limit_wait(&replica.instance, need.rank, now)).flatten()
+                is_usable.then(|| state.limit_wait(&replica.instance, need.rank, now)).flatten()
             };
-            let replicas = beliefs.fleet.view.of_service(service);
+            let replicas = state.fleet.view.of_service(service);
             let waits =
                 replicas.filter_map(|replica| Some((wait(&replica)?, replica.instance.id())));
             let id = waits.min()?.1.to_owned();
-            beliefs.grants.begin_wait(&id, need);
+            state.grants.begin_wait(&id, need);
             id
         };
         ask_for_grants(relay);
@@ -183,7 +186,7 @@
 
 impl Drop for GrantWait {
     fn drop(&mut self) {
-        self.relay.beliefs.borrow_mut().grants.end_wait(&self.id, self.need);
+        self.relay.state.borrow_mut().grants.end_wait(&self.id, self.need);
     }
 }
 
@@ -191,28 +194,31 @@
 fn ask_for_grants(relay: &Relay) {
     let now = now_millis();
     let stamp = own_stamp(relay, now);
-    let mut asks: Vec<(SocketAddr, Vec<AskRecord>)> = Vec::new();
+    let mut asks: Vec<(SocketAddr, Vec<GrantRequestRecord>)> = Vec::new();
     let mut is_own = false;
     {
-        let mut beliefs = relay.beliefs.borrow_mut();
-        let due = beliefs.grants.due_requests(now);
+        let mut state = relay.state.borrow_mut();
+        let due = state.grants.due_requests(now);
         if !due.is_empty() {
-            relay.limit_bell.notify_one();
+            relay.limit_notify.notify_one();
         }
         for ask in due {
             let (id, wanted) = (ask.id.clone(), ask.count);
-            let Some(word) = beliefs.limits.report(&id) else { continue };
+            let Some(word) = state.limits.report(&id) else { continue };
             add(&relay.counts.grants_asked, wanted as u64);
-            match find_keeper(relay, &beliefs, &id, now) {
+            match find_keeper(relay, &state, &id, now) {
                 LimitCoordinator::Unknown => {}
                 LimitCoordinator::Local => {
                     is_own = true;
-                    beliefs.issuer.request(&ask, &relay.settings.name, stamp, now);
+                    state.issuer.request(&ask, &relay.settings.name, stamp, now);
                 }
                 LimitCoordinator::Peer(_, address) => {
-                    let limit = LimitRecord::of(&id, word, now);
-                    let ask =
-                        AskRecord { limit, wanted: wanted as u32, lasts: ask.valid_for as u32 };
+                    let limit = LimitRecord::new(&id, word, now);
+                    let ask = GrantRequestRecord {
+                        limit,
+                        count: wanted as u32,
+                        valid_for_ms: ask.valid_for as u32,
+                    };
                     match asks.iter_mut().find(|(to, _)| *to == address) {
                         Some((_, asks)) => asks.push(ask),
                         None => asks.push((address, vec![ask])),
@@ -224,7 +230,8 @@
     for (address, asks) in asks {
         let name = relay.settings.name.clone();
         let stamp = (stamp.incarnation, stamp.time);
-        let message = PeerMessage::Asks(AskNews { name, stamp, asks });
+        let message =
+            PeerMessage::GrantRequests(GrantRequestMessage { name, stamp, requests: asks });
         // A lost one is asked again.
         let _lost = relay.peer_socket.try_send_to(&message.encode(), address);
     }
@@ -241,19 +248,19 @@
     now: Millis,
 ) -> (PeerStamp, i64) {
     let stamp = PeerStamp { incarnation, time };
-    (stamp, relay.beliefs.borrow_mut().clocks.written_at(name, stamp, now))
+    (stamp, relay.state.borrow_mut().clocks.written_at(name, stamp, now))
 }
 
 /// Takes asks of another relay.
-pub fn hear_asks(relay: &Relay, news: &AskNews) {
+pub fn hear_asks(relay: &Relay, news: &GrantRequestMessage) {
     let now = now_millis();
     let (stamp, written) = read_stamp(relay, &news.name, news.stamp, now);
-    for ask in &news.asks {
-        take_word(relay, &ask.limit.id, ask.limit.word(written), Some(&news.name));
-        let mut beliefs = relay.beliefs.borrow_mut();
-        beliefs.issuer.request(&ask.due(), &news.name, stamp, now);
+    for ask in &news.requests {
+        take_word(relay, &ask.limit.id, ask.limit.report(written), Some(&news.name));
+        let mut state = relay.state.borrow_mut();
+        state.issuer.request(&ask.request(), &news.name, stamp, now);
     }
-    relay.limit_bell.notify_one();
+    relay.limit_notify.notify_one();
     issue_grants(relay);
 }
 
@@ -262,30 +269,30 @@
     let now = now_millis();
     let mut told: Vec<(String, GrantRecord)> = Vec::new();
     {
-        let mut guard = relay.beliefs.borrow_mut();
+        let mut guard = relay.state.borrow_mut();
         if !keeps_limits(relay, &guard, now) {
             return;
         }
-        let beliefs = &mut *guard;
+        let state = &mut *guard;
         let RelaySettings { name, data_centre, .. } = &relay.settings;
         let own = LocalRelay { name, data_centre, is_eligible: true };
-        let part = rate_fraction(&own, &beliefs.peers, now);
-        let asked: Vec<String> = beliefs.issuer.requested_replicas().map(str::to_owned).collect();
+        let part = rate_fraction(&own, &state.peers, now);
+        let asked: Vec<String> = state.issuer.requested_replicas().map(str::to_owned).collect();
         for id in asked {
-            let Some(word) = beliefs.limits.report(&id) else { continue };
+            let Some(word) = state.limits.report(&id) else { continue };
             // Whoever asks may not have heard the one that keeps the limit yet: two that give would give twice as much.
-            if find_keeper(relay, beliefs, &id, now) != LimitCoordinator::Local {
+            if find_keeper(relay, state, &id, now) != LimitCoordinator::Local {
                 continue;
             }
             let rate = word.per_second.map_or(f64::INFINITY, |limit| limit * part);
-            for issued in beliefs.issuer.issue(&id, rate, word.sent, now) {
+            for issued in state.issuer.issue(&id, rate, word.sent, now) {
                 add(&relay.counts.grants_issued, issued.count as u64);
                 if issued.relay == relay.settings.name {
                     let at = issued.stamp.time + issued.held_for;
-                    beliefs.grants.add(&id, issued.count, at as i64, issued.share, now);
+                    state.grants.add(&id, issued.count, at as i64, issued.share, now);
                 } else {
-                    let limit = LimitRecord::of(&id, word, now);
-                    told.push((issued.relay.clone(), GrantRecord::of(limit, &issued)));
+                    let limit = LimitRecord::new(&id, word, now);
+                    told.push((issued.relay.clone(), GrantRecord::new(limit, &issued)));
                 }
             }
         }
@@ -294,10 +301,10 @@
 }
 
 fn tell_grants(relay: &Relay, told: Vec<(String, GrantRecord)>, now: Millis) {
-    let beliefs = relay.beliefs.borrow();
+    let state = relay.state.borrow();
     for (to, grant) in told {
-        let Some(address) = beliefs.peers.address(&to) else { continue };
-        let news = GrantNews {
+        let Some(address) = state.peers.address(&to) else { continue };
+        let news = GrantMessage {
             name: relay.settings.name.clone(),
             stamp: (relay.incarnation, now),
             grants: vec![grant],
@@ -308,24 +315,24 @@
 }
 
 /// Takes grants of the keeper.
-pub fn hear_grants(relay: &Relay, news: &GrantNews) {
+pub fn hear_grants(relay: &Relay, news: &GrantMessage) {
     let now = now_millis();
     let (_, written) = read_stamp(relay, &news.name, news.stamp, now);
     for grant in &news.grants {
-        take_word(relay, &grant.limit.id, grant.limit.word(written), Some(&news.name));
-        let IssuedGrants { stamp, held_for, count, share, .. } = grant.issued();
+        take_word(relay, &grant.limit.id, grant.limit.report(written), Some(&news.name));
+        let IssuedGrants { stamp, held_for, count, share, .. } = grant.issued_grants();
         if stamp.incarnation == relay.incarnation {
             let issued = (stamp.time + held_for) as i64;
-            let mut beliefs = relay.beliefs.borrow_mut();
-            beliefs.grants.add(&grant.limit.id, count, issued, share, now);
+            let mut state = relay.state.borrow_mut();
+            state.grants.add(&grant.limit.id, count, issued, share, now);
         }
     }
 }
 
 /// Drops what is kept of limits that bind nobody any more.
 fn forget(relay: &Relay) {
-    let mut guard = relay.beliefs.borrow_mut();
-    let Beliefs { limits, grants, issuer, fleet, .. } = &mut *guard;
+    let mut guard = relay.state.borrow_mut();
+    let RelayState { limits, grants, issuer, fleet, .. } = &mut *guard;
     limits.forget(|id| fleet.view.get(id).is_some(), now_millis());
     grants.retain(|id| limits.limit(id).is_some());
     issuer.retain(|id| limits.limit(id).is_some());
@@ -336,8 +343,8 @@
     loop {
         let now = now_millis();
         let is_busy = {
-            let beliefs = relay.beliefs.borrow();
-            beliefs.issuer.requested_replicas().next().is_some() || beliefs.grants.has_requests(now)
+            let state = relay.state.borrow();
+            state.issuer.requested_replicas().next().is_some() || state.grants.has_requests(now)
         };
         if is_busy {
             issue_grants(&relay);
@@ -345,7 +352,7 @@
             sleep(LOOK_EVERY).await;
         } else {
             tokio::select! {
-                () = relay.limit_bell.notified() => sleep(LOOK_EVERY).await,
+                () = relay.limit_notify.notified() => sleep(LOOK_EVERY).await,
                 () = sleep(IDLE_LOOK) => forget(&relay),
             }
         }
--- a/crates/relay/src/news.rs
+++ b/crates/relay/src/messages.rs
@@ -25,18 +25,19 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum PeerMessage {
     /// State of the sender, told regularly.
-    State(Box<StateNews>),
+    State(Box<StateMessage>),
     /// Replicas that changed, told at once within a data centre.
-    Fleet(FleetNews),
+    Fleet(FleetMessage),
     /// Grants that the sender wants, to the relay that keeps the limits.
-    Asks(AskNews),
+    #[serde(rename = "Asks")]
+    GrantRequests(GrantRequestMessage),
     /// Grants, from that relay.
-    Grants(GrantNews),
+    Grants(GrantMessage),
 }
 
 /// State of a relay.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
-pub struct StateNews {
+pub struct StateMessage {
     /// Name of the sender.
     pub name: String,
     /// Its data centre.
@@ -72,7 +73,8 @@
     /// Whether it reports to the receiver.
     pub report: ReportRecord,
     /// Hashes of relays that it hears keep limits, for members.
-    pub keepers: Vec<u32>,
+    #[serde(rename = "keepers")]
+    pub coordinators: Vec<u32>,
     /// Hash of the relay that reads the list of replicas, for members.
     pub reader: Option<u32>,
     /// Hashes of its members, for speakers of its data centre; told now and then.
@@ -80,13 +82,16 @@
     /// Limits that replicas named.
     pub limits: Vec<LimitRecord>,
     /// What is promised at replicas.
-    pub load: LoadNews,
+    #[serde(rename = "load")]
+    pub reservations: ReservationReport,
     /// Replicas kept away from, with the milliseconds that it still lasts.
     pub suspects: Vec<(InstanceRecord, u32)>,
     /// First replicas that begin no answers, with the milliseconds that others are to keep away.
-    pub mutes: Vec<(InstanceRecord, u32)>,
+    #[serde(rename = "mutes")]
+    pub stalls: Vec<(InstanceRecord, u32)>,
     /// Engines that are slow, with the hundredfold of their factor.
-    pub paces: Vec<(InstanceRecord, u32)>,
+    #[serde(rename = "paces")]
+    pub slowdowns: Vec<(InstanceRecord, u32)>,
     /// Requests under which replicas ended.
     pub crashes: Vec<CrashRecord>,
     /// Requests of that sort that had a result, with the milliseconds since.
@@ -127,28 +132,34 @@
 
 /// What a relay tells of what is promised.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
-pub enum LoadNews {
+pub enum ReservationReport {
     /// This message leaves it out.
     #[default]
-    Untold,
+    #[serde(rename = "Untold")]
+    Omitted,
     /// What the sender and its members promised.
-    Gathered(LoadRecord),
+    #[serde(rename = "Gathered")]
+    Group(ReservationRecord),
     /// What all but the receiver promised, for a member.
     Sums {
         /// At replicas of its data centre.
-        near: LoadRecord,
+        #[serde(rename = "near")]
+        same_data_centre: ReservationRecord,
         /// At all others; nothing where this message leaves it out.
-        far: Option<LoadRecord>,
+        #[serde(rename = "far")]
+        other_data_centres: Option<ReservationRecord>,
     },
 }
 
 /// What is promised at replicas.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
-pub struct LoadRecord {
+pub struct ReservationRecord {
     /// Room, by replica, in tokens times layers.
-    pub room: Vec<(InstanceRecord, u32)>,
+    #[serde(rename = "room")]
+    pub memory: Vec<(InstanceRecord, u32)>,
     /// Requests that run, by the first replica of their path.
-    pub places: Vec<(InstanceRecord, u32)>,
+    #[serde(rename = "places")]
+    pub slots: Vec<(InstanceRecord, u32)>,
 }
 
 /// What a replica said of its limit.
@@ -164,13 +175,13 @@
 
 impl LimitRecord {
     /// Writes what is known at `now`.
-    pub fn of(id: &str, word: LimitReport, now: Millis) -> Self {
-        let LimitReport { per_second, sent } = word;
+    pub fn new(id: &str, report: LimitReport, now: Millis) -> Self {
+        let LimitReport { per_second, sent } = report;
         Self { id: id.to_owned(), per_second, age: now as i64 - sent }
     }
 
     /// Reads what was written at `written`.
-    pub fn word(&self, written: i64) -> LimitReport {
+    pub fn report(&self, written: i64) -> LimitReport {
         // Another form of the same program cannot write what is no number of requests; a damaged message can.
         let per_second = self.per_second.map(|limit| limit.max(0.0));
         LimitReport { per_second, sent: written.saturating_sub(self.age) }
@@ -179,37 +190,40 @@
 
 /// Grants that a relay wants.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct AskNews {
+pub struct GrantRequestMessage {
     /// Name of the sender.
     pub name: String,
     /// Its start and its clock.
     pub stamp: (u32, Millis),
     /// What it wants.
-    pub asks: Vec<AskRecord>,
+    #[serde(rename = "asks")]
+    pub requests: Vec<GrantRequestRecord>,
 }
 
 /// Grants of one replica that a relay wants.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct AskRecord {
+pub struct GrantRequestRecord {
     /// The limit as the sender knows it.
     pub limit: LimitRecord,
     /// Count of grants.
-    pub wanted: u32,
+    #[serde(rename = "wanted")]
+    pub count: u32,
     /// Milliseconds for which they are wanted.
-    pub lasts: u32,
+    #[serde(rename = "lasts")]
+    pub valid_for_ms: u32,
 }
 
-impl AskRecord {
+impl GrantRequestRecord {
     /// What is asked for.
-    pub fn due(&self) -> GrantRequest {
-        let (wanted, lasts) = (self.wanted as usize, Millis::from(self.lasts));
-        GrantRequest { id: self.limit.id.clone(), count: wanted, valid_for: lasts }
+    pub fn request(&self) -> GrantRequest {
+        let (count, valid_for) = (self.count as usize, Millis::from(self.valid_for_ms));
+        GrantRequest { id: self.limit.id.clone(), count, valid_for }
     }
 }
 
 /// Grants of the relay that keeps the limits.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct GrantNews {
+pub struct GrantMessage {
     /// Name of the sender.
     pub name: String,
     /// Its start and its clock.
@@ -224,26 +238,27 @@
     /// The limit as the sender knows it.
     pub limit: LimitRecord,
     /// Stamp of the ask, and how long it was held.
-    ask: (u32, Millis, Millis),
+    #[serde(rename = "ask")]
+    request: (u32, Millis, Millis),
     count: u32,
     share: f64,
 }
 
 impl GrantRecord {
     /// Writes grants of a replica.
-    pub fn of(limit: LimitRecord, issued: &IssuedGrants) -> Self {
+    pub fn new(limit: LimitRecord, issued: &IssuedGrants) -> Self {
         let IssuedGrants { stamp, held_for, count, share, .. } = issued;
-        let ask = (stamp.incarnation, stamp.time, *held_for);
-        Self { limit, ask, count: *count as u32, share: *share }
+        let request = (stamp.incarnation, stamp.time, *held_for);
+        Self { limit, request, count: *count as u32, share: *share }
     }
 
     /// Grants as they were issued.
-    pub fn issued(&self) -> IssuedGrants {
-        let (incarnation, time, held) = self.ask;
+    pub fn issued_grants(&self) -> IssuedGrants {
+        let (incarnation, time, held_for) = self.request;
         IssuedGrants {
             relay: String::new(),
             stamp: PeerStamp { incarnation, time },
-            held_for: held,
+            held_for,
             count: self.count as usize,
             share: self.share,
         }
@@ -256,7 +271,8 @@
     /// Its fingerprint.
     pub fingerprint: [u8; FINGERPRINT_BYTES],
     /// Milliseconds for which it still is sent nowhere.
-    pub left: Option<u32>,
+    #[serde(rename = "left")]
+    pub remaining_ms: Option<u32>,
     /// Lost runs.
     pub runs: Vec<CrashRunRecord>,
 }
@@ -277,19 +293,19 @@
 
 impl CrashRecord {
     /// Writes what is known at `now`.
-    pub fn of(news: &CrashReport, now: Millis) -> Self {
+    pub fn new(report: &CrashReport, now: Millis) -> Self {
         Self {
-            fingerprint: news.fingerprint.bytes(),
-            left: news.remaining.map(|left| left as u32),
-            runs: news.runs.iter().map(|run| CrashRunRecord::of(run, now)).collect(),
+            fingerprint: report.fingerprint.bytes(),
+            remaining_ms: report.remaining.map(|remaining| remaining as u32),
+            runs: report.runs.iter().map(|run| CrashRunRecord::of(run, now)).collect(),
         }
     }
 
     /// Reads what was told at `now`.
-    pub fn news(&self, now: Millis) -> CrashReport {
+    pub fn report(&self, now: Millis) -> CrashReport {
         CrashReport {
             fingerprint: RequestFingerprint::from_bytes(self.fingerprint),
-            remaining: self.left.map(Millis::from),
+            remaining: self.remaining_ms.map(Millis::from),
             runs: self.runs.iter().map(|run| run.run(now)).collect(),
         }
     }
@@ -334,7 +350,7 @@
 
 /// Replicas that changed.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct FleetNews {
+pub struct FleetMessage {
     /// What the store said last of some replicas.
     pub changes: Vec<ReplicaRecord>,
 }
@@ -351,7 +367,8 @@
 /// A replica's entry.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 struct EntryRecord {
-    born: Millis,
+    #[serde(rename = "born")]
+    started_at: Millis,
     service: String,
     address: SocketAddr,
     data_centre: String,
@@ -390,8 +407,8 @@
 }
 
 impl From<ReplicaUpdate> for ReplicaRecord {
-    fn from(news: ReplicaUpdate) -> Self {
-        let ReplicaUpdate { id, revision, entry } = news;
+    fn from(update: ReplicaUpdate) -> Self {
+        let ReplicaUpdate { id, revision, entry } = update;
         Self { id, revision, entry: entry.map(EntryRecord::from) }
     }
 }
@@ -407,7 +424,7 @@
 impl From<ReplicaEntry> for EntryRecord {
     fn from(entry: ReplicaEntry) -> Self {
         Self {
-            born: entry.instance.started_at(),
+            started_at: entry.instance.started_at(),
             service: entry.service,
             address: entry.address,
             data_centre: entry.data_centre,
@@ -422,7 +439,7 @@
 impl EntryRecord {
     fn into_entry(self, id: &str) -> ReplicaEntry {
         ReplicaEntry {
-            instance: ReplicaInstance::new(id, self.born),
+            instance: ReplicaInstance::new(id, self.started_at),
             service: self.service,
             address: self.address,
             data_centre: self.data_centre,
@@ -453,8 +470,8 @@
 
 /// [`PeerMessage::State`] of what is only borrowed, with the same form on the wire.
 #[derive(Serialize)]
-enum StateMessage<'a> {
-    State(&'a StateNews),
+enum BorrowedMessage<'a> {
+    State(&'a StateMessage),
 }
 
 /// Writes a message of a relay's state, which is told to many with little changed.
@@ -462,6 +479,7 @@
 /// # Panics
 ///
 /// As [`PeerMessage::encode`].
-pub fn encode_state(news: &StateNews) -> Vec<u8> {
-    postcard::to_extend(&StateMessage::State(news), vec![FORM]).expect("messages are plain data")
+pub fn encode_state(message: &StateMessage) -> Vec<u8> {
+    postcard::to_extend(&BorrowedMessage::State(message), vec![FORM])
+        .expect("messages are plain data")
 }
--- a/crates/relay/src/metrics.rs
+++ b/crates/relay/src/metrics.rs
@@ -149,7 +149,7 @@
 
     fn copy_figures(&self, relay: &Relay) {
         let counts = &relay.counts;
-        let beliefs = relay.beliefs.borrow();
+        let state = relay.state.borrow();
         let now = now_millis();
         let figures = [
             ("requests", counts.requests.get()),
@@ -183,20 +183,20 @@
             ("returned", counts.returned.get()),
             ("restarted", counts.restarted.get()),
             ("odd_entries", counts.odd_entries.get()),
-            ("store_era", beliefs.fleet.era()),
+            ("store_era", state.fleet.era()),
             ("store_copies", counts.store_copies.get()),
             ("passed_changes", counts.passed_changes.get()),
-            ("in_flight", relay.stop.in_flight() as u64),
+            ("in_flight", relay.shutdown.in_flight() as u64),
             ("idle_links", relay.pool.idle_count() as u64),
-            ("replicas", beliefs.fleet.view.len() as u64),
-            ("suspects", beliefs.suspects.current(now).count() as u64),
-            ("requests_stopped_now", beliefs.quarantine.quarantined_count(now) as u64),
-            ("requests_suspected", beliefs.quarantine.tracked_count() as u64),
-            ("known_relays", beliefs.peers.known_count() as u64),
-            ("is_member", u64::from(beliefs.peers.is_member())),
-            ("members", beliefs.peers.member_hashes(now).len() as u64),
-            ("live_relays", beliefs.peers.live_count(now) as u64),
-            ("config_version", beliefs.config_version()),
+            ("replicas", state.fleet.view.len() as u64),
+            ("suspects", state.suspects.current(now).count() as u64),
+            ("requests_stopped_now", state.quarantine.quarantined_count(now) as u64),
+            ("requests_suspected", state.quarantine.tracked_count() as u64),
+            ("known_relays", state.peers.known_count() as u64),
+            ("is_member", u64::from(state.peers.is_member())),
+            ("members", state.peers.member_hashes(now).len() as u64),
+            ("live_relays", state.peers.live_count(now) as u64),
+            ("config_version", state.config_version()),
         ];
         for (name, value) in figures {
             self.figures.record(value, &[KeyValue::new("name", name)]);
@@ -216,10 +216,9 @@
     }
 
     fn copy_ages(&self, relay: &Relay) {
-        let beliefs = relay.beliefs.borrow();
+        let state = relay.state.borrow();
         let now = now_millis();
-        let ages =
-            [("config", beliefs.config_lease.age(now)), ("replicas", beliefs.fleet.age(now))];
+        let ages = [("config", state.config_lease.age(now)), ("replicas", state.fleet.age(now))];
         for (name, age) in ages {
             if let Some(age) = age {
                 self.ages.record(age, &[KeyValue::new("belief", name)]);
--- a/crates/relay/src/notices.rs
+++ b/crates/relay/src/notices.rs
@@ -18,7 +18,7 @@
     limits::take_word,
     replicas::apply_draining,
     responses::Refusal,
-    state::{Beliefs, Relay},
+    state::{Relay, RelayState},
 };
 
 /// An answer of a replica, as far as it says something of that replica.
@@ -38,7 +38,7 @@
 pub fn hear_notices(relay: &Relay, instance: &ReplicaInstance, answer: HeardAnswer<'_>) {
     let HeardAnswer { status, marks, .. } = answer;
     if status != StatusCode::SERVICE_UNAVAILABLE && !marks.not_executed {
-        relay.beliefs.borrow_mut().backoffs.record_success(instance, now_millis());
+        relay.state.borrow_mut().backoffs.record_success(instance, now_millis());
     }
     hear_word(relay, instance, answer);
     // Another replica may answer this way at the address of one that ended.
@@ -51,13 +51,8 @@
 
 /// Hears what an answer to a call of an engine's own interface says of the replica that is listed at an address.
 pub fn hear_notices_at(relay: &Relay, address: SocketAddr, answer: HeardAnswer<'_>) {
-    let instance = relay
-        .beliefs
-        .borrow()
-        .fleet
-        .view
-        .at_address(address)
-        .map(|replica| replica.instance.clone());
+    let instance =
+        relay.state.borrow().fleet.view.at_address(address).map(|replica| replica.instance.clone());
     if let Some(instance) = instance {
         hear_word(relay, &instance, answer);
     }
@@ -89,7 +84,7 @@
     match &marks.retry_after {
         Some(RetryAfter::Millis(asked)) => {
             count(&relay.counts.backoffs_asked);
-            relay.beliefs.borrow_mut().backoffs.record(instance, *asked, now_millis());
+            relay.state.borrow_mut().backoffs.record(instance, *asked, now_millis());
             tracing::info!(event = "backoff-asked", replica = %instance, asked);
         }
         Some(RetryAfter::Unreadable(value)) => {
@@ -132,13 +127,13 @@
     }
 
     fn decide(&self, now: Millis) -> Result<(), Millis> {
-        let mut beliefs = self.relay.beliefs.borrow_mut();
-        let is_trial = beliefs.backoffs.begin_send(self.instance, self.is_trial.get(), now)?;
+        let mut state = self.relay.state.borrow_mut();
+        let is_trial = state.backoffs.begin_send(self.instance, self.is_trial.get(), now)?;
         self.is_trial.set(is_trial);
-        let is_limited = beliefs.limits.limit(self.instance.id()).is_some();
+        let is_limited = state.limits.limit(self.instance.id()).is_some();
         // One that passed before is on its way: its connection opened meanwhile.
         if is_limited && !self.passed.get() {
-            let grant = beliefs.grants.spend(self.instance.id(), self.rank, now)?;
+            let grant = state.grants.spend(self.instance.id(), self.rank, now)?;
             self.grant.set(Some(grant));
             count(&self.relay.counts.grants_spent);
         }
@@ -149,7 +144,7 @@
     /// Notes that no byte of the request left: its grant serves another one.
     pub fn note_unsent(&self) {
         if let Some(end) = self.grant.take() {
-            self.relay.beliefs.borrow_mut().grants.give_back(self.instance.id(), end);
+            self.relay.state.borrow_mut().grants.give_back(self.instance.id(), end);
         }
     }
 }
@@ -163,17 +158,17 @@
     begins: impl Fn(&ReplicaEntry) -> bool,
     otherwise: Refusal,
 ) -> Refusal {
-    let Some(left) = soonest_end(&relay.beliefs.borrow(), service, rank, &begins) else {
+    let Some(left) = soonest_end(&relay.state.borrow(), service, rank, &begins) else {
         return otherwise;
     };
     let now = now_millis();
-    let per_second = limited_rate(&relay.beliefs.borrow(), service, &begins, now);
+    let per_second = limited_rate(&relay.state.borrow(), service, &begins, now);
     if per_second == 0.0 {
-        return Refusal::Throttled(left + relay.draw(RETURN_SPREAD));
+        return Refusal::Throttled(left + relay.random_delay(RETURN_SPREAD));
     }
     let draw = relay.random.borrow_mut().random();
-    let mut beliefs = relay.beliefs.borrow_mut();
-    let slots = beliefs.return_slots.entry(service.to_owned()).or_default();
+    let mut state = relay.state.borrow_mut();
+    let slots = state.retry_schedules.entry(service.to_owned()).or_default();
     Refusal::Throttled(slots.next_delay(left, per_second, draw, now))
 }
 
@@ -182,34 +177,32 @@
 
 /// Requests a second that this relay may expect to begin at replicas with limits; 0 where it knows none.
 fn limited_rate(
-    beliefs: &Beliefs,
+    state: &RelayState,
     service: &str,
     begins: impl Fn(&ReplicaEntry) -> bool,
     now: Millis,
 ) -> f64 {
     let limited = |replica: &&ReplicaEntry| {
-        begins(replica) && beliefs.limits.limit(replica.instance.id()).is_some()
+        begins(replica) && state.limits.limit(replica.instance.id()).is_some()
     };
-    let replicas = beliefs.fleet.view.of_service(service).filter(limited);
-    replicas.filter_map(|replica| beliefs.grants.share(replica.instance.id(), now)).sum()
+    let replicas = state.fleet.view.of_service(service).filter(limited);
+    replicas.filter_map(|replica| state.grants.share(replica.instance.id(), now)).sum()
 }
 
 /// Time until the first of the replicas that could begin a request of a rank takes it; nothing where one does now, or there
 /// is none.
 pub fn soonest_end(
-    beliefs: &Beliefs,
+    state: &RelayState,
     service: &str,
     rank: u8,
     begins: impl Fn(&ReplicaEntry) -> bool,
 ) -> Option<Millis> {
     let now = now_millis();
     let usable = |replica: &&ReplicaEntry| {
-        replica.is_ready()
-            && !beliefs.suspects.is_suspect(&replica.instance, now)
-            && begins(replica)
+        replica.is_ready() && !state.suspects.is_suspect(&replica.instance, now) && begins(replica)
     };
-    let replicas = beliefs.fleet.view.of_service(service).filter(usable);
-    let mut lefts = replicas.map(|replica| beliefs.send_wait(&replica.instance, rank, now));
+    let replicas = state.fleet.view.of_service(service).filter(usable);
+    let mut lefts = replicas.map(|replica| state.send_wait(&replica.instance, rank, now));
     let first = lefts.next()??;
     lefts.try_fold(first, |soonest, left| Some(soonest.min(left?)))
 }
--- a/crates/relay/src/paths.rs
+++ b/crates/relay/src/paths.rs
@@ -21,7 +21,7 @@
 use crate::{
     limits::{GrantWait, want_grant},
     notices::soonest_end,
-    state::{Beliefs, Relay},
+    state::{Relay, RelayState},
 };
 
 /// What a path is wanted for.
@@ -108,8 +108,8 @@
 fn draw_scope(relay: &Relay, service: &str) -> PathScope {
     let home = &relay.settings.data_centre;
     let near = {
-        let beliefs = relay.beliefs.borrow();
-        let replicas = beliefs.fleet.view.of_service(service);
+        let state = relay.state.borrow();
+        let replicas = state.fleet.view.of_service(service);
         replicas.filter(|replica| replica.data_centre == *home).count()
     };
     match group_count(near) {
@@ -140,12 +140,12 @@
     rule: MemoryRule,
     crossing: CrossingRule,
 ) -> Option<Vec<PathStage>> {
-    let beliefs = relay.beliefs.borrow();
+    let state = relay.state.borrow();
     let mut data_centres = DataCentres::default();
     let home_name = &relay.settings.data_centre;
     let home = data_centres.number(home_name);
     let in_scope = |replica: &ReplicaEntry| scope.holds(replica, home_name);
-    let mut offers = offers(&beliefs, wish, in_scope, &mut data_centres);
+    let mut offers = offers(&state, wish, in_scope, &mut data_centres);
     let request = PathRequest {
         layers: wish.engine.layers,
         tokens: wish.tokens,
@@ -214,11 +214,11 @@
 fn note_missed(relay: &Rc<Relay>, wish: &PathCriteria<'_>, path: &[PathStage]) {
     let home = &relay.settings.data_centre;
     let begins_at_home = {
-        let beliefs = relay.beliefs.borrow();
-        if beliefs.limits.is_empty() {
+        let state = relay.state.borrow();
+        if state.limits.is_empty() {
             return;
         }
-        beliefs
+        state
             .fleet
             .view
             .get_current(&path[0].instance)
@@ -242,18 +242,21 @@
 /// Time until the first replica at which a path could begin takes requests again; nothing where one does now.
 fn soonest_beginning(relay: &Relay, wish: &PathCriteria<'_>) -> Option<Duration> {
     let begins = |replica: &ReplicaEntry| begins_for(replica, wish);
-    let left = soonest_end(&relay.beliefs.borrow(), wish.service, wish.rank, begins)?;
+    let left = soonest_end(&relay.state.borrow(), wish.service, wish.rank, begins)?;
     Some(Duration::from_millis(left))
 }
 
 /// Tells which replica of a path has least room.
 fn log_crowded(relay: &Relay, wish: &PathCriteria<'_>, path: &[PathStage]) {
-    let beliefs = relay.beliefs.borrow();
+    let state = relay.state.borrow();
     let fill = |part: &PathStage| {
-        let replica = beliefs.fleet.view.get_current(&part.instance)?;
+        let replica = state.fleet.view.get_current(&part.instance)?;
         let memory = wish.engine.kind(&replica.kind)?.memory_mb;
         let total = wish.engine.free_token_layers(memory, replica.layers?.len());
-        Some((beliefs.room.reserved(&part.instance) / total.max(1.0), &replica.instance))
+        Some((
+            state.memory_reservations.reserved(&part.instance) / total.max(1.0),
+            &replica.instance,
+        ))
     };
     let fullest = path.iter().filter_map(fill).max_by(|left, right| left.0.total_cmp(&right.0));
     if let Some((fill, replica)) = fullest {
@@ -267,9 +270,9 @@
     let crossings = count_crossings(relay, &path);
     let pipe_time = wish.engine.transfer_ms(wish.tokens) * f64::from(crossings);
     let now = now_millis();
-    let mut beliefs = relay.beliefs.borrow_mut();
-    let entries = beliefs.peers.known_count() + 1;
-    let taken = beliefs.pipe.try_reserve(pipe_time, entries, now);
+    let mut state = relay.state.borrow_mut();
+    let entries = state.peers.known_count() + 1;
+    let taken = state.bandwidth.try_reserve(pipe_time, entries, now);
     if !taken {
         tracing::info!(event = "pipe-full", service = wish.service, crossings, pipe_time, entries);
     }
@@ -278,9 +281,9 @@
 
 /// How often a path passes from one data centre to another.
 fn count_crossings(relay: &Relay, path: &[PathStage]) -> u32 {
-    let beliefs = relay.beliefs.borrow();
+    let state = relay.state.borrow();
     let place = |part: &PathStage| {
-        beliefs.fleet.view.get_current(&part.instance).map(|replica| &replica.data_centre)
+        state.fleet.view.get_current(&part.instance).map(|replica| &replica.data_centre)
     };
     let passes = path.windows(2).filter(|pair| place(&pair[0]) != place(&pair[1]));
     passes.count() as u32
@@ -304,7 +307,7 @@
 }
 
 fn offers(
-    beliefs: &Beliefs,
+    state: &RelayState,
     wish: &PathCriteria<'_>,
     in_scope: impl Fn(&ReplicaEntry) -> bool,
     data_centres: &mut DataCentres,
@@ -313,25 +316,25 @@
     let usable = |replica: &&ReplicaEntry| {
         in_scope(replica)
             && replica.is_ready()
-            && !beliefs.suspects.is_suspect(&replica.instance, now)
+            && !state.suspects.is_suspect(&replica.instance, now)
             && !wish.avoid.contains(&replica.instance)
     };
-    let replicas = beliefs.fleet.view.of_service(wish.service).filter(usable);
-    let mut offers: Vec<StageOffer> = kept_part(beliefs, wish, data_centres).into_iter().collect();
+    let replicas = state.fleet.view.of_service(wish.service).filter(usable);
+    let mut offers: Vec<StageOffer> = kept_part(state, wish, data_centres).into_iter().collect();
     for replica in replicas {
         let Some(range) = replica.layers else { continue };
         let kind = wish.engine.kind(&replica.kind);
         let total =
             kind.map_or(0.0, |kind| wish.engine.free_token_layers(kind.memory_mb, range.len()));
-        let promised = beliefs.room.reserved(&replica.instance);
+        let promised = state.memory_reservations.reserved(&replica.instance);
         // A replica that was short of memory a moment ago counts as full.
         let promised =
-            if beliefs.full.is_suspect(&replica.instance, now) { total } else { promised };
+            if state.short_of_memory.is_suspect(&replica.instance, now) { total } else { promised };
         let pace = kind.map_or(1.0, |kind| kind.step_factor)
-            * beliefs.paces.factor(&replica.instance, now);
+            * state.slowdowns.factor(&replica.instance, now);
         let layer_cost = layer_cost(wish.engine, pace, promised, total);
         let data_centre = data_centres.number(&replica.data_centre);
-        let is_throttled = beliefs.send_wait(&replica.instance, wish.rank, now).is_some();
+        let is_throttled = state.send_wait(&replica.instance, wish.rank, now).is_some();
         offers.push(StageOffer {
             instance: replica.instance.clone(),
             address: replica.address,
@@ -339,7 +342,7 @@
             range,
             layer_cost,
             free_token_layers: (total * PLANNED_FILL - promised).max(0.0),
-            start_cost: if is_throttled { None } else { begin_cost(beliefs, replica, now) },
+            start_cost: if is_throttled { None } else { begin_cost(state, replica, now) },
             is_throttled,
         });
     }
@@ -351,16 +354,16 @@
 const MUTE_COST: f64 = 60.0;
 
 /// Cost of beginning at a replica; nothing where it has no place.
-fn begin_cost(beliefs: &Beliefs, replica: &ReplicaEntry, now: Millis) -> Option<f64> {
-    if beliefs.full_starts.is_full(&replica.instance, now) {
+fn begin_cost(state: &RelayState, replica: &ReplicaEntry, now: Millis) -> Option<f64> {
+    if state.full_replicas.is_full(&replica.instance, now) {
         return None;
     }
-    let cost = start_cost(beliefs.places.reserved(&replica.instance), replica.slots)?;
-    Some(cost + mute_cost(beliefs, &replica.instance, now))
+    let cost = start_cost(state.slot_reservations.reserved(&replica.instance), replica.slots)?;
+    Some(cost + mute_cost(state, &replica.instance, now))
 }
 
-fn mute_cost(beliefs: &Beliefs, instance: &ReplicaInstance, now: Millis) -> f64 {
-    match beliefs.heads.is_stalled(instance, now) {
+fn mute_cost(state: &RelayState, instance: &ReplicaInstance, now: Millis) -> f64 {
+    match state.stalls.is_stalled(instance, now) {
         true => MUTE_COST,
         false => 0.0,
     }
@@ -368,12 +371,12 @@
 
 /// The first part of a request that runs: its replica goes on with it whatever it is to hold later.
 fn kept_part(
-    beliefs: &Beliefs,
+    state: &RelayState,
     wish: &PathCriteria<'_>,
     data_centres: &mut DataCentres,
 ) -> Option<StageOffer> {
     let (instance, range) = wish.first?;
-    let replica = beliefs.fleet.view.get_current(instance)?;
+    let replica = state.fleet.view.get_current(instance)?;
     Some(StageOffer {
         instance: instance.clone(),
         address: replica.address,
@@ -408,18 +411,22 @@
         let amount = |part: &PathStage| tokens * f64::from(part.range.len());
         let parts: Vec<(ReplicaInstance, f64)> =
             path.iter().map(|part| (part.instance.clone(), amount(part))).collect();
-        let mut beliefs = relay.beliefs.borrow_mut();
-        parts.iter().for_each(|(instance, amount)| beliefs.room.reserve(instance, *amount));
+        let mut state = relay.state.borrow_mut();
+        parts
+            .iter()
+            .for_each(|(instance, amount)| state.memory_reservations.reserve(instance, *amount));
         let first = path.first().map(|part| part.instance.clone());
-        first.iter().for_each(|instance| beliefs.places.reserve(instance, 1.0));
+        first.iter().for_each(|instance| state.slot_reservations.reserve(instance, 1.0));
         Self { relay: relay.clone(), parts, first }
     }
 }
 
 impl Drop for PathReservation {
     fn drop(&mut self) {
-        let mut beliefs = self.relay.beliefs.borrow_mut();
-        self.parts.iter().for_each(|(instance, amount)| beliefs.room.release(instance, *amount));
-        self.first.iter().for_each(|instance| beliefs.places.release(instance, 1.0));
+        let mut state = self.relay.state.borrow_mut();
+        self.parts
+            .iter()
+            .for_each(|(instance, amount)| state.memory_reservations.release(instance, *amount));
+        self.first.iter().for_each(|instance| state.slot_reservations.release(instance, 1.0));
     }
 }
--- a/crates/relay/src/peers.rs
+++ b/crates/relay/src/peers.rs
@@ -20,21 +20,24 @@
 
 use crate::{
     counts::count,
+    gossip::{SendScope, forward_fleet_changes, run_sender, send_state_soon},
     limits::{hear_asks, hear_grants, hear_limits},
-    news::{FleetNews, InstanceRecord, LoadNews, LoadRecord, PeerMessage, StateNews},
+    messages::{
+        FleetMessage, InstanceRecord, PeerMessage, ReservationRecord, ReservationReport,
+        StateMessage,
+    },
     quarantine::{hear_crashes, note_ended},
-    registry::find_peers,
-    replicas::take_news,
-    state::{Beliefs, Relay},
-    tell::{TellReach, pass_fleet_on, tell, tell_soon},
+    registry::discover_peers,
+    replicas::apply_updates,
+    state::{Relay, RelayState},
 };
 
 /// Largest datagram that is read.
 const MOST_DATAGRAM: usize = 60_000;
 
 /// Tells and hears peers for good.
-pub async fn talk(relay: Rc<Relay>) {
-    tokio::join!(hear(&relay), tell(&relay), find_peers(&relay));
+pub async fn run_gossip(relay: Rc<Relay>) {
+    tokio::join!(hear(&relay), run_sender(&relay), discover_peers(&relay));
 }
 
 async fn hear(relay: &Relay) {
@@ -48,7 +51,7 @@
         match PeerMessage::decode(&buffer[..len]) {
             Some(PeerMessage::State(news)) => take_state(relay, &news, from),
             Some(PeerMessage::Fleet(news)) => take_fleet(relay, news, from),
-            Some(PeerMessage::Asks(news)) => hear_asks(relay, &news),
+            Some(PeerMessage::GrantRequests(news)) => hear_asks(relay, &news),
             Some(PeerMessage::Grants(news)) => hear_grants(relay, &news),
             None => drop_datagram(relay, from, "unreadable"),
         }
@@ -64,25 +67,25 @@
 fn drop_datagram(relay: &Relay, from: SocketAddr, why: &str) {
     count(&relay.counts.bad_datagrams);
     let now = now_millis();
-    let logged = relay.drop_logged.get();
+    let logged = relay.drop_logged_at.get();
     if logged.is_none_or(|logged| now.saturating_sub(logged) >= DROPS_LOGGED_EVERY) {
-        relay.drop_logged.set(Some(now));
+        relay.drop_logged_at.set(Some(now));
         let dropped = relay.counts.bad_datagrams.get();
         tracing::warn!(event = "datagram-dropped", %from, why, dropped);
     }
 }
 
-fn take_state(relay: &Relay, news: &StateNews, from: SocketAddr) {
+fn take_state(relay: &Relay, news: &StateMessage, from: SocketAddr) {
     let now = now_millis();
     let is_excess = {
-        let peers = &relay.beliefs.borrow().peers;
+        let peers = &relay.state.borrow().peers;
         peers.known_count() >= MOST_RELAYS && peers.address(&news.name).is_none()
     };
     if is_excess {
         return drop_datagram(relay, from, "of one relay too many");
     }
     count(&relay.counts.states_heard);
-    let state = peer_state(news);
+    let peer = peer_state(news);
     let kind = ReportKind::from(news.report);
     let origin = match kind {
         ReportKind::None => UpdateOrigin::Peer,
@@ -90,57 +93,57 @@
     };
     let (written, lost);
     {
-        let mut guard = relay.beliefs.borrow_mut();
-        let beliefs = &mut *guard;
-        beliefs.peers.upsert(&news.name, from, &news.data_centre, now);
+        let mut guard = relay.state.borrow_mut();
+        let state = &mut *guard;
+        state.peers.upsert(&news.name, from, &news.data_centre, now);
         let (incarnation, time) = news.stamp;
         let stamp = PeerStamp { incarnation, time };
-        if beliefs.peers.is_returning(&news.name, stamp, now) {
-            beliefs.quarantine.announce_all(now);
+        if state.peers.is_returning(&news.name, stamp, now) {
+            state.quarantine.announce_all(now);
         }
-        if !beliefs.peers.record_message(&news.name, state, stamp, now) {
+        if !state.peers.record_message(&news.name, peer, stamp, now) {
             count(&relay.counts.older_states);
             return;
         }
-        beliefs.peers.record_report(&news.name, kind, now);
-        beliefs.peers.record_reported_roles(&news.keepers, news.reader, now);
-        beliefs.peers.record_members(&news.members, now);
-        written = beliefs.clocks.written_at(&news.name, stamp, now);
-        take_load(beliefs, news, kind, now);
-        for (instance, hundredfold) in &news.paces {
+        state.peers.record_report(&news.name, kind, now);
+        state.peers.record_reported_roles(&news.coordinators, news.reader, now);
+        state.peers.record_members(&news.members, now);
+        written = state.clocks.written_at(&news.name, stamp, now);
+        take_load(state, news, kind, now);
+        for (instance, hundredfold) in &news.slowdowns {
             let factor = f64::from(*hundredfold) / 100.0;
-            beliefs.paces.merge_peer(&instance.into(), factor, origin, now);
+            state.slowdowns.merge_peer(&instance.into(), factor, origin, now);
         }
         let mutes =
-            news.mutes.iter().map(|(instance, lasts)| (instance.into(), Millis::from(*lasts)));
-        beliefs.heads.merge_peer(&news.name, origin, mutes, now);
-        lost = take_suspects(beliefs, news, origin, now);
+            news.stalls.iter().map(|(instance, lasts)| (instance.into(), Millis::from(*lasts)));
+        state.stalls.merge_peer(&news.name, origin, mutes, now);
+        lost = take_suspects(state, news, origin, now);
     }
     hear_limits(relay, &news.limits, &news.name, written);
     lost.iter().for_each(|instance| note_ended(relay, instance));
     hear_crashes(relay, news, origin, now);
     if news.data_centre == relay.settings.data_centre {
-        take_proofs(relay, news, &state, now);
+        take_proofs(relay, news, &peer, now);
     }
     if !lost.is_empty() {
-        relay.raise_alarm();
-        pass_on(relay, origin, now);
+        relay.request_path_check();
+        propagate(relay, origin, now);
     }
 }
 
 /// Takes over which replicas another relay keeps away from; gives those that are news.
 fn take_suspects(
-    beliefs: &mut Beliefs,
-    news: &StateNews,
+    state: &mut RelayState,
+    news: &StateMessage,
     origin: UpdateOrigin,
     now: Millis,
 ) -> Vec<ReplicaInstance> {
     let mut lost = Vec::new();
     for (instance, lasts) in &news.suspects {
         let instance = ReplicaInstance::from(instance);
-        let is_current = beliefs.fleet.view.get_current(&instance).is_some();
-        if is_current && !beliefs.suspects.is_suspect(&instance, now) {
-            beliefs.suspects.merge_peer(&instance, now + Millis::from(*lasts), origin);
+        let is_current = state.fleet.view.get_current(&instance).is_some();
+        if is_current && !state.suspects.is_suspect(&instance, now) {
+            state.suspects.merge_peer(&instance, now + Millis::from(*lasts), origin);
             tracing::info!(event = "suspect-heard", replica = %instance, from = news.name, lasts);
             lost.push(instance);
         }
@@ -149,49 +152,53 @@
 }
 
 /// Tells on at once what another relay told, to those that hear it from this one alone.
-pub fn pass_on(relay: &Relay, origin: UpdateOrigin, now: Millis) {
-    if !relay.beliefs.borrow().peers.has_members(now) {
+pub fn propagate(relay: &Relay, origin: UpdateOrigin, now: Millis) {
+    if !relay.state.borrow().peers.has_members(now) {
         return;
     }
     match origin {
-        UpdateOrigin::Peer => tell_soon(relay, TellReach::Near),
-        UpdateOrigin::Member | UpdateOrigin::Local => tell_soon(relay, TellReach::All),
+        UpdateOrigin::Peer => send_state_soon(relay, SendScope::SameDataCentre),
+        UpdateOrigin::Member | UpdateOrigin::Local => send_state_soon(relay, SendScope::All),
     }
 }
 
 /// Takes over what is promised. A member hears the sum of all from its speakers, which holds what any other tells it.
-fn take_load(beliefs: &mut Beliefs, news: &StateNews, kind: ReportKind, now: Millis) {
-    let is_member = beliefs.peers.is_member();
-    let Beliefs { room, places, .. } = beliefs;
-    match &news.load {
-        LoadNews::Gathered(load) if !is_member || kind == ReportKind::Counted => {
-            room.merge_peer(&news.name, amounts(&load.room), now);
-            places.merge_peer(&news.name, amounts(&load.places), now);
+fn take_load(state: &mut RelayState, news: &StateMessage, kind: ReportKind, now: Millis) {
+    let is_member = state.peers.is_member();
+    let RelayState { memory_reservations: memory, slot_reservations: slots, .. } = state;
+    match &news.reservations {
+        ReservationReport::Group(reserved) if !is_member || kind == ReportKind::Counted => {
+            memory.merge_peer(&news.name, amounts(&reserved.memory), now);
+            slots.merge_peer(&news.name, amounts(&reserved.slots), now);
         }
-        LoadNews::Sums { near, far } if is_member => {
-            take_sum(room, places, SumScope::SameDataCentre, near, now);
-            far.iter().for_each(|far| take_sum(room, places, SumScope::OtherDataCentres, far, now));
+        ReservationReport::Sums { same_data_centre, other_data_centres } if is_member => {
+            merge_sum(memory, slots, SumScope::SameDataCentre, same_data_centre, now);
+            other_data_centres
+                .iter()
+                .for_each(|sum| merge_sum(memory, slots, SumScope::OtherDataCentres, sum, now));
         }
-        LoadNews::Untold | LoadNews::Gathered(_) | LoadNews::Sums { .. } => {}
+        ReservationReport::Omitted
+        | ReservationReport::Group(_)
+        | ReservationReport::Sums { .. } => {}
     }
 }
 
-fn take_sum(
-    room: &mut ReservationLedger,
-    places: &mut ReservationLedger,
-    part: SumScope,
-    load: &LoadRecord,
+fn merge_sum(
+    memory: &mut ReservationLedger,
+    slots: &mut ReservationLedger,
+    scope: SumScope,
+    reserved: &ReservationRecord,
     now: Millis,
 ) {
-    room.merge_sum(part, amounts(&load.room), now);
-    places.merge_sum(part, amounts(&load.places), now);
+    memory.merge_sum(scope, amounts(&reserved.memory), now);
+    slots.merge_sum(scope, amounts(&reserved.slots), now);
 }
 
 fn amounts(records: &[(InstanceRecord, u32)]) -> HashMap<ReplicaInstance, f64> {
     records.iter().map(|(instance, amount)| (instance.into(), f64::from(*amount))).collect()
 }
 
-fn peer_state(news: &StateNews) -> PeerState {
+fn peer_state(news: &StateMessage) -> PeerState {
     PeerState {
         fleet_is_fresh: news.fleet_is_fresh,
         fleet_is_lost: news.fleet_is_lost,
@@ -209,34 +216,34 @@
 }
 
 /// Takes over what a relay of the same data centre proved.
-fn take_proofs(relay: &Relay, news: &StateNews, state: &PeerState, now: Millis) {
-    let mut guard = relay.beliefs.borrow_mut();
-    let beliefs = &mut *guard;
+fn take_proofs(relay: &Relay, news: &StateMessage, peer: &PeerState, now: Millis) {
+    let mut guard = relay.state.borrow_mut();
+    let state = &mut *guard;
     let own = OwnState {
         name: &relay.settings.name,
         data_centre: &relay.settings.data_centre,
         incarnation: relay.incarnation,
-        config_version: beliefs.config_version(),
-        fleet_digest: beliefs.fleet.view.digest(),
+        config_version: state.config_version(),
+        fleet_digest: state.fleet.view.digest(),
     };
     let echo = news.echo.map(|((incarnation, time), held)| (PeerStamp { incarnation, time }, held));
-    let proofs = beliefs.peers.read_proofs(own, state, echo, now);
+    let proofs = state.peers.read_proofs(own, peer, echo, now);
     let is_newer = |answered: Option<Millis>, age: Option<Millis>| {
         let known = age.map(|age| now.saturating_sub(age));
         answered.is_some_and(|at| known.is_none_or(|known| at >= known + NEWER_BY))
     };
-    let passes_on = is_newer(proofs.config.answered, beliefs.config_lease.answer_age(now))
-        || is_newer(proofs.fleet.answered, beliefs.fleet.answer_age(now));
+    let passes_on = is_newer(proofs.config.answered, state.config_lease.answer_age(now))
+        || is_newer(proofs.fleet.answered, state.fleet.answer_age(now));
     if let Some(answered) = proofs.config.answered {
-        beliefs.config_lease.record_answer(answered);
+        state.config_lease.record_answer(answered);
     }
     if let Some(proved) = proofs.config.proved {
-        beliefs.config_lease.record_proof_at(proved);
+        state.config_lease.record_proof_at(proved);
     }
-    beliefs.fleet.record_proof(proofs.fleet);
+    state.fleet.record_proof(proofs.fleet);
     drop(guard);
     if passes_on {
-        pass_on(relay, UpdateOrigin::Peer, now);
+        propagate(relay, UpdateOrigin::Peer, now);
     }
 }
 
@@ -244,8 +251,8 @@
 /// would otherwise hear of it so late that they read the store themselves.
 const NEWER_BY: Millis = 200;
 
-fn take_fleet(relay: &Relay, news: FleetNews, from: SocketAddr) {
-    pass_fleet_on(relay, &news, from);
+fn take_fleet(relay: &Relay, news: FleetMessage, from: SocketAddr) {
+    forward_fleet_changes(relay, &news, from);
     let news = news.changes.into_iter().map(ReplicaUpdate::from).collect();
-    take_news(relay, news, UpdateSource::Relay(from));
+    apply_updates(relay, news, UpdateSource::Relay(from));
 }
--- a/crates/relay/src/placer.rs
+++ b/crates/relay/src/placer.rs
@@ -151,10 +151,10 @@
     fn plan_share(&mut self, relay: &Relay, now: Millis) -> Option<PlanShare> {
         let config = relay.config()?;
         let fresh = relay.is_fleet_fresh(now);
-        let beliefs = relay.beliefs.borrow();
-        let rank = beliefs.peers.rank(&relay.settings.name, fresh, now)?;
-        let groups = self.groups.renew(&config, &beliefs.fleet.view);
-        let planners = planner_count(groups, beliefs.peers.live_speaker_count(now) + 1);
+        let state = relay.state.borrow();
+        let rank = state.peers.rank(&relay.settings.name, fresh, now)?;
+        let groups = self.groups.renew(&config, &state.fleet.view);
+        let planners = planner_count(groups, state.peers.live_speaker_count(now) + 1);
         (rank < planners).then_some(PlanShare { rank, planners })
     }
 
@@ -174,14 +174,14 @@
                 order.until = order.until.min(now + REFUSED_PAUSE);
             }
         }
-        let beliefs = relay.beliefs.borrow();
-        let count = beliefs.fleet.view.len() as u64;
+        let state = relay.state.borrow();
+        let count = state.fleet.view.len() as u64;
         if count != self.fleet_seen {
             self.fleet_seen = count;
             self.fleet_changed = now;
         }
         self.pending.retain(|instance, order| {
-            let Some(replica) = beliefs.fleet.view.get_current(instance) else { return false };
+            let Some(replica) = state.fleet.view.get_current(instance) else { return false };
             let done = replica.layers == Some(order.range);
             !done && now < order.until
         });
@@ -220,7 +220,7 @@
                 ReportState::Answered(report) => report.layers.is_some(),
             };
             if holds {
-                relay.beliefs.borrow_mut().quarantine.record_alive(&replica.instance);
+                relay.state.borrow_mut().quarantine.record_alive(&replica.instance);
             }
             let probe = ProbeEnd { asked: now, holds };
             let known = self.probes.insert(replica.instance.clone(), probe);
@@ -231,13 +231,13 @@
                 relay.suspect(&replica.instance, "holds no layers, or is silent");
             }
         }
-        let beliefs = relay.beliefs.borrow();
-        self.probes.retain(|instance, _| beliefs.fleet.view.get_current(instance).is_some());
+        let state = relay.state.borrow();
+        self.probes.retain(|instance, _| state.fleet.view.get_current(instance).is_some());
     }
 
     fn due_probes(&self, relay: &Relay, now: Millis) -> Vec<ReplicaEntry> {
-        let beliefs = relay.beliefs.borrow();
-        let suspects = beliefs.suspects.current(now).map(|(instance, _)| instance);
+        let state = relay.state.borrow();
+        let suspects = state.suspects.current(now).map(|(instance, _)| instance);
         let lost = self.probes.iter().filter(|(_, probe)| !probe.holds);
         let instances: BTreeSet<&ReplicaInstance> =
             suspects.chain(lost.map(|(instance, _)| instance)).collect();
@@ -248,7 +248,7 @@
             due && replica.layers.is_some() && !self.pending.contains_key(&replica.instance)
         };
         let replicas =
-            instances.into_iter().filter_map(|instance| beliefs.fleet.view.get_current(instance));
+            instances.into_iter().filter_map(|instance| state.fleet.view.get_current(instance));
         replicas.filter(is_due).cloned().collect()
     }
 
@@ -338,19 +338,18 @@
 
     /// Replicas of a service that may hold layers, by group.
     fn groups(&self, relay: &Relay, service: &str, engine: &EngineSpec, now: Millis) -> PlanGroups {
-        let beliefs = relay.beliefs.borrow();
+        let state = relay.state.borrow();
         let mut places: BTreeMap<&str, Vec<LayerHolder>> = BTreeMap::new();
         let stays = |replica: &&ReplicaEntry| match replica.state {
             EntryState::Ready => true,
             EntryState::Draining => false,
             EntryState::Overwritten => {
-                let age = beliefs.fleet.view.age(replica.instance.id(), now);
+                let age = state.fleet.view.age(replica.instance.id(), now);
                 age.is_some_and(|age| age < KEEP_OVERWRITTEN)
             }
         };
-        for replica in beliefs.fleet.view.of_service(service).filter(stays) {
-            let suspect =
-                !replica.is_ready() || beliefs.suspects.is_suspect(&replica.instance, now);
+        for replica in state.fleet.view.of_service(service).filter(stays) {
+            let suspect = !replica.is_ready() || state.suspects.is_suspect(&replica.instance, now);
             let lost = self.is_lost(&replica.instance);
             let Some(holder) = self.holder(replica, engine, suspect, lost) else { continue };
             places.entry(&replica.data_centre).or_default().push(holder);
@@ -386,7 +385,7 @@
         order: PlacementOrder,
         now: Millis,
     ) {
-        let replica = relay.beliefs.borrow().fleet.view.get_current(&order.instance).cloned();
+        let replica = relay.state.borrow().fleet.view.get_current(&order.instance).cloned();
         let Some(replica) = replica else { return };
         let share =
             u64::from(order.range.len()) * engine.load_time / u64::from(engine.layers.max(1));
@@ -437,7 +436,7 @@
 
 /// Whether no request came yet, to this relay or to others, as far as it hears.
 fn is_untouched(relay: &Relay) -> bool {
-    relay.counts.requests.get() == 0 && relay.beliefs.borrow().room.is_idle()
+    relay.counts.requests.get() == 0 && relay.state.borrow().memory_reservations.is_idle()
 }
 
 /// Writes what a group of replicas carries before and after its orders.
@@ -455,7 +454,7 @@
         tracing::warn!(event = "order-unsent", replica = %replica.instance, from, to, why = "no report");
         return false;
     };
-    if relay.beliefs.borrow().fleet.view.get_current(&replica.instance).is_none() {
+    if relay.state.borrow().fleet.view.get_current(&replica.instance).is_none() {
         // The order was planned for what an earlier life held.
         tracing::info!(event = "order-unsent", replica = %replica.instance, from, to, why = "restarted");
         return false;
--- a/crates/relay/src/plain.rs
+++ b/crates/relay/src/plain.rs
@@ -125,15 +125,17 @@
 
 impl LoadGuard {
     fn new(relay: &Rc<Relay>, instance: &ReplicaInstance) -> Self {
-        let mut beliefs = relay.beliefs.borrow_mut();
-        beliefs.loads.loads.entry(instance.clone()).or_default().in_flight += 1;
+        let mut state = relay.state.borrow_mut();
+        state.service_loads.loads.entry(instance.clone()).or_default().in_flight += 1;
         Self { relay: relay.clone(), instance: instance.clone() }
     }
 }
 
 impl Drop for LoadGuard {
     fn drop(&mut self) {
-        if let Some(load) = self.relay.beliefs.borrow_mut().loads.loads.get_mut(&self.instance) {
+        if let Some(load) =
+            self.relay.state.borrow_mut().service_loads.loads.get_mut(&self.instance)
+        {
             load.in_flight = load.in_flight.saturating_sub(1);
         }
     }
@@ -149,19 +151,19 @@
     tried: &[ReplicaInstance],
 ) -> Option<ReplicaEntry> {
     let now = now_millis();
-    let beliefs = relay.beliefs.borrow();
+    let state = relay.state.borrow();
     let usable = |replica: &&ReplicaEntry| {
         replica.is_ready()
             && !tried.contains(&replica.instance)
-            && beliefs.send_wait(&replica.instance, permit.priority, now).is_none()
+            && state.send_wait(&replica.instance, permit.priority, now).is_none()
     };
     let cost = |replica: &ReplicaEntry| {
         let remote = replica.data_centre != relay.settings.data_centre;
-        let suspect = beliefs.suspects.is_suspect(&replica.instance, now);
+        let suspect = state.suspects.is_suspect(&replica.instance, now);
         let extra = if suspect { 100.0 } else { 0.0 } + if remote { REMOTE_COST } else { 0.0 };
-        beliefs.loads.cost(replica, now) + extra
+        state.service_loads.cost(replica, now) + extra
     };
-    let replicas = beliefs.fleet.view.of_service(&permit.service).filter(usable);
+    let replicas = state.fleet.view.of_service(&permit.service).filter(usable);
     replicas.min_by(|left, right| cost(left).total_cmp(&cost(right))).cloned()
 }
 
@@ -192,7 +194,7 @@
             }
             return Some(replica);
         }
-        let left = soonest_end(&relay.beliefs.borrow(), service, *priority, untried)?;
+        let left = soonest_end(&relay.state.borrow(), service, *priority, untried)?;
         if now_millis() + left > end {
             return None;
         }
@@ -255,7 +257,7 @@
         let time_left = request.time_remaining(now) > MIN_TIME_LEFT;
         let within = sends < permit.route.max_attempts.max(1) && unsent < MOST_UNSENT;
         let others = choose_replica(relay, &permit, &tried).is_some();
-        let paid = |sends| sends == 0 || relay.spend_repeat(&permit.service, now);
+        let paid = |sends| sends == 0 || relay.spend_retry(&permit.service, now);
         let state = AttemptState {
             repeatable,
             may_have_run: may_have_run && !matches!(report.end, AttemptEnd::Answered(_)),
@@ -350,7 +352,7 @@
     let slowness = (took as f64 / wanted).min(SLOWEST);
     let told =
         report.reply.as_ref().and_then(|reply| read_response_headers(reply.head.headers()).load);
-    relay.beliefs.borrow_mut().loads.note_end(&replica.instance, failed, slowness, told);
+    relay.state.borrow_mut().service_loads.note_end(&replica.instance, failed, slowness, told);
     if matches!(report.end, AttemptEnd::NotSent) {
         relay.suspect(&replica.instance, &report.detail);
     }
--- a/crates/relay/src/quarantine.rs
+++ b/crates/relay/src/quarantine.rs
@@ -22,20 +22,20 @@
 
 use crate::{
     counts::count,
-    news::StateNews,
-    peers::pass_on,
+    gossip::{SendScope, send_state},
+    messages::StateMessage,
+    peers::propagate,
     registry::wait_at_start,
     request::CallerRequest,
     responses::Refusal,
     settings::RelaySettings,
-    state::{Beliefs, Relay},
+    state::{Relay, RelayState},
     store_calls::{CallCause, CallKind, CallVerb, CountedStore},
-    tell::{TellReach, tell_state},
 };
 
 /// Time for which a request still is sent nowhere; nothing where it may be.
 pub fn quarantine_left(relay: &Relay, request: &CallerRequest) -> Option<Millis> {
-    relay.beliefs.borrow().quarantine.remaining(&request.fingerprint, now_millis())
+    relay.state.borrow().quarantine.remaining(&request.fingerprint, now_millis())
 }
 
 /// Refuses a request that ended the replicas that ran it.
@@ -57,40 +57,40 @@
 
 /// Notes that a replica is lost: found silent, refusing connections, or listed no more without having said that it leaves.
 pub fn note_ended(relay: &Relay, instance: &ReplicaInstance) {
-    let change = relay.beliefs.borrow_mut().quarantine.record_crash(instance, now_millis());
+    let change = relay.state.borrow_mut().quarantine.record_crash(instance, now_millis());
     take_change(relay, &change);
 }
 
 /// Notes that a replica gave a result of a request, and lives.
 pub fn note_result(relay: &Relay, request: &CallerRequest) {
     let fingerprint = &request.fingerprint;
-    let was_known = relay.beliefs.borrow_mut().quarantine.record_result(fingerprint, now_millis());
+    let was_known = relay.state.borrow_mut().quarantine.record_result(fingerprint, now_millis());
     if was_known {
         tracing::info!(event = "request-cleared", %fingerprint);
-        relay.quarantine_bell.notify_one();
+        relay.quarantine_notify.notify_one();
     }
 }
 
 /// Takes over what another relay tells of requests.
-pub fn hear_crashes(relay: &Relay, news: &StateNews, origin: UpdateOrigin, now: Millis) {
+pub fn hear_crashes(relay: &Relay, news: &StateMessage, origin: UpdateOrigin, now: Millis) {
     if news.crashes.is_empty() && news.cleared.is_empty() {
         return;
     }
-    let crashes = news.crashes.iter().map(|crash| crash.news(now)).collect();
+    let crashes = news.crashes.iter().map(|crash| crash.report(now)).collect();
     let cleared = news
         .cleared
         .iter()
         .map(|(of, age)| (RequestFingerprint::from_bytes(*of), Millis::from(*age)));
     let change = {
-        let mut beliefs = relay.beliefs.borrow_mut();
+        let mut state = relay.state.borrow_mut();
         let is_member_news = origin == UpdateOrigin::Member;
-        let tells_on = is_member_news || beliefs.peers.has_members(now);
-        beliefs.quarantine.merge_cleared(&cleared.collect::<Vec<_>>(), tells_on, now);
-        beliefs.quarantine.merge(crashes, is_member_news, now)
+        let tells_on = is_member_news || state.peers.has_members(now);
+        state.quarantine.merge_cleared(&cleared.collect::<Vec<_>>(), tells_on, now);
+        state.quarantine.merge(crashes, is_member_news, now)
     };
     take_change(relay, &change);
     if !change.quarantined.is_empty() {
-        pass_on(relay, origin, now);
+        propagate(relay, origin, now);
     }
 }
 
@@ -101,8 +101,8 @@
         tracing::warn!(event = "request-stopped", %fingerprint, weight, for_ms = QUARANTINE_TIME);
     }
     if change.is_urgent {
-        relay.quarantine_bell.notify_one();
-        tell_state(relay, TellReach::All);
+        relay.quarantine_notify.notify_one();
+        send_state(relay, SendScope::All);
     }
 }
 
@@ -156,7 +156,7 @@
 /// Keeps in the store what this relay saw of requests, for good.
 pub async fn store_quarantine(relay: Rc<Relay>) {
     loop {
-        relay.quarantine_bell.notified().await;
+        relay.quarantine_notify.notified().await;
         while !store_changes(&relay).await {
             sleep(CALL_AGAIN).await;
         }
@@ -167,7 +167,7 @@
 async fn store_changes(relay: &Relay) -> bool {
     let now = now_millis();
     let (unstored, removable) = {
-        let table = &mut relay.beliefs.borrow_mut().quarantine;
+        let table = &mut relay.state.borrow_mut().quarantine;
         (table.unstored(now), table.take_removable())
     };
     for fingerprint in removable {
@@ -181,7 +181,7 @@
     for news in unstored {
         let fingerprint = news.fingerprint;
         if let Err(error) = store_request(relay, &news, now).await {
-            relay.beliefs.borrow_mut().quarantine.record_store_failure(&fingerprint);
+            relay.state.borrow_mut().quarantine.record_store_failure(&fingerprint);
             tracing::info!(event = "quarantine-not-stored", %fingerprint, %error);
             took_all = false;
         }
@@ -214,12 +214,12 @@
     let store = CountedStore::new(&platform, patience, &relay.calls);
     let mut held = BTreeMap::new();
     let mut revision = None;
-    wait_at_start(&relay, |beliefs, now| is_read_by_other(&relay.settings, beliefs, now)).await;
+    wait_at_start(&relay, |state, now| is_read_by_other(&relay.settings, state, now)).await;
     loop {
         let (is_read_by_peer, is_lost) = {
-            let beliefs = relay.beliefs.borrow();
-            let is_read_by_peer = is_read_by_other(&relay.settings, &beliefs, now_millis());
-            (is_read_by_peer, beliefs.config_lease.is_lost())
+            let state = relay.state.borrow();
+            let is_read_by_peer = is_read_by_other(&relay.settings, &state, now_millis());
+            (is_read_by_peer, state.config_lease.is_lost())
         };
         if is_read_by_peer || is_lost {
             revision = None;
@@ -240,13 +240,13 @@
 
 /// Tells the store again what this relay told it before it came back from a copy.
 pub fn write_again(relay: &Relay) {
-    relay.beliefs.borrow_mut().quarantine.reset_stored();
-    relay.quarantine_bell.notify_one();
+    relay.state.borrow_mut().quarantine.reset_stored();
+    relay.quarantine_notify.notify_one();
 }
 
 /// Whether a relay of the data centre that comes before this one reads the store.
-fn is_read_by_other(settings: &RelaySettings, beliefs: &Beliefs, now: Millis) -> bool {
-    let before = beliefs.peers.preceding(&settings.name, &settings.data_centre, now);
+fn is_read_by_other(settings: &RelaySettings, state: &RelayState, now: Millis) -> bool {
+    let before = state.peers.preceding(&settings.name, &settings.data_centre, now);
     before.live > before.lost_config
 }
 
@@ -280,7 +280,7 @@
     }
     let Some(fingerprint) = RequestFingerprint::parse(&change.object.metadata.name) else { return };
     held.remove(&fingerprint);
-    relay.beliefs.borrow_mut().quarantine.release(&fingerprint, now_millis());
+    relay.state.borrow_mut().quarantine.release(&fingerprint, now_millis());
     tracing::info!(event = "request-released", %fingerprint);
 }
 
@@ -301,7 +301,7 @@
     if told.is_empty() {
         return;
     }
-    let change = relay.beliefs.borrow_mut().quarantine.merge(told, true, now);
+    let change = relay.state.borrow_mut().quarantine.merge(told, true, now);
     take_change(relay, &change);
 }
 
@@ -317,7 +317,7 @@
 async fn remove_ended(relay: &Relay, held: &mut HeldObjects) {
     let (now, epoch) = (now_millis(), epoch_millis());
     let fresh = relay.is_fleet_fresh(now);
-    if !relay.beliefs.borrow().peers.is_leader(&relay.settings.name, fresh, now) {
+    if !relay.state.borrow().peers.is_leader(&relay.settings.name, fresh, now) {
         return;
     }
     let ended: Vec<RequestFingerprint> =
--- a/crates/relay/src/registry.rs
+++ b/crates/relay/src/registry.rs
@@ -23,12 +23,12 @@
 use tokio::time::sleep;
 
 use crate::{
-    copies::store_era,
+    gossip::{SendScope, plan_gossip, send_greeting, send_state},
+    restore::store_era,
     settings::RelaySettings,
-    snapshot::take::ask_relays,
-    state::{Beliefs, Relay},
+    snapshot::apply::fetch_relays,
+    state::{Relay, RelayState},
     store_calls::{CallCause, CallKind, CallVerb},
-    tell::{TellReach, greet, plan_gossip, tell_state},
 };
 
 /// Time between two readings of the peers' objects; stale reads do, at a tenth of the price.
@@ -48,14 +48,14 @@
 
 /// Leaves this relay's address in the store, and learns those of the others now and then. A neighbour that
 /// read them spares it the calls: three at each restart, and one in each round.
-pub async fn find_peers(relay: &Relay) {
+pub async fn discover_peers(relay: &Relay) {
     if relay.settings.first_start {
-        register_for_good(relay).await;
+        register_until_stored(relay).await;
     }
     hear_any(relay).await;
     let mut verb = CallVerb::List;
     loop {
-        let listed = match ask_relays(relay).await {
+        let listed = match fetch_relays(relay).await {
             Some(relays) => Some(relays),
             None => {
                 wait_for_store(relay).await;
@@ -67,7 +67,7 @@
             if own != Some(&own_address(&relay.settings)) {
                 let is_new = verb == CallVerb::List && !relay.settings.first_start;
                 tracing::info!(event = "registration-missing", is_new);
-                register_for_good(relay).await;
+                register_until_stored(relay).await;
             } else if relay.registered_era.get().is_none() {
                 relay.registered_era.set(Some(store_era(relay)));
             }
@@ -80,7 +80,7 @@
 
 /// Waits while the store is away: whoever follows the configuration tries it.
 async fn wait_for_store(relay: &Relay) {
-    while relay.beliefs.borrow().config_lease.is_lost() {
+    while relay.state.borrow().config_lease.is_lost() {
         sleep(REGISTER_AGAIN).await;
     }
 }
@@ -93,7 +93,7 @@
     let patience = relay.random.borrow_mut().random_range(START_DELAY / 2..=longest);
     let until = now_millis() + patience;
     while now_millis() < until {
-        if relay.beliefs.borrow().peers.live_count_in(data_centre, now_millis()) > 0 {
+        if relay.state.borrow().peers.live_count_in(data_centre, now_millis()) > 0 {
             return;
         }
         sleep(START_LOOK).await;
@@ -104,15 +104,15 @@
 const START_LOOK: Duration = Duration::from_millis(10);
 
 /// Waits at the start until a neighbour can tell what is wanted, for as long as that may take.
-pub async fn wait_at_start(relay: &Relay, can_be_told: impl Fn(&Beliefs, Millis) -> bool) {
+pub async fn wait_at_start(relay: &Relay, can_be_told: impl Fn(&RelayState, Millis) -> bool) {
     let RelaySettings { name, data_centre, first_start, .. } = &relay.settings;
     let begun = now_millis();
     loop {
         let now = now_millis();
         {
-            let beliefs = relay.beliefs.borrow();
-            let before = beliefs.peers.preceding(name, data_centre, now).live;
-            if can_be_told(&beliefs, now) || now - begun >= start_delay(*first_start, before) {
+            let state = relay.state.borrow();
+            let before = state.peers.preceding(name, data_centre, now).live;
+            if can_be_told(&state, now) || now - begun >= start_delay(*first_start, before) {
                 return;
             }
         }
@@ -166,7 +166,7 @@
         if name == own {
             continue;
         }
-        let peers = &mut relay.beliefs.borrow_mut().peers;
+        let peers = &mut relay.state.borrow_mut().peers;
         let is_new = peers.upsert(name, *address, data_centre, now_millis());
         is_any_new |= is_new;
         if is_new && data_centre == home {
@@ -175,17 +175,17 @@
     }
     if is_any_new {
         plan_gossip(relay);
-        tell_state(relay, TellReach::All);
-        if !relay.circle.borrow().is_member {
-            greet(relay, &new_near);
+        send_state(relay, SendScope::All);
+        if !relay.gossip_plan.borrow().is_member {
+            send_greeting(relay, &new_near);
         }
     }
     forget_gone(relay, &relays.keys().map(String::as_str).collect()).await;
-    relay.beliefs.borrow_mut().listed_relays = Some(relays);
+    relay.state.borrow_mut().listed_relays = Some(relays);
 }
 
 /// Leaves this relay's address in the store, however long that takes.
-pub async fn register_for_good(relay: &Relay) {
+pub async fn register_until_stored(relay: &Relay) {
     // As it was before the call: one that the store lost meanwhile is written once more.
     let mut era = store_era(relay);
     while let Err(error) = register(relay).await {
@@ -203,7 +203,7 @@
     let now = now_millis();
     let fresh = relay.is_fleet_fresh(now);
     let (gone, removable) = {
-        let peers = &relay.beliefs.borrow().peers;
+        let peers = &relay.state.borrow().peers;
         let RelaySettings { name, data_centre, .. } = &relay.settings;
         (peers.expired(now), peers.removable(name, data_centre, fresh, now))
     };
@@ -218,10 +218,10 @@
                 continue;
             }
         }
-        let mut beliefs = relay.beliefs.borrow_mut();
-        beliefs.peers.forget(&name);
-        beliefs.clocks.forget(&name);
-        drop(beliefs);
+        let mut state = relay.state.borrow_mut();
+        state.peers.forget(&name);
+        state.clocks.forget(&name);
+        drop(state);
         tracing::info!(event = "peer-forgotten", name, removes);
     }
 }
--- a/crates/relay/src/replicas.rs
+++ b/crates/relay/src/replicas.rs
@@ -19,16 +19,17 @@
 use tokio::task::spawn_local;
 
 use crate::{
-    counts::count, engines::answers, quarantine::note_ended, state::Relay, tell::tell_fleet,
+    counts::count, engines::answers, gossip::send_fleet_changes, quarantine::note_ended,
+    state::Relay,
 };
 
 /// Takes over a whole list of the store, sent for at `sent`.
-pub fn take_replica_list(relay: &Rc<Relay>, list: ObjectList, sent: Millis) {
+pub fn apply_store_list(relay: &Rc<Relay>, list: ObjectList, sent: Millis) {
     let listed = list.items.iter().filter_map(|item| read_news(relay, item)).collect();
     let list = FleetList { listed, at: list.revision };
-    let cleared = relay.beliefs.borrow().fleet.confirmed_by(&list, now_millis());
+    let cleared = relay.state.borrow().fleet.confirmed_by(&list, now_millis());
     if !cleared.is_empty() {
-        tell_fleet(relay, cleared);
+        send_fleet_changes(relay, cleared);
     }
     apply_list(relay, list, UpdateSource::List, sent);
 }
@@ -36,12 +37,12 @@
 /// Takes over a whole list, proved at `sent`; `source` tells how it came.
 pub fn apply_list(relay: &Rc<Relay>, list: FleetList, source: UpdateSource, sent: Millis) {
     let at = list.at;
-    let is_first = relay.beliefs.borrow().fleet.view.is_empty();
+    let is_first = relay.state.borrow().fleet.view.is_empty();
     if is_first {
         tracing::info!(event = "replicas-listed", count = list.listed.len(), at, %source);
     }
     let AppliedList { applied: taken, awaited, missed: passed, era_start: began } =
-        relay.beliefs.borrow_mut().fleet.apply_list(list, source, sent, now_millis());
+        relay.state.borrow_mut().fleet.apply_list(list, source, sent, now_millis());
     if let Some(EraStart { era, doubted }) = began {
         count(&relay.counts.store_copies);
         let (listed, awaited) = (taken.len(), awaited.len());
@@ -71,7 +72,7 @@
     let relay = relay.clone();
     spawn_local(async move {
         let answers = answers(&relay, address).await;
-        let still_missing = relay.beliefs.borrow().fleet.is_awaited(&id);
+        let still_missing = relay.state.borrow().fleet.is_awaited(&id);
         if !answers && still_missing {
             tell_and_take(&relay, vec![gone(id, at)], UpdateSource::Expiry);
         }
@@ -85,36 +86,36 @@
 /// Address of a replica that is an engine.
 fn engine_address(relay: &Relay, id: &str) -> Option<SocketAddr> {
     let config = relay.config()?;
-    let beliefs = relay.beliefs.borrow();
-    let replica = beliefs.fleet.view.get(id)?;
+    let state = relay.state.borrow();
+    let replica = state.fleet.view.get(id)?;
     let is_engine = config.services.get(&replica.service)?.engine.is_some();
     is_engine.then_some(replica.address)
 }
 
 /// Drops replicas that were waited for and did not come back.
-pub fn drop_lapsed(relay: &Relay) {
-    let lapsed = relay.beliefs.borrow_mut().fleet.take_expired(now_millis());
+pub fn drop_expired(relay: &Relay) {
+    let lapsed = relay.state.borrow_mut().fleet.take_expired(now_millis());
     tell_and_take(relay, lapsed, UpdateSource::Expiry);
 }
 
 /// Takes over what a watch of the store told, and tells the relays of the data centre.
-pub fn take_replica_changes(relay: &Relay, changes: Vec<ObjectChange>) {
+pub fn apply_watch_changes(relay: &Relay, changes: Vec<ObjectChange>) {
     // One after the other: what an entry that is no replica's own stands in the place of may have come just before.
     let mut told = Vec::with_capacity(changes.len());
     for change in changes {
         let Some(news) = change_news(relay, change) else { continue };
         told.push(news.clone());
-        take_news(relay, vec![news], UpdateSource::Watch);
+        apply_updates(relay, vec![news], UpdateSource::Watch);
     }
     if !told.is_empty() {
-        tell_fleet(relay, told);
+        send_fleet_changes(relay, told);
     }
 }
 
 fn tell_and_take(relay: &Relay, news: Vec<ReplicaUpdate>, source: UpdateSource) {
     if !news.is_empty() {
-        tell_fleet(relay, news.clone());
-        take_news(relay, news, source);
+        send_fleet_changes(relay, news.clone());
+        apply_updates(relay, news, source);
     }
 }
 
@@ -133,12 +134,12 @@
             Some(ReplicaUpdate { id: name.clone(), revision: *revision, entry: Some(entry) })
         }
         Err(why) => {
-            let mut beliefs = relay.beliefs.borrow_mut();
-            if beliefs.odd_entries.record(name, *revision) {
+            let mut state = relay.state.borrow_mut();
+            if state.foreign_entries.record(name, *revision) {
                 count(&relay.counts.odd_entries);
                 tracing::warn!(event = "replica-unreadable", replica = name, revision, why);
             }
-            beliefs.fleet.overwritten(name, *revision)
+            state.fleet.overwritten(name, *revision)
         }
     }
 }
@@ -153,9 +154,9 @@
 
 /// Whether a report counts that the replica at an address gave. One of an earlier life than its entry's does not;
 /// one of a later life ends what is known of the earlier one at once, before the list tells.
-pub fn take_report_start(relay: &Relay, address: SocketAddr, born: Millis) -> bool {
+pub fn accept_report_start(relay: &Relay, address: SocketAddr, born: Millis) -> bool {
     let known =
-        relay.beliefs.borrow().fleet.view.at_address(address).map(|entry| entry.instance.clone());
+        relay.state.borrow().fleet.view.at_address(address).map(|entry| entry.instance.clone());
     let Some(instance) = known.filter(|instance| born > 0 && instance.started_at() > 0) else {
         return true;
     };
@@ -166,27 +167,27 @@
         tracing::warn!(event = "report-unreadable", %address, born, why = "far ahead of now");
         return false;
     }
-    let taken = relay.beliefs.borrow_mut().fleet.apply_start(instance.id(), born, now_millis());
+    let taken = relay.state.borrow_mut().fleet.apply_start(instance.id(), born, now_millis());
     if let Some(taken) = taken {
         note_taken(relay, &taken);
-        tell_fleet(relay, held_news(relay, instance.id()));
+        send_fleet_changes(relay, held_news(relay, instance.id()));
     }
     true
 }
 
 /// Takes a replica's own word that it is leaving, and tells the relays of the data centre.
 pub fn apply_draining(relay: &Relay, instance: &ReplicaInstance) {
-    let taken = relay.beliefs.borrow_mut().fleet.apply_draining(instance);
+    let taken = relay.state.borrow_mut().fleet.apply_draining(instance);
     let Some(taken) = taken else { return };
     count(&relay.counts.leaving_told);
     note_taken(relay, &taken);
-    tell_fleet(relay, held_news(relay, instance.id()));
+    send_fleet_changes(relay, held_news(relay, instance.id()));
 }
 
 /// What is held of a replica, as news for others.
 fn held_news(relay: &Relay, id: &str) -> Vec<ReplicaUpdate> {
-    let beliefs = relay.beliefs.borrow();
-    let (entry, revision) = (beliefs.fleet.view.get(id), beliefs.fleet.view.revision(id));
+    let state = relay.state.borrow();
+    let (entry, revision) = (state.fleet.view.get(id), state.fleet.view.revision(id));
     let held = entry.zip(revision);
     held.map(|(entry, revision)| ReplicaUpdate {
         id: id.to_owned(),
@@ -198,8 +199,8 @@
 }
 
 /// Takes over news of replicas, from the store or from another relay.
-pub fn take_news(relay: &Relay, news: Vec<ReplicaUpdate>, source: UpdateSource) {
-    let taken = relay.beliefs.borrow_mut().fleet.apply_all(news, source, now_millis());
+pub fn apply_updates(relay: &Relay, news: Vec<ReplicaUpdate>, source: UpdateSource) {
+    let taken = relay.state.borrow_mut().fleet.apply_all(news, source, now_millis());
     taken.iter().for_each(|taken| note_taken(relay, taken));
 }
 
@@ -246,18 +247,18 @@
             tracing::info!(event = "replica-listed", replica = id, %address, ?change, ?layers, revision, held, %source);
         }
     }
-    relay.raise_alarm();
+    relay.request_path_check();
 }
 
 /// Forgets what was learnt of a life of a replica that ended.
 fn forget_life(relay: &Relay, instance: &ReplicaInstance, address: SocketAddr) {
     {
-        let mut beliefs = relay.beliefs.borrow_mut();
-        beliefs.suspects.clear(instance);
-        beliefs.full.clear(instance);
-        beliefs.heads.forget(instance);
-        beliefs.loads.forget(instance);
-        beliefs.paces.forget(instance);
+        let mut state = relay.state.borrow_mut();
+        state.suspects.clear(instance);
+        state.short_of_memory.clear(instance);
+        state.stalls.forget(instance);
+        state.service_loads.forget(instance);
+        state.slowdowns.forget(instance);
     }
     relay.pool.close_idle(address);
     relay.reports.forget(address);
--- a/crates/relay/src/request.rs
+++ b/crates/relay/src/request.rs
@@ -143,7 +143,7 @@
         path: Option<&[PathStage]>,
     ) {
         let now = now_millis();
-        let beliefs = relay.beliefs.borrow();
+        let state = relay.state.borrow();
         tracing::info!(
             event = "dispatch",
             request = self.headers.attempt_id,
@@ -151,13 +151,13 @@
             route = permit.route.name,
             organisation = permit.organisation,
             config = permit.config.version,
-            config_age = beliefs.config_lease.age(now),
-            replicas_age = beliefs.fleet.age(now),
-            entry_revision = beliefs.fleet.view.revision(first.id()),
-            entry_age = beliefs.fleet.view.age(first.id(), now),
-            entry_awaited = beliefs.fleet.is_awaited(first.id()),
-            backoff_left = beliefs.backoffs.remaining(first, now),
-            limit = beliefs.limits.limit(first.id()),
+            config_age = state.config_lease.age(now),
+            replicas_age = state.fleet.age(now),
+            entry_revision = state.fleet.view.revision(first.id()),
+            entry_age = state.fleet.view.age(first.id(), now),
+            entry_awaited = state.fleet.is_awaited(first.id()),
+            backoff_left = state.backoffs.remaining(first, now),
+            limit = state.limits.limit(first.id()),
             waited_ms = now - self.arrived,
             objective = permit.route.objective,
             gap = permit.route.max_event_gap,
@@ -219,7 +219,7 @@
         }
         Err(refusal) => refuse(&relay, &id, refusal, arrived),
     };
-    if relay.stop.is_stopping() || relay.steps_aside(now_millis()) {
+    if relay.shutdown.is_stopping() || relay.should_redirect_callers(now_millis()) {
         let close = http::HeaderValue::from_static("close");
         answer.headers_mut().insert(header::CONNECTION, close);
     }
@@ -279,12 +279,12 @@
         attempt_count: Cell::new(0),
     };
     check_quarantine(relay, &request)?;
-    relay.note_request(&permit.service, now_millis());
+    relay.record_request(&permit.service, now_millis());
     let has_engine = permit.config.services.get(&permit.service);
     match has_engine.is_some_and(|service| service.engine.is_some()) {
-        true if relay.stop.refuses_streams() => Err(Refusal::Stopping),
+        true if relay.shutdown.refuses_streams() => Err(Refusal::Stopping),
         true => run_stream(relay, Rc::new(request), permit, in_flight).await,
-        false if relay.stop.would_cut(patience) => Err(Refusal::Stopping),
+        false if relay.shutdown.would_cut(patience) => Err(Refusal::Stopping),
         false => run_plain(relay, &request, permit).await,
     }
 }
@@ -314,7 +314,7 @@
     }
     relay.metrics.note_outcome(status, &refusal.to_string());
     let config = relay.config().map_or(0, |config| config.version);
-    let config_age = relay.beliefs.borrow().config_lease.age(now_millis());
+    let config_age = relay.state.borrow().config_lease.age(now_millis());
     tracing::warn!(
         event = "refused", request = id, status, reason = %refusal, held_ms, config, config_age,
     );
--- a/crates/relay/src/copies.rs
+++ b/crates/relay/src/restore.rs
@@ -9,7 +9,7 @@
 use switchfold_router::Millis;
 use tokio::time::sleep;
 
-use crate::{quarantine::write_again, registry::register_for_good, state::Relay};
+use crate::{quarantine::write_again, registry::register_until_stored, state::Relay};
 
 /// Time between two looks at the store's era.
 const LOOK_EVERY: Duration = Duration::from_millis(250);
@@ -18,15 +18,15 @@
 const SPREAD: Millis = 1_000;
 
 /// Writes again after each return of the store, for good.
-pub async fn write_after_copies(relay: Rc<Relay>) {
+pub async fn rewrite_after_restores(relay: Rc<Relay>) {
     loop {
         sleep(LOOK_EVERY).await;
         let present = store_era(&relay);
         if relay.registered_era.get().is_none_or(|era| present <= era) {
             continue;
         }
-        sleep(Duration::from_millis(relay.draw(SPREAD))).await;
-        register_for_good(&relay).await;
+        sleep(Duration::from_millis(relay.random_delay(SPREAD))).await;
+        register_until_stored(&relay).await;
         write_again(&relay);
         tracing::info!(event = "written-again", era = present);
     }
@@ -34,5 +34,5 @@
 
 /// The newest era of the store that this relay read, or that a neighbour told it.
 pub fn store_era(relay: &Relay) -> u64 {
-    relay.calls.era.current().max(relay.beliefs.borrow().fleet.era())
+    relay.calls.era.current().max(relay.state.borrow().fleet.era())
 }
--- a/crates/relay/src/run.rs
+++ b/crates/relay/src/run.rs
@@ -24,24 +24,24 @@
 };
 
 use crate::{
-    copies::write_after_copies,
     counts::Counts,
+    engine_poll::poll_engines,
     engines::ReportCache,
     limits::keep_limits,
     logs::lines_left_out,
     metrics::RelayMetrics,
-    peers::talk,
+    peers::run_gossip,
     placer::place_layers,
     pool::ConnectionPool,
     quarantine::{follow_quarantine, store_quarantine},
     reload::follow_settings,
+    restore::rewrite_after_restores,
     serve::{serve_callers, serve_metrics, serve_readiness},
     settings::RelaySettings,
     shutdown::ShutdownState,
     snapshot::{fetch::new_client, serve::serve_snapshots},
-    state::{Beliefs, Relay},
+    state::{Relay, RelayState},
     store_calls::CountedStore,
-    survey::survey_engines,
     watch::{follow_config, follow_replicas},
 };
 
@@ -132,14 +132,14 @@
     let relay = Rc::new(new_relay(settings, sockets.peers, metrics));
     spawn_local(follow_config(relay.clone()));
     spawn_local(follow_replicas(relay.clone()));
-    spawn_local(talk(relay.clone()));
+    spawn_local(run_gossip(relay.clone()));
     spawn_local(serve_snapshots(relay.clone(), sockets.neighbours));
     spawn_local(follow_quarantine(relay.clone()));
     spawn_local(store_quarantine(relay.clone()));
-    spawn_local(write_after_copies(relay.clone()));
+    spawn_local(rewrite_after_restores(relay.clone()));
     spawn_local(keep_limits(relay.clone()));
     spawn_local(place_layers(relay.clone()));
-    spawn_local(survey_engines(relay.clone()));
+    spawn_local(poll_engines(relay.clone()));
     spawn_local(serve_readiness(relay.clone(), sockets.readiness));
     spawn_local(serve_metrics(relay.clone(), sockets.metrics));
     spawn_local(sweep(relay.clone()));
@@ -149,14 +149,14 @@
     let stopping = relay.clone();
     spawn_local(async move {
         shutdown.raised().await;
-        tracing::info!(event = "stopping", in_flight = stopping.stop.in_flight());
-        stopping.stop.begin(stopping.bounds.borrow().grace());
+        tracing::info!(event = "stopping", in_flight = stopping.shutdown.in_flight());
+        stopping.shutdown.begin(stopping.bounds.borrow().grace());
     });
     serve_callers(relay.clone(), sockets.callers).await;
     tracing::info!(
         event = "stopped",
         requests = relay.counts.requests.get(),
-        in_flight = relay.stop.in_flight(),
+        in_flight = relay.shutdown.in_flight(),
     );
     Ok(())
 }
@@ -194,10 +194,10 @@
     Relay {
         store,
         calls,
-        neighbours: new_client(),
+        neighbour_client: new_client(),
         bounds: RefCell::new(settings.bounds.clone()),
         settings,
-        beliefs: RefCell::new(Beliefs::default()),
+        state: RefCell::new(RelayState::default()),
         pool: ConnectionPool::default(),
         reports: ReportCache::default(),
         peer_socket,
@@ -205,17 +205,17 @@
         counts: Counts::default(),
         metrics,
         registered_era: Cell::default(),
-        is_aside: Cell::new(false),
-        stop: ShutdownState::default(),
+        is_redirecting: Cell::new(false),
+        shutdown: ShutdownState::default(),
         random: RefCell::new(random),
-        alarms: Cell::new(0),
-        alarm_bell: Notify::new(),
-        limit_bell: Notify::new(),
-        quarantine_bell: Notify::new(),
-        tell_bell: Notify::new(),
-        tell_wish: Cell::new(None),
-        drop_logged: Cell::new(None),
-        circle: RefCell::default(),
+        path_check_epoch: Cell::new(0),
+        path_check_notify: Notify::new(),
+        limit_notify: Notify::new(),
+        quarantine_notify: Notify::new(),
+        send_notify: Notify::new(),
+        pending_send: Cell::new(None),
+        drop_logged_at: Cell::new(None),
+        gossip_plan: RefCell::default(),
     }
 }
 
@@ -305,9 +305,9 @@
         odd_entries = odd_entries.get(),
         store_copies = store_copies.get(),
         passed_changes = passed_changes.get(),
-        in_flight = relay.stop.in_flight(),
+        in_flight = relay.shutdown.in_flight(),
         idle_links = relay.pool.idle_count(),
-        replicas = relay.beliefs.borrow().fleet.view.len(),
+        replicas = relay.state.borrow().fleet.view.len(),
         lines_left_out = lines_left_out(),
     );
 }
--- a/crates/relay/src/run_tracker.rs
+++ b/crates/relay/src/run_tracker.rs
@@ -89,8 +89,8 @@
         );
         let run = LostRun { instances: &self.instances, sent: self.sent, progress: self.progress };
         let change = {
-            let mut beliefs = relay.beliefs.borrow_mut();
-            beliefs.quarantine.record_lost(request.fingerprint, &run, now)
+            let mut state = relay.state.borrow_mut();
+            state.quarantine.record_lost(request.fingerprint, &run, now)
         };
         take_change(relay, &change);
     }
--- a/crates/relay/src/serve.rs
+++ b/crates/relay/src/serve.rs
@@ -52,11 +52,11 @@
 /// Waits for the end of a planned stop: nothing is in flight and callers had time to leave, or the time
 /// is nearly up.
 async fn stopped(relay: &Relay) {
-    relay.stop.wait_until_stopping().await;
-    let left = relay.stop.deadline().saturating_sub(now_millis());
+    relay.shutdown.wait_until_stopping().await;
+    let left = relay.shutdown.deadline().saturating_sub(now_millis());
     sleep(LEAST_STOP.min(Duration::from_millis(left))).await;
     const STEP: Duration = Duration::from_millis(50);
-    while relay.stop.in_flight() > 0 && now_millis() < relay.stop.deadline() {
+    while relay.shutdown.in_flight() > 0 && now_millis() < relay.shutdown.deadline() {
         sleep(STEP).await;
     }
 }
@@ -94,7 +94,7 @@
 
 /// Waits until a stopping relay closes its idle connections.
 async fn idle_closes(relay: &Relay) {
-    relay.stop.wait_until_stopping().await;
+    relay.shutdown.wait_until_stopping().await;
     sleep(Duration::from_millis(IDLE_CLOSE_DELAY)).await;
 }
 
@@ -150,13 +150,13 @@
 /// have the store: the balancer needs two seconds to move new callers to them.
 pub fn is_ready(relay: &Relay) -> bool {
     let now = now_millis();
-    let aside = relay.steps_aside(now);
-    relay.note_aside(aside, now);
+    let aside = relay.should_redirect_callers(now);
+    relay.record_redirecting(aside, now);
     if aside {
         return false;
     }
-    let beliefs = relay.beliefs.borrow();
-    let knows = beliefs.config.get().is_some() && !beliefs.fleet.view.is_empty();
+    let state = relay.state.borrow();
+    let knows = state.config.get().is_some() && !state.fleet.view.is_empty();
     let bound = relay.bounds.borrow().revoke();
-    knows && !relay.stop.is_stopping() && beliefs.config_lease.is_valid(bound, now)
+    knows && !relay.shutdown.is_stopping() && state.config_lease.is_valid(bound, now)
 }
--- a/crates/relay/src/shutdown.rs
+++ b/crates/relay/src/shutdown.rs
@@ -95,13 +95,13 @@
 impl InFlightGuard {
     /// Notes a request in flight.
     pub fn new(relay: &std::rc::Rc<crate::state::Relay>) -> Self {
-        relay.stop.enter();
+        relay.shutdown.enter();
         Self { relay: relay.clone() }
     }
 }
 
 impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.relay.stop.leave();
+        self.relay.shutdown.leave();
     }
 }
--- a/crates/relay/src/snapshot/take.rs
+++ b/crates/relay/src/snapshot/apply.rs
@@ -12,7 +12,7 @@
 
 use super::{
     RelayRecord, SnapshotBody,
-    fetch::{ToldSnapshot, fetch_snapshot},
+    fetch::{FetchedSnapshot, fetch_snapshot},
 };
 use crate::{
     counts::count,
@@ -21,18 +21,18 @@
     settings::RelaySettings,
     state::Relay,
     store_calls::CallKind,
-    watch::take_config,
+    watch::apply_config,
 };
 
 /// Asks a neighbour for the configuration; gives the revision up to which it read.
-pub async fn ask_config(relay: &Rc<Relay>) -> Option<u64> {
-    let held = relay.beliefs.borrow().config_version();
+pub async fn fetch_config(relay: &Rc<Relay>) -> Option<u64> {
+    let held = relay.state.borrow().config_version();
     let (teller, address) = config_source(relay, held)?;
     let told = fetch_snapshot(relay, CallKind::Config, &teller, address, held).await?;
-    let ToldSnapshot { at, proof, body } = told;
+    let FetchedSnapshot { at, proof, body } = told;
     if let SnapshotBody::Config { revision, spec } = body {
         match serde_json::from_slice(&spec) {
-            Ok(spec) => drop(take_config(relay, &spec, revision, at)),
+            Ok(spec) => drop(apply_config(relay, &spec, revision, at)),
             Err(error) => {
                 count(&relay.counts.bad_snapshots);
                 tracing::warn!(event = "snapshot-unreadable", teller, revision, %error);
@@ -40,36 +40,36 @@
             }
         }
     }
-    let mut guard = relay.beliefs.borrow_mut();
-    let beliefs = &mut *guard;
-    if beliefs.config_unreadable || beliefs.config.get().is_none() {
+    let mut guard = relay.state.borrow_mut();
+    let state = &mut *guard;
+    if state.config_unconfirmed || state.config.get().is_none() {
         return None;
     }
-    if let Some(object) = &mut beliefs.config_object {
+    if let Some(object) = &mut state.config_object {
         object.at = object.at.max(at);
     }
-    proof.proved.into_iter().for_each(|proved| beliefs.config_lease.record_proof_at(proved));
-    proof.answered.into_iter().for_each(|answered| beliefs.config_lease.record_answer(answered));
-    beliefs.peers.record_answers(proof.answered, None);
+    proof.proved.into_iter().for_each(|proved| state.config_lease.record_proof_at(proved));
+    proof.answered.into_iter().for_each(|answered| state.config_lease.record_answer(answered));
+    state.peers.record_answers(proof.answered, None);
     Some(at)
 }
 
 fn config_source(relay: &Relay, held: u64) -> Option<(String, SocketAddr)> {
     let RelaySettings { name, data_centre, .. } = &relay.settings;
-    let beliefs = relay.beliefs.borrow();
-    let teller = beliefs.peers.config_source(name, data_centre, held, now_millis())?;
+    let state = relay.state.borrow();
+    let teller = state.peers.config_source(name, data_centre, held, now_millis())?;
     Some((teller.name.to_owned(), teller.address))
 }
 
 /// Asks a neighbour for the list of replicas; gives the revision up to which it read.
-pub async fn ask_replicas(relay: &Rc<Relay>) -> Option<u64> {
+pub async fn fetch_replicas(relay: &Rc<Relay>) -> Option<u64> {
     let (holds_none, held) = {
-        let fleet = &relay.beliefs.borrow().fleet;
+        let fleet = &relay.state.borrow().fleet;
         (fleet.has_no_list(), fleet.view.digest())
     };
     let (teller, address) = fleet_source(relay, holds_none)?;
     let told = fetch_snapshot(relay, CallKind::Replicas, &teller, address, held).await?;
-    if relay.beliefs.borrow().fleet.is_of_earlier_era(told.at) {
+    if relay.state.borrow().fleet.is_of_earlier_era(told.at) {
         tracing::info!(event = "snapshot-untold", kind = %CallKind::Replicas, teller, reason = "of an earlier era");
         return None;
     }
@@ -78,35 +78,35 @@
         let sent = told.proof.proved.map_or(0, |proved| proved.max(0) as Millis);
         apply_list(relay, FleetList { listed, at: told.at }, UpdateSource::Snapshot, sent);
     }
-    let mut beliefs = relay.beliefs.borrow_mut();
-    beliefs.fleet.record_snapshot(told.proof, told.at);
-    beliefs.peers.record_answers(None, told.proof.answered);
+    let mut state = relay.state.borrow_mut();
+    state.fleet.record_snapshot(told.proof, told.at);
+    state.peers.record_answers(None, told.proof.answered);
     Some(told.at)
 }
 
 fn fleet_source(relay: &Relay, holds_none: bool) -> Option<(String, SocketAddr)> {
     let RelaySettings { name, data_centre, .. } = &relay.settings;
-    let beliefs = relay.beliefs.borrow();
-    let teller = beliefs.peers.fleet_source(name, data_centre, holds_none, now_millis())?;
+    let state = relay.state.borrow();
+    let teller = state.peers.fleet_source(name, data_centre, holds_none, now_millis())?;
     Some((teller.name.to_owned(), teller.address))
 }
 
 /// Asks the first relay of the data centre for the relays that it found listed. One that comes before the others
 /// and knows some relays lists them itself.
-pub async fn ask_relays(relay: &Relay) -> Option<BTreeMap<String, PeerAddress>> {
+pub async fn fetch_relays(relay: &Relay) -> Option<BTreeMap<String, PeerAddress>> {
     let first = {
         let RelaySettings { name, data_centre, .. } = &relay.settings;
-        let beliefs = relay.beliefs.borrow();
-        let first = beliefs.peers.first_live_peer(name, data_centre, now_millis())?;
-        let lists_itself = beliefs.listed_relays.is_some() && first.order == SourceOrder::After;
+        let state = relay.state.borrow();
+        let first = state.peers.first_live_peer(name, data_centre, now_millis())?;
+        let lists_itself = state.listed_relays.is_some() && first.order == SourceOrder::After;
         (!lists_itself).then(|| (first.name.to_owned(), first.address))
     };
     let (teller, address) = first?;
-    let held = relay.beliefs.borrow().listed_relays.as_ref().map_or(0, relays_digest);
+    let held = relay.state.borrow().listed_relays.as_ref().map_or(0, relays_digest);
     let told = fetch_snapshot(relay, CallKind::Relays, &teller, address, held).await?;
     let records = match told.body {
         SnapshotBody::Relays(records) => records,
-        SnapshotBody::Same => return relay.beliefs.borrow().listed_relays.clone(),
+        SnapshotBody::Same => return relay.state.borrow().listed_relays.clone(),
         SnapshotBody::Config { .. } | SnapshotBody::Replicas(_) => return None,
     };
     let relays = records.into_iter().map(|record| {
--- a/crates/relay/src/snapshot/fetch.rs
+++ b/crates/relay/src/snapshot/fetch.rs
@@ -9,21 +9,21 @@
 use switchfold_kernel::{clock::now_millis, http::HttpClient};
 use switchfold_router::membership::PeerProof;
 
-use super::{MOST_SNAPSHOT, Snapshot, SnapshotBody, write_target};
+use super::{MAX_SNAPSHOT_BYTES, Snapshot, SnapshotBody, snapshot_target};
 use crate::{counts::count, state::Relay, store_calls::CallKind};
 
 /// Time that a neighbour has for an answer: a list takes a tenth of a second on the link of a small VM where
 /// twenty ask at once. It is lost before the store is asked, so it stays below the store's own patience.
-pub const ASK_PATIENCE: Duration = Duration::from_millis(300);
+pub const FETCH_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Makes the client for questions to neighbours.
 pub fn new_client() -> HttpClient {
-    HttpClient::new(ASK_PATIENCE, MOST_SNAPSHOT)
+    HttpClient::new(FETCH_TIMEOUT, MAX_SNAPSHOT_BYTES)
 }
 
 /// What a neighbour told.
 #[derive(Clone, Debug)]
-pub struct ToldSnapshot {
+pub struct FetchedSnapshot {
     /// Revision of the store up to which it read.
     pub at: u64,
     /// As of when that holds, and when the store answered last, by this relay's clock.
@@ -34,7 +34,7 @@
 
 /// Why nothing was told.
 #[derive(Clone, Debug, Display, Eq, PartialEq)]
-pub enum UntoldReason {
+pub enum FetchError {
     /// There was no answer.
     #[display("no answer: {_0}")]
     NoAnswer(String),
@@ -57,7 +57,7 @@
     teller: &str,
     address: SocketAddr,
     held: u64,
-) -> Option<ToldSnapshot> {
+) -> Option<FetchedSnapshot> {
     count(&relay.counts.snapshots_asked);
     let asked = now_millis();
     match ask(relay, kind, teller, address, held).await {
@@ -66,10 +66,10 @@
             let Snapshot { at, proved_age, answered_age, .. } = snapshot;
             tracing::info!(event = "snapshot-told", %kind, teller, at, proved_age, took, len);
             let proof = PeerProof::from_response(asked, proved_age, answered_age);
-            Some(ToldSnapshot { at, proof, body: snapshot.body })
+            Some(FetchedSnapshot { at, proof, body: snapshot.body })
         }
         Err(reason) => {
-            if matches!(reason, UntoldReason::Unreadable(_) | UntoldReason::OtherTeller(_)) {
+            if matches!(reason, FetchError::Unreadable(_) | FetchError::OtherTeller(_)) {
                 count(&relay.counts.bad_snapshots);
             }
             tracing::info!(event = "snapshot-untold", %kind, teller, %address, %reason);
@@ -84,21 +84,21 @@
     teller: &str,
     address: SocketAddr,
     held: u64,
-) -> Result<(Snapshot, usize), UntoldReason> {
-    let no_answer = |detail: String| UntoldReason::NoAnswer(detail);
-    let uri = format!("http://{address}{}", write_target(kind, held));
+) -> Result<(Snapshot, usize), FetchError> {
+    let no_answer = |detail: String| FetchError::NoAnswer(detail);
+    let uri = format!("http://{address}{}", snapshot_target(kind, held));
     let request = Request::get(uri).body(Full::new(Bytes::new()));
     let request = request.map_err(|error| no_answer(error.to_string()))?;
-    let answer = relay.neighbours.call(request).await;
+    let answer = relay.neighbour_client.call(request).await;
     let answer = answer.map_err(|error| no_answer(error.to_string()))?;
     if answer.status != StatusCode::OK {
-        return Err(UntoldReason::Unknown);
+        return Err(FetchError::Unknown);
     }
     let len = answer.body.len();
-    let snapshot = Snapshot::decode(&answer.body).ok_or(UntoldReason::Unreadable(len))?;
+    let snapshot = Snapshot::decode(&answer.body).ok_or(FetchError::Unreadable(len))?;
     match snapshot.teller == teller && fits(kind, &snapshot.body) {
         true => Ok((snapshot, len)),
-        false => Err(UntoldReason::OtherTeller(snapshot.teller)),
+        false => Err(FetchError::OtherTeller(snapshot.teller)),
     }
 }
 
--- a/crates/relay/src/snapshot/mod.rs
+++ b/crates/relay/src/snapshot/mod.rs
@@ -9,7 +9,7 @@
 //!
 //! | worst case | what follows |
 //! |---|---|
-//! | the asked relay is gone, or its connection silent | the store is asked after [`fetch::ASK_PATIENCE`] |
+//! | the asked relay is gone, or its connection silent | the store is asked after [`fetch::FETCH_TIMEOUT`] |
 //! | twenty ask one at once | each is told 13 to 30 kB, up to 0.24 s of the link of a small VM; it is staggered |
 //! | the answer is damaged, too large, of another form or another relay | dropped, counted and logged; the store is asked |
 
@@ -18,25 +18,25 @@
 use serde::{Deserialize, Serialize};
 use switchfold_router::Millis;
 
-use crate::{news::ReplicaRecord, store_calls::CallKind};
+use crate::{messages::ReplicaRecord, store_calls::CallKind};
 
+pub mod apply;
 pub mod fetch;
 pub mod serve;
-pub mod take;
 
 /// Version of the form; an answer of another one is not read.
 const FORM: u8 = 1;
 
 /// Largest answer in bytes: a configuration is at most one object of the store.
-pub const MOST_SNAPSHOT: usize = 4 << 20;
+pub const MAX_SNAPSHOT_BYTES: usize = 4 << 20;
 
 /// Target of a question by one that holds what `held` stands for: a version or a digest, 0 for nothing.
-pub fn write_target(kind: CallKind, held: u64) -> String {
+pub fn snapshot_target(kind: CallKind, held: u64) -> String {
     format!("/snapshots/{kind}?held={held}")
 }
 
 /// Reads a target.
-pub fn read_target(path: &str, query: Option<&str>) -> Option<(CallKind, u64)> {
+pub fn parse_target(path: &str, query: Option<&str>) -> Option<(CallKind, u64)> {
     let kind = CallKind::ALL.into_iter().find(|kind| path == format!("/snapshots/{kind}"))?;
     let held = query?.strip_prefix("held=")?.parse().ok()?;
     Some((kind, held))
--- a/crates/relay/src/snapshot/serve.rs
+++ b/crates/relay/src/snapshot/serve.rs
@@ -15,13 +15,13 @@
     time::sleep,
 };
 
-use super::{RelayRecord, Snapshot, SnapshotBody, read_target};
+use super::{RelayRecord, Snapshot, SnapshotBody, parse_target};
 use crate::{
     counts::count,
-    news::ReplicaRecord,
+    messages::ReplicaRecord,
     registry::{PeerAddress, relays_digest},
     responses::{RelayResponse, full_body},
-    state::{Beliefs, Relay},
+    state::{Relay, RelayState},
     store_calls::CallKind,
 };
 
@@ -73,7 +73,7 @@
 
 fn answer_neighbour(relay: &Relay, request: &Request<Incoming>) -> RelayResponse {
     let uri = request.uri();
-    let asked = read_target(uri.path(), uri.query());
+    let asked = parse_target(uri.path(), uri.query());
     let Some((kind, held)) = asked.filter(|_| request.method() == Method::GET) else {
         count(&relay.counts.bad_snapshots);
         tracing::warn!(event = "snapshot-question-unreadable", target = %uri);
@@ -96,40 +96,39 @@
 
 /// What this relay can tell to one that holds `held`; nothing where it does not know it from the store.
 fn compose(relay: &Relay, kind: CallKind, held: u64, now: Millis) -> Option<Snapshot> {
-    let beliefs = relay.beliefs.borrow();
+    let state = relay.state.borrow();
     let told = match kind {
-        CallKind::Config => tell_config(&beliefs, held, now)?,
-        CallKind::Replicas => tell_replicas(&beliefs, held, now)?,
-        CallKind::Relays => tell_relays(&beliefs, held)?,
+        CallKind::Config => tell_config(&state, held, now)?,
+        CallKind::Replicas => tell_replicas(&state, held, now)?,
+        CallKind::Relays => tell_relays(&state, held)?,
         CallKind::Quarantine => return None,
     };
     Some(Snapshot { teller: relay.settings.name.clone(), ..told })
 }
 
-fn tell_config(beliefs: &Beliefs, held: u64, now: Millis) -> Option<Snapshot> {
-    let object = beliefs.config_object.as_ref().filter(|_| !beliefs.config_unreadable)?;
-    let body = match held == beliefs.config_version() {
+fn tell_config(state: &RelayState, held: u64, now: Millis) -> Option<Snapshot> {
+    let object = state.config_object.as_ref().filter(|_| !state.config_unconfirmed)?;
+    let body = match held == state.config_version() {
         true => SnapshotBody::Same,
         false => SnapshotBody::Config { revision: object.revision, spec: object.spec.to_vec() },
     };
     Some(Snapshot {
         teller: String::new(),
         at: object.at,
-        proved_age: beliefs.config_lease.age(now)?,
-        answered_age: beliefs.config_lease.answer_age(now)?,
+        proved_age: state.config_lease.age(now)?,
+        answered_age: state.config_lease.answer_age(now)?,
         body,
     })
 }
 
-fn tell_replicas(beliefs: &Beliefs, held: u64, now: Millis) -> Option<Snapshot> {
-    let read_age = beliefs.fleet.read_age(now).filter(|_| !beliefs.fleet.is_lost());
+fn tell_replicas(state: &RelayState, held: u64, now: Millis) -> Option<Snapshot> {
+    let read_age = state.fleet.read_age(now).filter(|_| !state.fleet.is_lost());
     // One that holds nothing is told whatever is held, with its age: it may start in an outage.
-    let held_age = beliefs.fleet.known_answer_age(now).filter(|_| held == EMPTY_DIGEST);
+    let held_age = state.fleet.known_answer_age(now).filter(|_| held == EMPTY_DIGEST);
     let answered_age = read_age.or(held_age)?;
-    let list = beliefs.fleet.shareable_list();
+    let list = state.fleet.shareable_list();
     // A list without some that are awaited is another one than the digest stands for.
-    let is_same =
-        list.listed.len() == beliefs.fleet.view.len() && held == beliefs.fleet.view.digest();
+    let is_same = list.listed.len() == state.fleet.view.len() && held == state.fleet.view.digest();
     let body = match is_same {
         true => SnapshotBody::Same,
         false => SnapshotBody::Replicas(list.listed.into_iter().map(ReplicaRecord::from).collect()),
@@ -137,14 +136,14 @@
     Some(Snapshot {
         teller: String::new(),
         at: list.at,
-        proved_age: beliefs.fleet.age(now)?,
+        proved_age: state.fleet.age(now)?,
         answered_age,
         body,
     })
 }
 
-fn tell_relays(beliefs: &Beliefs, held: u64) -> Option<Snapshot> {
-    let listed = beliefs.listed_relays.as_ref()?;
+fn tell_relays(state: &RelayState, held: u64) -> Option<Snapshot> {
+    let listed = state.listed_relays.as_ref()?;
     let body = match held == relays_digest(listed) {
         true => SnapshotBody::Same,
         false => SnapshotBody::Relays(listed.iter().map(relay_record).collect()),
--- a/crates/relay/src/state.rs
+++ b/crates/relay/src/state.rs
@@ -40,6 +40,7 @@
 use crate::{
     counts::{Counts, count},
     engines::ReportCache,
+    gossip::{SendScope, send_state},
     metrics::RelayMetrics,
     plain::ServiceLoads,
     pool::ConnectionPool,
@@ -48,19 +49,18 @@
     settings::{BoundSettings, RelaySettings},
     shutdown::ShutdownState,
     store_calls::{CallTally, CountedStore},
-    tell::{TellReach, tell_state},
 };
 
-/// Beliefs of a relay: each came from somewhere, at some time.
+/// RelayState of a relay: each came from somewhere, at some time.
 #[derive(Debug, Default)]
-pub struct Beliefs {
+pub struct RelayState {
     /// Configuration in force.
     pub config: ConfigSlot<Rc<RoutingConfig>>,
     /// When the configuration was last proved.
     pub config_lease: FreshnessLease,
     /// Whether the newest configuration could not be read, or the store holds an older one since it came back from a copy,
     /// so that none proves the one in force.
-    pub config_unreadable: bool,
+    pub config_unconfirmed: bool,
     /// The object of the configuration in force, for neighbours.
     pub config_object: Option<ConfigObject>,
     /// Relays whose addresses stand in the store, as last listed by this one or a neighbour.
@@ -68,13 +68,13 @@
     /// The replicas.
     pub fleet: FleetTracker,
     /// Entries that are no replica's own.
-    pub odd_entries: ForeignEntries,
+    pub foreign_entries: ForeignEntries,
     /// Memory for requests promised at each replica.
-    pub room: ReservationLedger,
+    pub memory_reservations: ReservationLedger,
     /// Requests that run, by the first replica of their path.
-    pub places: ReservationLedger,
+    pub slot_reservations: ReservationLedger,
     /// First replicas that had no place a moment ago.
-    pub full_starts: FullReplicas,
+    pub full_replicas: FullReplicas,
     /// Replicas that asked this VM to stay away for a time.
     pub backoffs: BackoffTable,
     /// Limits that replicas named.
@@ -84,30 +84,30 @@
     /// Grants that this relay hands out.
     pub issuer: GrantIssuer,
     /// Moments at which refused callers come back, by service.
-    pub return_slots: HashMap<String, RetrySchedule>,
+    pub retry_schedules: HashMap<String, RetrySchedule>,
     /// Clocks of the other relays.
     pub clocks: PeerClocks,
     /// Engines that are slow.
-    pub paces: SlowdownTable,
+    pub slowdowns: SlowdownTable,
     /// This relay's share of the pipe between data centres.
-    pub pipe: BandwidthShare,
+    pub bandwidth: BandwidthShare,
     /// Replicas to keep away from.
     pub suspects: SuspectList,
     /// Beginnings of answers, and first replicas that begin none.
-    pub heads: StallDetector,
+    pub stalls: StallDetector,
     /// Replicas that were short of memory a moment ago.
-    pub full: SuspectList,
+    pub short_of_memory: SuspectList,
     /// Requests that end the replicas that run them.
     pub quarantine: QuarantineTable,
     /// Repeats, by service.
-    pub budgets: HashMap<String, RetryBudget>,
+    pub retry_budgets: HashMap<String, RetryBudget>,
     /// Loads of plain services' replicas.
-    pub loads: ServiceLoads,
+    pub service_loads: ServiceLoads,
     /// The other relays.
     pub peers: PeerTable,
 }
 
-impl Beliefs {
+impl RelayState {
     /// Version of the configuration in force, or 0.
     pub fn config_version(&self) -> u64 {
         self.config.get().map_or(0, |config| config.version)
@@ -143,9 +143,9 @@
 
 /// State of a part of a running request's path.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum PartState {
+pub enum StageState {
     /// It serves.
-    Well,
+    Serving,
     /// It serves on for a while: it leaves, or is to hold other layers.
     Leaving,
     /// It is listed no more, or does not answer.
@@ -160,7 +160,7 @@
     /// Bounds in force; they may change while the relay runs.
     pub bounds: RefCell<BoundSettings>,
     /// What it knows.
-    pub beliefs: RefCell<Beliefs>,
+    pub state: RefCell<RelayState>,
     /// Connections to replicas.
     pub pool: ConnectionPool,
     /// Latest reports of engines.
@@ -170,7 +170,7 @@
     /// Calls of it, however they were made.
     pub calls: Rc<CallTally>,
     /// Questions to neighbours.
-    pub neighbours: HttpClient,
+    pub neighbour_client: HttpClient,
     /// Number drawn at the start, so that stamps of an earlier one are told apart.
     pub incarnation: u32,
     /// Where it hears from the other relays.
@@ -182,33 +182,33 @@
     /// Era of the store in which this relay's object was last known to stand there.
     pub registered_era: Cell<Option<u64>>,
     /// Whether new callers were left to other relays when readiness was last asked for.
-    pub is_aside: Cell<bool>,
+    pub is_redirecting: Cell<bool>,
     /// Whether it is stopping.
-    pub stop: ShutdownState,
+    pub shutdown: ShutdownState,
     /// Draws for weights and jitter.
     pub random: RefCell<ChaCha8Rng>,
     /// Grows whenever a replica becomes one to keep away from; running streams then look at their path.
-    pub alarms: Cell<u64>,
+    pub path_check_epoch: Cell<u64>,
     /// Wakes running streams when that grows.
-    pub alarm_bell: Notify,
+    pub path_check_notify: Notify,
     /// Wakes the task that asks for grants and hands them out.
-    pub limit_bell: Notify,
+    pub limit_notify: Notify,
     /// Wakes the task that tells the platform's store of requests that end replicas.
-    pub quarantine_bell: Notify,
+    pub quarantine_notify: Notify,
     /// Wakes the task that tells the other relays of this one's data centre.
-    pub tell_bell: Notify,
+    pub send_notify: Notify,
     /// Whom that task is to tell.
-    pub tell_wish: Cell<Option<TellReach>>,
+    pub pending_send: Cell<Option<SendScope>>,
     /// When a line on dropped datagrams was last written.
-    pub drop_logged: Cell<Option<Millis>>,
+    pub drop_logged_at: Cell<Option<Millis>>,
     /// Relays that are told.
-    pub circle: RefCell<GossipPlan>,
+    pub gossip_plan: RefCell<GossipPlan>,
 }
 
 impl Relay {
     /// The configuration in force.
     pub fn config(&self) -> Option<Rc<RoutingConfig>> {
-        self.beliefs.borrow().config.get().cloned()
+        self.state.borrow().config.get().cloned()
     }
 
     /// Bounds on repeats, as the platform sets them.
@@ -222,12 +222,12 @@
     }
 
     /// Takes a repeat of a service's budget.
-    pub fn spend_repeat(&self, service: &str, now: Millis) -> bool {
+    pub fn spend_retry(&self, service: &str, now: Millis) -> bool {
         self.with_budget(service, |budget, config, entries| budget.spend(config, entries, now))
     }
 
     /// Whether a service's budget has a repeat.
-    pub fn has_repeat(&self, service: &str, now: Millis) -> bool {
+    pub fn can_retry_service(&self, service: &str, now: Millis) -> bool {
         self.with_budget(service, |budget, config, entries| budget.can_retry(config, entries, now))
     }
 
@@ -237,83 +237,81 @@
         ask: impl FnOnce(&mut RetryBudget, &BudgetConfig, usize) -> bool,
     ) -> bool {
         let config = self.budget_config();
-        let mut beliefs = self.beliefs.borrow_mut();
-        let entries = beliefs.peers.known_count() + 1;
-        ask(beliefs.budgets.entry(service.to_owned()).or_default(), &config, entries)
+        let mut state = self.state.borrow_mut();
+        let entries = state.peers.known_count() + 1;
+        ask(state.retry_budgets.entry(service.to_owned()).or_default(), &config, entries)
     }
 
     /// Draws a time of up to `most` milliseconds.
-    pub fn draw(&self, most: Millis) -> Millis {
-        self.random.borrow_mut().random_range(0..=most)
+    pub fn random_delay(&self, max: Millis) -> Millis {
+        self.random.borrow_mut().random_range(0..=max)
     }
 
     /// Notes a request of a caller for a service.
-    pub fn note_request(&self, service: &str, now: Millis) {
-        let mut beliefs = self.beliefs.borrow_mut();
-        beliefs.budgets.entry(service.to_owned()).or_default().record_request(now);
+    pub fn record_request(&self, service: &str, now: Millis) {
+        let mut state = self.state.borrow_mut();
+        state.retry_budgets.entry(service.to_owned()).or_default().record_request(now);
     }
 
     /// Keeps away from a replica for a while.
     pub fn suspect(&self, instance: &ReplicaInstance, why: &str) {
         let now = now_millis();
         note_ended(self, instance);
-        let until = self.beliefs.borrow_mut().suspects.record_failure(instance, now);
+        let until = self.state.borrow_mut().suspects.record_failure(instance, now);
         if let Some(until) = until {
-            self.raise_alarm();
-            tell_state(self, TellReach::All);
+            self.request_path_check();
+            send_state(self, SendScope::All);
             tracing::warn!(event = "suspect", replica = %instance, why, for_ms = until - now);
         }
     }
 
     /// Makes running streams look at their paths.
-    pub fn raise_alarm(&self) {
-        self.alarms.set(self.alarms.get() + 1);
-        self.alarm_bell.notify_waiters();
+    pub fn request_path_check(&self) {
+        self.path_check_epoch.set(self.path_check_epoch.get() + 1);
+        self.path_check_notify.notify_waiters();
     }
 
     /// Notes that a replica was short of memory.
-    pub fn note_full(&self, instance: &ReplicaInstance) {
+    pub fn record_memory_shortage(&self, instance: &ReplicaInstance) {
         let now = now_millis();
-        if self.beliefs.borrow_mut().full.record_failure(instance, now).is_some() {
+        if self.state.borrow_mut().short_of_memory.record_failure(instance, now).is_some() {
             tracing::info!(event = "replica-full", replica = %instance);
         }
     }
 
     /// State of a part of a running request's path.
-    pub fn part_state(&self, part: &PathStage) -> PartState {
-        let beliefs = self.beliefs.borrow();
-        let Some(replica) = beliefs.fleet.view.get_current(&part.instance) else {
-            return PartState::Lost;
+    pub fn stage_state(&self, part: &PathStage) -> StageState {
+        let state = self.state.borrow();
+        let Some(replica) = state.fleet.view.get_current(&part.instance) else {
+            return StageState::Lost;
         };
-        if beliefs.suspects.is_suspect(&part.instance, now_millis()) {
-            return PartState::Lost;
+        if state.suspects.is_suspect(&part.instance, now_millis()) {
+            return StageState::Lost;
         }
         let holds = replica
             .layers
             .is_some_and(|held| held.from <= part.range.from && part.range.to <= held.to);
         match holds && replica.state != EntryState::Draining {
-            true => PartState::Well,
-            false => PartState::Leaving,
+            true => StageState::Serving,
+            false => StageState::Leaving,
         }
     }
 
     /// Whether new callers are to be left to other relays, since this one can soon let no keys in.
-    pub fn steps_aside(&self, now: Millis) -> bool {
-        let beliefs = self.beliefs.borrow();
-        let age = beliefs.config_lease.age(now);
-        age.is_some_and(|age| {
-            beliefs.peers.should_redirect(age, beliefs.config_lease.is_lost(), now)
-        })
+    pub fn should_redirect_callers(&self, now: Millis) -> bool {
+        let state = self.state.borrow();
+        let age = state.config_lease.age(now);
+        age.is_some_and(|age| state.peers.should_redirect(age, state.config_lease.is_lost(), now))
     }
 
     /// Notes whether new callers are left to other relays, and writes a line where that changed.
-    pub fn note_aside(&self, aside: bool, now: Millis) {
-        if self.is_aside.replace(aside) == aside {
+    pub fn record_redirecting(&self, aside: bool, now: Millis) {
+        if self.is_redirecting.replace(aside) == aside {
             return;
         }
-        let beliefs = self.beliefs.borrow();
-        let config_age = beliefs.config_lease.age(now);
-        let (is_lost, live) = (beliefs.config_lease.is_lost(), beliefs.peers.live_count(now));
+        let state = self.state.borrow();
+        let config_age = state.config_lease.age(now);
+        let (is_lost, live) = (state.config_lease.is_lost(), state.peers.live_count(now));
         match aside {
             true => {
                 count(&self.counts.step_asides);
@@ -327,6 +325,6 @@
 
     /// Whether the list of replicas is recent, as far as this relay can tell.
     pub fn is_fleet_fresh(&self, now: Millis) -> bool {
-        self.beliefs.borrow().fleet.is_fresh(now)
+        self.state.borrow().fleet.is_fresh(now)
     }
 }
--- a/crates/relay/src/store_calls.rs
+++ b/crates/relay/src/store_calls.rs
@@ -108,7 +108,7 @@
 
 /// How a call ended.
 #[derive(Clone, Copy, Debug, Display, Eq, Ord, PartialEq, PartialOrd)]
-pub enum CallEnd {
+pub enum CallOutcome {
     /// It was answered.
     #[display("answered")]
     Answered,
@@ -132,16 +132,16 @@
     Malformed,
 }
 
-impl<T> From<&Result<T, StoreError>> for CallEnd {
+impl<T> From<&Result<T, StoreError>> for CallOutcome {
     fn from(outcome: &Result<T, StoreError>) -> Self {
         match outcome {
-            Ok(_) => CallEnd::Answered,
-            Err(StoreError::RevisionExpired) => CallEnd::Gap,
-            Err(StoreError::Conflict { .. }) => CallEnd::Conflict,
-            Err(StoreError::RateLimited) => CallEnd::Limited,
-            Err(StoreError::Unavailable { .. }) => CallEnd::Unavailable,
-            Err(StoreError::OutcomeUnknown { .. }) => CallEnd::Unclear,
-            Err(_) => CallEnd::Malformed,
+            Ok(_) => CallOutcome::Answered,
+            Err(StoreError::RevisionExpired) => CallOutcome::Gap,
+            Err(StoreError::Conflict { .. }) => CallOutcome::Conflict,
+            Err(StoreError::RateLimited) => CallOutcome::Limited,
+            Err(StoreError::Unavailable { .. }) => CallOutcome::Unavailable,
+            Err(StoreError::OutcomeUnknown { .. }) => CallOutcome::Unclear,
+            Err(_) => CallOutcome::Malformed,
         }
     }
 }
@@ -163,12 +163,12 @@
 pub struct CallTally {
     /// The store's era, as far as any call told.
     pub era: StoreEra,
-    counts: RefCell<BTreeMap<(StoreCall, CallEnd), u64>>,
+    counts: RefCell<BTreeMap<(StoreCall, CallOutcome), u64>>,
 }
 
 impl CallTally {
     /// Counts a call, and writes a line of it.
-    pub fn note(&self, call: StoreCall, end: CallEnd) {
+    pub fn note(&self, call: StoreCall, end: CallOutcome) {
         *self.counts.borrow_mut().entry((call, end)).or_default() += 1;
         let StoreCall { kind, verb, cause } = call;
         tracing::info!(event = "store-call", %kind, %verb, %cause, %end);
@@ -180,7 +180,7 @@
     }
 
     /// Counts by call and end.
-    pub fn rows(&self) -> Vec<(StoreCall, CallEnd, u64)> {
+    pub fn rows(&self) -> Vec<(StoreCall, CallOutcome, u64)> {
         let counts = self.counts.borrow();
         counts.iter().map(|((call, end), count)| (*call, *end, *count)).collect()
     }
@@ -218,7 +218,7 @@
         cause: CallCause,
         outcome: &Result<T, StoreError>,
     ) {
-        self.tally.note(StoreCall { kind, verb, cause }, CallEnd::from(outcome));
+        self.tally.note(StoreCall { kind, verb, cause }, CallOutcome::from(outcome));
     }
 
     /// Reads all objects of a kind; see [`ObjectStore::list_page`].
--- a/crates/relay/src/stream.rs
+++ b/crates/relay/src/stream.rs
@@ -163,7 +163,7 @@
 pub fn take_retry(relay: &Relay, permit: &Permit, tried: &SendHistory) -> bool {
     let within = tried.sends < permit.route.max_attempts.max(1) && tried.rejected < MAX_REJECTIONS;
     let first = tried.sends + tried.rejected == 0;
-    within && (first || relay.spend_repeat(&permit.service, now_millis()))
+    within && (first || relay.spend_retry(&permit.service, now_millis()))
 }
 
 /// Opens a stream over the best path; waits for one with room for `patience`. Nothing where there is
@@ -187,7 +187,7 @@
         first: None,
     };
     let path = wait_for_path(relay, &wish, patience).await?;
-    let first = relay.beliefs.borrow().fleet.view.get_current(&path[0].instance).cloned()?;
+    let first = relay.state.borrow().fleet.view.get_current(&path[0].instance).cloned()?;
     if let Err(refusal) = check_quarantine(relay, request) {
         return Some(OpenOutcome::Barred(refusal));
     }
@@ -263,7 +263,7 @@
 /// Keeps away from the replica at an address.
 pub fn suspect_at(relay: &Relay, faulty_replica: SocketAddr, why: &str) -> String {
     let instance = relay
-        .beliefs
+        .state
         .borrow()
         .fleet
         .view
@@ -333,7 +333,7 @@
 ) {
     let faulty_replica = marks.faulty_replica.unwrap_or(first.address);
     let instance = relay
-        .beliefs
+        .state
         .borrow()
         .fleet
         .view
@@ -345,7 +345,7 @@
         return;
     };
     if marks.faulty_replica.is_none() && status == StatusCode::SERVICE_UNAVAILABLE {
-        relay.beliefs.borrow_mut().full_starts.record_rejection(&instance, now_millis());
+        relay.state.borrow_mut().full_replicas.record_rejection(&instance, now_millis());
     }
     if marks.faulty_replica.is_some() && status == StatusCode::SERVICE_UNAVAILABLE {
         match recent_report(relay, faulty_replica).await {
@@ -355,7 +355,7 @@
                 relay.suspect(&instance, "rejected and empty");
             }
             ReportState::Answered(report) if report.kv_used > report.kv_total * FULL => {
-                relay.note_full(&instance);
+                relay.record_memory_shortage(&instance);
             }
             ReportState::Answered(_) => {}
         }
--- a/crates/relay/src/watch.rs
+++ b/crates/relay/src/watch.rs
@@ -29,13 +29,13 @@
 use tokio::time::sleep;
 
 use crate::{
+    gossip::{SendScope, send_state, send_state_soon},
     registry::wait_at_start,
-    replicas::{take_replica_changes, take_replica_list},
+    replicas::{apply_store_list, apply_watch_changes},
     settings::RelaySettings,
-    snapshot::take::{ask_config, ask_replicas},
+    snapshot::apply::{fetch_config, fetch_replicas},
     state::{ConfigObject, Relay},
     store_calls::{CallCause, CallKind, CallVerb, CountedStore},
-    tell::{TellReach, tell_soon, tell_state},
 };
 
 /// What is followed, and how its objects are taken over.
@@ -62,19 +62,19 @@
             kept.for_each(|change| read_config(relay, &change.object, changes.revision));
         },
         prove: |relay, sent, at| {
-            let mut beliefs = relay.beliefs.borrow_mut();
-            if !beliefs.config_unreadable {
-                beliefs.config_lease.record_proof(sent);
-                beliefs.config_lease.record_answer(now_millis());
+            let mut state = relay.state.borrow_mut();
+            if !state.config_unconfirmed {
+                state.config_lease.record_proof(sent);
+                state.config_lease.record_answer(now_millis());
             }
-            if let Some(object) = &mut beliefs.config_object {
+            if let Some(object) = &mut state.config_object {
                 object.at = at;
             }
         },
         lose: |relay, sent| {
-            let mut beliefs = relay.beliefs.borrow_mut();
-            beliefs.config_lease.record_loss(sent);
-            beliefs.fleet.record_loss_elsewhere(sent, now_millis());
+            let mut state = relay.state.borrow_mut();
+            state.config_lease.record_loss(sent);
+            state.fleet.record_loss_elsewhere(sent, now_millis());
         },
         see: see_config,
     };
@@ -82,9 +82,9 @@
 }
 
 fn see_config(relay: &Relay, now: Millis) -> FollowInputs {
-    let beliefs = relay.beliefs.borrow();
+    let state = relay.state.borrow();
     let RelaySettings { name, data_centre, .. } = &relay.settings;
-    let (peers, version) = (&beliefs.peers, beliefs.config_version());
+    let (peers, version) = (&state.peers, state.config_version());
     let before = peers.preceding(name, data_centre, now);
     FollowInputs {
         is_read_by_peer: peers.config_read_by_peer(name, data_centre, version, now),
@@ -102,21 +102,21 @@
     let followed = Followed {
         kind: CallKind::Replicas,
         times: REPLICA_TIMINGS,
-        apply_list: take_replica_list,
-        take_changes: |relay, changes| take_replica_changes(relay, changes.events.decoded),
+        apply_list: apply_store_list,
+        take_changes: |relay, changes| apply_watch_changes(relay, changes.events.decoded),
         prove: |relay, sent, at| {
-            relay.beliefs.borrow_mut().fleet.record_read(sent, at, now_millis());
+            relay.state.borrow_mut().fleet.record_read(sent, at, now_millis());
         },
-        lose: |relay, sent| relay.beliefs.borrow_mut().fleet.record_loss(sent),
+        lose: |relay, sent| relay.state.borrow_mut().fleet.record_loss(sent),
         see: see_replicas,
     };
     follow(relay, followed).await;
 }
 
 fn see_replicas(relay: &Relay, now: Millis) -> FollowInputs {
-    let beliefs = relay.beliefs.borrow();
+    let state = relay.state.borrow();
     let RelaySettings { name, data_centre, .. } = &relay.settings;
-    let (peers, fleet) = (&beliefs.peers, &beliefs.fleet);
+    let (peers, fleet) = (&state.peers, &state.fleet);
     let teller = peers.fleet_source(name, data_centre, fleet.has_no_list(), now);
     let before = peers.preceding(name, data_centre, now);
     FollowInputs {
@@ -127,7 +127,7 @@
         preceding: before.live,
         preceding_lost: before.lost_fleet,
         // Both kinds stand in one store: one call tells whether it is back.
-        is_retried_elsewhere: beliefs.config_lease.is_lost(),
+        is_retried_elsewhere: state.config_lease.is_lost(),
     }
 }
 
@@ -180,9 +180,9 @@
                 }
                 match replace(&mut is_reader, true) {
                     // The others hear it twice over: from this relay, and from those that speak for them.
-                    true => tell_soon(&relay, TellReach::Near),
+                    true => send_state_soon(&relay, SendScope::SameDataCentre),
                     // Neighbours that need the store ask this relay, and do not make a call of their own.
-                    false => tell_state(&relay, TellReach::Near),
+                    false => send_state(&relay, SendScope::SameDataCentre),
                 }
             }
             Err(StoreError::RevisionExpired) => {
@@ -196,7 +196,7 @@
                 if lost_at.is_none() {
                     lost_at = Some(sent);
                     // Those that this relay follows for read for themselves from now on.
-                    tell_state(&relay, TellReach::Near);
+                    send_state(&relay, SendScope::SameDataCentre);
                     tracing::warn!(event = "store-lost", kind = %followed.kind, %error);
                 }
             }
@@ -206,8 +206,8 @@
 
 async fn ask_neighbour(relay: &Rc<Relay>, kind: CallKind) -> Option<u64> {
     match kind {
-        CallKind::Config => ask_config(relay).await,
-        CallKind::Replicas => ask_replicas(relay).await,
+        CallKind::Config => fetch_config(relay).await,
+        CallKind::Replicas => fetch_replicas(relay).await,
         CallKind::Relays | CallKind::Quarantine => None,
     }
 }
@@ -233,7 +233,7 @@
     relay.counts.odd_entries.set(relay.counts.odd_entries.get() + errors.len() as u64);
     if kind == CallKind::Config {
         // It may be the newest configuration: nothing proves the one in force.
-        relay.beliefs.borrow_mut().config_unreadable = true;
+        relay.state.borrow_mut().config_unconfirmed = true;
     }
     tracing::warn!(event = "objects-unreadable", %kind, at, count = errors.len(), first);
 }
@@ -257,9 +257,9 @@
     if object.metadata.name != CONFIG_NAME {
         return;
     }
-    if take_config(relay, &object.spec, object.metadata.revision, at) {
+    if apply_config(relay, &object.spec, object.metadata.revision, at) {
         // Neighbours ask for it once they hear of it.
-        tell_state(relay, TellReach::Near);
+        send_state(relay, SendScope::SameDataCentre);
     }
 }
 
@@ -267,24 +267,24 @@
 /// one, the operator writes again, and may have written more that was lost: nothing proves the one in force until it
 /// stands in the store again.
 fn note_older_config(relay: &Relay, is_in_force: bool, revision: u64, at: u64) {
-    let mut beliefs = relay.beliefs.borrow_mut();
+    let mut state = relay.state.borrow_mut();
     if is_in_force {
-        beliefs.config_unreadable = false;
-        if let Some(object) = &mut beliefs.config_object {
+        state.config_unconfirmed = false;
+        if let Some(object) = &mut state.config_object {
             object.revision = object.revision.max(revision);
         }
         return;
     }
-    let read = beliefs.config_object.as_ref().map_or(0, |object| object.revision);
-    if era_of(at) > era_of(read) && !beliefs.config_unreadable {
-        beliefs.config_unreadable = true;
+    let read = state.config_object.as_ref().map_or(0, |object| object.revision);
+    if era_of(at) > era_of(read) && !state.config_unconfirmed {
+        state.config_unconfirmed = true;
         tracing::warn!(event = "config-behind", revision, at);
     }
 }
 
 /// Takes over a configuration of a revision, read up to the revision `at`, from the store or from a neighbour;
 /// tells whether it is a newer one.
-pub fn take_config(relay: &Relay, spec: &serde_json::Value, revision: u64, at: u64) -> bool {
+pub fn apply_config(relay: &Relay, spec: &serde_json::Value, revision: u64, at: u64) -> bool {
     let current = relay.config().map_or(0, |config| config.version);
     let decoded = match decode_version(spec) {
         Ok(version) if version <= current => {
@@ -297,7 +297,7 @@
     let config = match decoded {
         Ok(config) => Rc::new(config),
         Err(error) => {
-            relay.beliefs.borrow_mut().config_unreadable = true;
+            relay.state.borrow_mut().config_unconfirmed = true;
             tracing::error!(event = "config-unreadable", %error, revision);
             return false;
         }
@@ -305,11 +305,11 @@
     let (version, routes) = (config.version, config.route_count());
     let object = ConfigObject { revision, at, spec: Bytes::from(spec.to_string()) };
     {
-        let mut beliefs = relay.beliefs.borrow_mut();
-        beliefs.fleet.view.set_services(config.services.keys().map(String::as_str));
-        beliefs.config.replace_if_newer(version, config);
-        beliefs.config_unreadable = false;
-        beliefs.config_object = Some(object);
+        let mut state = relay.state.borrow_mut();
+        state.fleet.view.set_services(config.services.keys().map(String::as_str));
+        state.config.replace_if_newer(version, config);
+        state.config_unconfirmed = false;
+        state.config_object = Some(object);
     }
     tracing::info!(event = "config-taken", version, routes, revision);
     true
--- a/crates/relay/tests/harness/mod.rs
+++ b/crates/relay/tests/harness/mod.rs
@@ -21,7 +21,7 @@
     signed_response,
 };
 use switchfold_relay::{
-    news::{PeerMessage, StateNews},
+    messages::{PeerMessage, StateMessage},
     run::{RelaySockets, run_relay},
     settings::{BoundSettings, RelaySettings},
 };
@@ -190,10 +190,10 @@
 
     /// Makes itself known to another relay, as one does that restarts, and waits for a message of it.
     pub(crate) async fn exchange_state(&self, other: &RunningRelay) {
-        let news = StateNews {
+        let news = StateMessage {
             name: self.settings.name.clone(),
             data_centre: self.settings.data_centre.clone(),
-            ..StateNews::default()
+            ..StateMessage::default()
         };
         let datagram = PeerMessage::State(Box::new(news)).encode();
         self.sockets.peers.send_to(&datagram, other.peers).await.expect("loopback takes it");
--- a/crates/relay/tests/snapshots.rs
+++ b/crates/relay/tests/snapshots.rs
@@ -16,8 +16,11 @@
     signed_response,
 };
 use switchfold_relay::{
-    news::{InstanceRecord, LoadNews, LoadRecord, PeerMessage, StateNews, encode_state},
-    snapshot::{RelayRecord, Snapshot, SnapshotBody, read_target, write_target},
+    messages::{
+        InstanceRecord, PeerMessage, ReservationRecord, ReservationReport, StateMessage,
+        encode_state,
+    },
+    snapshot::{RelayRecord, Snapshot, SnapshotBody, parse_target, snapshot_target},
     store_calls::CallKind,
 };
 use tokio::net::UdpSocket;
@@ -142,7 +145,7 @@
 fn tell_as_reader(from: SocketAddr, to: SocketAddr) -> tokio::task::JoinHandle<()> {
     tokio::task::spawn_local(async move {
         let socket = UdpSocket::bind(from).await.expect("its port is free for datagrams");
-        let news = StateNews {
+        let news = StateMessage {
             name: "relay-0".to_owned(),
             data_centre: "hall".to_owned(),
             config_version: 1,
@@ -151,12 +154,12 @@
             fleet_is_fresh: true,
             fleet_age: Some(0),
             fleet_read_age: Some(0),
-            ..StateNews::default()
+            ..StateMessage::default()
         };
         let mut stamp = 0;
         loop {
             stamp += 1;
-            let news = StateNews { stamp: (1, stamp), ..news.clone() };
+            let news = StateMessage { stamp: (1, stamp), ..news.clone() };
             let datagram = PeerMessage::State(Box::new(news)).encode();
             let _sent = socket.send_to(&datagram, to).await;
             tokio::time::sleep(std::time::Duration::from_millis(20)).await;
@@ -168,9 +171,9 @@
 fn targets_are_read_as_they_are_written() {
     for kind in CallKind::ALL {
         for held in [0, 1, u64::MAX] {
-            let target = write_target(kind, held);
+            let target = snapshot_target(kind, held);
             let (path, query) = target.split_once('?').expect("a query");
-            assert_eq!(read_target(path, Some(query)), Some((kind, held)));
+            assert_eq!(parse_target(path, Some(query)), Some((kind, held)));
         }
     }
     let bad = [
@@ -180,9 +183,9 @@
         ("/report", "held=1"),
     ];
     for (path, query) in bad {
-        assert_eq!(read_target(path, Some(query)), None, "{path}?{query}");
+        assert_eq!(parse_target(path, Some(query)), None, "{path}?{query}");
     }
-    assert_eq!(read_target("/snapshots/config", None), None);
+    assert_eq!(parse_target("/snapshots/config", None), None);
 }
 
 fn snapshot() -> impl Strategy<Value = Snapshot> {
@@ -234,15 +237,15 @@
 /// A state that is only borrowed is written as one that is owned.
 #[test]
 fn borrowed_states_have_the_same_form() {
-    let news = StateNews {
+    let news = StateMessage {
         name: "relay-1".to_owned(),
         stamp: (7, 1_000),
-        load: LoadNews::Gathered(LoadRecord {
-            room: vec![(InstanceRecord("i-1".to_owned(), 5), 40)],
-            ..LoadRecord::default()
+        reservations: ReservationReport::Group(ReservationRecord {
+            memory: vec![(InstanceRecord("i-1".to_owned(), 5), 40)],
+            ..ReservationRecord::default()
         }),
-        mutes: vec![(InstanceRecord("i-2".to_owned(), 0), 600)],
-        ..StateNews::default()
+        stalls: vec![(InstanceRecord("i-2".to_owned(), 0), 600)],
+        ..StateMessage::default()
     };
     let written = encode_state(&news);
     assert_eq!(written, PeerMessage::State(Box::new(news.clone())).encode());
--- a/crates/relay/tests/streams.rs
+++ b/crates/relay/tests/streams.rs
@@ -21,7 +21,7 @@
     samples::{LAYERS, draining, in_data_centre, model_entry, report},
     signed_response,
 };
-use switchfold_relay::news::{InstanceRecord, PeerMessage, StateNews};
+use switchfold_relay::messages::{InstanceRecord, PeerMessage, StateMessage};
 use tokio::net::UdpSocket;
 
 /// Events of a whole stream.
@@ -400,11 +400,11 @@
             };
         let replica = StandinReplica::start(engine(0, LAYERS, late)).await;
         let relay = RunningRelay::start(bounds(), &[entry_of("i-1", &replica, whole_model)]).await;
-        let news = StateNews {
+        let news = StateMessage {
             name: "relay-0".to_owned(),
             data_centre: "far".to_owned(),
             suspects: vec![(InstanceRecord("i-1".to_owned(), 0), 2_000)],
-            ..StateNews::default()
+            ..StateMessage::default()
         };
         let datagram = PeerMessage::State(Box::new(news)).encode();
         let telling = async {
