--- a/crates/relay/src/gossip.rs
+++ b/crates/relay/src/gossip.rs
@@ -19,7 +19,7 @@
 
 use crate::{
     counts::count,
-    limits::{keeps_limits, limits_to_tell},
+    limits::{can_coordinate_limits, limits_to_share},
     messages::{
         CrashRecord, FleetMessage, InstanceRecord, PeerMessage, ReplicaRecord, ReportRecord,
         ReservationRecord, ReservationReport, StateMessage, encode_state,
@@ -191,7 +191,7 @@
     let mut news = compose_state(relay, UpdateAudience::Speakers, now);
     let state = relay.state.borrow();
     let round = (now / TELL_EVERY.as_millis() as Millis) as usize;
-    let limits = [false, true].map(|near| limits_to_tell(&state, near, round, now));
+    let limits = [false, true].map(|near| limits_to_share(&state, near, round, now));
     let members = state.peers.member_hashes(now);
     let gathered = ReservationReport::Group(gathered_load(&state, now));
     for (peer, parts) in due {
@@ -214,7 +214,7 @@
     let mut news = compose_state(relay, UpdateAudience::Members, now);
     let state = relay.state.borrow();
     let round = (now / TELL_EVERY.as_millis() as Millis) as usize;
-    news.limits = limits_to_tell(&state, true, round, now);
+    news.limits = limits_to_share(&state, true, round, now);
     news.coordinators = state.peers.coordinator_hashes(now);
     if news.keeps_limits {
         news.coordinators.push(name_hash(&relay.settings.name));
@@ -313,7 +313,7 @@
         config_version: state.config_version(),
         config_age: state.config_lease.age(now),
         config_answer_age: state.config_lease.answer_age(now),
-        keeps_limits: keeps_limits(relay, &state, now),
+        keeps_limits: can_coordinate_limits(relay, &state, now),
         is_member: state.peers.is_member(),
         slowdowns: slowdowns
             .map(|(instance, factor)| (instance.into(), (factor * 100.0) as u32))
