--- a/crates/relay/src/admit.rs
+++ b/crates/relay/src/admit.rs
@@ -1,7 +1,7 @@
-//! Admission: which route, service and organisation a request has.
+//! Admission: finds the route, service and organisation of a request.
 //!
-//! AdmissionRequest at the moment of each dispatch, not once: a request that waited, or that goes to a second
-//! replica, is let in by the configuration in force then.
+//! Runs before each send rather than once for each request, so that a request that waited, or that
+//! is sent to a second replica, is checked against the configuration in force at that moment.
 
 use std::rc::Rc;
 
@@ -14,45 +14,45 @@
 
 use crate::{responses::Refusal, state::Relay};
 
-/// What a caller asks for.
+/// The parts of a request that decide on its admission.
 #[derive(Clone, Debug)]
 pub struct AdmissionRequest {
     /// Host, without port.
     pub host: String,
     /// Path, without query.
     pub path: String,
-    /// Key.
+    /// API key; `None` if the caller sent none.
     pub key: Option<String>,
 }
 
-/// What the configuration in force lets a request do.
+/// What the configuration in force allows a request.
 #[derive(Clone, Debug)]
 pub struct Permit {
-    /// Configuration that let it in.
+    /// Configuration that admitted the request.
     pub config: Rc<RoutingConfig>,
-    /// Its route.
+    /// Route that matches its host and path.
     pub route: Rc<RouteRule>,
-    /// Service that is to run it.
+    /// Service that runs it, drawn by the route's weights.
     pub service: String,
-    /// Organisation of its key.
+    /// Organisation of its API key; `None` if the route needs no key.
     pub organisation: Option<String>,
-    /// Rank: the organisation's goes before the route's.
+    /// Priority rank: that of the organisation if it has one, else that of the route.
     pub priority: u8,
 }
 
-/// Decides on a request by the configuration in force.
+/// Admits or refuses a request by the configuration in force.
 ///
 /// # Errors
 ///
-/// Gives the answer for the caller.
-pub fn admit(relay: &Relay, asked: &AdmissionRequest) -> Result<Permit, Refusal> {
+/// Returns the refusal that the caller receives.
+pub fn admit(relay: &Relay, request: &AdmissionRequest) -> Result<Permit, Refusal> {
     let now = now_millis();
     let config = relay.config().ok_or(Refusal::NoConfiguration)?;
     let is_fresh = is_config_fresh(relay, now);
-    // An old configuration proves neither that a route is missing nor that a key is unknown.
+    // An outdated configuration proves neither that a route is missing nor that a key is unknown.
     let denied = |refusal| if is_fresh { refusal } else { Refusal::StaleConfiguration };
-    let route = config.route(&asked.host, &asked.path).ok_or(denied(Refusal::NoRoute))?;
-    let organisation = match config.check_key(&route, asked.key.as_deref()) {
+    let route = config.route(&request.host, &request.path).ok_or(denied(Refusal::NoRoute))?;
+    let organisation = match config.check_key(&route, request.key.as_deref()) {
         KeyCheck::NotNeeded => None,
         KeyCheck::Known(organisation) => Some(organisation),
         KeyCheck::Unknown => return Err(denied(Refusal::UnknownKey)),
@@ -72,7 +72,8 @@
     })
 }
 
-/// Whether the configuration is recent enough to let keys in.
+/// Returns whether the configuration is recent enough to accept API keys: it was last proved to be
+/// the current one within the platform's revocation bound.
 pub fn is_config_fresh(relay: &Relay, now: Millis) -> bool {
     let bound = relay.bounds.borrow().revoke();
     relay.beliefs.borrow().config_lease.is_valid(bound, now)
--- a/crates/relay/src/forward.rs
+++ b/crates/relay/src/forward.rs
@@ -1,7 +1,8 @@
-//! A stream that runs: events are passed on as they come, and go on elsewhere when a replica is lost.
+//! Forwards the events of a stream to the caller as they arrive, and resumes the stream at another
+//! replica if one of its path is lost.
 //!
-//! The body is pulled by the caller's connection itself, so an event costs one wake-up, and a caller
-//! that leaves drops the body and with it the connection to the replica.
+//! The body is polled by the task of the caller's connection, so an event costs one wake-up, and a
+//! caller that disconnects drops the body and with it the connection to the replica.
 
 use std::{rc::Rc, time::Duration};
 
@@ -34,180 +35,194 @@
     stream::{OpenStream, SendHistory},
 };
 
-/// Pause between events that is too long where the route names none: events usually come every 30 to
-/// 80 ms.
-const DEFAULT_GAP: Millis = 200;
+/// Longest pause between events if the route sets none, in milliseconds; events usually arrive
+/// every 30 to 80 ms.
+const DEFAULT_MAX_PAUSE: Millis = 200;
 
-/// Pause, in mean pauses of the stream, after which the replicas of its path are probed.
-const PROBE_PAUSES: Millis = 3;
+/// Pause after which the replicas of the path are probed, as a multiple of the stream's mean pause.
+const PROBE_FACTOR: Millis = 3;
 
-/// Least such pause in milliseconds: on a calm day none is as long, so probes cost nothing there.
-const LEAST_QUIET: Millis = 100;
+/// Minimum of the pause after which the replicas are probed, in milliseconds. Without failures
+/// hardly any pause is as long, so probes cost nothing then.
+const MIN_PROBE_PAUSE: Millis = 100;
 
-/// Pause after which a stream is looked into whose path is suspected: above the usual pause, and early
-/// enough to go on elsewhere before the route's longest one.
-const DOUBTFUL_QUIET: Millis = 70;
+/// Pause after which a stream is checked if a replica of its path is suspected, in milliseconds:
+/// longer than the usual pause, and short enough to resume elsewhere before the longest pause that
+/// the route allows.
+const SUSPECT_PAUSE: Millis = 70;
 
-/// Time between two looks into a stream that stands still.
-const LOOK_EVERY: Millis = 100;
+/// Interval between two checks of a stream without events, in milliseconds.
+const CHECK_INTERVAL: Millis = 100;
 
 struct StreamForwarder {
     relay: Rc<Relay>,
     request: Rc<CallerRequest>,
     permit: Permit,
-    tried: SendHistory,
+    history: SendHistory,
     body: Incoming,
-    link: Option<ActiveConnection>,
-    marks: ResponseHeaders,
+    connection: Option<ActiveConnection>,
+    headers: ResponseHeaders,
     path: Vec<PathStage>,
-    room: PathReservation,
+    reservation: PathReservation,
     run: RunTracker,
     framer: EventFramer,
     opened_at: Millis,
     last_progress: Millis,
     longest_pause: Millis,
     alarms_seen: u64,
+    /// Time at which the stream moves off replicas that are about to leave.
     leave_at: Option<Millis>,
     /// Whether the path was probed since the last event.
     is_probed: bool,
-    doubtful: bool,
-    /// Before when a stream that stands still is not looked into again.
-    next_look: Millis,
-    next_try: Millis,
+    /// Whether a replica of the path is suspected; cleared by the next check.
+    is_suspect: bool,
+    /// Earliest time of the next check of a stream without events.
+    next_check: Millis,
+    /// Earliest time of the next attempt to resume a silent stream.
+    next_resume: Millis,
     ended: bool,
     _in_flight: InFlightGuard,
 }
 
-/// Body that passes a stream on.
+/// Returns a response body that forwards a stream.
 pub fn stream_body(
     relay: Rc<Relay>,
     request: Rc<CallerRequest>,
     permit: Permit,
-    tried: SendHistory,
+    history: SendHistory,
     opened: OpenStream,
     in_flight: InFlightGuard,
 ) -> RelayBody {
-    let flow = StreamForwarder {
+    let forwarder = StreamForwarder {
         alarms_seen: relay.alarms.get(),
         framer: EventFramer::resume_after(request.headers.last_event_id),
-        marks: read_response_headers(&opened.head.headers),
+        headers: read_response_headers(&opened.head.headers),
         body: opened.body,
-        link: Some(opened.link),
+        connection: Some(opened.connection),
         path: opened.path,
-        room: opened.room,
+        reservation: opened.reservation,
         run: opened.run,
         opened_at: now_millis(),
         last_progress: now_millis(),
         longest_pause: 0,
         leave_at: None,
         is_probed: false,
-        doubtful: false,
-        next_look: 0,
-        next_try: 0,
+        is_suspect: false,
+        next_check: 0,
+        next_resume: 0,
         ended: false,
         relay,
         request,
         permit,
-        tried,
+        history,
         _in_flight: in_flight,
     };
-    let frames = stream::unfold(flow, async |mut flow| {
-        let frame = flow.next_frame().await?;
-        Some((frame, flow))
+    let frames = stream::unfold(forwarder, async |mut forwarder| {
+        let frame = forwarder.next_frame().await?;
+        Some((frame, forwarder))
     });
     Box::pin(StreamBody::new(frames))
 }
 
-/// What came of waiting for a stream's next bytes.
-enum Waited {
+/// What a stream waited for.
+enum WaitOutcome {
     Bytes(Bytes),
+    /// The body has ended.
     End,
+    /// The body broke off; the text says how.
     Broken(String),
-    Quiet,
+    /// No bytes arrived until the next check.
+    Pause,
+    /// A replica became suspect or started to leave.
     Alarm,
-    TimeUp,
+    /// The deadline of the request has passed.
+    Deadline,
 }
 
 impl StreamForwarder {
     async fn next_frame(&mut self) -> Option<Result<Frame<Bytes>, BodyAborted>> {
         while !self.ended {
             match self.wait().await {
-                Waited::Bytes(chunk) => {
+                WaitOutcome::Bytes(chunk) => {
                     let now = now_millis();
                     self.longest_pause = self.longest_pause.max(now - self.last_progress);
                     self.last_progress = now;
                     self.is_probed = false;
                     if let Some(events) = self.framer.push(chunk) {
                         self.run.record_event(&self.relay, &self.request);
-                        self.leave_in_turn().await;
+                        self.leave_when_due().await;
                         return Some(Ok(Frame::data(events)));
                     }
                 }
-                Waited::End if !self.framer.has_partial() => {
+                WaitOutcome::End if !self.framer.has_partial() => {
                     self.finish();
                     return None;
                 }
-                Waited::End => self.recover("ended within an event", StreamLoss::Broken).await,
-                Waited::Broken(detail) => self.recover(&detail, StreamLoss::Broken).await,
-                Waited::Quiet => {
-                    self.next_look = now_millis() + LOOK_EVERY;
-                    self.look_into().await;
+                WaitOutcome::End => {
+                    self.recover("response ended within an event", StreamLoss::Broken).await
                 }
-                Waited::Alarm => self.answer_alarm(),
-                Waited::TimeUp => self.give_up("time is up", "time is up"),
+                WaitOutcome::Broken(detail) => self.recover(&detail, StreamLoss::Broken).await,
+                WaitOutcome::Pause => {
+                    self.next_check = now_millis() + CHECK_INTERVAL;
+                    self.check_path().await;
+                }
+                WaitOutcome::Alarm => self.handle_alarm(),
+                WaitOutcome::Deadline => self.give_up("deadline passed", "deadline passed"),
             }
         }
         Some(Err(BodyAborted))
     }
 
-    async fn wait(&mut self) -> Waited {
+    async fn wait(&mut self) -> WaitOutcome {
         let now = now_millis();
-        let quiet_after = match self.doubtful {
-            true => DOUBTFUL_QUIET,
-            false if self.is_probed => self.longest_gap(),
-            false => self.probe_pause().min(self.longest_gap()),
+        let pause = match self.is_suspect {
+            true => SUSPECT_PAUSE,
+            false if self.is_probed => self.max_pause(),
+            false => self.probe_pause().min(self.max_pause()),
         };
-        let look_at = (self.last_progress + quiet_after).max(self.next_look);
-        let left = self.request.time_remaining(now);
-        if left == 0 {
-            return Waited::TimeUp;
+        let check_at = (self.last_progress + pause).max(self.next_check);
+        let remaining = self.request.time_remaining(now);
+        if remaining == 0 {
+            return WaitOutcome::Deadline;
         }
         if self.alarms_seen != self.relay.alarms.get() {
-            return Waited::Alarm;
+            return WaitOutcome::Alarm;
         }
-        let until = Instant::now() + Duration::from_millis(look_at.saturating_sub(now).min(left));
+        let wake_at =
+            Instant::now() + Duration::from_millis(check_at.saturating_sub(now).min(remaining));
         tokio::select! {
             biased;
             frame = self.body.frame() => match frame {
-                Some(Ok(frame)) => Waited::Bytes(frame.into_data().unwrap_or_default()),
-                Some(Err(error)) => Waited::Broken(error.to_string()),
-                None => Waited::End,
+                Some(Ok(frame)) => WaitOutcome::Bytes(frame.into_data().unwrap_or_default()),
+                Some(Err(error)) => WaitOutcome::Broken(error.to_string()),
+                None => WaitOutcome::End,
             },
-            () = self.relay.alarm_bell.notified() => Waited::Alarm,
-            () = sleep_until(until) => Waited::Quiet,
+            () = self.relay.alarm_bell.notified() => WaitOutcome::Alarm,
+            () = sleep_until(wake_at) => WaitOutcome::Pause,
         }
     }
 
-    /// Pause between events that makes an answer late.
-    fn longest_gap(&self) -> Millis {
+    /// Returns the longest pause between events that the route allows, in milliseconds.
+    fn max_pause(&self) -> Millis {
         match self.permit.route.max_event_gap {
-            0 => DEFAULT_GAP,
+            0 => DEFAULT_MAX_PAUSE,
             gap => gap,
         }
     }
 
-    /// Pause after which the replicas of the path are probed: longer than any that the stream has had.
+    /// Returns the pause after which the replicas of the path are probed: longer than any that the
+    /// stream has had so far.
     fn probe_pause(&self) -> Millis {
         let ran_for = self.last_progress.saturating_sub(self.opened_at);
         let mean = ran_for / self.framer.event_count().max(1);
-        let unusual = (mean * PROBE_PAUSES).max(self.longest_pause * 3 / 2);
-        unusual.max(LEAST_QUIET)
+        let pause = (mean * PROBE_FACTOR).max(self.longest_pause * 3 / 2);
+        pause.max(MIN_PROBE_PAUSE)
     }
 
     fn finish(&mut self) {
         self.ended = true;
         note_result(&self.relay, &self.request);
-        let took = now_millis() - self.request.arrived;
+        let took = now_millis() - self.request.arrived_at;
         self.relay.metrics.note_end(&self.permit, took, Some(self.longest_pause));
         tracing::info!(
             event = "stream-ended",
@@ -218,14 +233,15 @@
             parts = self.path.len(),
             first = %self.path[0].instance,
         );
-        if let Some(link) = self.link.take().filter(|_| !self.marks.closes_connection) {
-            link.return_to(&self.relay.pool, self.marks.keep_alive);
+        if let Some(connection) = self.connection.take().filter(|_| !self.headers.closes_connection)
+        {
+            connection.return_to(&self.relay.pool, self.headers.keep_alive);
         }
     }
 
     fn give_up(&mut self, why: &str, not_resumed: &str) {
         self.ended = true;
-        self.link = None;
+        self.connection = None;
         count(&self.relay.counts.failed);
         let quiet_ms = now_millis() - self.last_progress;
         tracing::warn!(
@@ -233,8 +249,8 @@
             request = self.request.headers.attempt_id,
             why,
             not_resumed,
-            sends = self.tried.sends,
-            rejected = self.tried.rejected,
+            sends = self.history.sends,
+            rejected = self.history.rejections,
             quiet_ms,
             last_event = self.framer.last_id(),
         );
--- a/crates/relay/src/forward/recovery.rs
+++ b/crates/relay/src/forward/recovery.rs
@@ -1,7 +1,7 @@
-//! What a stream does when a replica of its path is lost, slow or about to leave.
+//! Recovery of a stream if a replica of its path is lost, slow or about to leave.
 //!
-//! The cheapest way comes first: the engines move the request to another path and keep its memory; where
-//! they cannot, the stream is taken up after its last event at another replica.
+//! The cheapest way comes first: the engines move the request to another path and keep its KV
+//! cache. If they cannot, the stream is resumed after its last event at another replica.
 
 use std::time::Duration;
 
@@ -23,62 +23,66 @@
     stream::{OpenOutcome, OpenStream, find_stalled_replica, open_stream, suspect_at, take_retry},
 };
 
-/// Pause after which a stream whose replicas all seem well is taken up elsewhere. Callers give up
-/// after two seconds without an event.
-const LONGEST_QUIET: Millis = 1_500;
+/// Pause after which a stream is resumed elsewhere although all its replicas seem healthy, in
+/// milliseconds. Callers give up after two seconds without an event.
+const MAX_SILENCE: Millis = 1_500;
 
-/// Silence up to which a lost stream waits for a path with room: callers give up after two seconds.
-const LATEST_RESUME: Millis = 1_500;
+/// Time since the last event up to which a lost stream waits for a path with enough memory, in
+/// milliseconds. Callers give up after two seconds.
+const RESUME_WAIT_LIMIT: Millis = 1_500;
 
-/// Paths that are ordered at once for a stream, where each is refused for a replica of its own: replicas that share
-/// paths are lost two to five together, and each order takes some 4 ms.
-const MOST_REPATHS: usize = 3;
+/// Maximum number of paths that are ordered one after the other for a stream if each is refused
+/// because of another replica. Replicas that share paths are lost two to five at a time, and each
+/// order takes some 4 ms.
+const MAX_REPATHS: usize = 3;
 
-/// Time after a stream could not be taken up elsewhere before that is tried again, in milliseconds.
-const TRY_AGAIN: Millis = 400;
+/// Time after a failed attempt to resume a stream until the next one, in milliseconds.
+const RESUME_INTERVAL: Millis = 400;
 
-/// Longest delay before a lost stream is taken up elsewhere, in milliseconds: the streams of a replica
-/// are lost together, and each is read again where it goes.
-const MOST_STAGGER: Millis = 150;
+/// Maximum random delay before a lost stream is resumed elsewhere, in milliseconds. The streams of
+/// a replica are lost together, and the new replica computes the prompt of each again.
+const MAX_RESUME_DELAY: Millis = 150;
 
-/// Longest delay before a stream leaves a replica that goes on serving for now, in milliseconds: a
-/// leaving replica serves two seconds, and one that is to hold other layers waits for its streams.
-const MOST_LEAVING_DELAY: Millis = 1_000;
+/// Maximum random delay before a stream moves off a replica that still serves, in milliseconds. A
+/// leaving replica serves for two seconds, and one that is to hold other layers waits for its
+/// streams.
+const MAX_LEAVE_DELAY: Millis = 1_000;
 
 /// How a stream was lost.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum StreamLoss {
-    /// Its replica ended it before its time.
+    /// The response ended early.
     Broken,
-    /// Nothing comes, or a replica of its path seems lost; it may still go on.
+    /// No events arrive, or a replica of the path seems lost; the stream may still continue.
     Silent,
 }
 
 impl StreamForwarder {
-    /// Looks at the path after something happened to a replica. A lost one is replaced at once; those
-    /// that still serve are left one stream after the other, since the whole request is read again where
-    /// it goes.
-    pub(super) fn answer_alarm(&mut self) {
+    /// Checks the path after the state of a replica changed. Marks the stream as suspect if a
+    /// replica is lost. If one is about to leave, schedules the move off it after a random delay,
+    /// since the new replica computes the whole request again and all streams of the leaving one
+    /// move.
+    pub(super) fn handle_alarm(&mut self) {
         self.alarms_seen = self.relay.alarms.get();
         match self.path_state() {
             PartState::Well => self.leave_at = None,
             PartState::Leaving => {
-                let delay = self.draw_delay(MOST_LEAVING_DELAY).as_millis() as Millis;
+                let delay = self.draw_delay(MAX_LEAVE_DELAY).as_millis() as Millis;
                 self.leave_at = self.leave_at.or(Some(now_millis() + delay));
             }
-            // A suspicion may be wrong: a stream that still flows has lost nothing.
-            PartState::Lost => self.doubtful = true,
+            // The suspicion may be wrong: a stream that still has events has lost nothing.
+            PartState::Lost => self.is_suspect = true,
         }
-        self.doubtful |= self.relay.part_state(&self.path[0]) == PartState::Lost;
-        if self.doubtful {
-            // One that is quiet already is looked into at once: waiting for the next look takes much of the time that
-            // a pause may last.
-            self.next_look = 0;
+        self.is_suspect |= self.relay.part_state(&self.path[0]) == PartState::Lost;
+        if self.is_suspect {
+            // A stream that pauses already is checked at once, since waiting for the next check
+            // takes much of the longest pause allowed.
+            self.next_check = 0;
         }
     }
 
-    /// Leaves replicas that serve on for a while, once this stream's moment has come.
-    pub(super) async fn leave_in_turn(&mut self) {
+    /// Moves off replicas that are about to leave, once the stream's random delay has passed.
+    pub(super) async fn leave_when_due(&mut self) {
         if self.leave_at.is_some_and(|at| now_millis() >= at) {
             self.leave_at = None;
             if self.path_state() == PartState::Leaving {
@@ -87,9 +91,10 @@
         }
     }
 
-    /// Worst state of the path's parts after the first, whose loss shows by itself.
+    /// Returns the worst state of the stages after the first; the loss of the first breaks the
+    /// response.
     fn path_state(&self) -> PartState {
-        let states = self.path.iter().skip(1).map(|part| self.relay.part_state(part));
+        let states = self.path.iter().skip(1).map(|stage| self.relay.part_state(stage));
         states.fold(PartState::Well, |worst, state| match (worst, state) {
             (PartState::Lost, _) | (_, PartState::Lost) => PartState::Lost,
             (PartState::Leaving, _) | (_, PartState::Leaving) => PartState::Leaving,
@@ -97,7 +102,7 @@
         })
     }
 
-    /// Whether any replica of the path is lost.
+    /// Returns whether any replica of the path is lost.
     fn is_path_lost(&self) -> bool {
         self.relay.part_state(&self.path[0]) == PartState::Lost
             || self.path_state() == PartState::Lost
@@ -110,17 +115,17 @@
         }
     }
 
-    /// Finds out why a stream stands still, and mends it. A lost replica shows first in a probe; what the
-    /// first engine says of a stall is some hundred milliseconds old.
-    pub(super) async fn look_into(&mut self) {
-        self.doubtful = false;
+    /// Finds out why no events arrive, and recovers the stream. A probe detects a lost replica
+    /// first; the first engine's report of a stall is some hundred milliseconds old.
+    pub(super) async fn check_path(&mut self) {
+        self.is_suspect = false;
         let first = self.path[0].clone();
-        let quiet = now_millis() - self.last_progress;
+        let pause = now_millis() - self.last_progress;
         let first_is_lost = self.relay.part_state(&first) == PartState::Lost;
         if !first_is_lost && self.path_state() != PartState::Lost {
-            if quiet < self.longest_gap() {
+            if pause < self.max_pause() {
                 self.is_probed = true;
-                probe_replicas(&self.relay, self.path.iter().map(|part| part.address));
+                probe_replicas(&self.relay, self.path.iter().map(|stage| stage.address));
                 return;
             }
             let id = &self.request.headers.attempt_id;
@@ -135,26 +140,27 @@
         if self.path_state() == PartState::Lost {
             return self.replace_lost().await;
         }
-        if now_millis() - self.last_progress > LONGEST_QUIET {
-            self.recover("no event for long", StreamLoss::Silent).await;
+        if now_millis() - self.last_progress > MAX_SILENCE {
+            self.recover("no event for too long", StreamLoss::Silent).await;
         }
     }
 
-    /// Moves the request to a path without the lost replicas; the others keep its memory. Only within a
-    /// data centre: the new parts read the whole request again, and its activations would have to cross
-    /// a pipe that many requests need at the same moment.
+    /// Moves the request to a path without the lost replicas; the others keep its KV cache. Only
+    /// within a data centre: the new stages compute the whole request again, and its activations
+    /// would have to cross a link that many requests need at the same time. Returns whether the
+    /// request was moved.
     ///
-    /// Where the order is refused for a replica that it names, the next path goes round that one at once: two
-    /// replicas that share paths are lost together, and the second is found out by this, without waiting for
-    /// the next look.
+    /// If the order is refused because of a replica that it names, the next path avoids that one at
+    /// once. Replicas that share paths are lost together, and the refusal reveals the second one
+    /// without waiting for the next check.
     async fn repath(&mut self) -> bool {
-        let mut avoid = self.restarted_parts();
-        // A move is a send: the new parts begin to run the request.
+        let mut excluded = self.restarted_replicas();
+        // A move counts as a send: the replicas of the new stages begin to run the request.
         if quarantine_left(&self.relay, &self.request).is_some() {
             return false;
         }
-        for _ in 0..MOST_REPATHS {
-            match self.order_path(&avoid).await {
+        for _ in 0..MAX_REPATHS {
+            match self.order_path(&excluded).await {
                 Some(OrderEnd::Taken) => return true,
                 Some(OrderEnd::Refused(_, Some(faulty_replica))) => {
                     probe_replicas(&self.relay, std::iter::once(faulty_replica));
@@ -162,7 +168,7 @@
                     let Some(replica) = beliefs.fleet.view.at_address(faulty_replica) else {
                         return false;
                     };
-                    avoid.push(replica.instance.clone());
+                    excluded.push(replica.instance.clone());
                 }
                 _ => return false,
             }
@@ -170,31 +176,34 @@
         false
     }
 
-    /// Replicas that started again since the request came to them: the first engine takes them for what they
-    /// were, with memory of it.
-    fn restarted_parts(&self) -> Vec<ReplicaInstance> {
+    /// Returns the replicas that restarted since the request reached them. The first engine takes
+    /// them for their former instances, which still held the KV cache of the request.
+    fn restarted_replicas(&self) -> Vec<ReplicaInstance> {
         let beliefs = self.relay.beliefs.borrow();
-        let ended = |part: &&PathStage| beliefs.fleet.view.get_current(&part.instance).is_none();
-        let present = self.path.iter().filter(ended);
-        let present = present.filter_map(|part| beliefs.fleet.view.at_address(part.address));
-        present.map(|replica| replica.instance.clone()).collect()
+        let is_gone =
+            |stage: &&PathStage| beliefs.fleet.view.get_current(&stage.instance).is_none();
+        let gone = self.path.iter().filter(is_gone);
+        let restarted = gone.filter_map(|stage| beliefs.fleet.view.at_address(stage.address));
+        restarted.map(|replica| replica.instance.clone()).collect()
     }
 
-    /// Orders the best path without some replicas; nothing where there is none.
-    async fn order_path(&mut self, avoid: &[ReplicaInstance]) -> Option<OrderEnd> {
+    /// Orders the first engine to move the request to the cheapest path without the excluded
+    /// replicas. Returns `None` if there is no such path.
+    async fn order_path(&mut self, excluded: &[ReplicaInstance]) -> Option<OrderEnd> {
         let service = self.permit.config.services.get(&self.permit.service);
         let engine = service.and_then(|service| service.engine.as_ref())?;
-        let tokens = self.request.tokens((engine.mean_prompt_tokens, engine.mean_answer_tokens));
+        let tokens =
+            self.request.estimate_tokens((engine.mean_prompt_tokens, engine.mean_answer_tokens));
         let first = self.path[0].clone();
-        let wish = PathCriteria {
+        let criteria = PathCriteria {
             service: &self.permit.service,
             engine,
             tokens,
             rank: self.permit.priority,
-            avoid,
+            excluded,
             first: Some((&first.instance, first.range)),
         };
-        let path = find_path(&self.relay, &wish, MemoryRule::Wanted, CrossingRule::Never);
+        let path = find_path(&self.relay, &criteria, MemoryRule::Preferred, CrossingRule::Never);
         let id = &self.request.headers.attempt_id;
         let Some(path) = path else {
             tracing::info!(event = "repath-impossible", request = id, first = %first.instance);
@@ -206,17 +215,17 @@
         if end == OrderEnd::Taken {
             self.run = RunTracker::over_path(&path);
             self.run.record_start();
-            self.room = PathReservation::new(&self.relay, &path, tokens);
+            self.reservation = PathReservation::new(&self.relay, &path, tokens);
             self.path = path;
         }
         Some(end)
     }
 
-    /// Takes a stream up at another replica, where its route allows that. The present replica is left
-    /// only once another one answers: a replica's silence alone is no reason to end an answer, and it
-    /// may still go on.
+    /// Resumes a stream at another replica, if its route allows that. The connection to the present
+    /// replica is kept until the other one responds: silence alone is no reason to end a stream,
+    /// and it may still continue.
     pub(super) async fn recover(&mut self, why: &str, loss: StreamLoss) {
-        if loss == StreamLoss::Silent && now_millis() < self.next_try {
+        if loss == StreamLoss::Silent && now_millis() < self.next_resume {
             return;
         }
         tracing::info!(
@@ -224,7 +233,7 @@
             request = self.request.headers.attempt_id,
             why,
             ?loss,
-            sends = self.tried.sends,
+            sends = self.history.sends,
             first = %self.path[0].instance,
             last_event = self.framer.last_id(),
         );
@@ -232,59 +241,59 @@
             self.run.record_loss(&self.relay, &self.request, why);
         }
         if loss == StreamLoss::Broken {
-            // The replica may be gone, and with it others' streams that pass through it.
+            // The replica may be lost, and with it other streams whose path it is part of.
             probe_replicas(&self.relay, std::iter::once(self.path[0].address));
         }
         match (self.resume().await, loss) {
-            (Ok(stream), _) => self.take_over(stream),
+            (Ok(stream), _) => self.switch_to(stream),
             (Err(not_resumed), StreamLoss::Broken) => self.give_up(why, &not_resumed),
-            // It can be taken up nowhere: its caller need not wait.
+            // A quarantined request can be resumed nowhere, so its caller need not wait.
             (Err(not_resumed), StreamLoss::Silent)
                 if quarantine_left(&self.relay, &self.request).is_some() =>
             {
                 self.give_up(why, &not_resumed);
             }
             (Err(not_resumed), StreamLoss::Silent) => {
-                self.next_try = now_millis() + TRY_AGAIN;
+                self.next_resume = now_millis() + RESUME_INTERVAL;
                 let id = &self.request.headers.attempt_id;
                 tracing::info!(event = "stream-waits", request = id, why, not_resumed);
             }
         }
     }
 
-    /// Opens the stream anew after its last event.
+    /// Opens the stream again after its last event.
     async fn resume(&mut self) -> Result<OpenStream, String> {
         if !self.permit.route.is_repeatable() {
-            return Err("the route allows no second run".to_owned());
+            return Err("the route does not allow a retry".to_owned());
         }
-        // Many streams are lost together: they come back one after the other.
-        sleep(self.draw_delay(MOST_STAGGER)).await;
-        while take_retry(&self.relay, &self.permit, &self.tried) {
+        // Many streams are lost together; their resumptions are spread over time.
+        sleep(self.draw_delay(MAX_RESUME_DELAY)).await;
+        while take_retry(&self.relay, &self.permit, &self.history) {
             self.permit = match admit(&self.relay, &self.request.admission) {
                 Ok(permit) => permit,
                 Err(refusal) => return Err(refusal.to_string()),
             };
-            let last_event = self.framer.last_id();
-            let quiet = now_millis() - self.last_progress;
-            let patience = Duration::from_millis(LATEST_RESUME.saturating_sub(quiet));
+            let last_event_id = self.framer.last_id();
+            let pause = now_millis() - self.last_progress;
+            let max_wait = Duration::from_millis(RESUME_WAIT_LIMIT.saturating_sub(pause));
             let relay = self.relay.clone();
             let opened = open_stream(
                 &relay,
                 &self.request,
                 &self.permit,
-                &mut self.tried,
-                last_event,
-                patience,
+                &mut self.history,
+                last_event_id,
+                max_wait,
             );
             match opened.await {
-                Some(OpenOutcome::Open(stream)) => return Ok(*stream),
-                Some(OpenOutcome::Barred(refusal)) => return Err(refusal.to_string()),
+                Some(OpenOutcome::Opened(stream)) => return Ok(*stream),
+                Some(OpenOutcome::Refused(refusal)) => return Err(refusal.to_string()),
                 Some(OpenOutcome::Failed(end, detail)) => {
                     let id = &self.request.headers.attempt_id;
                     tracing::info!(event = "resume-failed", request = id, ?end, detail);
                 }
-                Some(OpenOutcome::Answered(answer)) => {
-                    return Err(format!("answered with status {}", answer.status()));
+                Some(OpenOutcome::Responded(response)) => {
+                    return Err(format!("response with status {}", response.status()));
                 }
                 None => return Err("no path".to_owned()),
             }
@@ -292,12 +301,12 @@
         Err("no attempt left".to_owned())
     }
 
-    fn draw_delay(&self, most: Millis) -> Duration {
-        let millis = self.relay.random.borrow_mut().random_range(0..=most);
+    fn draw_delay(&self, max: Millis) -> Duration {
+        let millis = self.relay.random.borrow_mut().random_range(0..=max);
         Duration::from_millis(millis)
     }
 
-    fn take_over(&mut self, stream: OpenStream) {
+    fn switch_to(&mut self, stream: OpenStream) {
         count(&self.relay.counts.resumes);
         let quiet_ms = now_millis() - self.last_progress;
         self.longest_pause = self.longest_pause.max(quiet_ms);
@@ -307,11 +316,11 @@
             quiet_ms
         );
         self.framer.drop_partial();
-        self.marks = read_response_headers(&stream.head.headers);
+        self.headers = read_response_headers(&stream.head.headers);
         self.body = stream.body;
-        self.link = Some(stream.link);
+        self.connection = Some(stream.connection);
         self.path = stream.path;
-        self.room = stream.room;
+        self.reservation = stream.reservation;
         self.run = stream.run;
         self.last_progress = now_millis();
     }
--- a/crates/relay/src/paths.rs
+++ b/crates/relay/src/paths.rs
@@ -1,4 +1,4 @@
-//! Paths over engines, by what the relay knows.
+//! Chooses paths over engines by what the relay knows of the replicas.
 
 use std::{collections::HashMap, rc::Rc, time::Duration};
 
@@ -24,96 +24,101 @@
     state::{Beliefs, Relay},
 };
 
-/// What a path is wanted for.
+/// What a path must satisfy.
 #[derive(Clone, Debug)]
 pub struct PathCriteria<'a> {
     /// Service whose engines may be used.
     pub service: &'a str,
-    /// The model.
+    /// Model that the service runs.
     pub engine: &'a EngineSpec,
-    /// Tokens that the request may hold.
+    /// Maximum number of tokens that the request may hold.
     pub tokens: f64,
-    /// Rank of the request; more urgent ones that wait go first where replicas take few.
+    /// Rank of the request. If replicas accept few requests, waiting requests of a lower rank,
+    /// which are more urgent, go first.
     pub rank: u8,
-    /// Replicas not to use.
-    pub avoid: &'a [ReplicaInstance],
-    /// First part to keep, for a request that runs.
+    /// Replicas that must not be used.
+    pub excluded: &'a [ReplicaInstance],
+    /// First stage to keep; set when the path of a running request is changed.
     pub first: Option<(&'a ReplicaInstance, LayerRange)>,
 }
 
-/// Cost of a layer at a replica that is half full, against one more hop at 0.5: memory binds long before speed.
-const ROOM_COST: f64 = 0.5;
+/// Scale of the cost that a layer has for the memory that it occupies, in milliseconds of a token
+/// step: what a layer costs at a half full replica, against 0.5 for one more hop. Engines run out
+/// of memory long before they run out of compute.
+const MEMORY_COST: f64 = 0.5;
 
-/// Part of a replica's room that paths are planned to fill; the rest absorbs what other relays promised
-/// meanwhile and answers longer than expected.
+/// Fraction of a replica's memory up to which paths are planned. The rest absorbs what other relays
+/// reserve meanwhile, and completions that are longer than expected.
 const PLANNED_FILL: f64 = 0.95;
 
-/// Whether a path must have room for the request at each of its replicas.
+/// Whether each replica of a path must have memory for the request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum MemoryRule {
-    /// It must.
-    Needed,
-    /// It should: an engine that is short of memory refuses, or makes its newest requests wait.
-    Wanted,
+    /// Each must.
+    Required,
+    /// Each should; an engine that is short of memory rejects the request, or makes its newest
+    /// requests wait.
+    Preferred,
 }
 
-/// Whether a path may pass from one data centre to another.
+/// Whether a path may cross from one data centre to another.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CrossingRule {
-    /// It may not: its activations would share a slow pipe with those of all others.
+    /// It may not: its activations would share a slow link with those of all other crossing
+    /// requests.
     Never,
-    /// It may, where no data centre has a whole path.
+    /// It may, if no data centre has a complete path.
     Allowed,
 }
 
-/// Replicas that a choice looks at.
+/// Replicas among which a path is chosen.
 #[derive(Clone, Copy, Debug)]
 enum PathScope {
-    /// All of the service.
-    Whole,
-    /// Those of two groups of the relay's own data centre, out of so many.
+    /// All replicas of the service.
+    All,
+    /// Those of two planning groups of the relay's own data centre.
     Groups {
-        /// Count of groups in the data centre.
+        /// Number of groups in the data centre.
         count: u32,
-        /// The two; they may be one.
+        /// Numbers of the two groups; they may be equal.
         drawn: [u32; 2],
     },
 }
 
-/// Chooses a path.
+/// Chooses the cheapest path.
 ///
-/// In a data centre of many replicas the choice is among those of two groups that are drawn for it, each of which
-/// covers the model: a choice among thousands takes too much of a small VM. Where the
-/// drawn groups leave a gap, all replicas are looked at; where they are only short of room, the next choice draws
-/// others.
+/// In a data centre with many replicas, the path is chosen among those of two randomly drawn
+/// planning groups, each of which covers the model, because choosing among thousands takes too much
+/// of a small VM. If the drawn groups leave a gap, all replicas are considered; if they are only
+/// short of memory, `None` is returned and the next call draws other groups.
 pub fn find_path(
     relay: &Relay,
-    wish: &PathCriteria<'_>,
+    criteria: &PathCriteria<'_>,
     rule: MemoryRule,
     crossing: CrossingRule,
 ) -> Option<Vec<PathStage>> {
-    let scope = draw_scope(relay, wish.service);
+    let scope = draw_scope(relay, criteria.service);
     if let PathScope::Groups { .. } = scope {
-        let path = find_within(relay, wish, scope, rule, crossing);
-        let is_crowded = path.is_none()
-            && rule == MemoryRule::Needed
-            && find_within(relay, wish, scope, MemoryRule::Wanted, crossing).is_some();
-        if path.is_some() || is_crowded {
+        let path = find_within(relay, criteria, scope, rule, crossing);
+        let lacks_memory = path.is_none()
+            && rule == MemoryRule::Required
+            && find_within(relay, criteria, scope, MemoryRule::Preferred, crossing).is_some();
+        if path.is_some() || lacks_memory {
             return path;
         }
     }
-    find_within(relay, wish, PathScope::Whole, rule, crossing)
+    find_within(relay, criteria, PathScope::All, rule, crossing)
 }
 
 fn draw_scope(relay: &Relay, service: &str) -> PathScope {
-    let home = &relay.settings.data_centre;
-    let near = {
+    let local = &relay.settings.data_centre;
+    let local_count = {
         let beliefs = relay.beliefs.borrow();
         let replicas = beliefs.fleet.view.of_service(service);
-        replicas.filter(|replica| replica.data_centre == *home).count()
+        replicas.filter(|replica| replica.data_centre == *local).count()
     };
-    match group_count(near) {
-        1 => PathScope::Whole,
+    match group_count(local_count) {
+        1 => PathScope::All,
         count => {
             let mut random = relay.random.borrow_mut();
             let drawn = [random.random_range(0..count), random.random_range(0..count)];
@@ -123,11 +128,12 @@
 }
 
 impl PathScope {
-    fn holds(self, replica: &ReplicaEntry, home: &str) -> bool {
+    fn contains(self, replica: &ReplicaEntry, local_data_centre: &str) -> bool {
         match self {
-            Self::Whole => true,
+            Self::All => true,
             Self::Groups { count, drawn } => {
-                replica.data_centre == home && drawn.contains(&group_of(&replica.instance, count))
+                replica.data_centre == local_data_centre
+                    && drawn.contains(&group_of(&replica.instance, count))
             }
         }
     }
@@ -135,28 +141,28 @@
 
 fn find_within(
     relay: &Relay,
-    wish: &PathCriteria<'_>,
+    criteria: &PathCriteria<'_>,
     scope: PathScope,
     rule: MemoryRule,
     crossing: CrossingRule,
 ) -> Option<Vec<PathStage>> {
     let beliefs = relay.beliefs.borrow();
-    let mut data_centres = DataCentres::default();
-    let home_name = &relay.settings.data_centre;
-    let home = data_centres.number(home_name);
-    let in_scope = |replica: &ReplicaEntry| scope.holds(replica, home_name);
-    let mut offers = offers(&beliefs, wish, in_scope, &mut data_centres);
+    let mut numbers = DataCentreNumbers::default();
+    let local_name = &relay.settings.data_centre;
+    let local = numbers.number(local_name);
+    let in_scope = |replica: &ReplicaEntry| scope.contains(replica, local_name);
+    let mut offers = collect_offers(&beliefs, criteria, in_scope, &mut numbers);
     let request = PathRequest {
-        layers: wish.engine.layers,
-        tokens: wish.tokens,
-        local_data_centre: home,
-        data_centres: data_centres.count(),
+        layers: criteria.engine.layers,
+        tokens: criteria.tokens,
+        local_data_centre: local,
+        data_centres: numbers.count(),
         may_cross: crossing == CrossingRule::Allowed,
-        first: wish.first,
+        first: criteria.first,
     };
     let costs = PathCosts::default();
     let path = choose_path(&request, &offers, &costs);
-    if path.is_some() || rule == MemoryRule::Needed {
+    if path.is_some() || rule == MemoryRule::Required {
         return path;
     }
     for offer in &mut offers {
@@ -167,53 +173,56 @@
     choose_path(&request, &offers, &costs)
 }
 
-/// Time between two looks for a path with room.
-const LOOK_EVERY: Duration = Duration::from_millis(25);
+/// Interval between two attempts to find a path with enough memory.
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Waits for a path with room in one data centre, for `patience` at most, and then takes one without.
-/// Where no data centre has a whole path, one that crosses is taken at once, if the pipe has room.
+/// Waits up to `max_wait` for a path with enough memory within one data centre, and then takes one
+/// without. If there is none even without, waits only for a replica that is throttled and accepts
+/// requests again in time; otherwise takes a path that crosses data centres at once, provided that
+/// this relay's share of the link has room for it.
 pub async fn wait_for_path(
     relay: &Rc<Relay>,
-    wish: &PathCriteria<'_>,
-    patience: Duration,
+    criteria: &PathCriteria<'_>,
+    max_wait: Duration,
 ) -> Option<Vec<PathStage>> {
-    let end = Instant::now() + patience;
+    let deadline = Instant::now() + max_wait;
     let mut grant_wait = None;
     loop {
-        if let Some(path) = find_path(relay, wish, MemoryRule::Needed, CrossingRule::Never) {
-            note_missed(relay, wish, &path);
+        if let Some(path) = find_path(relay, criteria, MemoryRule::Required, CrossingRule::Never) {
+            record_missed_grant(relay, criteria, &path);
             return Some(path);
         }
-        let crowded = find_path(relay, wish, MemoryRule::Wanted, CrossingRule::Never);
+        let crowded = find_path(relay, criteria, MemoryRule::Preferred, CrossingRule::Never);
         if crowded.is_none() {
-            let left = soonest_beginning(relay, wish);
-            let Some(left) = left.filter(|left| Instant::now() + *left <= end) else {
-                return crossing_path(relay, wish);
+            let wait = throttle_remaining(relay, criteria);
+            let Some(wait) = wait.filter(|wait| Instant::now() + *wait <= deadline) else {
+                return find_crossing_path(relay, criteria);
             };
-            let begins = |replica: &ReplicaEntry| begins_for(replica, wish);
-            let until = now_millis() + (end - Instant::now()).as_millis() as Millis;
-            let need = GrantWaiter { rank: wish.rank, deadline: until };
-            let begin = || GrantWait::begin(relay, wish.service, need, begins);
+            let can_start = |replica: &ReplicaEntry| is_start_candidate(replica, criteria);
+            let until = now_millis() + (deadline - Instant::now()).as_millis() as Millis;
+            let waiter = GrantWaiter { rank: criteria.rank, deadline: until };
+            let begin = || GrantWait::begin(relay, criteria.service, waiter, can_start);
             grant_wait = grant_wait.or_else(begin);
-            sleep(LOOK_EVERY.min(left)).await;
+            sleep(POLL_INTERVAL.min(wait)).await;
             continue;
         }
-        if Instant::now() >= end {
+        if Instant::now() >= deadline {
             crowded.iter().for_each(|path| {
-                log_crowded(relay, wish, path);
-                note_missed(relay, wish, path);
+                log_crowded(relay, criteria, path);
+                record_missed_grant(relay, criteria, path);
             });
             return crowded;
         }
-        sleep(LOOK_EVERY).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Notes a replica with a limit at which a request would have begun, where it found no grant: one of its own data centre, or
-/// any where it begins elsewhere all the same.
-fn note_missed(relay: &Rc<Relay>, wish: &PathCriteria<'_>, path: &[PathStage]) {
-    let home = &relay.settings.data_centre;
-    let begins_at_home = {
+/// Records that the request found no grant at a replica with a rate limit where it could have
+/// started, so that the relay requests grants there. If the path starts in the relay's own data
+/// centre, only replicas in that data centre count.
+fn record_missed_grant(relay: &Rc<Relay>, criteria: &PathCriteria<'_>, path: &[PathStage]) {
+    let local = &relay.settings.data_centre;
+    let starts_locally = {
         let beliefs = relay.beliefs.borrow();
         if beliefs.limits.is_empty() {
             return;
@@ -222,77 +231,86 @@
             .fleet
             .view
             .get_current(&path[0].instance)
-            .is_some_and(|first| first.data_centre == *home)
+            .is_some_and(|first| first.data_centre == *local)
     };
-    let begins = |replica: &ReplicaEntry| {
-        begins_for(replica, wish) && (!begins_at_home || replica.data_centre == *home)
+    let can_start = |replica: &ReplicaEntry| {
+        is_start_candidate(replica, criteria) && (!starts_locally || replica.data_centre == *local)
     };
-    want_grant(relay, wish.service, wish.rank, begins);
+    want_grant(relay, criteria.service, criteria.rank, can_start);
 }
 
-fn begins_for(replica: &ReplicaEntry, wish: &PathCriteria<'_>) -> bool {
-    can_start_path(replica) && !wish.avoid.contains(&replica.instance)
+fn is_start_candidate(replica: &ReplicaEntry, criteria: &PathCriteria<'_>) -> bool {
+    can_start_path(replica) && !criteria.excluded.contains(&replica.instance)
 }
 
-/// Whether a path may begin at a replica, as far as its layers tell.
+/// Returns whether a replica holds the first layer, so that a path may start there.
 pub fn can_start_path(replica: &ReplicaEntry) -> bool {
     replica.layers.is_some_and(|range| range.from == 0)
 }
 
-/// Time until the first replica at which a path could begin takes requests again; nothing where one does now.
-fn soonest_beginning(relay: &Relay, wish: &PathCriteria<'_>) -> Option<Duration> {
-    let begins = |replica: &ReplicaEntry| begins_for(replica, wish);
-    let left = soonest_end(&relay.beliefs.borrow(), wish.service, wish.rank, begins)?;
-    Some(Duration::from_millis(left))
+/// Returns the time until the first replica at which a path could start accepts requests again;
+/// `None` if one accepts them now.
+fn throttle_remaining(relay: &Relay, criteria: &PathCriteria<'_>) -> Option<Duration> {
+    let can_start = |replica: &ReplicaEntry| is_start_candidate(replica, criteria);
+    let remaining =
+        soonest_end(&relay.beliefs.borrow(), criteria.service, criteria.rank, can_start)?;
+    Some(Duration::from_millis(remaining))
 }
 
-/// Tells which replica of a path has least room.
-fn log_crowded(relay: &Relay, wish: &PathCriteria<'_>, path: &[PathStage]) {
+/// Logs which replica of a path has the least free memory.
+fn log_crowded(relay: &Relay, criteria: &PathCriteria<'_>, path: &[PathStage]) {
     let beliefs = relay.beliefs.borrow();
-    let fill = |part: &PathStage| {
-        let replica = beliefs.fleet.view.get_current(&part.instance)?;
-        let memory = wish.engine.kind(&replica.kind)?.memory_mb;
-        let total = wish.engine.free_token_layers(memory, replica.layers?.len());
-        Some((beliefs.room.reserved(&part.instance) / total.max(1.0), &replica.instance))
+    let fill = |stage: &PathStage| {
+        let replica = beliefs.fleet.view.get_current(&stage.instance)?;
+        let memory = criteria.engine.kind(&replica.kind)?.memory_mb;
+        let total = criteria.engine.free_token_layers(memory, replica.layers?.len());
+        Some((beliefs.room.reserved(&stage.instance) / total.max(1.0), &replica.instance))
     };
     let fullest = path.iter().filter_map(fill).max_by(|left, right| left.0.total_cmp(&right.0));
     if let Some((fill, replica)) = fullest {
-        tracing::info!(event = "path-crowded", %replica, fill, tokens = wish.tokens);
+        tracing::info!(event = "path-crowded", %replica, fill, tokens = criteria.tokens);
     }
 }
 
-/// A path over several data centres, where this relay's share of the pipe has room for the request.
-fn crossing_path(relay: &Relay, wish: &PathCriteria<'_>) -> Option<Vec<PathStage>> {
-    let path = find_path(relay, wish, MemoryRule::Wanted, CrossingRule::Allowed)?;
+/// Finds a path over several data centres, and reserves the link between them for its activations.
+/// Returns `None` if there is no such path, or this relay's share of the link is used up.
+fn find_crossing_path(relay: &Relay, criteria: &PathCriteria<'_>) -> Option<Vec<PathStage>> {
+    let path = find_path(relay, criteria, MemoryRule::Preferred, CrossingRule::Allowed)?;
     let crossings = count_crossings(relay, &path);
-    let pipe_time = wish.engine.transfer_ms(wish.tokens) * f64::from(crossings);
+    let link_ms = criteria.engine.transfer_ms(criteria.tokens) * f64::from(crossings);
     let now = now_millis();
     let mut beliefs = relay.beliefs.borrow_mut();
-    let entries = beliefs.peers.known_count() + 1;
-    let taken = beliefs.pipe.try_reserve(pipe_time, entries, now);
-    if !taken {
-        tracing::info!(event = "pipe-full", service = wish.service, crossings, pipe_time, entries);
+    let relays = beliefs.peers.known_count() + 1;
+    let is_reserved = beliefs.pipe.try_reserve(link_ms, relays, now);
+    if !is_reserved {
+        tracing::info!(
+            event = "pipe-full",
+            service = criteria.service,
+            crossings,
+            pipe_time = link_ms,
+            entries = relays
+        );
     }
-    taken.then_some(path)
+    is_reserved.then_some(path)
 }
 
-/// How often a path passes from one data centre to another.
+/// Counts how often a path crosses from one data centre to another.
 fn count_crossings(relay: &Relay, path: &[PathStage]) -> u32 {
     let beliefs = relay.beliefs.borrow();
-    let place = |part: &PathStage| {
-        beliefs.fleet.view.get_current(&part.instance).map(|replica| &replica.data_centre)
+    let data_centre = |stage: &PathStage| {
+        beliefs.fleet.view.get_current(&stage.instance).map(|replica| &replica.data_centre)
     };
-    let passes = path.windows(2).filter(|pair| place(&pair[0]) != place(&pair[1]));
-    passes.count() as u32
+    let crossings = path.windows(2).filter(|pair| data_centre(&pair[0]) != data_centre(&pair[1]));
+    crossings.count() as u32
 }
 
-/// Numbers data centres as they are met.
+/// Numbers data centres in the order in which they are first seen.
 #[derive(Default)]
-struct DataCentres {
+struct DataCentreNumbers {
     numbers: HashMap<String, usize>,
 }
 
-impl DataCentres {
+impl DataCentreNumbers {
     fn number(&mut self, name: &str) -> usize {
         let next = self.numbers.len();
         *self.numbers.entry(name.to_owned()).or_insert(next)
@@ -303,81 +321,82 @@
     }
 }
 
-fn offers(
+fn collect_offers(
     beliefs: &Beliefs,
-    wish: &PathCriteria<'_>,
+    criteria: &PathCriteria<'_>,
     in_scope: impl Fn(&ReplicaEntry) -> bool,
-    data_centres: &mut DataCentres,
+    numbers: &mut DataCentreNumbers,
 ) -> Vec<StageOffer> {
     let now = now_millis();
     let usable = |replica: &&ReplicaEntry| {
         in_scope(replica)
             && replica.is_ready()
             && !beliefs.suspects.is_suspect(&replica.instance, now)
-            && !wish.avoid.contains(&replica.instance)
+            && !criteria.excluded.contains(&replica.instance)
     };
-    let replicas = beliefs.fleet.view.of_service(wish.service).filter(usable);
-    let mut offers: Vec<StageOffer> = kept_part(beliefs, wish, data_centres).into_iter().collect();
+    let replicas = beliefs.fleet.view.of_service(criteria.service).filter(usable);
+    let mut offers: Vec<StageOffer> = kept_stage(beliefs, criteria, numbers).into_iter().collect();
     for replica in replicas {
         let Some(range) = replica.layers else { continue };
-        let kind = wish.engine.kind(&replica.kind);
+        let kind = criteria.engine.kind(&replica.kind);
         let total =
-            kind.map_or(0.0, |kind| wish.engine.free_token_layers(kind.memory_mb, range.len()));
-        let promised = beliefs.room.reserved(&replica.instance);
-        // A replica that was short of memory a moment ago counts as full.
-        let promised =
-            if beliefs.full.is_suspect(&replica.instance, now) { total } else { promised };
-        let pace = kind.map_or(1.0, |kind| kind.step_factor)
+            kind.map_or(0.0, |kind| criteria.engine.free_token_layers(kind.memory_mb, range.len()));
+        let reserved = beliefs.room.reserved(&replica.instance);
+        // A replica that was short of memory recently counts as full.
+        let reserved =
+            if beliefs.full.is_suspect(&replica.instance, now) { total } else { reserved };
+        let step_factor = kind.map_or(1.0, |kind| kind.step_factor)
             * beliefs.paces.factor(&replica.instance, now);
-        let layer_cost = layer_cost(wish.engine, pace, promised, total);
-        let data_centre = data_centres.number(&replica.data_centre);
-        let is_throttled = beliefs.send_wait(&replica.instance, wish.rank, now).is_some();
+        let layer_cost = layer_cost(criteria.engine, step_factor, reserved, total);
+        let data_centre = numbers.number(&replica.data_centre);
+        let is_throttled = beliefs.send_wait(&replica.instance, criteria.rank, now).is_some();
         offers.push(StageOffer {
             instance: replica.instance.clone(),
             address: replica.address,
             data_centre,
             range,
             layer_cost,
-            free_token_layers: (total * PLANNED_FILL - promised).max(0.0),
-            start_cost: if is_throttled { None } else { begin_cost(beliefs, replica, now) },
+            free_token_layers: (total * PLANNED_FILL - reserved).max(0.0),
+            start_cost: if is_throttled { None } else { replica_start_cost(beliefs, replica, now) },
             is_throttled,
         });
     }
     offers
 }
 
-/// Cost of beginning at a replica that begins no answers: more than beginning anywhere else, and it is still better
-/// than waiting for room.
-const MUTE_COST: f64 = 60.0;
+/// Cost of starting at a stalled replica, which accepts requests but begins no response: more than
+/// starting anywhere else, but less than waiting for memory.
+const STALLED_COST: f64 = 60.0;
 
-/// Cost of beginning at a replica; nothing where it has no place.
-fn begin_cost(beliefs: &Beliefs, replica: &ReplicaEntry, now: Millis) -> Option<f64> {
+/// Returns the cost of starting at a replica; `None` if it has no free slot.
+fn replica_start_cost(beliefs: &Beliefs, replica: &ReplicaEntry, now: Millis) -> Option<f64> {
     if beliefs.full_starts.is_full(&replica.instance, now) {
         return None;
     }
     let cost = start_cost(beliefs.places.reserved(&replica.instance), replica.slots)?;
-    Some(cost + mute_cost(beliefs, &replica.instance, now))
+    Some(cost + stalled_cost(beliefs, &replica.instance, now))
 }
 
-fn mute_cost(beliefs: &Beliefs, instance: &ReplicaInstance, now: Millis) -> f64 {
+fn stalled_cost(beliefs: &Beliefs, instance: &ReplicaInstance, now: Millis) -> f64 {
     match beliefs.heads.is_stalled(instance, now) {
-        true => MUTE_COST,
+        true => STALLED_COST,
         false => 0.0,
     }
 }
 
-/// The first part of a request that runs: its replica goes on with it whatever it is to hold later.
-fn kept_part(
+/// Returns the offer for the first stage of a running request, which its replica continues to run
+/// whatever layers it is to hold later.
+fn kept_stage(
     beliefs: &Beliefs,
-    wish: &PathCriteria<'_>,
-    data_centres: &mut DataCentres,
+    criteria: &PathCriteria<'_>,
+    numbers: &mut DataCentreNumbers,
 ) -> Option<StageOffer> {
-    let (instance, range) = wish.first?;
+    let (instance, range) = criteria.first?;
     let replica = beliefs.fleet.view.get_current(instance)?;
     Some(StageOffer {
         instance: instance.clone(),
         address: replica.address,
-        data_centre: data_centres.number(&replica.data_centre),
+        data_centre: numbers.number(&replica.data_centre),
         range,
         layer_cost: 0.0,
         free_token_layers: f64::INFINITY,
@@ -386,40 +405,41 @@
     })
 }
 
-/// Cost of one layer: the time of a step, and a term that grows steeply as memory fills up.
-fn layer_cost(engine: &EngineSpec, pace: f64, promised: f64, total: f64) -> f64 {
-    const FULLEST: f64 = 0.98;
-    let step = engine.step_ms * pace / f64::from(engine.layers.max(1));
-    let used = (promised / total.max(1.0)).min(FULLEST);
-    step + ROOM_COST * used * used / (1.0 - used)
+/// Returns the cost of one layer: its time in a token step, and a term that grows steeply as memory
+/// fills up.
+fn layer_cost(engine: &EngineSpec, step_factor: f64, reserved: f64, total: f64) -> f64 {
+    const MAX_FILL: f64 = 0.98;
+    let step = engine.step_ms * step_factor / f64::from(engine.layers.max(1));
+    let fill = (reserved / total.max(1.0)).min(MAX_FILL);
+    step + MEMORY_COST * fill * fill / (1.0 - fill)
 }
 
-/// Room promised along a path, and a place at its first replica; dropping it releases them.
+/// Memory reserved at each replica of a path, and a slot at the first; released when dropped.
 #[derive(Debug)]
 pub struct PathReservation {
     relay: Rc<Relay>,
-    parts: Vec<(ReplicaInstance, f64)>,
+    stages: Vec<(ReplicaInstance, f64)>,
     first: Option<ReplicaInstance>,
 }
 
 impl PathReservation {
-    /// Promises room for `tokens` along a path.
+    /// Reserves memory for `tokens` along a path.
     pub fn new(relay: &Rc<Relay>, path: &[PathStage], tokens: f64) -> Self {
-        let amount = |part: &PathStage| tokens * f64::from(part.range.len());
-        let parts: Vec<(ReplicaInstance, f64)> =
-            path.iter().map(|part| (part.instance.clone(), amount(part))).collect();
+        let amount = |stage: &PathStage| tokens * f64::from(stage.range.len());
+        let stages: Vec<(ReplicaInstance, f64)> =
+            path.iter().map(|stage| (stage.instance.clone(), amount(stage))).collect();
         let mut beliefs = relay.beliefs.borrow_mut();
-        parts.iter().for_each(|(instance, amount)| beliefs.room.reserve(instance, *amount));
-        let first = path.first().map(|part| part.instance.clone());
+        stages.iter().for_each(|(instance, amount)| beliefs.room.reserve(instance, *amount));
+        let first = path.first().map(|stage| stage.instance.clone());
         first.iter().for_each(|instance| beliefs.places.reserve(instance, 1.0));
-        Self { relay: relay.clone(), parts, first }
+        Self { relay: relay.clone(), stages, first }
     }
 }
 
 impl Drop for PathReservation {
     fn drop(&mut self) {
         let mut beliefs = self.relay.beliefs.borrow_mut();
-        self.parts.iter().for_each(|(instance, amount)| beliefs.room.release(instance, *amount));
+        self.stages.iter().for_each(|(instance, amount)| beliefs.room.release(instance, *amount));
         self.first.iter().for_each(|instance| beliefs.places.release(instance, 1.0));
     }
 }
--- a/crates/relay/src/plain.rs
+++ b/crates/relay/src/plain.rs
@@ -1,7 +1,9 @@
-//! Requests to plain services.
+//! Requests to plain services, as opposed to models: one replica receives the request and sends the
+//! complete response.
 //!
-//! Each goes to the replica with the least expected wait. What the relay knows of a replica decays
-//! within seconds, so one that did badly is tried again by itself.
+//! Each request goes to the replica with the shortest expected wait. What the relay has observed of
+//! a replica loses its weight within seconds, so a replica that failed is tried again without
+//! further action.
 
 use std::{collections::HashMap, rc::Rc, time::Duration};
 
@@ -38,78 +40,86 @@
     state::Relay,
 };
 
-/// Largest answer of a plain service that is read before it is passed on, in bytes.
-const MOST_ANSWER: usize = 16 << 20;
+/// Maximum size of a response, in bytes. It is read completely before it is forwarded.
+const MAX_RESPONSE: usize = 16 << 20;
 
-/// Weight of the newest observation.
-const NEWEST: f64 = 0.2;
+/// Weight of the newest observation in the moving averages.
+const NEWEST_WEIGHT: f64 = 0.2;
 
-/// Time in which what is known of a replica loses half its weight, in milliseconds: long enough to
-/// keep away from a failing replica, short enough to notice that it is well again.
+/// Time in which an observation of a replica loses half of its weight, in milliseconds: long enough
+/// to avoid a failing replica, short enough to notice that it has recovered.
 const HALF_LIFE: f64 = 4_000.0;
 
-/// Cost of a failure against one more request at the replica.
+/// What a failure rate of 1 adds to the cost of an idle replica without failures, which is 1.
 const FAILURE_COST: f64 = 6.0;
 
-/// Sends of one request that reached no replica: the list may be a few entries behind.
-const MOST_UNSENT: u32 = 4;
+/// Maximum number of attempts of one request that reach no replica; a few entries of the replica
+/// list may be outdated.
+const MAX_UNSENT: u32 = 4;
 
+/// What a relay has observed of one replica of a plain service.
 #[derive(Clone, Debug, Default)]
 struct ServiceLoad {
+    /// Requests that this relay has in flight there.
     in_flight: u32,
-    failures: f64,
+    /// Moving average of failures, from 0 to 1.
+    failure_rate: f64,
+    /// Moving average of the duration of attempts, as a multiple of the latency objective.
     slowness: f64,
-    seen: Millis,
-    told: Option<ReplicaLoad>,
+    /// Time of the last update of both averages.
+    updated: Millis,
+    /// Load that the replica reported last.
+    reported: Option<ReplicaLoad>,
 }
 
 impl ServiceLoad {
     fn decay(&mut self, now: Millis) {
-        let age = now.saturating_sub(self.seen) as f64;
-        let left = 0.5_f64.powf(age / HALF_LIFE);
-        self.failures *= left;
-        self.slowness *= left;
-        self.seen = now;
+        let age = now.saturating_sub(self.updated) as f64;
+        let weight = 0.5_f64.powf(age / HALF_LIFE);
+        self.failure_rate *= weight;
+        self.slowness *= weight;
+        self.updated = now;
     }
 
-    /// Expected wait, relative to that of an idle, well replica.
+    /// Returns the expected wait, relative to that of an idle replica without failures.
     fn cost(&self, replica: &ReplicaEntry, now: Millis) -> f64 {
-        let age = now.saturating_sub(self.seen) as f64;
-        let left = 0.5_f64.powf(age / HALF_LIFE);
+        let age = now.saturating_sub(self.updated) as f64;
+        let weight = 0.5_f64.powf(age / HALF_LIFE);
         let slots = f64::from(replica.slots.max(1));
-        let told = self.told.map_or(0.0, |load| f64::from(load.running + load.waiting)) * left;
-        let busy = f64::from(self.in_flight).max(told) / slots;
-        (1.0 + busy * busy) * (1.0 + (self.slowness + self.failures * FAILURE_COST) * left)
+        let reported =
+            self.reported.map_or(0.0, |load| f64::from(load.running + load.waiting)) * weight;
+        let busy = f64::from(self.in_flight).max(reported) / slots;
+        (1.0 + busy * busy) * (1.0 + (self.slowness + self.failure_rate * FAILURE_COST) * weight)
     }
 }
 
-/// What a relay knows of the replicas of plain services.
+/// What a relay has observed of the replicas of plain services.
 #[derive(Clone, Debug, Default)]
 pub struct ServiceLoads {
     loads: HashMap<ReplicaInstance, ServiceLoad>,
 }
 
 impl ServiceLoads {
-    /// Drops a replica.
+    /// Drops what was observed of a replica.
     pub fn forget(&mut self, instance: &ReplicaInstance) {
         self.loads.remove(instance);
     }
 
-    /// Notes the end of an attempt: whether the replica failed, and how long it took against what was
-    /// wanted.
-    fn note_end(
+    /// Records the end of an attempt. `slowness` is its duration divided by the latency objective;
+    /// `reported` is the load that the replica reported with its response.
+    fn record_end(
         &mut self,
         instance: &ReplicaInstance,
         failed: bool,
         slowness: f64,
-        told: Option<ReplicaLoad>,
+        reported: Option<ReplicaLoad>,
     ) {
         let now = now_millis();
         let load = self.loads.entry(instance.clone()).or_default();
         load.decay(now);
-        load.failures += (f64::from(u8::from(failed)) - load.failures) * NEWEST;
-        load.slowness += (slowness - load.slowness) * NEWEST;
-        load.told = told.or(load.told);
+        load.failure_rate += (f64::from(u8::from(failed)) - load.failure_rate) * NEWEST_WEIGHT;
+        load.slowness += (slowness - load.slowness) * NEWEST_WEIGHT;
+        load.reported = reported.or(load.reported);
     }
 
     fn cost(&self, replica: &ReplicaEntry, now: Millis) -> f64 {
@@ -117,7 +127,7 @@
     }
 }
 
-/// A request in flight at a replica; dropping it ends it.
+/// Counts a request as in flight at a replica until dropped.
 struct LoadGuard {
     relay: Rc<Relay>,
     instance: ReplicaInstance,
@@ -139,10 +149,11 @@
     }
 }
 
-/// Cost of leaving the data centre: less than one more request at a replica.
+/// Cost of a replica in another data centre: less than that of one more request at a replica.
 const REMOTE_COST: f64 = 0.02;
 
-/// The replica with the least expected wait, of those that were not tried.
+/// Returns the replica with the shortest expected wait among those that were not tried; `None` if
+/// none accepts requests.
 pub fn choose_replica(
     relay: &Relay,
     permit: &Permit,
@@ -165,23 +176,23 @@
     replicas.min_by(|left, right| cost(left).total_cmp(&cost(right))).cloned()
 }
 
-/// Part of the latency objective for which a request waits for a replica that wants none at the moment, in hundredths:
-/// the rest is enough for its answer.
-const WAIT_HUNDREDTHS: Millis = 60;
+/// Percentage of the latency objective for which a request waits for replicas that accept none at
+/// the moment; the rest is enough for the response.
+const WAIT_PERCENT: Millis = 60;
 
-/// Time between two looks at whether a replica takes requests again.
-const LOOK_EVERY: Duration = Duration::from_millis(25);
+/// Interval between two checks whether a replica accepts requests again.
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Chooses a replica; where all want no requests at the moment, and the first of them takes some again soon enough for
-/// this one, waits for it.
+/// Chooses a replica. If none accepts requests at the moment but one will in time for this request,
+/// waits for it.
 async fn wait_for_replica(
     relay: &Rc<Relay>,
     request: &CallerRequest,
     permit: &Permit,
     tried: &[ReplicaInstance],
 ) -> Option<ReplicaEntry> {
-    let patience = permit.route.objective * WAIT_HUNDREDTHS / 100;
-    let end = request.arrived + patience.min(request.deadline - request.arrived);
+    let max_wait = permit.route.objective * WAIT_PERCENT / 100;
+    let wait_until = request.arrived_at + max_wait.min(request.deadline - request.arrived_at);
     let untried = |replica: &ReplicaEntry| !tried.contains(&replica.instance);
     let Permit { service, priority, .. } = permit;
     let mut grant_wait = None;
@@ -192,38 +203,42 @@
             }
             return Some(replica);
         }
-        let left = soonest_end(&relay.beliefs.borrow(), service, *priority, untried)?;
-        if now_millis() + left > end {
+        let remaining = soonest_end(&relay.beliefs.borrow(), service, *priority, untried)?;
+        if now_millis() + remaining > wait_until {
             return None;
         }
-        let need = GrantWaiter { rank: *priority, deadline: end };
-        grant_wait = grant_wait.or_else(|| GrantWait::begin(relay, service, need, untried));
-        sleep(LOOK_EVERY.min(Duration::from_millis(left))).await;
+        let waiter = GrantWaiter { rank: *priority, deadline: wait_until };
+        grant_wait = grant_wait.or_else(|| GrantWait::begin(relay, service, waiter, untried));
+        sleep(POLL_INTERVAL.min(Duration::from_millis(remaining))).await;
     }
 }
 
-/// A whole answer of a replica.
-struct WholeReply {
+/// A complete response of a replica.
+struct BufferedResponse {
     head: Response<()>,
     body: Bytes,
 }
 
-/// How an attempt ended, with the answer where there is one.
-struct AttemptReport {
+/// How an attempt ended, with the response if there is one.
+struct AttemptOutcome {
     end: AttemptEnd,
-    reply: Option<WholeReply>,
+    response: Option<BufferedResponse>,
     detail: String,
-    /// Whether it was not sent since the replica wants no requests at the moment.
-    is_held_back: bool,
+    /// Whether it was not sent because the replica accepts no requests at the moment.
+    is_throttled: bool,
 }
 
-impl AttemptReport {
-    fn without_reply(end: AttemptEnd, detail: String) -> Self {
-        Self { end, reply: None, detail, is_held_back: false }
+impl AttemptOutcome {
+    fn without_response(end: AttemptEnd, detail: String) -> Self {
+        Self { end, response: None, detail, is_throttled: false }
     }
 }
 
-/// Runs a request at replicas of a plain service, until there is an answer for the caller.
+/// Sends a request to replicas of a plain service until there is a response for the caller.
+///
+/// # Errors
+///
+/// Returns the refusal that the caller receives if no replica gave a response.
 pub async fn run_plain(
     relay: &Rc<Relay>,
     request: &CallerRequest,
@@ -243,43 +258,43 @@
         if let Err(refusal) = check_quarantine(relay, request) {
             return Err(if may_have_run { Refusal::OutcomeUnknown } else { refusal });
         }
-        let report = attempt(relay, request, &permit, &replica).await;
+        let outcome = attempt(relay, request, &permit, &replica).await;
         tried.push(replica.instance.clone());
-        match report.end {
+        match outcome.end {
             AttemptEnd::NotSent => unsent += 1,
             _ => sends += 1,
         }
-        may_have_run |= matches!(report.end, AttemptEnd::Answered(_) | AttemptEnd::Broken);
+        may_have_run |= matches!(outcome.end, AttemptEnd::Answered(_) | AttemptEnd::Broken);
         let now = now_millis();
         let repeatable = permit.route.is_repeatable();
-        let time_left = request.time_remaining(now) > MIN_TIME_LEFT;
-        let within = sends < permit.route.max_attempts.max(1) && unsent < MOST_UNSENT;
-        let others = choose_replica(relay, &permit, &tried).is_some();
-        let paid = |sends| sends == 0 || relay.spend_repeat(&permit.service, now);
+        let has_time = request.time_remaining(now) > MIN_RETRY_TIME;
+        let has_attempts = sends < permit.route.max_attempts.max(1) && unsent < MAX_UNSENT;
+        let has_others = choose_replica(relay, &permit, &tried).is_some();
+        let take_retry = |sends| sends == 0 || relay.spend_repeat(&permit.service, now);
         let state = AttemptState {
             repeatable,
-            may_have_run: may_have_run && !matches!(report.end, AttemptEnd::Answered(_)),
-            can_repeat: within
-                && time_left
-                && others
-                && needs_repeat(&report, repeatable)
-                && paid(sends),
+            may_have_run: may_have_run && !matches!(outcome.end, AttemptEnd::Answered(_)),
+            can_repeat: has_attempts
+                && has_time
+                && has_others
+                && needs_retry(&outcome, repeatable)
+                && take_retry(sends),
         };
-        let next = decide_next(state, report.end);
+        let next = decide_next(state, outcome.end);
         request.log_attempt(
             relay,
             Some(&replica.instance),
             &permit,
-            report.end,
+            outcome.end,
             next,
-            &report.detail,
+            &outcome.detail,
         );
-        match (next, report.reply) {
-            (NextStep::PassOn, Some(reply)) => {
-                let took = now - request.arrived;
+        match (next, outcome.response) {
+            (NextStep::PassOn, Some(response)) => {
+                let took = now - request.arrived_at;
                 relay.metrics.note_head(&permit, took);
                 relay.metrics.note_end(&permit, took, None);
-                return Ok(pass_on(reply));
+                return Ok(forward(response));
             }
             (NextStep::TryElsewhere, _) => {
                 if sends > 0 {
@@ -300,12 +315,13 @@
     refusal_without_replica(relay, &permit.service, permit.priority, |_| true, otherwise)
 }
 
-/// Time below which a second attempt is not worth its price, in milliseconds.
-const MIN_TIME_LEFT: Millis = 50;
+/// Time until the deadline below which a retry is not worth its cost, in milliseconds.
+const MIN_RETRY_TIME: Millis = 50;
 
-/// Whether the end of an attempt asks for another one at all, so that the budget is spent only then.
-fn needs_repeat(report: &AttemptReport, repeatable: bool) -> bool {
-    match report.end {
+/// Returns whether the outcome calls for a retry at all. Checked before the retry budget is
+/// charged.
+fn needs_retry(outcome: &AttemptOutcome, repeatable: bool) -> bool {
+    match outcome.end {
         AttemptEnd::NotSent | AttemptEnd::Rejected => true,
         AttemptEnd::Broken => repeatable,
         AttemptEnd::Answered(status) => repeatable && status >= 500,
@@ -317,72 +333,78 @@
     request: &CallerRequest,
     permit: &Permit,
     replica: &ReplicaEntry,
-) -> AttemptReport {
-    let begun = now_millis();
+) -> AttemptOutcome {
+    let started = now_millis();
     request.log_dispatch(relay, permit, &replica.instance, None, None);
     let _in_flight = LoadGuard::new(relay, &replica.instance);
     let mut run = RunTracker::at_replica(&replica.instance);
-    let target = ReplicaTarget { replica, path: None, last_event: None };
-    let patience = attempt_patience(request, permit, begun);
-    // A request that must not run twice gets a connection of its own: nothing that an earlier answer
-    // left on it can be taken for this one's.
-    let fresh = !permit.route.is_repeatable();
-    let call = exchange(relay, request, permit, &target, fresh);
-    let outcome = timeout(Duration::from_millis(patience), call).await;
-    let report = outcome.unwrap_or_else(|_| {
-        let detail = format!("no answer in {patience} ms");
-        AttemptReport::without_reply(AttemptEnd::Broken, detail)
+    let target = ReplicaTarget { replica, path: None, last_event_id: None };
+    let timeout_ms = attempt_timeout(request, permit, started);
+    // A request that must not run twice gets a new connection: no bytes left over from an earlier
+    // response can be taken for its own.
+    let new_connection = !permit.route.is_repeatable();
+    let call = exchange(relay, request, permit, &target, new_connection);
+    let outcome = timeout(Duration::from_millis(timeout_ms), call).await;
+    let outcome = outcome.unwrap_or_else(|_| {
+        let detail = format!("no response within {timeout_ms} ms");
+        AttemptOutcome::without_response(AttemptEnd::Broken, detail)
     });
-    match report.end {
+    match outcome.end {
         AttemptEnd::Broken => {
-            run.record_loss(relay, request, &report.detail);
-            look_whether_there(relay, replica).await;
+            run.record_loss(relay, request, &outcome.detail);
+            check_reachable(relay, replica).await;
         }
         AttemptEnd::Answered(_) => note_result(relay, request),
         AttemptEnd::NotSent | AttemptEnd::Rejected => {}
     }
-    if report.is_held_back {
-        return report;
+    if outcome.is_throttled {
+        return outcome;
     }
-    let took = now_millis() - begun;
-    let failed = !matches!(report.end, AttemptEnd::Answered(status) if status < 500);
-    let wanted = permit.route.objective.max(1) as f64;
-    let slowness = (took as f64 / wanted).min(SLOWEST);
-    let told =
-        report.reply.as_ref().and_then(|reply| read_response_headers(reply.head.headers()).load);
-    relay.beliefs.borrow_mut().loads.note_end(&replica.instance, failed, slowness, told);
-    if matches!(report.end, AttemptEnd::NotSent) {
-        relay.suspect(&replica.instance, &report.detail);
+    let took = now_millis() - started;
+    let failed = !matches!(outcome.end, AttemptEnd::Answered(status) if status < 500);
+    let objective = permit.route.objective.max(1) as f64;
+    let slowness = (took as f64 / objective).min(MAX_SLOWNESS);
+    let reported = outcome
+        .response
+        .as_ref()
+        .and_then(|response| read_response_headers(response.head.headers()).load);
+    relay.beliefs.borrow_mut().loads.record_end(&replica.instance, failed, slowness, reported);
+    if matches!(outcome.end, AttemptEnd::NotSent) {
+        relay.suspect(&replica.instance, &outcome.detail);
     }
-    report
+    outcome
 }
 
-/// Time for which a broken request waits to hear whether its replica is still there: thirty times what a link takes.
-const LOOK_TIME: Duration = Duration::from_millis(20);
+/// Time for which a request whose attempt broke off waits for [`check_reachable`]: thirty times
+/// what opening a connection takes.
+const REACHABILITY_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// Looks whether a replica that broke a request off is still there, before the request is sent on: without that, a request
-/// that ends replicas is sent to a fourth one before the end of the third is known.
-async fn look_whether_there(relay: &Rc<Relay>, replica: &ReplicaEntry) {
+/// Checks whether a replica that broke off a request still accepts connections, before the request
+/// is sent to another replica. Without this check, a request that crashes replicas is sent to a
+/// fourth one before the crash of the third is known.
+async fn check_reachable(relay: &Rc<Relay>, replica: &ReplicaEntry) {
     let (relay, instance, address) = (relay.clone(), replica.instance.clone(), replica.address);
-    let look = spawn_local(async move {
+    let check = spawn_local(async move {
         if let Err(error) = relay.pool.open_idle(address).await {
             relay.suspect(&instance, &error.to_string());
         }
     });
-    // Where it takes longer, it goes on by itself.
-    let _in_time = timeout(LOOK_TIME, look).await;
+    // A check that takes longer goes on in the background.
+    let _in_time = timeout(REACHABILITY_TIMEOUT, check).await;
 }
 
-/// Bound on how slow one attempt counts, against the objective.
-const SLOWEST: f64 = 4.0;
+/// Largest slowness that one attempt counts with, as a multiple of the latency objective.
+const MAX_SLOWNESS: f64 = 4.0;
 
-/// How long to wait for one attempt. A request that may run again leaves a replica that has not
-/// answered within the objective while another try can still be in time for the caller.
-fn attempt_patience(request: &CallerRequest, permit: &Permit, now: Millis) -> Millis {
-    let left = request.time_remaining(now);
+/// Returns the time-out of one attempt, in milliseconds. The first attempt of a request that may
+/// run again ends at the latency objective, while a second one can still be in time for the caller.
+fn attempt_timeout(request: &CallerRequest, permit: &Permit, now: Millis) -> Millis {
+    let remaining = request.time_remaining(now);
     match permit.route.is_repeatable() && permit.route.max_attempts > 1 {
-        true if request.attempt_count.get() == 0 => permit.route.objective.clamp(1, left.max(1)),
-        _ => left,
+        true if request.attempt_count.get() == 0 => {
+            permit.route.objective.clamp(1, remaining.max(1))
+        }
+        _ => remaining,
     }
 }
 
@@ -391,96 +413,103 @@
     request: &CallerRequest,
     permit: &Permit,
     target: &ReplicaTarget<'_>,
-    fresh: bool,
-) -> AttemptReport {
-    let outgoing = request.to_replica(permit, target);
+    new_connection: bool,
+) -> AttemptOutcome {
+    let outgoing = request.build_replica_request(permit, target);
     request.attempt_count.set(request.attempt_count.get() + 1);
     let gate = SendGate::new(relay, &target.replica.instance, permit.priority);
-    let begun = now_millis();
-    let sent = relay.pool.send(target.replica.address, outgoing, fresh, || gate.pass()).await;
+    let sent_at = now_millis();
+    let sent =
+        relay.pool.send(target.replica.address, outgoing, new_connection, || gate.pass()).await;
     if sent.as_ref().is_err_and(SendError::is_unsent) {
         gate.note_unsent();
     }
-    let (response, link) = match sent {
+    let (response, connection) = match sent {
         Ok(sent) => sent,
         Err(SendError::NotSent { detail }) => {
-            return AttemptReport::without_reply(AttemptEnd::NotSent, detail);
+            return AttemptOutcome::without_response(AttemptEnd::NotSent, detail);
         }
         Err(error @ SendError::Throttled { .. }) => {
-            let unsent = AttemptReport::without_reply(AttemptEnd::NotSent, error.to_string());
-            return AttemptReport { is_held_back: true, ..unsent };
+            let unsent = AttemptOutcome::without_response(AttemptEnd::NotSent, error.to_string());
+            return AttemptOutcome { is_throttled: true, ..unsent };
         }
         Err(SendError::NoResponse { detail }) => {
-            return AttemptReport::without_reply(AttemptEnd::Broken, detail);
+            return AttemptOutcome::without_response(AttemptEnd::Broken, detail);
         }
     };
     let (parts, body) = response.into_parts();
-    let marks = read_response_headers(&parts.headers);
-    let answer = request.received_response(&marks, parts.status, begun);
-    hear_notices(relay, &target.replica.instance, answer);
-    if let Some(end) = end_from_headers(request, &marks, parts.status) {
-        drain_rejection(relay, link, body, &marks).await;
-        return AttemptReport::without_reply(end, format!("status {}", parts.status));
+    let headers = read_response_headers(&parts.headers);
+    let received = request.received_response(&headers, parts.status, sent_at);
+    hear_notices(relay, &target.replica.instance, received);
+    if let Some(end) = end_from_headers(request, &headers, parts.status) {
+        drain_rejection(relay, connection, body, &headers).await;
+        return AttemptOutcome::without_response(end, format!("status {}", parts.status));
     }
-    match Limited::new(body, MOST_ANSWER).collect().await {
-        Ok(whole) => {
-            if !marks.closes_connection {
-                link.return_to(&relay.pool, marks.keep_alive);
+    match Limited::new(body, MAX_RESPONSE).collect().await {
+        Ok(body) => {
+            if !headers.closes_connection {
+                connection.return_to(&relay.pool, headers.keep_alive);
             }
             let end = AttemptEnd::Answered(parts.status.as_u16());
-            let reply =
-                WholeReply { head: Response::from_parts(parts, ()), body: whole.to_bytes() };
-            AttemptReport { reply: Some(reply), ..AttemptReport::without_reply(end, String::new()) }
+            let response =
+                BufferedResponse { head: Response::from_parts(parts, ()), body: body.to_bytes() };
+            AttemptOutcome {
+                response: Some(response),
+                ..AttemptOutcome::without_response(end, String::new())
+            }
         }
         Err(error) => {
-            let detail = format!("answer broke off: {error}");
-            AttemptReport::without_reply(AttemptEnd::Broken, detail)
+            let detail = format!("response body incomplete: {error}");
+            AttemptOutcome::without_response(AttemptEnd::Broken, detail)
         }
     }
 }
 
-/// End of an attempt that its head alone decides: an answer to another request, or a rejection.
+/// Returns how an attempt ended if the head of the response alone decides it: the response belongs
+/// to another request, carries no signature, or is a rejection. Returns `None` if the body has to
+/// be read.
 pub fn end_from_headers(
     request: &CallerRequest,
-    marks: &ResponseHeaders,
+    headers: &ResponseHeaders,
     status: StatusCode,
 ) -> Option<AttemptEnd> {
-    if !request.matches_response(marks) {
+    if !request.matches_response(headers) {
         return Some(AttemptEnd::Broken);
     }
-    let rejected = marks.not_executed || status == StatusCode::MISDIRECTED_REQUEST;
+    let rejected = headers.not_executed || status == StatusCode::MISDIRECTED_REQUEST;
     if rejected {
         return Some(AttemptEnd::Rejected);
     }
-    // A success without a signature is not the replica's.
-    (status.is_success() && !marks.is_signed).then_some(AttemptEnd::Broken)
+    // A success without a signature was not sent by the replica.
+    (status.is_success() && !headers.is_signed).then_some(AttemptEnd::Broken)
 }
 
-/// Longest time spent on the body of a rejection, so that its connection can be kept.
-const REJECTION_TIME: Duration = Duration::from_millis(20);
+/// Time-out for reading the body of a rejection.
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// Reads a rejection's body to its end, so that the connection can be kept.
+/// Reads the body of a rejection to its end, so that the connection can be reused; closes the
+/// connection if that takes too long.
 pub async fn drain_rejection(
     relay: &Relay,
-    link: ActiveConnection,
+    connection: ActiveConnection,
     body: Incoming,
-    marks: &ResponseHeaders,
+    headers: &ResponseHeaders,
 ) {
-    if marks.closes_connection {
+    if headers.closes_connection {
         return;
     }
-    let read = tokio::select! {
+    let is_drained = tokio::select! {
         read = Limited::new(body, 4_096).collect() => read.is_ok(),
-        () = sleep(REJECTION_TIME) => false,
+        () = sleep(DRAIN_TIMEOUT) => false,
     };
-    if read {
-        link.return_to(&relay.pool, marks.keep_alive);
+    if is_drained {
+        connection.return_to(&relay.pool, headers.keep_alive);
     }
 }
 
-fn pass_on(reply: WholeReply) -> RelayResponse {
-    let (mut parts, ()) = reply.head.into_parts();
+fn forward(response: BufferedResponse) -> RelayResponse {
+    let (mut parts, ()) = response.head.into_parts();
     strip_hop_headers(&mut parts.headers);
     parts.headers.remove(http::header::CONTENT_LENGTH);
-    Response::from_parts(parts, full_body(reply.body))
+    Response::from_parts(parts, full_body(response.body))
 }
--- a/crates/relay/src/pool.rs
+++ b/crates/relay/src/pool.rs
@@ -1,8 +1,9 @@
 //! Connections to replicas.
 //!
-//! One request at a time runs on a connection. The pool tells apart, for each request, whether any
-//! byte of it left: only a request that stayed here may be sent again without thought. A connection
-//! whose request is given up is closed at once, so that the replica stops its work.
+//! A connection runs one request at a time. For each request the pool tells whether any byte of it
+//! was sent, since only a request of which none was sent may be sent again unconditionally. A
+//! connection whose request is abandoned is closed at once, so that the replica stops working on
+//! it.
 
 use std::{cell::RefCell, collections::HashMap, net::SocketAddr, time::Duration};
 
@@ -24,54 +25,57 @@
     time::timeout,
 };
 
-/// Time for a connection to open. Links take under a millisecond; a lost packet is sent again only
-/// after a second, so a later answer is not worth waiting for.
+/// Time for a connection to open. A link takes less than a millisecond, and TCP retransmits a lost
+/// packet only after a second, so waiting longer does not pay off.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Time after which the kernel gives up on bytes that the other side does not acknowledge.
-const UNACKNOWLEDGED_TIME: Duration = Duration::from_secs(3);
+/// Time after which the operating system closes a connection whose peer does not acknowledge sent
+/// bytes.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Time that an idle connection is kept where the replica names none, in milliseconds.
-const DEFAULT_IDLE: Millis = 3_000;
+/// Time for which an idle connection is kept if the replica names none, in milliseconds.
+const DEFAULT_IDLE_TIMEOUT: Millis = 3_000;
 
-/// Part of the time that a replica names during which its idle connection is used, in percent: the
-/// rest covers requests that cross the replica's close.
+/// Percentage of the idle time-out named by the replica during which its connection is reused. The
+/// rest avoids requests that cross the replica's close.
 const IDLE_PERCENT: Millis = 60;
 
-/// Idle connections kept to one replica.
-const MOST_IDLE: usize = 16;
+/// Maximum number of idle connections to one replica.
+const MAX_IDLE: usize = 16;
 
-/// Why a request was not answered.
+/// Why a request got no response.
 #[derive(Clone, Debug, Display, Error)]
 pub enum SendError {
-    /// No byte of it left.
+    /// No byte of the request was sent.
     #[display("not sent: {detail}")]
     NotSent {
-        /// What happened.
+        /// Why it was not sent.
         detail: String,
     },
-    /// No byte of it left, since the replica wants no requests at the moment.
-    #[display("held back for {left} ms")]
+    /// No byte of the request was sent, since the replica accepts no requests of this relay at the
+    /// moment.
+    #[display("replica accepts no requests for {remaining} ms")]
     Throttled {
-        /// Milliseconds for which it wants none.
-        left: Millis,
+        /// Time until it accepts requests again, in milliseconds.
+        remaining: Millis,
     },
-    /// It was sent, at least in part.
-    #[display("no valid answer: {detail}")]
+    /// At least part of the request was sent, and no valid response was received.
+    #[display("no valid response: {detail}")]
     NoResponse {
-        /// What happened.
+        /// What failed.
         detail: String,
     },
 }
 
 impl SendError {
-    /// Whether no byte of the request left.
+    /// Returns whether no byte of the request was sent.
     pub fn is_unsent(&self) -> bool {
         matches!(self, Self::NotSent { .. } | Self::Throttled { .. })
     }
 }
 
-/// A connection in use. Dropping it closes it; [`ActiveConnection::return_to`] keeps it.
+/// A connection that runs a request. Dropping it closes it; [`ActiveConnection::return_to`] keeps
+/// it open.
 #[derive(Debug)]
 pub struct ActiveConnection {
     address: SocketAddr,
@@ -80,12 +84,14 @@
 }
 
 impl ActiveConnection {
-    /// Keeps the connection for another request, once the answer was read to its end.
+    /// Returns the connection to the pool, once the response has been read to its end. `keep_alive`
+    /// is the idle time-out that the replica named, in milliseconds.
     pub fn return_to(mut self, pool: &ConnectionPool, keep_alive: Option<Millis>) {
         let Some(sender) = self.sender.take() else { return };
-        let idle = keep_alive.unwrap_or(DEFAULT_IDLE) * IDLE_PERCENT / 100;
-        let link = IdleConnection { sender, task: self.task.clone(), until: now_millis() + idle };
-        pool.keep(self.address, link);
+        let idle = keep_alive.unwrap_or(DEFAULT_IDLE_TIMEOUT) * IDLE_PERCENT / 100;
+        let connection =
+            IdleConnection { sender, task: self.task.clone(), expiry: now_millis() + idle };
+        pool.keep(self.address, connection);
     }
 }
 
@@ -101,50 +107,53 @@
 struct IdleConnection {
     sender: SendRequest<Full<Bytes>>,
     task: AbortHandle,
-    until: Millis,
+    expiry: Millis,
 }
 
-/// Connections to replicas, by address.
+/// Idle connections to replicas, by address.
 #[derive(Debug, Default)]
 pub struct ConnectionPool {
     idle: RefCell<HashMap<SocketAddr, Vec<IdleConnection>>>,
 }
 
 impl ConnectionPool {
-    /// Sends a request and waits for the head of its answer. `fresh` asks for a new connection: what
-    /// is left over on a kept one cannot be taken for this request's answer. `may_go` is asked before a connection is
-    /// taken, and again before the request is written on one that had to be opened; it gives the time for which not.
+    /// Sends a request and waits for the head of its response.
+    ///
+    /// `new_connection` forbids idle connections: bytes left over on one could be taken for the
+    /// response to this request. `may_send` is called before a connection is chosen, and again
+    /// before the request is written to a connection that had to be opened; it fails with the time
+    /// until the replica accepts requests again.
     ///
     /// # Errors
     ///
-    /// Tells whether anything can have reached the replica.
+    /// Tells whether any byte may have reached the replica.
     pub async fn send(
         &self,
         address: SocketAddr,
         request: Request<Full<Bytes>>,
-        fresh: bool,
-        may_go: impl Fn() -> Result<(), Millis>,
+        new_connection: bool,
+        may_send: impl Fn() -> Result<(), Millis>,
     ) -> Result<(Response<Incoming>, ActiveConnection), SendError> {
-        let held_back = |left| SendError::Throttled { left };
+        let throttled = |remaining| SendError::Throttled { remaining };
         let mut request = request;
-        may_go().map_err(held_back)?;
-        while let Some(link) = self.take(address).filter(|_| !fresh) {
-            match send_on(link, request).await {
-                Ok(answered) => return Ok(answered),
+        may_send().map_err(throttled)?;
+        while let Some(connection) = self.take(address).filter(|_| !new_connection) {
+            match send_on(connection, request).await {
+                Ok(response) => return Ok(response),
                 Err((SendError::NotSent { .. }, Some(unsent))) => request = unsent,
                 Err((error, _)) => return Err(error),
             }
         }
-        let link = connect(address).await?;
-        may_go().map_err(held_back)?;
-        send_on(link, request).await.map_err(|(error, _)| error)
+        let connection = connect(address).await?;
+        may_send().map_err(throttled)?;
+        send_on(connection, request).await.map_err(|(error, _)| error)
     }
 
-    /// Opens a connection to a replica, and keeps it for the next request.
+    /// Opens a connection to a replica and keeps it idle for the next request.
     ///
     /// # Errors
     ///
-    /// Fails where none opens.
+    /// Fails if the connection cannot be opened within [`CONNECT_TIMEOUT`].
     pub async fn open_idle(&self, address: SocketAddr) -> Result<(), SendError> {
         connect(address).await?.return_to(self, None);
         Ok(())
@@ -152,52 +161,52 @@
 
     /// Closes the idle connections to a replica.
     pub fn close_idle(&self, address: SocketAddr) {
-        let links = self.idle.borrow_mut().remove(&address);
-        links.into_iter().flatten().for_each(|link| link.task.abort());
+        let connections = self.idle.borrow_mut().remove(&address);
+        connections.into_iter().flatten().for_each(|connection| connection.task.abort());
     }
 
-    /// Closes connections that were idle for too long.
+    /// Closes connections that were idle for too long, and drops those that the replicas closed.
     pub fn close_expired(&self) {
         let now = now_millis();
-        self.idle.borrow_mut().retain(|_, links| {
-            links.retain(|link| {
-                let keep = link.until > now && !link.sender.is_closed();
+        self.idle.borrow_mut().retain(|_, connections| {
+            connections.retain(|connection| {
+                let keep = connection.expiry > now && !connection.sender.is_closed();
                 if !keep {
-                    link.task.abort();
+                    connection.task.abort();
                 }
                 keep
             });
-            !links.is_empty()
+            !connections.is_empty()
         });
     }
 
-    /// Count of idle connections.
+    /// Returns the number of idle connections.
     pub fn idle_count(&self) -> usize {
         self.idle.borrow().values().map(Vec::len).sum()
     }
 
     fn take(&self, address: SocketAddr) -> Option<ActiveConnection> {
         let mut idle = self.idle.borrow_mut();
-        let links = idle.get_mut(&address)?;
-        while let Some(link) = links.pop() {
-            if link.until > now_millis() && link.sender.is_ready() {
+        let connections = idle.get_mut(&address)?;
+        while let Some(connection) = connections.pop() {
+            if connection.expiry > now_millis() && connection.sender.is_ready() {
                 return Some(ActiveConnection {
                     address,
-                    sender: Some(link.sender),
-                    task: link.task,
+                    sender: Some(connection.sender),
+                    task: connection.task,
                 });
             }
-            link.task.abort();
+            connection.task.abort();
         }
         None
     }
 
-    fn keep(&self, address: SocketAddr, link: IdleConnection) {
+    fn keep(&self, address: SocketAddr, connection: IdleConnection) {
         let mut idle = self.idle.borrow_mut();
-        let links = idle.entry(address).or_default();
-        match links.len() < MOST_IDLE {
-            true => links.push(link),
-            false => link.task.abort(),
+        let connections = idle.entry(address).or_default();
+        match connections.len() < MAX_IDLE {
+            true => connections.push(connection),
+            false => connection.task.abort(),
         }
     }
 }
@@ -207,13 +216,13 @@
     let stream = match timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
         Ok(Ok(stream)) => stream,
         Ok(Err(error)) => return Err(not_sent(error.to_string())),
-        Err(_) => return Err(not_sent("connection did not open in time".to_owned())),
+        Err(_) => return Err(not_sent("connection timed out".to_owned())),
     };
     set_options(&stream).map_err(|error| not_sent(error.to_string()))?;
     let handshake = http1::Builder::new().handshake(TokioIo::new(stream)).await;
     let (sender, connection) = handshake.map_err(|error| not_sent(error.to_string()))?;
     let task = spawn_local(async move {
-        // How the connection ended is told to the request that was on it.
+        // The request on the connection receives the error.
         let _ended = connection.await;
     });
     Ok(ActiveConnection { address, sender: Some(sender), task: task.abort_handle() })
@@ -221,18 +230,18 @@
 
 fn set_options(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
-    SockRef::from(stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIME))
+    SockRef::from(stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))
 }
 
 type Unsent = Option<Request<Full<Bytes>>>;
 
 async fn send_on(
-    mut link: ActiveConnection,
+    mut connection: ActiveConnection,
     request: Request<Full<Bytes>>,
 ) -> Result<(Response<Incoming>, ActiveConnection), (SendError, Unsent)> {
-    let sender = link.sender.as_mut().expect("a busy link has its sender");
+    let sender = connection.sender.as_mut().expect("an active connection has its sender");
     match sender.try_send_request(request).await {
-        Ok(answer) => Ok((answer, link)),
+        Ok(response) => Ok((response, connection)),
         Err(mut failure) => {
             let unsent = failure.take_message();
             let detail = failure.into_error().to_string();
--- a/crates/relay/src/request.rs
+++ b/crates/relay/src/request.rs
@@ -1,4 +1,4 @@
-//! A caller's request, from its first byte to its answer.
+//! Handles a caller's request from its arrival to the response.
 
 use std::{cell::Cell, rc::Rc, time::Duration};
 
@@ -34,97 +34,103 @@
     stream::run_stream,
 };
 
-/// Time that a request is held where neither its route nor its caller bounds it, in milliseconds.
+/// Time-out of a request if neither its route nor its caller sets one, in milliseconds.
 const DEFAULT_TIMEOUT: Millis = 30_000;
 
-/// Largest body where the configuration names no bound, in bytes.
-const DEFAULT_BODY: usize = 4 << 20;
+/// Maximum size of a request body if the configuration sets none, in bytes.
+const DEFAULT_MAX_BODY: usize = 4 << 20;
 
-/// Last rank at an engine.
-const LAST_RANK: u8 = 9;
+/// Least urgent priority at an engine.
+const LOWEST_PRIORITY: u8 = 9;
 
-/// Ranks by which a stream that is taken up again comes later.
-const RESUMED_RANK: u8 = 2;
+/// Added to the priority of a resumed stream, which makes it less urgent.
+const RESUME_PENALTY: u8 = 2;
 
-/// A request of a caller.
+/// A request of a caller, with its complete body.
 #[derive(Debug)]
 pub struct CallerRequest {
     method: Method,
     uri: Uri,
     raw_headers: HeaderMap,
     body: Bytes,
-    /// What it is, whatever its id.
+    /// Identifies identical requests, whatever their attempt ids.
     pub fingerprint: RequestFingerprint,
-    /// What its headers ask for.
+    /// Values read from its headers.
     pub headers: RequestHeaders,
-    /// Host, path and key.
+    /// Host, path and API key, by which it is admitted again before each send.
     pub admission: AdmissionRequest,
-    /// When it arrived.
-    pub arrived: Millis,
-    /// When it must have its answer.
+    /// Time of its arrival.
+    pub arrived_at: Millis,
+    /// Time by which the caller must have the response.
     pub deadline: Millis,
-    /// Attempts so far.
+    /// Number of sends to plain services so far.
     pub attempt_count: Cell<u32>,
 }
 
-/// Where one attempt of a request goes.
+/// Where one attempt of a request is sent.
 #[derive(Clone, Copy, Debug)]
 pub struct ReplicaTarget<'a> {
-    /// Replica that takes it.
+    /// Replica that receives it.
     pub replica: &'a ReplicaEntry,
-    /// Path over several replicas, the first of them this one.
+    /// Path that starts at the replica; `None` for a plain service.
     pub path: Option<&'a [PathStage]>,
-    /// Last event that the caller has.
-    pub last_event: Option<u64>,
+    /// Id of the last event that the caller has, if the stream is resumed.
+    pub last_event_id: Option<u64>,
 }
 
 impl CallerRequest {
-    /// Time that is left, in milliseconds.
+    /// Returns the time until the deadline, in milliseconds; 0 once it has passed.
     pub fn time_remaining(&self, now: Millis) -> Millis {
         self.deadline.saturating_sub(now)
     }
 
-    /// Whether an answer that says this beside its status is one to this request.
-    pub fn matches_response(&self, marks: &ResponseHeaders) -> bool {
-        marks.attempt_id.as_ref().is_none_or(|id| *id == self.headers.attempt_id)
+    /// Returns whether a response with these headers belongs to this request. One without an
+    /// attempt id is taken to.
+    pub fn matches_response(&self, headers: &ResponseHeaders) -> bool {
+        headers.attempt_id.as_ref().is_none_or(|id| *id == self.headers.attempt_id)
     }
 
-    /// An answer to it that was sent for at `sent`.
+    /// Describes a response that was received to the attempt sent at `sent`.
     pub fn received_response<'a>(
         &self,
-        marks: &'a ResponseHeaders,
+        headers: &'a ResponseHeaders,
         status: StatusCode,
         sent: Millis,
     ) -> HeardAnswer<'a> {
-        HeardAnswer { status, marks, sent, is_own: self.matches_response(marks) }
+        HeardAnswer { status, marks: headers, sent, is_own: self.matches_response(headers) }
     }
 
-    /// Tokens that it may hold: those of its prompt, and of its answer as far as they can be told.
-    pub fn tokens(&self, usual: (u32, u32)) -> f64 {
-        let (prompt, most) = self.headers.tokens.unwrap_or((usual.0, usual.1 * 2));
-        let answer = self.headers.length_hint.unwrap_or(usual.1).min(most);
-        f64::from(prompt) + f64::from(answer)
+    /// Estimates the number of tokens that it may hold, those of its prompt and of its completion.
+    /// `mean` has the model's mean numbers of both, for requests that state none.
+    pub fn estimate_tokens(&self, mean: (u32, u32)) -> f64 {
+        let (prompt, max_completion) = self.headers.tokens.unwrap_or((mean.0, mean.1 * 2));
+        let completion = self.headers.length_hint.unwrap_or(mean.1).min(max_completion);
+        f64::from(prompt) + f64::from(completion)
     }
 
-    /// Rank of the request at an engine. A stream that is taken up again is late already, so it lets in
-    /// first those that can still be in time.
+    /// Returns the priority of the request at an engine. A resumed stream is late already, so
+    /// requests that can still be in time go first.
     fn priority(&self, permit: &Permit, target: &ReplicaTarget<'_>) -> u8 {
-        let late = if target.last_event.is_some() { RESUMED_RANK } else { 0 };
-        (permit.priority + late).min(LAST_RANK)
+        let penalty = if target.last_event_id.is_some() { RESUME_PENALTY } else { 0 };
+        (permit.priority + penalty).min(LOWEST_PRIORITY)
     }
 
-    /// Builds the request for a replica.
-    pub fn to_replica(&self, permit: &Permit, target: &ReplicaTarget<'_>) -> Request<Full<Bytes>> {
+    /// Builds the request that is sent to a replica.
+    pub fn build_replica_request(
+        &self,
+        permit: &Permit,
+        target: &ReplicaTarget<'_>,
+    ) -> Request<Full<Bytes>> {
         let mut headers = self.raw_headers.clone();
-        let marks = ForwardHeaders {
+        let forward_headers = ForwardHeaders {
             replica: target.replica.instance.id(),
             time_left: self.time_remaining(now_millis()).max(1),
             organisation: permit.organisation.as_deref(),
             priority: target.path.is_some().then_some(self.priority(permit, target)),
             path: target.path,
-            last_event_id: target.last_event,
+            last_event_id: target.last_event_id,
         };
-        set_forward_headers(&mut headers, &marks);
+        set_forward_headers(&mut headers, &forward_headers);
         headers.remove(header::CONTENT_LENGTH);
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.method.clone();
@@ -133,13 +139,14 @@
         request
     }
 
-    /// Writes the line of a dispatch: where the request goes, by which versions of what is believed.
+    /// Logs a dispatch: where the request is sent, and the versions and ages of the state that the
+    /// choice is based on.
     pub fn log_dispatch(
         &self,
         relay: &Relay,
         permit: &Permit,
         first: &ReplicaInstance,
-        last_event: Option<u64>,
+        last_event_id: Option<u64>,
         path: Option<&[PathStage]>,
     ) {
         let now = now_millis();
@@ -158,16 +165,16 @@
             entry_awaited = beliefs.fleet.is_awaited(first.id()),
             backoff_left = beliefs.backoffs.remaining(first, now),
             limit = beliefs.limits.limit(first.id()),
-            waited_ms = now - self.arrived,
+            waited_ms = now - self.arrived_at,
             objective = permit.route.objective,
             gap = permit.route.max_event_gap,
-            last_event,
+            last_event = last_event_id,
             %first,
             path = path.map(encode_path),
         );
     }
 
-    /// Writes the line of an attempt.
+    /// Logs and counts an attempt whose response is not simply forwarded to the caller.
     pub fn log_attempt(
         &self,
         relay: &Relay,
@@ -177,8 +184,8 @@
         next: NextStep,
         detail: &str,
     ) {
-        let plain = matches!((end, next), (AttemptEnd::Answered(_), NextStep::PassOn));
-        if plain {
+        let is_forwarded = matches!((end, next), (AttemptEnd::Answered(_), NextStep::PassOn));
+        if is_forwarded {
             return;
         }
         relay.metrics.note_attempt(end, next);
@@ -195,42 +202,43 @@
     }
 }
 
-/// Answers a request; the answer always comes.
+/// Handles a request. Every failure becomes a refusal, so there is always a response.
 pub async fn handle(relay: Rc<Relay>, request: Request<Incoming>) -> RelayResponse {
     let in_flight = InFlightGuard::new(&relay);
     count(&relay.counts.requests);
-    let arrived = now_millis();
+    let arrived_at = now_millis();
     let (parts, body) = request.into_parts();
     let headers = read_request_headers(&parts.headers);
     let id = headers.attempt_id.clone();
-    let outcome = serve(&relay, parts, body, headers, arrived, in_flight).await;
-    let mut answer = match outcome {
-        Ok(answer) => {
-            let status = answer.status().as_u16();
+    let outcome = serve(&relay, parts, body, headers, arrived_at, in_flight).await;
+    let mut response = match outcome {
+        Ok(response) => {
+            let status = response.status().as_u16();
             count(&relay.counts.answered);
             relay.metrics.note_outcome(status, "answered");
             tracing::info!(
                 event = "answered",
                 request = id,
                 status,
-                took_ms = now_millis() - arrived
+                took_ms = now_millis() - arrived_at
             );
-            answer
+            response
         }
-        Err(refusal) => refuse(&relay, &id, refusal, arrived),
+        Err(refusal) => refuse(&relay, &id, refusal, arrived_at),
     };
     if relay.stop.is_stopping() || relay.steps_aside(now_millis()) {
         let close = http::HeaderValue::from_static("close");
-        answer.headers_mut().insert(header::CONNECTION, close);
+        response.headers_mut().insert(header::CONNECTION, close);
     }
-    answer
+    response
 }
 
-/// Waits for the first configuration of a relay that has just started, for as long as that is of use.
+/// Waits for the first configuration of a relay that has just started, up to the time that
+/// [`awaits_config`] allows.
 async fn wait_for_config(relay: &Relay) {
-    const LOOK_EVERY: Duration = Duration::from_millis(10);
+    const POLL_INTERVAL: Duration = Duration::from_millis(10);
     while awaits_config(now_millis(), relay.config().is_some()) {
-        sleep(LOOK_EVERY).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -239,25 +247,25 @@
     parts: Parts,
     body: Incoming,
     headers: RequestHeaders,
-    arrived: Millis,
+    arrived_at: Millis,
     in_flight: InFlightGuard,
 ) -> Result<RelayResponse, Refusal> {
-    let admission = asked_for(&parts, &headers);
+    let admission = read_admission(&parts, &headers);
     wait_for_config(relay).await;
     let permit = admit(relay, &admission)?;
-    let most = permit.config.limits.map_or(DEFAULT_BODY, |limits| limits.max_body_bytes);
-    let body = match Limited::new(body, most).collect().await {
+    let max_body = permit.config.limits.map_or(DEFAULT_MAX_BODY, |limits| limits.max_body_bytes);
+    let body = match Limited::new(body, max_body).collect().await {
         Ok(body) => body.to_bytes(),
         Err(error) if error.is::<http_body_util::LengthLimitError>() => {
             return Err(Refusal::BodyTooLarge);
         }
         Err(_) => return Err(Refusal::BodyTruncated),
     };
-    let timeout = match permit.route.timeout {
+    let route_timeout = match permit.route.timeout {
         0 => DEFAULT_TIMEOUT,
         timeout => timeout,
     };
-    let patience = headers.deadline.unwrap_or(timeout).min(timeout);
+    let timeout = headers.deadline.unwrap_or(route_timeout).min(route_timeout);
     let uri = origin_form(&parts.uri);
     let fingerprint = RequestFingerprint::of(&RequestParts {
         method: parts.method.as_str(),
@@ -274,22 +282,22 @@
         fingerprint,
         headers,
         admission,
-        arrived,
-        deadline: arrived + patience,
+        arrived_at,
+        deadline: arrived_at + timeout,
         attempt_count: Cell::new(0),
     };
     check_quarantine(relay, &request)?;
     relay.note_request(&permit.service, now_millis());
-    let has_engine = permit.config.services.get(&permit.service);
-    match has_engine.is_some_and(|service| service.engine.is_some()) {
+    let service = permit.config.services.get(&permit.service);
+    match service.is_some_and(|service| service.engine.is_some()) {
         true if relay.stop.refuses_streams() => Err(Refusal::Stopping),
         true => run_stream(relay, Rc::new(request), permit, in_flight).await,
-        false if relay.stop.would_cut(patience) => Err(Refusal::Stopping),
+        false if relay.stop.would_cut(timeout) => Err(Refusal::Stopping),
         false => run_plain(relay, &request, permit).await,
     }
 }
 
-fn asked_for(parts: &Parts, headers: &RequestHeaders) -> AdmissionRequest {
+fn read_admission(parts: &Parts, headers: &RequestHeaders) -> AdmissionRequest {
     let header = parts.headers.get(header::HOST).and_then(|value| value.to_str().ok());
     let host = parts.uri.host().or(header).unwrap_or_default();
     AdmissionRequest {
@@ -299,14 +307,14 @@
     }
 }
 
-/// Path and query alone, as replicas are asked.
+/// Returns the path and query of a URI, the form in which replicas receive it.
 fn origin_form(uri: &Uri) -> Uri {
     let path = uri.path_and_query().map_or("/", |path| path.as_str());
     path.parse().unwrap_or_else(|_| Uri::from_static("/"))
 }
 
-fn refuse(relay: &Relay, id: &str, refusal: Refusal, arrived: Millis) -> RelayResponse {
-    let held_ms = now_millis() - arrived;
+fn refuse(relay: &Relay, id: &str, refusal: Refusal, arrived_at: Millis) -> RelayResponse {
+    let held_ms = now_millis() - arrived_at;
     let status = refusal.status().as_u16();
     match status {
         503 => count(&relay.counts.refused),
--- a/crates/relay/src/responses.rs
+++ b/crates/relay/src/responses.rs
@@ -1,4 +1,4 @@
-//! Answers that a relay gives itself.
+//! Responses to callers, and refusals that the relay itself responds with.
 
 use std::pin::Pin;
 
@@ -9,71 +9,76 @@
 use hyper::body::Body;
 use switchfold_router::Millis;
 
-/// A body broke off: the caller's connection is closed without its end.
+/// Error of a response body that cannot be completed: the caller's connection is closed before the
+/// end of the body, so that the caller does not take it for complete.
 #[derive(Clone, Copy, Debug, Display, Error)]
-#[display("answer broke off")]
+#[display("response body aborted")]
 pub struct BodyAborted;
 
-/// Body of every answer.
+/// Body of every response.
 pub type RelayBody = Pin<Box<dyn Body<Data = Bytes, Error = BodyAborted>>>;
 
-/// An answer to a caller.
+/// A response to a caller.
 pub type RelayResponse = Response<RelayBody>;
 
-/// Body of whole bytes.
+/// Creates a body of bytes that are all known.
 pub fn full_body(bytes: Bytes) -> RelayBody {
     Box::pin(Full::new(bytes).map_err(|never| match never {}))
 }
 
-/// Why a request got an answer that no replica made.
+/// Why the relay responds to a request itself instead of forwarding a replica's response.
+///
+/// [`Display`](std::fmt::Display) gives the reason that logs and metrics carry.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
 pub enum Refusal {
     /// No configuration is known yet.
     #[display("no-configuration")]
     NoConfiguration,
-    /// The configuration is too old to let keys in or to deny a route.
+    /// The configuration is too old to accept a key or to deny that a route exists.
     #[display("stale-configuration")]
     StaleConfiguration,
-    /// No route has this host and path.
+    /// No route matches the host and path.
     #[display("no-route")]
     NoRoute,
-    /// No organisation holds the key.
+    /// The key belongs to no organisation.
     #[display("unknown-key")]
     UnknownKey,
     /// The body is larger than allowed.
     #[display("body-too-large")]
     BodyTooLarge,
-    /// The body did not arrive whole.
+    /// The body did not arrive completely.
     #[display("body-broken")]
     BodyTruncated,
-    /// The relay stops too soon for it to end here.
+    /// The relay shuts down before the request could complete here.
     #[display("stopping")]
     Stopping,
-    /// No replica can run it now.
+    /// No replica can run the request now.
     #[display("no-replica")]
     NoReplica,
-    /// It did not run, and its attempts are used up.
+    /// The request did not run, and no attempt is left.
     #[display("not-run")]
     NotRun,
-    /// It may have run, and there is no answer.
+    /// The request may have run, and there is no response.
     #[display("outcome-unknown")]
     OutcomeUnknown,
-    /// Its time is up, and it may have run.
+    /// The deadline has passed, and the request may have run.
     #[display("timed-out")]
     TimedOut,
-    /// Its time is up, and it did not run.
+    /// The deadline has passed, and the request did not run.
     #[display("timed-out-unsent")]
     TimedOutUnsent,
-    /// All replicas that could begin it want no requests of this relay for so many milliseconds more.
+    /// Every replica that could start the request has asked for a back-off or has no rate limit
+    /// left for this many milliseconds.
     #[display("held-back")]
     Throttled(Millis),
-    /// The same request ended the replicas that ran it: for so many milliseconds more it is sent nowhere.
+    /// The request crashed the replicas that ran it, and is sent to none for this many
+    /// milliseconds.
     #[display("quarantined")]
     Quarantined(Millis),
 }
 
 impl Refusal {
-    /// Status that the caller gets.
+    /// Returns the HTTP status of the response. 503 promises that the request did not run.
     pub fn status(self) -> StatusCode {
         match self {
             Self::NoConfiguration
@@ -93,20 +98,22 @@
         }
     }
 
-    /// Time after which a refused caller should come back: at once where another relay serves it; after
-    /// the usual time to close a gap in the layers; and not at once into the same outage of the store.
+    /// Returns the time after which a refused caller should retry, in milliseconds: at once if
+    /// another relay can serve it, after the usual time to fill a gap in the layers if no replica
+    /// can, and later during an outage of the store, so that callers do not retry into the same
+    /// outage.
     pub fn retry_after(self) -> Millis {
         match self {
             Self::Stopping => 10,
             Self::NoReplica | Self::NotRun => 1_400,
             Self::StaleConfiguration => 1_500,
-            // Sooner, it would be refused again.
-            Self::Throttled(left) | Self::Quarantined(left) => left,
+            // An earlier retry would be refused again.
+            Self::Throttled(remaining) | Self::Quarantined(remaining) => remaining,
             _ => 700,
         }
     }
 
-    /// What the answer says beside its status.
+    /// Returns the body of the response; empty unless the status alone would mislead the caller.
     fn explanation(self) -> &'static [u8] {
         match self {
             Self::Quarantined(_) => {
@@ -116,16 +123,17 @@
         }
     }
 
-    /// Builds the answer; one that promises that nothing ran tells when to come back.
+    /// Builds the response. One that promises that the request did not run has a `Retry-After`
+    /// header.
     pub fn response(self) -> RelayResponse {
-        let mut answer = Response::new(full_body(Bytes::from_static(self.explanation())));
-        *answer.status_mut() = self.status();
-        let promised = self.status() == StatusCode::SERVICE_UNAVAILABLE;
-        if promised {
+        let mut response = Response::new(full_body(Bytes::from_static(self.explanation())));
+        *response.status_mut() = self.status();
+        let did_not_run = self.status() == StatusCode::SERVICE_UNAVAILABLE;
+        if did_not_run {
             let seconds = format!("{:.3}", self.retry_after() as f64 / 1_000.0);
             let value = HeaderValue::from_str(&seconds).expect("numbers are valid header values");
-            answer.headers_mut().insert(header::RETRY_AFTER, value);
+            response.headers_mut().insert(header::RETRY_AFTER, value);
         }
-        answer
+        response
     }
 }
--- a/crates/relay/src/run_tracker.rs
+++ b/crates/relay/src/run_tracker.rs
@@ -1,8 +1,9 @@
-//! Runs of requests at replicas, and what is left of one that ended without a result.
+//! Tracks the run of each request at the replicas of its path, for quarantine.
 //!
-//! A crash ends all that ran on a replica, and says nothing of what ended it. So each run that is lost is written
-//! down with what tells them apart: which request it was, how long it had run, and what had come of it. Whether it says
-//! anything of its request decides the router's quarantine.
+//! A crash ends every request that runs on a replica and does not tell which of them caused it. So
+//! each run that is lost is recorded with what tells the requests apart: the request's fingerprint,
+//! how long it had run and whether it had produced events. The router's quarantine decides whether
+//! that is evidence against the request.
 
 use std::{mem::replace, rc::Rc};
 
@@ -21,50 +22,52 @@
     state::Relay,
 };
 
-/// A run of a request at the replicas of its path.
+/// One run of a request, from its send until it completes or is lost.
 #[derive(Clone, Debug)]
 pub struct RunTracker {
     instances: Vec<ReplicaInstance>,
-    sent: Millis,
+    sent_at: Millis,
     progress: RunProgress,
     is_lost: bool,
-    is_proven: bool,
+    has_survived: bool,
 }
 
 impl RunTracker {
-    /// Watches a run that is sent now to one replica, and whose answer comes as a whole.
+    /// Tracks a run that is sent now to one replica and whose response arrives as a whole.
     pub fn at_replica(instance: &ReplicaInstance) -> Self {
         Self::new(vec![instance.clone()], RunProgress::Unary)
     }
 
-    /// Watches a stream that is sent now over a path.
+    /// Tracks a stream that is sent now over a path.
     pub fn over_path(path: &[PathStage]) -> Self {
-        let instances = path.iter().map(|part| part.instance.clone()).collect();
+        let instances = path.iter().map(|stage| stage.instance.clone()).collect();
         Self::new(instances, RunProgress::Stream { begun: None, events: 0 })
     }
 
     fn new(instances: Vec<ReplicaInstance>, progress: RunProgress) -> Self {
-        Self { instances, sent: now_millis(), progress, is_lost: false, is_proven: false }
+        Self { instances, sent_at: now_millis(), progress, is_lost: false, has_survived: false }
     }
 
-    /// Notes that the first replica began to run it.
+    /// Records that the first replica has started to run the stream.
     pub fn record_start(&mut self) {
         if let RunProgress::Stream { begun, .. } = &mut self.progress {
             *begun = begun.or(Some(now_millis()));
         }
     }
 
-    /// Notes that something came of it.
+    /// Records that the stream produced events. Once it has run for [`SURVIVAL_TIME`], the request
+    /// counts as one that had a result.
     pub fn record_event(&mut self, relay: &Rc<Relay>, request: &CallerRequest) {
         let RunProgress::Stream { begun, events } = &mut self.progress else { return };
         *events += 1;
         let ran_for = begun.map_or(0, |begun| now_millis().saturating_sub(begun));
-        if ran_for >= SURVIVAL_TIME && !replace(&mut self.is_proven, true) {
+        if ran_for >= SURVIVAL_TIME && !replace(&mut self.has_survived, true) {
             note_result(relay, request);
         }
     }
 
-    /// Notes that the run ended without a result, or that a replica of it is lost; once for each run.
+    /// Records that the run ended without a result, or that one of its replicas is lost. Only the
+    /// first call for a run has an effect.
     pub fn record_loss(&mut self, relay: &Rc<Relay>, request: &CallerRequest, why: &str) {
         if replace(&mut self.is_lost, true) {
             return;
@@ -81,13 +84,14 @@
             fingerprint = %request.fingerprint,
             first = self.instances.first().map(ReplicaInstance::to_string),
             parts = self.instances.len(),
-            sent_ms = now - self.sent,
+            sent_ms = now - self.sent_at,
             ran_ms = begun.map(|begun| now - begun),
             events,
             sign = ?self.progress.evidence(now),
             why,
         );
-        let run = LostRun { instances: &self.instances, sent: self.sent, progress: self.progress };
+        let run =
+            LostRun { instances: &self.instances, sent: self.sent_at, progress: self.progress };
         let change = {
             let mut beliefs = relay.beliefs.borrow_mut();
             beliefs.quarantine.record_lost(request.fingerprint, &run, now)
--- a/crates/relay/src/shutdown.rs
+++ b/crates/relay/src/shutdown.rs
@@ -1,9 +1,9 @@
-//! A planned stop.
+//! Graceful shutdown.
 //!
-//! From SIGTERM on, readiness is off and each answer closes its connection; requests are served as
-//! before. Once the balancer has seen the readiness, idle connections are closed and no new stream is
-//! begun, since it could not end in time. The process ends when the last request is answered, or just
-//! before it would be killed.
+//! From SIGTERM on, the relay is not ready and each response closes its connection; requests are
+//! served as before. Once the load balancer has noticed that the relay is not ready, idle
+//! connections are closed and no stream is started any more, because it could not end in time. The
+//! process exits when the last request has been answered, or just before it would be killed.
 
 use std::cell::Cell;
 
@@ -12,67 +12,67 @@
 
 use tokio::sync::Notify;
 
-/// Time after SIGTERM at which idle connections are closed, in milliseconds: the balancer asks for
-/// readiness once a second and takes a VM out after two misses.
+/// Time from SIGTERM until idle connections are closed, in milliseconds. The load balancer checks
+/// readiness once a second and removes a VM after two failed checks.
 pub const IDLE_CLOSE_DELAY: Millis = 2_500;
 
-/// Time after SIGTERM up to which streams are begun, in milliseconds: callers are told to go elsewhere
-/// at once after it, rather than to lose their stream midway.
-const LAST_STREAM: Millis = 2_800;
+/// Time from SIGTERM in which streams are still started, in milliseconds. After it callers are sent
+/// to another relay at once, rather than losing their stream midway.
+const STREAM_START_WINDOW: Millis = 2_800;
 
-/// Time by which a stopping relay ends before it would be killed, in milliseconds.
-const STOP_MARGIN: Millis = 900;
+/// Time before the process would be killed at which the shutdown ends, in milliseconds.
+const KILL_MARGIN: Millis = 900;
 
-/// Time that a request is given at most before the end of a stop, in milliseconds: one that may need
-/// longer is told to go elsewhere. Plain services answer in a tenth of it.
-const LONGEST_WORK: Millis = 1_500;
+/// Maximum time that a request is given before the end of the shutdown, in milliseconds. A request
+/// that may need longer is refused. Plain services respond in a tenth of it.
+const MAX_REQUEST_TIME: Millis = 1_500;
 
-/// Whether a relay is stopping, and what is still in flight.
+/// State of the shutdown, and the number of requests in flight.
 #[derive(Debug, Default)]
 pub struct ShutdownState {
-    raised_at: Cell<Option<Millis>>,
-    end: Cell<Millis>,
+    began_at: Cell<Option<Millis>>,
+    deadline: Cell<Millis>,
     in_flight: Cell<usize>,
-    raised: Notify,
+    began: Notify,
 }
 
 impl ShutdownState {
-    /// Begins the stop; the process would be killed after `grace` milliseconds.
+    /// Begins the shutdown; the process would be killed after `grace` milliseconds.
     pub fn begin(&self, grace: Millis) {
-        self.end.set(now_millis() + grace.saturating_sub(STOP_MARGIN));
-        self.raised_at.set(self.raised_at.get().or(Some(now_millis())));
-        self.raised.notify_waiters();
+        self.deadline.set(now_millis() + grace.saturating_sub(KILL_MARGIN));
+        self.began_at.set(self.began_at.get().or(Some(now_millis())));
+        self.began.notify_waiters();
     }
 
-    /// Whether the relay is stopping.
+    /// Returns whether the shutdown has begun.
     pub fn is_stopping(&self) -> bool {
-        self.raised_at.get().is_some()
+        self.began_at.get().is_some()
     }
 
-    /// Whether it is too late to begin a stream.
+    /// Returns whether the shutdown has gone too far to start a stream.
     pub fn refuses_streams(&self) -> bool {
-        self.raised_at.get().is_some_and(|raised| now_millis() - raised > LAST_STREAM)
+        self.began_at.get().is_some_and(|began| now_millis() - began > STREAM_START_WINDOW)
     }
 
-    /// When the stop ends at the latest.
+    /// Returns the time at which the shutdown ends at the latest; 0 before it begins.
     pub fn deadline(&self) -> Millis {
-        self.end.get()
+        self.deadline.get()
     }
 
-    /// Whether a request that may take so long could be cut by the end of the stop.
-    pub fn would_cut(&self, patience: Millis) -> bool {
-        self.is_stopping() && now_millis() + patience.min(LONGEST_WORK) > self.end.get()
+    /// Returns whether the end of the shutdown could cut off a request with this time-out.
+    pub fn would_cut(&self, timeout: Millis) -> bool {
+        self.is_stopping() && now_millis() + timeout.min(MAX_REQUEST_TIME) > self.deadline.get()
     }
 
-    /// Waits until the stop begins.
+    /// Waits until the shutdown begins.
     pub async fn wait_until_stopping(&self) {
-        let notified = self.raised.notified();
+        let notified = self.began.notified();
         if !self.is_stopping() {
             notified.await;
         }
     }
 
-    /// Requests in flight.
+    /// Returns the number of requests in flight.
     pub fn in_flight(&self) -> usize {
         self.in_flight.get()
     }
@@ -86,14 +86,14 @@
     }
 }
 
-/// A request in flight; dropping it ends it.
+/// Counts a request as in flight until dropped.
 #[derive(Debug)]
 pub struct InFlightGuard {
     relay: std::rc::Rc<crate::state::Relay>,
 }
 
 impl InFlightGuard {
-    /// Notes a request in flight.
+    /// Counts one more request as in flight.
     pub fn new(relay: &std::rc::Rc<crate::state::Relay>) -> Self {
         relay.stop.enter();
         Self { relay: relay.clone() }
--- a/crates/relay/src/stream.rs
+++ b/crates/relay/src/stream.rs
@@ -1,4 +1,4 @@
-//! Requests to engines: opening a stream over a path.
+//! Requests to engines: chooses a path and opens a stream over it.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -36,49 +36,53 @@
     state::Relay,
 };
 
-/// Sends of one request that no engine ran.
+/// Maximum number of sends of one request that engines reject without running it.
 pub const MAX_REJECTIONS: u32 = 4;
 
-/// A stream that a replica began to answer.
+/// A stream whose response has begun.
 pub struct OpenStream {
-    /// Head of the answer.
+    /// Head of the response.
     pub head: response::Parts,
-    /// Its body.
+    /// Body of the response.
     pub body: Incoming,
-    /// Connection that it comes on.
-    pub link: ActiveConnection,
-    /// Path that it runs over.
+    /// Connection that it arrives on.
+    pub connection: ActiveConnection,
+    /// Path over which it runs.
     pub path: Vec<PathStage>,
-    /// Room promised along the path.
-    pub room: PathReservation,
-    /// Its run.
+    /// Memory and slot reserved along the path.
+    pub reservation: PathReservation,
+    /// Tracker of its run, for quarantine.
     pub run: RunTracker,
 }
 
 /// How an attempt to open a stream ended.
 pub enum OpenOutcome {
-    /// It is open.
-    Open(Box<OpenStream>),
-    /// The replica answered, whole, with something else than a stream.
-    Answered(RelayResponse),
-    /// It may be sent nowhere.
-    Barred(Refusal),
-    /// It is not open.
+    /// The stream is open.
+    Opened(Box<OpenStream>),
+    /// The replica sent a complete response that is no stream.
+    Responded(RelayResponse),
+    /// The request must not be sent to any replica.
+    Refused(Refusal),
+    /// The attempt failed; the text says how.
     Failed(AttemptEnd, String),
 }
 
-/// What was tried for one request.
+/// Earlier sends of one request.
 #[derive(Clone, Debug, Default)]
 pub struct SendHistory {
-    /// Replicas not to use again.
-    pub avoid: Vec<ReplicaInstance>,
-    /// Sends that a replica may have run.
+    /// Replicas that must not be used again.
+    pub excluded: Vec<ReplicaInstance>,
+    /// Number of sends that a replica may have run.
     pub sends: u32,
-    /// Sends that none ran.
-    pub rejected: u32,
+    /// Number of sends that no replica ran.
+    pub rejections: u32,
 }
 
-/// Runs a request over engines, until there is an answer for the caller.
+/// Sends a request to engines until there is a response for the caller.
+///
+/// # Errors
+///
+/// Returns the refusal that the caller receives if no engine gave a response.
 pub async fn run_stream(
     relay: &Rc<Relay>,
     request: Rc<CallerRequest>,
@@ -86,35 +90,38 @@
     in_flight: InFlightGuard,
 ) -> Result<RelayResponse, Refusal> {
     let mut permit = permit;
-    if wait_in_turn(relay, &request).await {
+    if wait_to_reconnect(relay, &request).await {
         permit = admit(relay, &request.admission)?;
     }
-    let mut tried = SendHistory::default();
+    let mut history = SendHistory::default();
     loop {
-        let last_event = request.headers.last_event_id;
-        let patience = room_patience(&request, &permit);
-        let opened = open_stream(relay, &request, &permit, &mut tried, last_event, patience).await;
+        let last_event_id = request.headers.last_event_id;
+        let max_wait = memory_wait(&request, &permit);
+        let opened =
+            open_stream(relay, &request, &permit, &mut history, last_event_id, max_wait).await;
         let (end, detail) = match opened {
-            None if tried.sends > 0 => return Err(Refusal::OutcomeUnknown),
+            None if history.sends > 0 => return Err(Refusal::OutcomeUnknown),
             None => return Err(refusal(relay, &permit, Refusal::NoReplica)),
-            Some(OpenOutcome::Open(stream)) => {
-                return Ok(begin_answer(relay, request, permit, tried, *stream, in_flight));
+            Some(OpenOutcome::Opened(stream)) => {
+                return Ok(begin_response(relay, request, permit, history, *stream, in_flight));
             }
-            Some(OpenOutcome::Answered(answer)) => return Ok(answer),
-            Some(OpenOutcome::Barred(_)) if tried.sends > 0 => return Err(Refusal::OutcomeUnknown),
-            Some(OpenOutcome::Barred(refusal)) => return Err(refusal),
+            Some(OpenOutcome::Responded(response)) => return Ok(response),
+            Some(OpenOutcome::Refused(_)) if history.sends > 0 => {
+                return Err(Refusal::OutcomeUnknown);
+            }
+            Some(OpenOutcome::Refused(refusal)) => return Err(refusal),
             Some(OpenOutcome::Failed(end, detail)) => (end, detail),
         };
         let now = now_millis();
         let can_repeat =
-            take_retry(relay, &permit, &tried) && request.time_remaining(now) > MIN_TIME_LEFT;
+            take_retry(relay, &permit, &history) && request.time_remaining(now) > MIN_RETRY_TIME;
         let state = AttemptState {
             repeatable: permit.route.is_repeatable(),
-            may_have_run: tried.sends > 0,
+            may_have_run: history.sends > 0,
             can_repeat,
         };
         let next = decide_next(state, end);
-        let first = tried.avoid.last();
+        let first = history.excluded.last();
         request.log_attempt(relay, first, &permit, end, next, &detail);
         match next {
             NextStep::TryElsewhere => {
@@ -134,75 +141,78 @@
     refusal_without_replica(relay, &permit.service, permit.priority, can_start_path, otherwise)
 }
 
-/// Lets requests that can be in time go before streams that were cut, where all callers come back at once; tells
-/// whether that took time.
-async fn wait_in_turn(relay: &Relay, request: &CallerRequest) -> bool {
+/// Delays the resumption of a cut stream if the relay has just started: all callers then reconnect
+/// at once, and requests that can still be in time go first. Returns whether the request was
+/// delayed.
+async fn wait_to_reconnect(relay: &Relay, request: &CallerRequest) -> bool {
     let draw = relay.random.borrow_mut().random();
-    let age = now_millis();
-    let delay = reconnect_delay(age, request.headers.last_event_id.is_some(), draw);
+    let relay_age = now_millis();
+    let delay = reconnect_delay(relay_age, request.headers.last_event_id.is_some(), draw);
     if delay > 0 {
         sleep(Duration::from_millis(delay)).await;
     }
     delay > 0
 }
 
-/// Part of the latency objective for which a request waits for room, in hundredths; the rest is enough
-/// for its first event.
-const ROOM_WAIT_HUNDREDTHS: Millis = 60;
+/// Percentage of the latency objective for which a request waits for a path with enough memory; the
+/// rest is enough for its first event.
+const MEMORY_WAIT_PERCENT: Millis = 60;
 
-fn room_patience(request: &CallerRequest, permit: &Permit) -> Duration {
-    let waits = permit.route.objective * ROOM_WAIT_HUNDREDTHS / 100;
-    let held = now_millis().saturating_sub(request.arrived);
-    Duration::from_millis(waits.saturating_sub(held))
+fn memory_wait(request: &CallerRequest, permit: &Permit) -> Duration {
+    let total = permit.route.objective * MEMORY_WAIT_PERCENT / 100;
+    let waited = now_millis().saturating_sub(request.arrived_at);
+    Duration::from_millis(total.saturating_sub(waited))
 }
 
-/// Time below which a second attempt is not worth its price, in milliseconds.
-const MIN_TIME_LEFT: Millis = 100;
+/// Time until the deadline below which a retry is not worth its cost, in milliseconds.
+const MIN_RETRY_TIME: Millis = 100;
 
-/// Whether attempts and budget allow another send; takes it from the budget.
-pub fn take_retry(relay: &Relay, permit: &Permit, tried: &SendHistory) -> bool {
-    let within = tried.sends < permit.route.max_attempts.max(1) && tried.rejected < MAX_REJECTIONS;
-    let first = tried.sends + tried.rejected == 0;
-    within && (first || relay.spend_repeat(&permit.service, now_millis()))
+/// Returns whether the maximum number of attempts and the retry budget allow another send, and
+/// charges the budget for it if it is a retry.
+pub fn take_retry(relay: &Relay, permit: &Permit, history: &SendHistory) -> bool {
+    let has_attempts =
+        history.sends < permit.route.max_attempts.max(1) && history.rejections < MAX_REJECTIONS;
+    let is_first = history.sends + history.rejections == 0;
+    has_attempts && (is_first || relay.spend_repeat(&permit.service, now_millis()))
 }
 
-/// Opens a stream over the best path; waits for one with room for `patience`. Nothing where there is
-/// none at all.
+/// Opens a stream over the cheapest path, after waiting up to `max_wait` for one with enough
+/// memory. Returns `None` if there is no path at all.
 pub async fn open_stream(
     relay: &Rc<Relay>,
     request: &CallerRequest,
     permit: &Permit,
-    tried: &mut SendHistory,
-    last_event: Option<u64>,
-    patience: Duration,
+    history: &mut SendHistory,
+    last_event_id: Option<u64>,
+    max_wait: Duration,
 ) -> Option<OpenOutcome> {
     let engine = permit.config.services.get(&permit.service)?.engine.as_ref()?;
-    let tokens = request.tokens((engine.mean_prompt_tokens, engine.mean_answer_tokens));
-    let wish = PathCriteria {
+    let tokens = request.estimate_tokens((engine.mean_prompt_tokens, engine.mean_answer_tokens));
+    let criteria = PathCriteria {
         service: &permit.service,
         engine,
         tokens,
         rank: permit.priority,
-        avoid: &tried.avoid,
+        excluded: &history.excluded,
         first: None,
     };
-    let path = wait_for_path(relay, &wish, patience).await?;
+    let path = wait_for_path(relay, &criteria, max_wait).await?;
     let first = relay.beliefs.borrow().fleet.view.get_current(&path[0].instance).cloned()?;
     if let Err(refusal) = check_quarantine(relay, request) {
-        return Some(OpenOutcome::Barred(refusal));
+        return Some(OpenOutcome::Refused(refusal));
     }
-    let room = PathReservation::new(relay, &path, tokens);
-    request.log_dispatch(relay, permit, &first.instance, last_event, Some(&path));
-    let target = ReplicaTarget { replica: &first, path: Some(&path), last_event };
-    let outgoing = request.to_replica(permit, &target);
-    let fresh = !permit.route.is_repeatable();
+    let reservation = PathReservation::new(relay, &path, tokens);
+    request.log_dispatch(relay, permit, &first.instance, last_event_id, Some(&path));
+    let target = ReplicaTarget { replica: &first, path: Some(&path), last_event_id };
+    let outgoing = request.build_replica_request(permit, &target);
+    let new_connection = !permit.route.is_repeatable();
     let mut run = RunTracker::over_path(&path);
     let head = HeadGuard::new(relay, &first.instance);
-    let begun = now_millis();
+    let sent_at = now_millis();
     let sent = {
         let gate = SendGate::new(relay, &first.instance, permit.priority);
-        let sending = relay.pool.send(first.address, outgoing, fresh, || gate.pass());
-        let wait = HeadWait { relay, request, permit, earlier_sends: tried.sends, path: &path };
+        let sending = relay.pool.send(first.address, outgoing, new_connection, || gate.pass());
+        let wait = HeadWait { relay, request, permit, earlier_sends: history.sends, path: &path };
         let sent = wait.run(sending).await;
         if matches!(&sent, Err(WaitEnd::Send(error)) if error.is_unsent()) {
             gate.note_unsent();
@@ -213,39 +223,49 @@
         Ok(sent) => sent,
         Err(WaitEnd::Send(SendError::NotSent { detail })) => {
             relay.suspect(&first.instance, &detail);
-            tried.avoid.push(first.instance);
+            history.excluded.push(first.instance);
             return Some(OpenOutcome::Failed(AttemptEnd::NotSent, detail));
         }
         Err(WaitEnd::Send(error @ SendError::Throttled { .. })) => {
-            tried.avoid.push(first.instance);
+            history.excluded.push(first.instance);
             return Some(OpenOutcome::Failed(AttemptEnd::NotSent, error.to_string()));
         }
         Err(WaitEnd::Send(SendError::NoResponse { detail })) => {
-            // Not a reason to keep others away: an answer that is garbled or cut says little of the next.
-            // A replica that is gone shows in a probe.
+            // The replica is not suspected for this: one malformed or cut response says little
+            // about the next. The probe finds out whether the replica is lost.
             probe_replicas(relay, std::iter::once(first.address));
             run.record_loss(relay, request, &detail);
-            tried.sends += 1;
-            tried.avoid.push(first.instance);
+            history.sends += 1;
+            history.excluded.push(first.instance);
             return Some(OpenOutcome::Failed(AttemptEnd::Broken, detail));
         }
         Err(WaitEnd::Stalled(detail)) => {
             run.record_loss(relay, request, &detail);
-            tried.sends += 1;
-            tried.avoid.push(first.instance);
+            history.sends += 1;
+            history.excluded.push(first.instance);
             return Some(OpenOutcome::Failed(AttemptEnd::Broken, detail));
         }
         Err(WaitEnd::TimeUp) => {
-            tried.sends += 1;
-            return Some(OpenOutcome::Failed(AttemptEnd::Broken, "time is up".to_owned()));
+            history.sends += 1;
+            return Some(OpenOutcome::Failed(AttemptEnd::Broken, "deadline passed".to_owned()));
         }
     };
     head.answered(sent.0.status() == StatusCode::OK);
-    Some(read_head(relay, request, tried, first, sent, SentRun { path, room, run, begun }).await)
+    Some(
+        read_head(
+            relay,
+            request,
+            history,
+            first,
+            sent,
+            SentRun { path, reservation, run, sent_at },
+        )
+        .await,
+    )
 }
 
-/// Asks the first engine of a path what a request waits for; gives the replica that holds it up, which
-/// is the first one itself where that does not answer.
+/// Asks the first engine of a path which replica the request waits for. Returns the first engine
+/// itself if it does not respond, and `None` if it names none or the response is still awaited.
 pub async fn find_stalled_replica(
     relay: &Relay,
     first: SocketAddr,
@@ -256,11 +276,11 @@
         ReportState::Silent => return Some(first),
         ReportState::Answered(report) => report,
     };
-    let own = report.stalled.iter().find(|stalled| stalled.attempt_id == attempt_id);
-    own.and_then(|stalled| stalled.faulty_replica)
+    let stalled = report.stalled.iter().find(|request| request.attempt_id == attempt_id);
+    stalled.and_then(|stalled| stalled.faulty_replica)
 }
 
-/// Keeps away from the replica at an address.
+/// Suspects the replica at an address. Returns a description for logs.
 pub fn suspect_at(relay: &Relay, faulty_replica: SocketAddr, why: &str) -> String {
     let instance = relay
         .beliefs
@@ -278,60 +298,68 @@
     }
 }
 
-/// What goes with a request that was sent over a path.
+/// State of a request that was sent over a path.
 struct SentRun {
     path: Vec<PathStage>,
-    room: PathReservation,
+    reservation: PathReservation,
     run: RunTracker,
-    begun: Millis,
+    sent_at: Millis,
 }
 
-/// Decides on an answer's head: a stream, a whole answer, or a rejection.
+/// Decides by the head of a response whether it is a stream, a complete response or a rejection.
 async fn read_head(
     relay: &Relay,
     request: &CallerRequest,
-    tried: &mut SendHistory,
+    history: &mut SendHistory,
     first: ReplicaEntry,
-    (response, link): Sent,
+    (response, connection): Sent,
     sent: SentRun,
 ) -> OpenOutcome {
-    let SentRun { path, room, mut run, begun } = sent;
+    let SentRun { path, reservation, mut run, sent_at } = sent;
     let (head, body) = response.into_parts();
-    let marks = read_response_headers(&head.headers);
-    hear_notices(relay, &first.instance, request.received_response(&marks, head.status, begun));
-    if let Some(end) = end_from_headers(request, &marks, head.status) {
-        note_rejection(relay, tried, &marks, &first, head.status).await;
+    let headers = read_response_headers(&head.headers);
+    hear_notices(relay, &first.instance, request.received_response(&headers, head.status, sent_at));
+    if let Some(end) = end_from_headers(request, &headers, head.status) {
+        handle_rejection(relay, history, &headers, &first, head.status).await;
         match end {
-            AttemptEnd::Rejected => tried.rejected += 1,
-            _ => tried.sends += 1,
+            AttemptEnd::Rejected => history.rejections += 1,
+            _ => history.sends += 1,
         }
-        drain_rejection(relay, link, body, &marks).await;
-        let detail = format!("status {} at {:?}", head.status, marks.faulty_replica);
+        drain_rejection(relay, connection, body, &headers).await;
+        let detail = format!("status {} at {:?}", head.status, headers.faulty_replica);
         return OpenOutcome::Failed(end, detail);
     }
-    tried.sends += 1;
-    tried.avoid.push(first.instance);
+    history.sends += 1;
+    history.excluded.push(first.instance);
     if head.status == StatusCode::OK {
         run.record_start();
-        return OpenOutcome::Open(Box::new(OpenStream { head, body, link, path, room, run }));
+        return OpenOutcome::Opened(Box::new(OpenStream {
+            head,
+            body,
+            connection,
+            path,
+            reservation,
+            run,
+        }));
     }
-    let end = read_whole(relay, head, body, link, &marks).await;
-    if matches!(end, OpenOutcome::Answered(_) | OpenOutcome::Failed(AttemptEnd::Answered(_), _)) {
+    let end = read_full_response(relay, head, body, connection, &headers).await;
+    if matches!(end, OpenOutcome::Responded(_) | OpenOutcome::Failed(AttemptEnd::Answered(_), _)) {
         note_result(relay, request);
     }
     end
 }
 
-/// Learns from a rejection: the replica that it names is asked for its state. One that does not answer
-/// is kept away from; one that is well is short of memory, or holds other layers than were listed.
-async fn note_rejection(
+/// Excludes the replica that a rejection names, and asks it for its report. One that does not
+/// respond or holds no layers is suspected; otherwise it is short of memory, or holds other layers
+/// than its entry lists.
+async fn handle_rejection(
     relay: &Relay,
-    tried: &mut SendHistory,
-    marks: &ResponseHeaders,
+    history: &mut SendHistory,
+    headers: &ResponseHeaders,
     first: &ReplicaEntry,
     status: StatusCode,
 ) {
-    let faulty_replica = marks.faulty_replica.unwrap_or(first.address);
+    let faulty_replica = headers.faulty_replica.unwrap_or(first.address);
     let instance = relay
         .beliefs
         .borrow()
@@ -340,69 +368,69 @@
         .at_address(faulty_replica)
         .map(|replica| replica.instance.clone());
     let Some(instance) = instance else {
-        // Whatever it names is not known here, so the first one is passed by.
-        tried.avoid.push(first.instance.clone());
+        // The named replica is unknown here, so the first one is excluded.
+        history.excluded.push(first.instance.clone());
         return;
     };
-    if marks.faulty_replica.is_none() && status == StatusCode::SERVICE_UNAVAILABLE {
+    if headers.faulty_replica.is_none() && status == StatusCode::SERVICE_UNAVAILABLE {
         relay.beliefs.borrow_mut().full_starts.record_rejection(&instance, now_millis());
     }
-    if marks.faulty_replica.is_some() && status == StatusCode::SERVICE_UNAVAILABLE {
+    if headers.faulty_replica.is_some() && status == StatusCode::SERVICE_UNAVAILABLE {
         match recent_report(relay, faulty_replica).await {
             ReportState::Asking => {}
             ReportState::Silent => relay.suspect(&instance, "rejected and silent"),
             ReportState::Answered(report) if report.layers.is_none() => {
                 relay.suspect(&instance, "rejected and empty");
             }
-            ReportState::Answered(report) if report.kv_used > report.kv_total * FULL => {
+            ReportState::Answered(report) if report.kv_used > report.kv_total * FULL_FRACTION => {
                 relay.note_full(&instance);
             }
             ReportState::Answered(_) => {}
         }
     }
-    tried.avoid.push(instance);
+    history.excluded.push(instance);
 }
 
-/// Part of an engine's memory for requests above which a rejection is put down to it.
-const FULL: f64 = 0.7;
+/// Fraction of an engine's KV cache above which a rejection is attributed to a lack of memory.
+const FULL_FRACTION: f64 = 0.7;
 
-async fn read_whole(
+async fn read_full_response(
     relay: &Relay,
     head: response::Parts,
     body: Incoming,
-    link: ActiveConnection,
-    marks: &ResponseHeaders,
+    connection: ActiveConnection,
+    headers: &ResponseHeaders,
 ) -> OpenOutcome {
-    /// Largest failure of an engine that is read, in bytes.
-    const MOST_FAILURE: usize = 1 << 20;
+    /// Maximum size of a response that is no stream, in bytes.
+    const MAX_RESPONSE: usize = 1 << 20;
     let status = head.status.as_u16();
-    match Limited::new(body, MOST_FAILURE).collect().await {
+    match Limited::new(body, MAX_RESPONSE).collect().await {
         Ok(body) if status < 500 => {
-            if !marks.closes_connection {
-                link.return_to(&relay.pool, marks.keep_alive);
+            if !headers.closes_connection {
+                connection.return_to(&relay.pool, headers.keep_alive);
             }
             let mut head = head;
             strip_hop_headers(&mut head.headers);
             head.headers.remove(http::header::CONTENT_LENGTH);
-            OpenOutcome::Answered(Response::from_parts(head, full_body(body.to_bytes())))
+            OpenOutcome::Responded(Response::from_parts(head, full_body(body.to_bytes())))
         }
         Ok(_) => OpenOutcome::Failed(AttemptEnd::Answered(status), format!("status {status}")),
         Err(error) => OpenOutcome::Failed(AttemptEnd::Broken, error.to_string()),
     }
 }
 
-fn begin_answer(
+fn begin_response(
     relay: &Rc<Relay>,
     request: Rc<CallerRequest>,
     permit: Permit,
-    tried: SendHistory,
+    history: SendHistory,
     stream: OpenStream,
     in_flight: InFlightGuard,
 ) -> RelayResponse {
-    let took = now_millis() - request.arrived;
+    let took = now_millis() - request.arrived_at;
     relay.metrics.note_head(&permit, took);
     let mut head = stream.head.clone();
     strip_hop_headers(&mut head.headers);
-    let body = stream_body(relay.clone(), request, permit, tried, stream, in_flight);
+    let body = stream_body(relay.clone(), request, permit, history, stream, in_flight);
     Response::from_parts(head, body)
 }
