--- a/crates/relay/src/forward.rs
+++ b/crates/relay/src/forward.rs
@@ -54,6 +54,7 @@
 /// Interval between two checks of a stream without events, in milliseconds.
 const CHECK_INTERVAL: Millis = 100;
 
+/// A stream that is forwarded to its caller, and the state needed to resume it elsewhere.
 struct StreamForwarder {
     relay: Rc<Relay>,
     request: Rc<CallerRequest>,
@@ -67,8 +68,10 @@
     run: RunTracker,
     framer: EventFramer,
     opened_at: Millis,
+    /// Time of the last bytes.
     last_progress: Millis,
     longest_pause: Millis,
+    /// Value of `Relay::alarms` at the last check of the path.
     alarms_seen: u64,
     /// Time at which the stream moves off replicas that are about to leave.
     leave_at: Option<Millis>,
@@ -80,7 +83,7 @@
     next_check: Millis,
     /// Earliest time of the next attempt to resume a silent stream.
     next_resume: Millis,
-    ended: bool,
+    has_ended: bool,
     _in_flight: InFlightGuard,
 }
 
@@ -110,7 +113,7 @@
         is_suspect: false,
         next_check: 0,
         next_resume: 0,
-        ended: false,
+        has_ended: false,
         relay,
         request,
         permit,
@@ -124,7 +127,7 @@
     Box::pin(StreamBody::new(frames))
 }
 
-/// What a stream waited for.
+/// What ended the wait of a stream.
 enum WaitOutcome {
     Bytes(Bytes),
     /// The body has ended.
@@ -141,7 +144,7 @@
 
 impl StreamForwarder {
     async fn next_frame(&mut self) -> Option<Result<Frame<Bytes>, BodyAborted>> {
-        while !self.ended {
+        while !self.has_ended {
             match self.wait().await {
                 WaitOutcome::Bytes(chunk) => {
                     let now = now_millis();
@@ -220,7 +223,7 @@
     }
 
     fn finish(&mut self) {
-        self.ended = true;
+        self.has_ended = true;
         note_result(&self.relay, &self.request);
         let took = now_millis() - self.request.arrived_at;
         self.relay.metrics.note_end(&self.permit, took, Some(self.longest_pause));
@@ -240,7 +243,7 @@
     }
 
     fn give_up(&mut self, why: &str, not_resumed: &str) {
-        self.ended = true;
+        self.has_ended = true;
         self.connection = None;
         count(&self.relay.counts.failed);
         let quiet_ms = now_millis() - self.last_progress;
--- a/crates/relay/src/forward/recovery.rs
+++ b/crates/relay/src/forward/recovery.rs
@@ -60,8 +60,7 @@
 impl StreamForwarder {
     /// Checks the path after the state of a replica changed. Marks the stream as suspect if a
     /// replica is lost. If one is about to leave, schedules the move off it after a random delay,
-    /// since the new replica computes the whole request again and all streams of the leaving one
-    /// move.
+    /// since all streams of a leaving replica move and the new one computes each request again.
     pub(super) fn handle_alarm(&mut self) {
         self.alarms_seen = self.relay.alarms.get();
         match self.path_state() {
@@ -75,8 +74,8 @@
         }
         self.is_suspect |= self.relay.part_state(&self.path[0]) == PartState::Lost;
         if self.is_suspect {
-            // A stream that pauses already is checked at once, since waiting for the next check
-            // takes much of the longest pause allowed.
+            // A stream that pauses already is checked at once: waiting for the next check would
+            // take much of the longest pause allowed.
             self.next_check = 0;
         }
     }
--- a/crates/relay/src/stream.rs
+++ b/crates/relay/src/stream.rs
@@ -265,7 +265,7 @@
 }
 
 /// Asks the first engine of a path which replica the request waits for. Returns the first engine
-/// itself if it does not respond, and `None` if it names none or the response is still awaited.
+/// itself if it does not respond, and `None` if it names none or its first report is still awaited.
 pub async fn find_stalled_replica(
     relay: &Relay,
     first: SocketAddr,
@@ -280,7 +280,8 @@
     stalled.and_then(|stalled| stalled.faulty_replica)
 }
 
-/// Suspects the replica at an address. Returns a description for logs.
+/// Records a failure of the replica at an address, which is then avoided for a while. Returns a
+/// description for logs.
 pub fn suspect_at(relay: &Relay, faulty_replica: SocketAddr, why: &str) -> String {
     let instance = relay
         .beliefs
@@ -378,9 +379,11 @@
     if headers.faulty_replica.is_some() && status == StatusCode::SERVICE_UNAVAILABLE {
         match recent_report(relay, faulty_replica).await {
             ReportState::Asking => {}
-            ReportState::Silent => relay.suspect(&instance, "rejected and silent"),
+            ReportState::Silent => {
+                relay.suspect(&instance, "rejected a request and gave no report")
+            }
             ReportState::Answered(report) if report.layers.is_none() => {
-                relay.suspect(&instance, "rejected and empty");
+                relay.suspect(&instance, "rejected a request and holds no layers");
             }
             ReportState::Answered(report) if report.kv_used > report.kv_total * FULL_FRACTION => {
                 relay.note_full(&instance);
