--- a/crates/relay/src/forward/recovery.rs
+++ b/crates/relay/src/forward/recovery.rs
@@ -191,8 +191,9 @@
     async fn order_path(&mut self, excluded: &[ReplicaInstance]) -> Option<OrderEnd> {
         let service = self.permit.config.services.get(&self.permit.service);
         let engine = service.and_then(|service| service.engine.as_ref())?;
-        let tokens =
-            self.request.estimate_tokens((engine.mean_prompt_tokens, engine.mean_answer_tokens));
+        let tokens = self
+            .request
+            .estimate_tokens((engine.mean_prompt_tokens, engine.mean_completion_tokens));
         let first = self.path[0].clone();
         let criteria = PathCriteria {
             service: &self.permit.service,
--- a/crates/relay/src/stream.rs
+++ b/crates/relay/src/stream.rs
@@ -187,7 +187,8 @@
     max_wait: Duration,
 ) -> Option<OpenOutcome> {
     let engine = permit.config.services.get(&permit.service)?.engine.as_ref()?;
-    let tokens = request.estimate_tokens((engine.mean_prompt_tokens, engine.mean_answer_tokens));
+    let tokens =
+        request.estimate_tokens((engine.mean_prompt_tokens, engine.mean_completion_tokens));
     let criteria = PathCriteria {
         service: &permit.service,
         engine,
