--- a/crates/relay/benches/backoffs.rs
+++ b/crates/relay/benches/backoffs.rs
@@ -1,13 +1,17 @@
-//! Replicas that turn requests away and ask for time: what reaches them all the same, and what callers get.
+//! Measures replicas that reject requests and ask for a back-off: how many requests reach them
+//! nevertheless, and what callers receive.
 //!
-//! Run it with `cargo bench -p switchfold-relay`. Three replicas of a service, one relay and callers that each make one call
-//! after the other share one thread; for three seconds some replicas turn all away and ask for three seconds. 8 cores; one
-//! run a row.
+//! Run it with `cargo bench -p switchfold-relay`. Three replicas of a service, one relay and
+//! callers that each make one call after another share one thread. For three seconds some replicas
+//! reject every request and ask for a back-off of three seconds. Measured on 8 cores, one run for
+//! each row.
 //!
-//! Requests that reached the replica worst off later than half a second after it asked (two may), and callers served within
-//! 300 ms and refused, before what replicas ask for was heard and after:
+//! The columns show, before and after relays honoured back-offs: requests that reached the most
+//! affected replica more than half a second after it first asked (two may), callers served within
+//! 300 ms, and callers refused. Each cell lists the values for 1, 30 and 300 callers, those before
+//! first.
 //!
-//! | service | asking | callers | reached before, after | in time before, after | refused before, after |
+//! | service | replicas backing off | callers | reached before; after | in time before; after | refused before; after |
 //! |---|---|---|---|---|---|
 //! | streams | one of three | 1, 30, 300 | 10, 60, 347; 0, 0, 0 | 52, 1,516, 8,491; 52, 1,570, 12,874 | 0; 0 |
 //! | streams | two of three | 1, 30, 300 | 10, 27, 600; 0, 0, 0 | 52, 1,730, 9,550; 52, 1,752, 12,571 | 0; 0 |
@@ -16,8 +20,10 @@
 //! | plain | two of three | 1, 30, 300 | 0; 0 | 152, 3,931, 12,848; 153, 4,021, 21,986 | 1, 3, 4; 1, 4, 0 |
 //! | plain | all | 1, 30, 300 | 76, 1,193, 3,598; 0, 0, 0 | 14, 331, 1,137; 15, 390, 1,487 | 138, 3,580, 11,493; 133, 3,690, 26,333 |
 //!
-//! Where all want time nobody can be served; refused callers come back at once here, whatever they are told, and more are
-//! refused since each is told sooner. Late at 300 callers are 171 to 195 in each row, before and after: the first of each.
+//! If all replicas ask for a back-off, nobody can be served. Callers here retry at once after a
+//! refusal, whatever they are told, and more are refused after the change since each refusal takes
+//! less time. With 300 callers, 171 to 195 responses are late in each row, before and after: those
+//! to the first request of each caller.
 
 #[path = "../tests/harness/mod.rs"]
 mod harness;
@@ -47,37 +53,48 @@
 use tokio::time::sleep;
 
 const REPLICAS: usize = 3;
-const ASKED: Duration = Duration::from_secs(3);
-const ON_THE_WAY: Duration = Duration::from_millis(500);
-const THINK: Duration = Duration::from_millis(20);
+
+/// Back-off that the replicas ask for.
+const BACKOFF: Duration = Duration::from_secs(3);
+
+/// Time after the first rejection in which requests that were already on their way are not counted.
+const GRACE_TIME: Duration = Duration::from_millis(500);
+
+/// Pause of a caller between two calls.
+const CALL_PAUSE: Duration = Duration::from_millis(20);
+
+/// Time within which a response is in time; also the time before the replicas begin to reject
+/// requests.
 const OBJECTIVE: Duration = Duration::from_millis(300);
 
-fn is_control(request: &ReceivedRequest) -> bool {
+fn is_engine_call(request: &ReceivedRequest) -> bool {
     [REPORT_PATH, ORDER_PATH].contains(&request.target.as_str())
 }
 
-/// Where a replica was reached in the time in which it wanted nothing.
+/// Time of the first rejection of a replica, and the number of requests that it received during its
+/// back-off.
 #[derive(Clone, Default)]
-struct Reached(Arc<Mutex<(Option<Instant>, usize)>>);
+struct BackoffRequests(Arc<Mutex<(Option<Instant>, usize)>>);
 
-impl Reached {
-    fn note(&self) {
-        let mut seen = self.0.lock().expect("no script panics");
-        let first = *seen.0.get_or_insert_with(Instant::now);
-        let since = first.elapsed();
-        seen.1 += usize::from(since > ON_THE_WAY && since < ASKED);
+impl BackoffRequests {
+    fn record(&self) {
+        let mut state = self.0.lock().expect("no script panics");
+        let first = *state.0.get_or_insert_with(Instant::now);
+        let elapsed = first.elapsed();
+        state.1 += usize::from(elapsed > GRACE_TIME && elapsed < BACKOFF);
     }
 }
 
+/// Number of responses that callers received, by kind.
 #[derive(Default)]
-struct Served {
+struct ResponseCounts {
     in_time: usize,
     late: usize,
     refused: usize,
 }
 
-impl Served {
-    fn note(&mut self, status: StatusCode, took: Duration) {
+impl ResponseCounts {
+    fn record(&mut self, status: StatusCode, took: Duration) {
         match status {
             StatusCode::OK if took <= OBJECTIVE => self.in_time += 1,
             StatusCode::OK => self.late += 1,
@@ -86,21 +103,22 @@
     }
 }
 
-async fn play(path: &str, entry: fn(SocketAddr) -> Value, asking: usize, callers: usize) {
-    let is_closed = Arc::new(AtomicBool::new(false));
+/// Runs one row: `rejecting` of the replicas reject requests while `callers` call `path`.
+async fn measure(path: &str, entry: fn(SocketAddr) -> Value, rejecting: usize, callers: usize) {
+    let is_rejecting = Arc::new(AtomicBool::new(false));
     let store = StandinStore::start().await;
     let mut sample = config(1, &ROUTES, &[KEY]);
     sample["services"][1]["engine"]["kinds"][0]["mb"] = 1e9.into();
     store.put(CONFIG_KIND, CONFIG_NAME, sample);
-    let reached: Vec<Reached> = (0..REPLICAS).map(|_| Reached::default()).collect();
+    let reached: Vec<BackoffRequests> = (0..REPLICAS).map(|_| BackoffRequests::default()).collect();
     for (number, reached) in reached.iter().enumerate() {
-        let (is_closed, reached) = (is_closed.clone(), reached.clone());
+        let (is_rejecting, reached) = (is_rejecting.clone(), reached.clone());
         let replica = StandinReplica::start(move |request: &ReceivedRequest| {
-            let closed = number < asking && is_closed.load(Ordering::SeqCst);
-            if is_control(request) || !closed {
+            let rejects = number < rejecting && is_rejecting.load(Ordering::SeqCst);
+            if is_engine_call(request) || !rejects {
                 return respond_healthy(request);
             }
-            reached.note();
+            reached.record();
             with_header(reject(request, 503, None), "Retry-After", "3")
         })
         .await;
@@ -110,42 +128,42 @@
     }
     let relay = RunningRelay::start_with_store(store, bounds()).await;
     relay.wait_ready(StatusCode::OK).await;
-    let served = Mutex::new(Served::default());
+    let counts = Mutex::new(ResponseCounts::default());
     let relay = &relay;
     let calls = (0..callers).map(|caller| {
-        let served = &served;
-        let is_closed = &is_closed;
+        let counts = &counts;
+        let is_rejecting = &is_rejecting;
         async move {
-            let begun = Instant::now();
+            let started = Instant::now();
             let mut number = 0;
-            while begun.elapsed() < ASKED + OBJECTIVE {
-                is_closed.fetch_or(begun.elapsed() > OBJECTIVE, Ordering::SeqCst);
+            while started.elapsed() < BACKOFF + OBJECTIVE {
+                is_rejecting.fetch_or(started.elapsed() > OBJECTIVE, Ordering::SeqCst);
                 let id = format!("c{caller}-{number}");
-                let sent = Instant::now();
+                let sent_at = Instant::now();
                 let called = relay.get(&format!("{path}{id}"), &id).await;
-                served.lock().expect("no caller panics").note(called.status, sent.elapsed());
+                counts.lock().expect("no caller panics").record(called.status, sent_at.elapsed());
                 number += 1;
-                sleep(THINK).await;
+                sleep(CALL_PAUSE).await;
             }
         }
     });
     join_all(calls).await;
-    let Served { in_time, late, refused } = served.into_inner().expect("no caller panics");
+    let ResponseCounts { in_time, late, refused } = counts.into_inner().expect("no caller panics");
     let reached: Vec<usize> =
         reached.iter().map(|one| one.0.lock().expect("no script panics").1).collect();
     println!(
-        "{path:8} {asking} of {REPLICAS} ask, {callers:3} callers: reached {reached:?}, in time {in_time}, late {late}, refused {refused}"
+        "{path:8} {rejecting} of {REPLICAS} ask, {callers:3} callers: reached {reached:?}, in time {in_time}, late {late}, refused {refused}"
     );
 }
 
 fn main() {
-    let whole_model: fn(SocketAddr) -> Value = |address| model_entry(address, 0, LAYERS);
+    let full_model: fn(SocketAddr) -> Value = |address| model_entry(address, 0, LAYERS);
     for (path, entry) in
-        [("/stream/", whole_model), ("/safe/", desk_entry as fn(SocketAddr) -> Value)]
+        [("/stream/", full_model), ("/safe/", desk_entry as fn(SocketAddr) -> Value)]
     {
-        for asking in 1..=REPLICAS {
+        for rejecting in 1..=REPLICAS {
             for callers in [1, 30, 300] {
-                run_test(play(path, entry, asking, callers));
+                run_test(measure(path, entry, rejecting, callers));
             }
         }
     }
--- a/crates/relay/tests/harness/mod.rs
+++ b/crates/relay/tests/harness/mod.rs
@@ -1,6 +1,6 @@
-//! A relay between stand-ins of the platform, on loopback, and a caller.
+//! Runs a relay on loopback, with stand-ins for the platform's store and replicas, and calls it.
 
-#![allow(dead_code, reason = "each test file uses a part")]
+#![allow(dead_code, reason = "each test file uses only a part")]
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -31,10 +31,11 @@
     time::{sleep, timeout},
 };
 
-/// Longest wait of a test for what must come; no assertion depends on how long it really takes.
+/// Time-out of a test for an expected event. Generous, since no assertion depends on how long the
+/// event takes.
 pub(crate) const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Route of calls that may be repeated.
+/// Route to the plain service for calls that may be repeated.
 pub(crate) const SAFE: RouteSample = RouteSample {
     prefix: "/safe/",
     kind: "idempotent",
@@ -44,14 +45,14 @@
     resumable: false,
 };
 
-/// Route of calls that may not be repeated.
+/// Route to the plain service for calls that must not be repeated.
 pub(crate) const ONCE: RouteSample =
     RouteSample { prefix: "/once/", kind: "non_idempotent", max_attempts: 2, ..SAFE };
 
-/// Route of calls that are held briefly.
+/// Route to the plain service with a short time-out, for calls that must not be repeated.
 pub(crate) const BRIEF: RouteSample = RouteSample { prefix: "/brief/", timeout_ms: 300, ..ONCE };
 
-/// Route of streams that may be taken up elsewhere.
+/// Route to the model for streams that may be resumed at another replica.
 pub(crate) const STREAM: RouteSample = RouteSample {
     prefix: "/stream/",
     kind: "streaming",
@@ -61,44 +62,44 @@
     resumable: true,
 };
 
-/// Route of streams that may not.
+/// Route to the model for streams that must not be resumed.
 pub(crate) const STREAM_ONCE: RouteSample =
     RouteSample { prefix: "/stream-once/", resumable: false, ..STREAM };
 
-/// Route of streams that may be taken up elsewhere, but go to one replica only.
+/// Route to the model for streams that may be resumed, but are sent at most once.
 pub(crate) const STREAM_SINGLE: RouteSample =
     RouteSample { prefix: "/stream-single/", max_attempts: 1, ..STREAM };
 
 /// All routes of the tests.
 pub(crate) const ROUTES: [RouteSample; 6] = [SAFE, ONCE, BRIEF, STREAM, STREAM_ONCE, STREAM_SINGLE];
 
-/// A relay that runs, and the store that it follows.
+/// A running relay, and the store that it follows.
 pub(crate) struct RunningRelay {
-    /// The store.
+    /// Stand-in of the store.
     pub(crate) store: StandinStore,
-    /// Where callers connect.
+    /// Address for callers.
     pub(crate) address: SocketAddr,
-    /// Where readiness is asked.
+    /// Address of the readiness endpoint.
     pub(crate) ready: SocketAddr,
-    /// Where metrics are served.
+    /// Address of the metrics endpoint.
     pub(crate) metrics: SocketAddr,
-    /// Where it hears from other relays.
+    /// Address for messages of other relays.
     pub(crate) peers: SocketAddr,
-    /// Ends it in order.
+    /// Begins its graceful shutdown.
     pub(crate) shutdown: ShutdownSignal,
-    /// Ends when it does.
+    /// Task that runs it; completes when it exits.
     pub(crate) task: JoinHandle<()>,
 }
 
-/// Runs a test on one thread, as the relay's program does.
+/// Runs a test on one thread, as the relay itself runs.
 pub(crate) fn run_test(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), async {
-        timeout(WAIT_TIMEOUT * 3, test).await.expect("the test ends");
+        timeout(WAIT_TIMEOUT * 3, test).await.expect("the test takes too long");
     });
 }
 
-/// Bounds of the tests.
+/// Bounds of the platform for the tests.
 pub(crate) fn bounds() -> BoundSettings {
     BoundSettings {
         revoke_ms: 5_000.0,
@@ -113,7 +114,8 @@
 }
 
 impl RunningRelay {
-    /// Starts a relay beside a store that holds these replicas' entries.
+    /// Starts a relay whose store holds the sample configuration and these entries of replicas, and
+    /// waits until it is ready.
     pub(crate) async fn start(
         bounds: BoundSettings,
         entries: &[(&str, serde_json::Value)],
@@ -128,24 +130,24 @@
         relay
     }
 
-    /// Starts a relay beside a store, whatever that holds.
+    /// Starts a relay with a given store, without waiting until it is ready.
     pub(crate) async fn start_with_store(store: StandinStore, bounds: BoundSettings) -> Self {
         BoundRelay::new("relay-1", store, bounds).await.run()
     }
 
-    /// Waits until readiness has this status.
-    pub(crate) async fn wait_ready(&self, wanted: StatusCode) {
+    /// Waits until the readiness endpoint responds with this status.
+    pub(crate) async fn wait_ready(&self, expected: StatusCode) {
         let request = || Request::get("/readyz").body(Full::default()).expect("a request");
-        wait_until(async || call(self.ready, request()).await.status == wanted).await;
+        wait_until(async || call(self.ready, request()).await.status == expected).await;
     }
 
-    /// Calls a path of a route with the sample key.
+    /// Calls a path with the sample key; `id` is the attempt id.
     pub(crate) async fn get(&self, path: &str, id: &str) -> CallResult {
         call(self.address, request(path, id)).await
     }
 }
 
-/// A relay whose sockets are bound, and that does not run yet: messages to it wait.
+/// A relay whose sockets are bound but which does not run yet; messages to it are queued.
 pub(crate) struct BoundRelay {
     settings: RelaySettings,
     sockets: RelaySockets,
@@ -153,11 +155,12 @@
 }
 
 impl BoundRelay {
+    /// Binds the sockets of a relay in the data centre `hall`.
     pub(crate) async fn new(name: &str, store: StandinStore, bounds: BoundSettings) -> Self {
         Self::new_in("hall", name, store, bounds).await
     }
 
-    /// The same in a data centre.
+    /// Binds the sockets of a relay in a given data centre.
     pub(crate) async fn new_in(
         data_centre: &str,
         name: &str,
@@ -183,12 +186,13 @@
         Self { settings, sockets, store }
     }
 
-    /// Where it hears from other relays.
+    /// Returns the address for messages of other relays.
     pub(crate) fn peers(&self) -> SocketAddr {
         self.settings.peer_listen
     }
 
-    /// Makes itself known to another relay, as one does that restarts, and waits for a message of it.
+    /// Sends its state to another relay, as a restarting relay does, and waits for a message from
+    /// that one.
     pub(crate) async fn exchange_state(&self, other: &RunningRelay) {
         let news = StateNews {
             name: self.settings.name.clone(),
@@ -196,14 +200,14 @@
             ..StateNews::default()
         };
         let datagram = PeerMessage::State(Box::new(news)).encode();
-        self.sockets.peers.send_to(&datagram, other.peers).await.expect("loopback takes it");
+        self.sockets.peers.send_to(&datagram, other.peers).await.expect("loopback accepts it");
         timeout(WAIT_TIMEOUT, self.sockets.peers.readable())
             .await
-            .expect("in time")
-            .expect("bound");
+            .expect("a message in time")
+            .expect("the socket is bound");
     }
 
-    /// Runs it.
+    /// Starts the relay.
     pub(crate) fn run(self) -> RunningRelay {
         let Self { settings, sockets, store } = self;
         let address = sockets.callers.local_addr().expect("bound");
@@ -217,7 +221,7 @@
     }
 }
 
-/// A request of a caller.
+/// Returns a request with the sample key; `id` is the attempt id.
 pub(crate) fn request(path: &str, id: &str) -> Request<Full<Bytes>> {
     Request::post(path)
         .header("host", HOST)
@@ -228,35 +232,35 @@
         .expect("a request")
 }
 
-/// What a caller got.
+/// The response that a caller received.
 #[derive(Debug)]
 pub(crate) struct CallResult {
-    /// Status.
+    /// Status of the response.
     pub(crate) status: StatusCode,
-    /// Headers.
+    /// Headers of the response.
     pub(crate) headers: HeaderMap,
-    /// Body, as far as it came.
+    /// Body, as far as it was received.
     pub(crate) body: String,
-    /// Whether the body ended as it should.
+    /// Whether the body was received to its end.
     pub(crate) is_complete: bool,
 }
 
 impl CallResult {
-    /// Whether it carries a replica's signature.
+    /// Returns whether the response carries a replica's signature.
     pub(crate) fn is_signed(&self) -> bool {
         self.headers.contains_key(REPLICA_SEAL)
     }
 }
 
-/// Makes one call on a connection of its own.
+/// Sends a request on a new connection and reads the response.
 pub(crate) async fn call(address: SocketAddr, request: Request<Full<Bytes>>) -> CallResult {
     let exchange = async {
         let stream = TcpStream::connect(address).await.expect("the relay listens");
         let (mut sender, connection) =
             http1::handshake(TokioIo::new(stream)).await.expect("a connection");
         let connection = tokio::spawn(connection);
-        let answer = sender.send_request(request).await.expect("an answer");
-        let (parts, mut body) = answer.into_parts();
+        let response = sender.send_request(request).await.expect("a response");
+        let (parts, mut body) = response.into_parts();
         let (mut bytes, mut is_complete) = (Vec::new(), true);
         while let Some(frame) = body.frame().await {
             match frame {
@@ -271,10 +275,10 @@
         let body = String::from_utf8_lossy(&bytes).into_owned();
         CallResult { status: parts.status, headers: parts.headers, body, is_complete }
     };
-    timeout(WAIT_TIMEOUT, exchange).await.expect("the call ends")
+    timeout(WAIT_TIMEOUT, exchange).await.expect("the call takes too long")
 }
 
-/// What a replica of either service answers while it is well; an engine holds all layers.
+/// Responds as a healthy replica of either service; an engine holds all layers.
 pub(crate) fn respond_healthy(request: &ReceivedRequest) -> Reply {
     match request.target.as_str() {
         REPORT_PATH => signed_response(request, 200, &samples::report(0, samples::LAYERS, &[])),
@@ -286,23 +290,23 @@
     }
 }
 
-/// Waits until something holds.
-pub(crate) async fn wait_until(mut holds: impl AsyncFnMut() -> bool) {
+/// Polls a condition until it holds.
+pub(crate) async fn wait_until(mut condition: impl AsyncFnMut() -> bool) {
     let waiting = async {
-        while !holds().await {
+        while !condition().await {
             sleep(Duration::from_millis(10)).await;
         }
     };
-    timeout(WAIT_TIMEOUT, waiting).await.expect("it holds in the end");
+    timeout(WAIT_TIMEOUT, waiting).await.expect("the condition does not hold in time");
 }
 
-/// Ids of the events in a stream's body.
+/// Returns the ids of the events in the body of a stream.
 pub(crate) fn event_ids(body: &str) -> Vec<u64> {
     let ids = body.lines().filter_map(|line| line.strip_prefix("id: "));
     ids.filter_map(|id| id.parse().ok()).collect()
 }
 
-/// A replica's entry, with its id.
+/// Returns the id of a replica, and its entry built by `entry` from its address.
 pub(crate) fn entry_of<'a>(
     id: &'a str,
     replica: &StandinReplica,
--- a/crates/relay/tests/plain.rs
+++ b/crates/relay/tests/plain.rs
@@ -1,4 +1,4 @@
-//! Requests to plain services, by the ways in which replicas and the store fail.
+//! Tests requests to plain services while replicas or the store fail in various ways.
 
 mod harness;
 
@@ -31,7 +31,7 @@
 
 type Script = fn(&ReceivedRequest) -> Reply;
 
-fn well(request: &ReceivedRequest) -> Reply {
+fn healthy(request: &ReceivedRequest) -> Reply {
     signed_response(request, 200, "confirmed")
 }
 
@@ -39,13 +39,14 @@
     Reply::BytesThenClose(b"\x00\x01 no answer at all\r\n\r\n".to_vec())
 }
 
-/// One row of the table: what the first replica does, and what the caller and the second replica get.
+/// A test case: what the first replica does, what the caller receives, and how often the second
+/// replica runs the request.
 struct Row {
     name: &'static str,
     path: &'static str,
     first: Script,
     status: u16,
-    sealed: bool,
+    signed: bool,
     second_runs: usize,
 }
 
@@ -54,21 +55,22 @@
     path: &'static str,
     first: Script,
     status: u16,
-    sealed: bool,
+    signed: bool,
     second_runs: usize,
 ) -> Row {
-    Row { name, path, first, status, sealed, second_runs }
+    Row { name, path, first, status, signed, second_runs }
 }
 
-/// Runs a request whose first replica fails in some way; the second one is well. Which of two replicas
-/// is asked first is the relay's choice, so the second one counts how often it ran after the first.
+/// Sends a request to a relay with two replicas, of which the one that receives it first behaves as
+/// the row says and the other is healthy. The relay chooses which one is first, so both share the
+/// count of requests.
 async fn run_row(row: &Row) {
     let first_done = Arc::new(AtomicUsize::new(0));
     let script = |fails: Script| {
         let done = first_done.clone();
         move |request: &ReceivedRequest| match done.fetch_add(1, Ordering::SeqCst) {
             0 => fails(request),
-            _ => well(request),
+            _ => healthy(request),
         }
     };
     let one = StandinReplica::start(script(row.first)).await;
@@ -77,44 +79,51 @@
     let relay = RunningRelay::start(bounds(), &entries).await;
     let called = relay.get(row.path, "attempt-1").await;
     assert_eq!(called.status.as_u16(), row.status, "{}: {called:?}", row.name);
-    assert_eq!(called.is_signed(), row.sealed, "{}: {called:?}", row.name);
+    assert_eq!(called.is_signed(), row.signed, "{}: {called:?}", row.name);
     assert!(called.is_complete, "{}", row.name);
-    if row.sealed && row.status == 200 {
+    if row.signed && row.status == 200 {
         assert_eq!(called.body, "confirmed", "{}", row.name);
     }
     let sent = one.requests().len() + two.requests().len();
     assert_eq!(sent, 1 + row.second_runs, "{}", row.name);
-    let promises = matches!(row.status, 408 | 421 | 429 | 503);
-    assert_eq!(called.headers.contains_key("retry-after"), promises, "{}", row.name);
+    let did_not_run = matches!(row.status, 408 | 421 | 429 | 503);
+    assert_eq!(called.headers.contains_key("retry-after"), did_not_run, "{}", row.name);
 }
 
 #[test]
-fn what_the_first_replica_does_decides() {
+fn the_response_depends_on_how_the_first_replica_fails() {
     let rows = [
-        row("well", "/once/a", well, 200, true, 0),
-        row("its own failure", "/once/a", |r| signed_response(r, 500, "no"), 500, true, 0),
+        row("healthy", "/once/a", healthy, 200, true, 0),
+        row("server error", "/once/a", |r| signed_response(r, 500, "no"), 500, true, 0),
+        row("server error, repeatable", "/safe/a", |r| signed_response(r, 500, "no"), 200, true, 1),
+        row("client error", "/safe/a", |r| signed_response(r, 404, "no"), 404, true, 0),
+        row("rejected", "/once/a", |r| reject(r, 503, None), 200, true, 1),
+        row("another replica at the address", "/once/a", |r| reject(r, 421, None), 200, true, 1),
+        row("rejected, repeatable", "/safe/a", |r| reject(r, 429, None), 200, true, 1),
+        row(
+            "503 without the header that it did not run",
+            "/once/a",
+            |r| signed_response(r, 503, "no"),
+            502,
+            false,
+            0,
+        ),
+        row("closed", "/once/a", |_| Reply::Close, 502, false, 0),
+        row("closed, repeatable", "/safe/a", |_| Reply::Close, 200, true, 1),
+        row("response to another request", "/once/a", |_| mismatched_response(), 502, false, 0),
         row(
-            "its own failure, repeatable",
+            "response to another request, repeatable",
             "/safe/a",
-            |r| signed_response(r, 500, "no"),
+            |_| mismatched_response(),
             200,
             true,
             1,
         ),
-        row("its own refusal", "/safe/a", |r| signed_response(r, 404, "no"), 404, true, 0),
-        row("rejected", "/once/a", |r| reject(r, 503, None), 200, true, 1),
-        row("other replica there", "/once/a", |r| reject(r, 421, None), 200, true, 1),
-        row("rejected, repeatable", "/safe/a", |r| reject(r, 429, None), 200, true, 1),
-        row("503 without the promise", "/once/a", |r| signed_response(r, 503, "no"), 502, false, 0),
-        row("closed", "/once/a", |_| Reply::Close, 502, false, 0),
-        row("closed, repeatable", "/safe/a", |_| Reply::Close, 200, true, 1),
-        row("surplus answer", "/once/a", |_| mismatched_response(), 502, false, 0),
-        row("surplus answer, repeatable", "/safe/a", |_| mismatched_response(), 200, true, 1),
-        row("broken off", "/once/a", truncated_response, 502, false, 0),
-        row("broken off, repeatable", "/safe/a", truncated_response, 200, true, 1),
+        row("truncated", "/once/a", truncated_response, 502, false, 0),
+        row("truncated, repeatable", "/safe/a", truncated_response, 200, true, 1),
         row("garbage", "/once/a", garbage, 502, false, 0),
         row("garbage, repeatable", "/safe/a", garbage, 200, true, 1),
-        row("silent until the route's time is up", "/brief/a", |_| Reply::Silence, 504, false, 0),
+        row("silent until the route times out", "/brief/a", |_| Reply::Silence, 504, false, 0),
     ];
     for row in &rows {
         run_test(run_row(row));
@@ -122,23 +131,23 @@
 }
 
 #[test]
-fn a_replica_that_cannot_be_reached_is_passed_by() {
+fn an_unreachable_replica_is_avoided() {
     run_test(async {
-        let well_one = StandinReplica::start(well).await;
+        let healthy_replica = StandinReplica::start(healthy).await;
         let dead = "127.0.0.1:1".parse().expect("an address that nobody listens on");
-        let entries = [("i-dead", desk_entry(dead)), entry_of("i-2", &well_one, desk_entry)];
+        let entries = [("i-dead", desk_entry(dead)), entry_of("i-2", &healthy_replica, desk_entry)];
         let relay = RunningRelay::start(bounds(), &entries).await;
         for id in ["a", "b", "c", "d"] {
             assert_eq!(relay.get("/once/a", id).await.status, StatusCode::OK);
         }
-        assert_eq!(well_one.requests().len(), 4);
+        assert_eq!(healthy_replica.requests().len(), 4);
     });
 }
 
 #[test]
-fn no_replica_is_a_refusal_that_ran_nowhere() {
+fn a_service_without_replicas_is_refused_with_retry_after() {
     run_test(async {
-        let model = StandinReplica::start(well).await;
+        let model = StandinReplica::start(healthy).await;
         let entry = |address| samples::model_entry(address, 0, 8);
         let relay = RunningRelay::start(bounds(), &[entry_of("i-m", &model, entry)]).await;
         let called = relay.get("/once/a", "a").await;
@@ -148,36 +157,39 @@
 }
 
 #[test]
-fn replicas_see_the_request_as_it_came() {
+fn the_request_is_forwarded_with_the_right_headers() {
     run_test(async {
-        let replica = StandinReplica::start(well).await;
+        let replica = StandinReplica::start(healthy).await;
         let relay = RunningRelay::start(bounds(), &[entry_of("i-1", &replica, desk_entry)]).await;
-        let mut asked = request("/safe/a%20b?x=1&y", "attempt-7");
-        let headers = asked.headers_mut();
+        let mut request = request("/safe/a%20b?x=1&y", "attempt-7");
+        let headers = request.headers_mut();
         headers.insert(ORGANISATION_HEADER, "somebody-else".parse().expect("a value"));
         headers.insert("x-model", "m-1".parse().expect("a value"));
         headers.insert("connection", "x-own-hop, keep-alive".parse().expect("a value"));
         headers.insert("x-own-hop", "1".parse().expect("a value"));
-        call(relay.address, asked).await;
-        let seen = &replica.requests()[0];
-        assert_eq!((seen.method.as_str(), seen.target.as_str()), ("POST", "/safe/a%20b?x=1&y"));
-        assert_eq!(seen.body, b"question");
-        assert_eq!(seen.header(ATTEMPT_ID.as_str()), Some("attempt-7"));
-        assert_eq!(seen.header(ORGANISATION_HEADER.as_str()), Some(ORGANISATION));
-        assert_eq!(seen.header("x-model"), Some("m-1"));
-        assert_eq!(seen.header(EXPECT_REPLICA.as_str()), Some("i-1"));
-        assert_eq!(seen.header("authorization"), None);
-        assert_eq!(seen.header("x-own-hop"), None);
-        let left: u64 =
-            seen.header(DEADLINE.as_str()).and_then(|ms| ms.parse().ok()).expect("a time");
-        assert!(left <= 8_000);
+        call(relay.address, request).await;
+        let received = &replica.requests()[0];
+        assert_eq!(
+            (received.method.as_str(), received.target.as_str()),
+            ("POST", "/safe/a%20b?x=1&y")
+        );
+        assert_eq!(received.body, b"question");
+        assert_eq!(received.header(ATTEMPT_ID.as_str()), Some("attempt-7"));
+        assert_eq!(received.header(ORGANISATION_HEADER.as_str()), Some(ORGANISATION));
+        assert_eq!(received.header("x-model"), Some("m-1"));
+        assert_eq!(received.header(EXPECT_REPLICA.as_str()), Some("i-1"));
+        assert_eq!(received.header("authorization"), None);
+        assert_eq!(received.header("x-own-hop"), None);
+        let remaining: u64 =
+            received.header(DEADLINE.as_str()).and_then(|ms| ms.parse().ok()).expect("a time");
+        assert!(remaining <= 8_000);
     });
 }
 
 #[test]
-fn who_may_not_is_told_so() {
+fn inadmissible_requests_are_refused() {
     run_test(async {
-        let replica = StandinReplica::start(well).await;
+        let replica = StandinReplica::start(healthy).await;
         let relay = RunningRelay::start(bounds(), &[entry_of("i-1", &replica, desk_entry)]).await;
         let mut unknown = request("/safe/a", "a");
         unknown.headers_mut().insert("authorization", "Bearer other".parse().expect("a value"));
@@ -188,15 +200,15 @@
             (request("/nowhere/", "b"), StatusCode::NOT_FOUND),
             (large, StatusCode::PAYLOAD_TOO_LARGE),
         ];
-        for (asked, status) in rows {
-            assert_eq!(call(relay.address, asked).await.status, status);
+        for (request, status) in rows {
+            assert_eq!(call(relay.address, request).await.status, status);
         }
         assert_eq!(replica.requests(), []);
     });
 }
 
 #[test]
-fn a_relay_without_configuration_denies_nothing() {
+fn a_relay_without_configuration_does_not_deny_routes() {
     run_test(async {
         let store = StandinStore::start().await;
         let relay = RunningRelay::start_with_store(store, bounds()).await;
@@ -206,12 +218,12 @@
     });
 }
 
-/// A configuration that takes a key away is in force once it is known; one that comes late does not
-/// bring the key back.
+/// A configuration that removes a key applies as soon as it is known, and an older version that
+/// arrives late does not restore the key.
 #[test]
-fn a_removed_key_stays_removed() {
+fn a_removed_key_is_not_restored_by_an_older_version() {
     run_test(async {
-        let replica = StandinReplica::start(well).await;
+        let replica = StandinReplica::start(healthy).await;
         let relay = RunningRelay::start(bounds(), &[entry_of("i-1", &replica, desk_entry)]).await;
         assert_eq!(relay.get("/safe/a", "a").await.status, StatusCode::OK);
         let store = &relay.store;
@@ -224,19 +236,20 @@
     });
 }
 
-/// A relay that cannot read the configuration any more lets no key in after its lease, and says that
-/// nothing ran; it takes keys again once the store is back, with what changed meanwhile.
+/// A relay that cannot read the configuration any more refuses all keys once its lease has ended,
+/// with a status that says that nothing ran. When the store is back, it accepts keys by the
+/// configuration as changed meanwhile.
 #[test]
-fn keys_are_refused_while_nothing_proves_them() {
-    for mood in
+fn keys_are_refused_once_the_lease_ends() {
+    for behaviour in
         [StoreBehaviour::Unavailable, StoreBehaviour::RateLimited, StoreBehaviour::Unresponsive]
     {
         run_test(async move {
-            let replica = StandinReplica::start(well).await;
+            let replica = StandinReplica::start(healthy).await;
             // A lease of half a second.
             let bounds = BoundSettings { revoke_ms: 3_800.0, ..bounds() };
             let relay = RunningRelay::start(bounds, &[entry_of("i-1", &replica, desk_entry)]).await;
-            relay.store.set_behaviour(mood);
+            relay.store.set_behaviour(behaviour);
             wait_until(async || {
                 relay.get("/safe/a", "a").await.status == StatusCode::SERVICE_UNAVAILABLE
             })
@@ -244,7 +257,11 @@
             relay.wait_ready(StatusCode::SERVICE_UNAVAILABLE).await;
             let ran = replica.requests().len();
             let denied = relay.get("/nowhere/", "b").await;
-            assert_eq!(denied.status, StatusCode::SERVICE_UNAVAILABLE, "an old route is no proof");
+            assert_eq!(
+                denied.status,
+                StatusCode::SERVICE_UNAVAILABLE,
+                "an outdated configuration must not deny a route"
+            );
             assert_eq!(replica.requests().len(), ran);
             relay.store.put(
                 CONFIG_KIND,
@@ -258,21 +275,21 @@
     }
 }
 
-/// Entries lapse while the store is away; those of replicas that live are back soon after, and meanwhile
-/// requests go on. One that does not come back is dropped.
+/// Entries expire during an outage of the store, and live replicas write theirs again soon after.
+/// Requests are served meanwhile; a replica whose entry does not return is dropped.
 #[test]
-fn a_lapsed_entry_is_waited_for() {
+fn an_entry_that_expired_during_an_outage_is_kept_for_a_while() {
     run_test(async {
-        let asked = Arc::new(AtomicBool::new(false));
-        let noted = asked.clone();
+        let report_requested = Arc::new(AtomicBool::new(false));
+        let observed = report_requested.clone();
         let script = move |request: &ReceivedRequest| {
-            noted.fetch_or(request.target == REPORT_PATH, Ordering::Relaxed);
-            well(request)
+            observed.fetch_or(request.target == REPORT_PATH, Ordering::Relaxed);
+            healthy(request)
         };
         let replica = StandinReplica::start(script).await;
         let relay = RunningRelay::start(bounds(), &[entry_of("i-1", &replica, desk_entry)]).await;
         relay.store.set_behaviour(StoreBehaviour::Unavailable);
-        // The outage lasts for some tries to read the list: each comes half a second after the last.
+        // The outage lasts for several attempts to read the list, half a second apart.
         let reads = || {
             let calls = relay.store.calls().into_iter();
             calls.filter(|call| call.contains(REPLICA_KIND)).collect::<Vec<_>>()
@@ -281,22 +298,26 @@
         wait_until(async || reads().len() > before + 5).await;
         relay.store.remove(REPLICA_KIND, "i-1");
         relay.store.set_behaviour(StoreBehaviour::Healthy);
-        // A watch follows only a list that was answered.
+        // A watch is started only after a list that succeeded.
         wait_until(async || reads().last().is_some_and(|read| read.contains("watch="))).await;
         assert_eq!(relay.get("/safe/a", "a").await.status, StatusCode::OK);
         wait_until(async || {
             relay.get("/safe/a", "b").await.status == StatusCode::SERVICE_UNAVAILABLE
         })
         .await;
-        assert!(!asked.load(Ordering::Relaxed), "a plain service was asked for a report");
+        assert!(
+            !report_requested.load(Ordering::Relaxed),
+            "a plain service was asked for an engine report"
+        );
     });
 }
 
-/// A store that forgets its history tells a watch nothing: the list does.
+/// A store that dropped its history cannot serve a watch from there, so the relay reads the list
+/// again.
 #[test]
-fn changes_are_learnt_after_the_history_is_gone() {
+fn changes_are_read_after_the_store_compacted_its_history() {
     run_test(async {
-        let replica = StandinReplica::start(well).await;
+        let replica = StandinReplica::start(healthy).await;
         let relay = RunningRelay::start(bounds(), &[entry_of("i-1", &replica, desk_entry)]).await;
         relay.store.set_behaviour(StoreBehaviour::Unavailable);
         relay.store.put(CONFIG_KIND, CONFIG_NAME, samples::config(2, &harness::ROUTES, &["new"]));
@@ -308,26 +329,27 @@
 }
 
 #[test]
-fn a_leaving_replica_gets_nothing_more() {
-    run_test(async { gets_nothing_more(|address| draining(desk_entry(address))).await });
+fn a_draining_replica_gets_no_more_requests() {
+    run_test(async { check_gets_no_more_requests(|address| draining(desk_entry(address))).await });
 }
 
-/// What cannot be read may say that the replica leaves.
+/// An unreadable entry may say that the replica is draining.
 #[test]
-fn a_replica_whose_entry_cannot_be_read_gets_nothing_more() {
-    run_test(async { gets_nothing_more(|_| json!({"service": 4})).await });
+fn a_replica_with_an_unreadable_entry_gets_no_more_requests() {
+    run_test(async { check_gets_no_more_requests(|_| json!({"service": 4})).await });
 }
 
-/// Changes the entry of one of two replicas, after which that one must be left alone.
-async fn gets_nothing_more(changed: fn(SocketAddr) -> Value) {
-    let leaves = StandinReplica::start(well).await;
-    let stays = StandinReplica::start(well).await;
+/// Changes the entry of one of two replicas, and checks that it gets no requests once the relay has
+/// read the change.
+async fn check_gets_no_more_requests(changed: fn(SocketAddr) -> Value) {
+    let leaves = StandinReplica::start(healthy).await;
+    let stays = StandinReplica::start(healthy).await;
     let entries = [entry_of("i-1", &leaves, desk_entry), entry_of("i-2", &stays, desk_entry)];
     let relay = RunningRelay::start(bounds(), &entries).await;
     relay.store.put(REPLICA_KIND, "i-1", changed(leaves.address()));
     let mut number = 0;
     wait_until(async || {
-        // Until the relay knows, either may be asked; then only the one that stays is.
+        // Until the relay has read the change, both may get requests.
         let before = leaves.requests().len();
         for _ in 0..6 {
             number += 1;
@@ -343,12 +365,12 @@
     assert_eq!(leaves.requests().len(), before);
 }
 
-/// A configuration that cannot be read may have taken a key away: the lease on keys ends, and begins
-/// again with one that can be read.
+/// An unreadable configuration may have removed a key: the lease ends, and begins again with the
+/// next readable one.
 #[test]
-fn keys_are_refused_while_the_configuration_cannot_be_read() {
+fn keys_are_refused_while_the_configuration_is_unreadable() {
     run_test(async {
-        let replica = StandinReplica::start(well).await;
+        let replica = StandinReplica::start(healthy).await;
         let bounds = BoundSettings { revoke_ms: 3_800.0, ..bounds() };
         let relay = RunningRelay::start(bounds, &[entry_of("i-1", &replica, desk_entry)]).await;
         relay.store.put(CONFIG_KIND, CONFIG_NAME, json!({"version": 2, "routes": 7}));
@@ -363,23 +385,23 @@
 }
 
 #[test]
-fn a_caller_that_leaves_ends_the_work() {
+fn a_caller_that_disconnects_ends_its_request() {
     run_test(async {
         let replica = StandinReplica::start(|_| Reply::Silence).await;
         let relay = RunningRelay::start(bounds(), &[entry_of("i-1", &replica, desk_entry)]).await;
-        let asked = call(relay.address, request("/once/a", "a"));
-        let gone = tokio::time::timeout(Duration::from_millis(300), asked).await;
-        assert!(gone.is_err(), "the replica never answers");
+        let calling = call(relay.address, request("/once/a", "a"));
+        let outcome = tokio::time::timeout(Duration::from_millis(300), calling).await;
+        assert!(outcome.is_err(), "the replica never answers");
         wait_until(async || replica.requests().len() == 1 && replica.open_connections() == 0).await;
     });
 }
 
-/// A planned stop: readiness goes first, requests are answered, each answer closes its connection, and
-/// the relay ends by itself.
+/// During a graceful shutdown the relay is not ready, serves requests, closes the connection after
+/// each response and finally exits by itself.
 #[test]
-fn a_planned_stop_answers_what_is_there() {
+fn a_graceful_shutdown_serves_requests() {
     run_test(async {
-        let replica = StandinReplica::start(well).await;
+        let replica = StandinReplica::start(healthy).await;
         let relay = RunningRelay::start(bounds(), &[entry_of("i-1", &replica, desk_entry)]).await;
         relay.shutdown.raise();
         relay.wait_ready(StatusCode::SERVICE_UNAVAILABLE).await;
@@ -388,29 +410,30 @@
         assert_eq!(called.headers["connection"], "close");
         tokio::time::timeout(harness::WAIT_TIMEOUT, relay.task)
             .await
-            .expect("ends")
-            .expect("in order");
+            .expect("the relay exits")
+            .expect("the relay does not panic");
     });
 }
 
-/// A relay that goes on for its streams takes no request that its end could cut. Found by hunts: one
-/// that came a tenth of a second before the end was closed without an answer.
+/// A relay that shuts down but still forwards a stream refuses requests that its exit could cut
+/// off. Guards against requests that arrived 0.1 s before the exit and were closed without a
+/// response.
 #[test]
-fn a_stop_cuts_no_late_request() {
+fn a_shutdown_does_not_cut_off_late_requests() {
     run_test(async {
         let slow = |request: &ReceivedRequest| match signed_response(request, 200, "confirmed") {
             Reply::Bytes(bytes) => Reply::BytesLater(Duration::from_millis(200), bytes),
             other => other,
         };
         let replica = StandinReplica::start(slow).await;
-        let hung = StandinReplica::start(|_| Reply::Silence).await;
-        let whole = |address| samples::model_entry(address, 0, samples::LAYERS);
-        let entries = [entry_of("i-1", &replica, desk_entry), entry_of("i-2", &hung, whole)];
+        let silent = StandinReplica::start(|_| Reply::Silence).await;
+        let full_model = |address| samples::model_entry(address, 0, samples::LAYERS);
+        let entries = [entry_of("i-1", &replica, desk_entry), entry_of("i-2", &silent, full_model)];
         let bounds = switchfold_relay::settings::BoundSettings { grace_s: 5.0, ..bounds() };
         let relay = RunningRelay::start(bounds, &entries).await;
-        // A stream that does not end keeps the relay going to the end of its grace time.
+        // A stream that does not end keeps the relay running to the end of its grace period.
         let held = tokio::task::spawn_local(call(relay.address, request("/stream-once/a", "held")));
-        wait_until(async || hung.requests().len() == 1).await;
+        wait_until(async || silent.requests().len() == 1).await;
         relay.shutdown.raise();
         let mut number = 0;
         loop {
@@ -430,13 +453,13 @@
 }
 
 #[test]
-fn figures_are_served() {
+fn metrics_are_served() {
     run_test(async {
-        let replica = StandinReplica::start(well).await;
+        let replica = StandinReplica::start(healthy).await;
         let relay = RunningRelay::start(bounds(), &[entry_of("i-1", &replica, desk_entry)]).await;
         relay.get("/once/a", "a").await;
-        let asked = Request::get("/metrics").body(Full::default()).expect("a request");
-        let text = call(relay.metrics, asked).await.body;
+        let request = Request::get("/metrics").body(Full::default()).expect("a request");
+        let text = call(relay.metrics, request).await.body;
         for name in ["switchfold_first_byte", "switchfold_outcomes", "switchfold_belief_age"] {
             assert!(text.contains(name), "{name} in {text}");
         }
--- a/crates/relay/tests/streams.rs
+++ b/crates/relay/tests/streams.rs
@@ -1,4 +1,4 @@
-//! Streams over engines, by the ways in which engines fail.
+//! Tests streams over engines that fail in various ways.
 
 mod harness;
 
@@ -24,17 +24,18 @@
 use switchfold_relay::news::{InstanceRecord, PeerMessage, StateNews};
 use tokio::net::UdpSocket;
 
-/// Events of a whole stream.
+/// Number of events of a complete stream.
 const EVENTS: u64 = 12;
 
-/// Pause between events.
+/// Pause between two events.
 const PAUSE: Duration = Duration::from_millis(10);
 
-fn whole_stream(request: &ReceivedRequest) -> Reply {
+fn complete_stream(request: &ReceivedRequest) -> Reply {
     events(request, EVENTS, PAUSE, StreamEnd::Complete)
 }
 
-/// An engine that holds all layers: its report and orders, and a script for requests.
+/// Script of an engine that holds layers `from..to`: accepts orders, and responds to requests by
+/// `script`.
 fn engine(
     from: u32,
     to: u32,
@@ -47,18 +48,20 @@
     }
 }
 
-fn whole_model(address: SocketAddr) -> serde_json::Value {
+/// Entry of an engine that holds all layers.
+fn full_model(address: SocketAddr) -> serde_json::Value {
     model_entry(address, 0, LAYERS)
 }
 
-/// The same entry in another data centre, where requests go only if none nearer takes them.
-fn elsewhere(
+/// The same entry in another data centre, whose replicas are used only if no local one can be.
+fn remote(
     entry: impl Fn(SocketAddr) -> serde_json::Value,
 ) -> impl Fn(SocketAddr) -> serde_json::Value {
     move |address| in_data_centre(entry(address), "far")
 }
 
-/// A script that fails on the first request it gets, counted over several replicas, and is well after.
+/// Script of engines that fail on the first request to any of those that share `count`, and respond
+/// normally after.
 fn fails_first(
     count: &Arc<Mutex<u32>>,
     fails: impl Fn(&ReceivedRequest) -> Reply + Send + Sync + 'static,
@@ -69,37 +72,37 @@
         *count += 1;
         match *count {
             1 => fails(request),
-            _ => whole_stream(request),
+            _ => complete_stream(request),
         }
     })
 }
 
 #[test]
-fn a_stream_is_passed_on_whole() {
+fn a_stream_is_forwarded_completely() {
     run_test(async {
-        let replica = StandinReplica::start(engine(0, LAYERS, whole_stream)).await;
-        let relay = RunningRelay::start(bounds(), &[entry_of("i-1", &replica, whole_model)]).await;
+        let replica = StandinReplica::start(engine(0, LAYERS, complete_stream)).await;
+        let relay = RunningRelay::start(bounds(), &[entry_of("i-1", &replica, full_model)]).await;
         let called = relay.get("/stream/a", "a").await;
         assert_eq!(called.status, StatusCode::OK);
         assert!(called.is_complete && called.is_signed());
         assert_eq!(event_ids(&called.body), (0..EVENTS).collect::<Vec<u64>>());
-        let seen = &replica.requests()[0];
+        let received = &replica.requests()[0];
         assert_eq!(
-            seen.header(PATH.as_str()),
+            received.header(PATH.as_str()),
             Some(format!("{}=0-{LAYERS}", replica.address()).as_str())
         );
-        assert_eq!(seen.header(EXPECT_REPLICA.as_str()), Some("i-1"));
+        assert_eq!(received.header(EXPECT_REPLICA.as_str()), Some("i-1"));
     });
 }
 
 #[test]
-fn a_caller_takes_a_stream_up_after_its_last_event() {
+fn a_caller_resumes_a_stream_after_its_last_event() {
     run_test(async {
-        let replica = StandinReplica::start(engine(0, LAYERS, whole_stream)).await;
-        let relay = RunningRelay::start(bounds(), &[entry_of("i-1", &replica, whole_model)]).await;
-        let mut asked = request("/stream/a", "a");
-        asked.headers_mut().insert(LAST_EVENT_ID, "4".parse().expect("a value"));
-        let called = call(relay.address, asked).await;
+        let replica = StandinReplica::start(engine(0, LAYERS, complete_stream)).await;
+        let relay = RunningRelay::start(bounds(), &[entry_of("i-1", &replica, full_model)]).await;
+        let mut request = request("/stream/a", "a");
+        request.headers_mut().insert(LAST_EVENT_ID, "4".parse().expect("a value"));
+        let called = call(relay.address, request).await;
         assert_eq!(event_ids(&called.body), (5..EVENTS).collect::<Vec<u64>>());
     });
 }
@@ -107,32 +110,32 @@
 #[test]
 fn a_path_runs_each_layer_once_over_several_engines() {
     run_test(async {
-        let one = StandinReplica::start(engine(0, 5, whole_stream)).await;
-        let two = StandinReplica::start(engine(3, LAYERS, whole_stream)).await;
+        let one = StandinReplica::start(engine(0, 5, complete_stream)).await;
+        let two = StandinReplica::start(engine(3, LAYERS, complete_stream)).await;
         let entries = [
             entry_of("i-1", &one, |address| model_entry(address, 0, 5)),
             entry_of("i-2", &two, |address| model_entry(address, 3, LAYERS)),
         ];
         let relay = RunningRelay::start(bounds(), &entries).await;
         assert!(relay.get("/stream/a", "a").await.is_complete);
-        let seen = &one.requests()[0];
-        let path = seen.header(PATH.as_str()).expect("a path");
-        let parts: Vec<(u32, u32)> = path
+        let received = &one.requests()[0];
+        let path = received.header(PATH.as_str()).expect("a path");
+        let stages: Vec<(u32, u32)> = path
             .split(',')
-            .filter_map(|part| part.split_once('=')?.1.split_once('-'))
+            .filter_map(|stage| stage.split_once('=')?.1.split_once('-'))
             .map(|(from, to)| (from.parse().expect("a layer"), to.parse().expect("a layer")))
             .collect();
-        assert_eq!(parts.first().map(|part| part.0), Some(0));
-        assert_eq!(parts.last().map(|part| part.1), Some(LAYERS));
-        assert!(parts.windows(2).all(|pair| pair[0].1 == pair[1].0), "{path}");
-        assert_eq!(two.requests(), [], "the engines hand requests on themselves");
+        assert_eq!(stages.first().map(|stage| stage.0), Some(0));
+        assert_eq!(stages.last().map(|stage| stage.1), Some(LAYERS));
+        assert!(stages.windows(2).all(|pair| pair[0].1 == pair[1].0), "{path}");
+        assert_eq!(two.requests(), [], "the first engine forwards the request to the second");
     });
 }
 
-/// However a stream breaks, on a route that allows it the caller gets every event once; else it gets
-/// what came, and no end that looks like one.
+/// However a stream breaks, the caller receives every event once if the route allows resuming.
+/// Otherwise it receives the events so far, and a body that is visibly incomplete.
 #[test]
-fn a_broken_stream_goes_on_elsewhere() {
+fn a_broken_stream_is_resumed_at_another_replica() {
     for end in [StreamEnd::Cut, StreamEnd::CutWithinEvent] {
         for (path, resumes) in [("/stream/a", true), ("/stream-once/a", false)] {
             run_test(async move {
@@ -141,7 +144,7 @@
                 let one = StandinReplica::start(script()).await;
                 let two = StandinReplica::start(script()).await;
                 let entries =
-                    [entry_of("i-1", &one, whole_model), entry_of("i-2", &two, whole_model)];
+                    [entry_of("i-1", &one, full_model), entry_of("i-2", &two, full_model)];
                 let relay = RunningRelay::start(bounds(), &entries).await;
                 let called = relay.get(path, "a").await;
                 let expected = if resumes { EVENTS } else { 5 };
@@ -154,25 +157,26 @@
     }
 }
 
-/// What happens before the first event: (what the first engine does, whether the route may be
-/// repeated, status, requests sent).
+/// Failures before the first event. Columns: name, what the first engine does, path (whose route
+/// tells whether the request may be repeated), status that the caller receives, number of requests
+/// sent.
 #[test]
-fn a_stream_that_does_not_open_is_tried_elsewhere() {
+fn a_stream_that_fails_to_open_is_retried_if_the_route_allows() {
     type Script = fn(&ReceivedRequest) -> Reply;
     let rows: [(&str, Script, &str, u16, usize); 6] = [
         ("rejected", |r| reject(r, 503, None), "/stream-once/a", 200, 2),
-        ("other layers there", |r| reject(r, 421, None), "/stream-once/a", 200, 2),
+        ("holds other layers", |r| reject(r, 421, None), "/stream-once/a", 200, 2),
         ("closed", |_| Reply::Close, "/stream/a", 200, 2),
-        ("closed, once only", |_| Reply::Close, "/stream-once/a", 502, 1),
+        ("closed, not repeatable", |_| Reply::Close, "/stream-once/a", 502, 1),
         ("failed", |r| signed_response(r, 500, "no"), "/stream/a", 200, 2),
-        ("refused for good", |r| signed_response(r, 400, "no"), "/stream/a", 400, 1),
+        ("client error", |r| signed_response(r, 400, "no"), "/stream/a", 400, 1),
     ];
     for (name, fails, path, status, sends) in rows {
         run_test(async move {
             let count = Arc::new(Mutex::new(0));
             let one = StandinReplica::start(fails_first(&count, fails)).await;
             let two = StandinReplica::start(fails_first(&count, fails)).await;
-            let entries = [entry_of("i-1", &one, whole_model), entry_of("i-2", &two, whole_model)];
+            let entries = [entry_of("i-1", &one, full_model), entry_of("i-2", &two, full_model)];
             let relay = RunningRelay::start(bounds(), &entries).await;
             let called = relay.get(path, "a").await;
             assert_eq!(called.status.as_u16(), status, "{name}");
@@ -181,13 +185,13 @@
     }
 }
 
-/// A stream that stands still because of another engine of its path is moved: the first engine is told
-/// the new path, with the same first part, and nothing is sent twice.
+/// If a stream stalls because of a later engine of its path, the first engine is ordered to use a
+/// new path with the same first stage, and the request is not sent a second time.
 #[test]
-fn a_stalled_part_is_replaced_in_place() {
+fn a_stalled_stage_is_replaced_without_a_second_send() {
     run_test(async {
-        let lost = StandinReplica::start(engine(4, LAYERS, whole_stream)).await;
-        let spare = StandinReplica::start(engine(4, LAYERS, whole_stream)).await;
+        let lost = StandinReplica::start(engine(4, LAYERS, complete_stream)).await;
+        let spare = StandinReplica::start(engine(4, LAYERS, complete_stream)).await;
         let faulty_replica = lost.address();
         let first = StandinReplica::start(move |request| match request.target.as_str() {
             REPORT_PATH => signed_response(request, 200, &report(0, 4, &[("a", faulty_replica)])),
@@ -200,9 +204,9 @@
             entry_of("i-2", &lost, |address| model_entry(address, 4, LAYERS)),
         ];
         let relay = RunningRelay::start(bounds(), &entries).await;
-        let asked = request("/stream/a", "a");
+        let request = request("/stream/a", "a");
         let address = relay.address;
-        let calling = tokio::task::spawn_local(async move { call(address, asked).await });
+        let calling = tokio::task::spawn_local(async move { call(address, request).await });
         wait_until(async || first.requests().len() == 1).await;
         relay.store.put(REPLICA_KIND, "i-3", model_entry(spare.address(), 4, LAYERS));
         wait_until(async || !first.orders().is_empty()).await;
@@ -212,10 +216,10 @@
     });
 }
 
-/// A stream whose engine falls silent and whose attempts are used up is not ended by the relay: the
-/// engine may go on. Found by a hunt: streams were closed midway during planned replacements.
+/// If the engine falls silent and no attempt is left, the relay does not end the stream, since the
+/// engine may continue. Guards against streams that were closed midway during planned replacements.
 #[test]
-fn silence_alone_ends_no_stream() {
+fn silence_alone_does_not_end_a_stream() {
     run_test(async {
         let script = |request: &ReceivedRequest| match request.header(LAST_EVENT_ID.as_str()) {
             None => events(request, 3, PAUSE, StreamEnd::Silence),
@@ -223,35 +227,36 @@
         };
         let one = StandinReplica::start(engine(0, LAYERS, script)).await;
         let two = StandinReplica::start(engine(0, LAYERS, script)).await;
-        let entries = [entry_of("i-1", &one, whole_model), entry_of("i-2", &two, whole_model)];
+        let entries = [entry_of("i-1", &one, full_model), entry_of("i-2", &two, full_model)];
         let relay = RunningRelay::start(bounds(), &entries).await;
         let called = relay.get("/stream/a", "a").await;
-        // The second engine pauses longer than any stream should; it is waited for all the same.
+        // The second engine pauses longer than the route allows, and is waited for nevertheless.
         assert!(called.is_complete, "{called:?}");
         assert_eq!(event_ids(&called.body), (0..EVENTS).collect::<Vec<u64>>());
         assert_eq!(one.requests().len() + two.requests().len(), 2);
     });
 }
 
-/// A stream whose only engine falls silent goes on when the engine does.
+/// A stream whose only engine falls silent continues once the engine does.
 #[test]
-fn a_silent_engine_is_waited_for() {
+fn the_only_engine_is_waited_for_while_silent() {
     run_test(async {
         let slow = |request: &ReceivedRequest| {
             events(request, 3, Duration::from_millis(2_500), StreamEnd::Complete)
         };
         let only = StandinReplica::start(engine(0, LAYERS, slow)).await;
-        let relay = RunningRelay::start(bounds(), &[entry_of("i-1", &only, whole_model)]).await;
+        let relay = RunningRelay::start(bounds(), &[entry_of("i-1", &only, full_model)]).await;
         let called = relay.get("/stream-once/a", "a").await;
         assert!(called.is_complete, "{called:?}");
         assert_eq!(event_ids(&called.body), [0, 1, 2]);
     });
 }
 
-/// A request that waits for a lost engine: where it may run again it is tried elsewhere at once; where
-/// it may not, it is waited for, and the engine's own word that it did not run lets it go elsewhere.
+/// A request that waits for a lost engine is retried elsewhere at once if it may run again. If it
+/// may not, the relay waits until the first engine states that the request did not run, and then
+/// retries it.
 #[test]
-fn a_request_that_stalls_before_its_first_event() {
+fn a_request_that_stalls_before_its_first_event_is_retried_if_allowed() {
     for (path, abandoned) in [("/stream/a", true), ("/stream-once/a", false)] {
         run_test(async move {
             let lost = StandinReplica::start(|_| Reply::Silence).await;
@@ -268,26 +273,25 @@
                 }
             })
             .await;
-            let spare = StandinReplica::start(engine(0, LAYERS, whole_stream)).await;
-            let entries = [
-                entry_of("i-1", &first, whole_model),
-                entry_of("i-2", &spare, elsewhere(whole_model)),
-            ];
+            let spare = StandinReplica::start(engine(0, LAYERS, complete_stream)).await;
+            let entries =
+                [entry_of("i-1", &first, full_model), entry_of("i-2", &spare, remote(full_model))];
             let relay = RunningRelay::start(bounds(), &entries).await;
             let called = relay.get(path, "a").await;
             assert!(called.is_complete, "{called:?}");
             assert_eq!(called.status, StatusCode::OK);
             assert_eq!((first.requests().len(), spare.requests().len()), (1, 1));
-            // Given up at once, its connection is closed; waited for, it is kept.
+            // An abandoned request closes its connection; one that was waited for keeps it.
             let sent_on = first.requests()[0].connection;
             assert!(sent_on > 0 && (abandoned || first.open_connections() > 0));
         });
     }
 }
 
-/// Engines short of memory refuse; another path is taken, and the caller sees nothing of it.
+/// If an engine short of memory rejects a request, another path is used without the caller
+/// noticing.
 #[test]
-fn a_full_engine_is_passed_by() {
+fn an_engine_short_of_memory_is_avoided() {
     run_test(async {
         let full =
             StandinReplica::start(move |request: &ReceivedRequest| match request.target.as_str() {
@@ -295,24 +299,24 @@
                 _ => reject(request, 503, None),
             })
             .await;
-        let well = StandinReplica::start(engine(0, LAYERS, whole_stream)).await;
-        let entries = [entry_of("i-1", &full, whole_model), entry_of("i-2", &well, whole_model)];
+        let healthy = StandinReplica::start(engine(0, LAYERS, complete_stream)).await;
+        let entries = [entry_of("i-1", &full, full_model), entry_of("i-2", &healthy, full_model)];
         let relay = RunningRelay::start(bounds(), &entries).await;
         for id in ["a", "b", "c"] {
             assert!(relay.get("/stream/a", id).await.is_complete);
         }
-        assert_eq!(well.requests().len(), 3);
+        assert_eq!(healthy.requests().len(), 3);
     });
 }
 
 #[test]
-fn a_leaving_engine_gets_no_new_stream() {
+fn a_draining_engine_gets_no_new_stream() {
     run_test(async {
-        let leaves = StandinReplica::start(engine(0, LAYERS, whole_stream)).await;
-        let stays = StandinReplica::start(engine(0, LAYERS, whole_stream)).await;
-        let entries = [entry_of("i-1", &leaves, whole_model), entry_of("i-2", &stays, whole_model)];
+        let leaves = StandinReplica::start(engine(0, LAYERS, complete_stream)).await;
+        let stays = StandinReplica::start(engine(0, LAYERS, complete_stream)).await;
+        let entries = [entry_of("i-1", &leaves, full_model), entry_of("i-2", &stays, full_model)];
         let relay = RunningRelay::start(bounds(), &entries).await;
-        relay.store.put(REPLICA_KIND, "i-1", draining(whole_model(leaves.address())));
+        relay.store.put(REPLICA_KIND, "i-1", draining(full_model(leaves.address())));
         wait_until(async || {
             let before = leaves.requests().len();
             relay.get("/stream/a", "a").await;
@@ -325,16 +329,18 @@
     });
 }
 
-/// Layers that nobody holds: the engines are told to hold them, and no order goes twice.
+/// If nobody holds some layers, an empty engine is ordered to load them, and no order is sent
+/// twice.
 #[test]
-fn empty_engines_are_given_layers() {
+fn empty_engines_are_ordered_to_load_layers_once() {
     run_test(async {
-        let replica = StandinReplica::start(engine(0, LAYERS, whole_stream)).await;
-        let mut empty = whole_model(replica.address());
+        let replica = StandinReplica::start(engine(0, LAYERS, complete_stream)).await;
+        let mut empty = full_model(replica.address());
         empty["layers"] = serde_json::Value::Null;
         let relay = RunningRelay::start(bounds(), &[("i-1", empty)]).await;
         wait_until(async || !replica.orders().is_empty()).await;
-        // Alone it cannot hold the model: nine tenths of its memory, so that some is left for requests.
+        // Alone it cannot hold the model: layers use at most nine tenths of its memory, the rest is
+        // for requests.
         let to = u64::from(LAYERS) - 1;
         assert_eq!(replica.orders()[0], ReceivedOrder::Place { from: 0, to, orders_taken: 3 });
         let called = relay.get("/stream/a", "a").await;
@@ -344,41 +350,42 @@
     });
 }
 
-/// The caller leaves in the middle of a stream: the engine's connection ends at once.
+/// If the caller disconnects in the middle of a stream, the connection to the engine is closed at
+/// once.
 #[test]
-fn a_caller_that_leaves_ends_its_stream() {
+fn a_caller_that_disconnects_ends_its_stream() {
     run_test(async {
         let script = |r: &ReceivedRequest| events(r, 3, PAUSE, StreamEnd::Silence);
         let replica = StandinReplica::start(engine(0, LAYERS, script)).await;
-        let relay = RunningRelay::start(bounds(), &[entry_of("i-1", &replica, whole_model)]).await;
+        let relay = RunningRelay::start(bounds(), &[entry_of("i-1", &replica, full_model)]).await;
         let calling = call(relay.address, request("/stream/a", "a"));
-        let gone = tokio::time::timeout(Duration::from_millis(300), calling).await;
-        assert!(gone.is_err(), "the stream never ends");
-        // Connections for reports may stay; the stream's own does not.
+        let outcome = tokio::time::timeout(Duration::from_millis(300), calling).await;
+        assert!(outcome.is_err(), "the stream never ends");
+        // A connection for reports may stay open; that of the stream does not.
         wait_until(async || replica.requests().len() == 1 && replica.open_connections() <= 1).await;
     });
 }
 
-/// A replica in the middle of a path goes dark, and the first one's report does not say so yet: it is
-/// found by a probe, and the stream goes on elsewhere.
+/// A later replica of the path falls silent, and the report of the first one does not name it yet.
+/// A probe finds it, and the stream is resumed elsewhere.
 #[test]
-fn a_dark_replica_in_the_middle_is_found_by_a_probe() {
+fn a_silent_later_stage_is_found_by_a_probe() {
     run_test(async {
         let silent = |request: &ReceivedRequest| events(request, 3, PAUSE, StreamEnd::Silence);
         let first = StandinReplica::start(engine(0, 5, silent)).await;
         let probes = Arc::new(Mutex::new(0));
         let counted = probes.clone();
-        let dark = StandinReplica::start(move |request: &ReceivedRequest| {
+        let lost = StandinReplica::start(move |request: &ReceivedRequest| {
             let is_probe = request.target == REPORT_PATH;
             *counted.lock().expect("no script panics") += u32::from(is_probe);
             Reply::Silence
         })
         .await;
-        let other = StandinReplica::start(engine(0, LAYERS, whole_stream)).await;
+        let other = StandinReplica::start(engine(0, LAYERS, complete_stream)).await;
         let entries = [
             entry_of("i-1", &first, |address| model_entry(address, 0, 5)),
-            entry_of("i-2", &dark, |address| model_entry(address, 5, LAYERS)),
-            entry_of("i-3", &other, elsewhere(whole_model)),
+            entry_of("i-2", &lost, |address| model_entry(address, 5, LAYERS)),
+            entry_of("i-3", &other, remote(full_model)),
         ];
         let relay = RunningRelay::start(bounds(), &entries).await;
         let called = relay.get("/stream/a", "a").await;
@@ -388,10 +395,10 @@
     });
 }
 
-/// What another relay suspects ends no request that has no other send: it may be a fault of that relay's
-/// link.
+/// A suspicion that another relay reports does not end a request that cannot be sent again, since
+/// it may be due to that relay's own network link.
 #[test]
-fn a_heard_suspicion_ends_no_waiting_request() {
+fn a_suspicion_from_another_relay_does_not_end_a_waiting_request() {
     run_test(async {
         let late =
             |request: &ReceivedRequest| match signed_response(request, 200, "id: 0\ndata: a\n\n") {
@@ -399,37 +406,37 @@
                 other => other,
             };
         let replica = StandinReplica::start(engine(0, LAYERS, late)).await;
-        let relay = RunningRelay::start(bounds(), &[entry_of("i-1", &replica, whole_model)]).await;
-        let news = StateNews {
+        let relay = RunningRelay::start(bounds(), &[entry_of("i-1", &replica, full_model)]).await;
+        let state = StateNews {
             name: "relay-0".to_owned(),
             data_centre: "far".to_owned(),
             suspects: vec![(InstanceRecord("i-1".to_owned(), 0), 2_000)],
             ..StateNews::default()
         };
-        let datagram = PeerMessage::State(Box::new(news)).encode();
-        let telling = async {
+        let datagram = PeerMessage::State(Box::new(state)).encode();
+        let sending = async {
             wait_until(async || !replica.requests().is_empty()).await;
             let socket = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
             socket.send_to(&datagram, relay.peers).await.expect("it is sent");
         };
-        let (called, ()) = tokio::join!(relay.get("/stream-single/a", "a"), telling);
+        let (called, ()) = tokio::join!(relay.get("/stream-single/a", "a"), sending);
         assert_eq!(called.status, StatusCode::OK);
         assert!(called.is_complete && called.is_signed());
     });
 }
 
-/// Time in which a relay that takes replicas for lost leaves them.
-const LEAVING_TIME: Duration = Duration::from_millis(300);
+/// Time within which a relay moves a stream off replicas that it considers lost.
+const RECOVERY_TIME: Duration = Duration::from_millis(300);
 
-/// Where most replicas of a path are silent at once, the relay or its link is slow, not they: the stream
-/// stays where it is.
+/// If most replicas of a path are silent at once, the relay or its network link is slow rather than
+/// they, so the stream stays where it is.
 #[test]
-fn silence_of_many_replicas_proves_nothing() {
+fn silence_of_many_replicas_is_no_proof_of_failure() {
     run_test(async {
         let probes = Arc::new(Mutex::new(0_u32));
         let counted = probes.clone();
-        // The stream goes on a while after each of the four others was asked twice: time enough to leave
-        // it, if it were left.
+        // The stream continues only some time after the four others were probed twice each, which
+        // is long enough for the relay to move it, if it did.
         let held = move |request: &ReceivedRequest| {
             let mut reply = events(request, EVENTS, PAUSE, StreamEnd::Complete);
             let counted = counted.clone();
@@ -439,7 +446,7 @@
                     let all = *counted.lock().expect("no script panics") >= 8;
                     let mut asked = asked.lock().expect("no script panics");
                     *asked = asked.or_else(|| all.then(Instant::now));
-                    match asked.is_some_and(|asked| asked.elapsed() > LEAVING_TIME) {
+                    match asked.is_some_and(|asked| asked.elapsed() > RECOVERY_TIME) {
                         true => GateState::Open,
                         false => GateState::Closed,
                     }
@@ -458,12 +465,12 @@
             };
             others.push(StandinReplica::start(silent).await);
         }
-        let elsewhere_seen = StandinReplica::start(engine(0, LAYERS, whole_stream)).await;
+        let distant = StandinReplica::start(engine(0, LAYERS, complete_stream)).await;
         let ranges = [(2, 4), (4, 5), (5, 7), (7, LAYERS)];
         let ids = ["i-2", "i-3", "i-4", "i-5"];
         let mut entries = vec![
             entry_of("i-1", &first, |address| model_entry(address, 0, 2)),
-            entry_of("i-6", &elsewhere_seen, elsewhere(whole_model)),
+            entry_of("i-6", &distant, remote(full_model)),
         ];
         for ((id, other), (from, to)) in ids.iter().zip(&others).zip(ranges) {
             entries.push(entry_of(id, other, |address| model_entry(address, from, to)));
@@ -473,6 +480,6 @@
         assert!(called.is_complete);
         assert_eq!(event_ids(&called.body), (0..EVENTS).collect::<Vec<u64>>());
         assert_eq!(first.requests().len(), 1);
-        assert_eq!(elsewhere_seen.requests().len(), 0);
+        assert_eq!(distant.requests().len(), 0);
     });
 }
