--- a/crates/router/src/replicas.rs
+++ b/crates/router/src/replicas.rs
@@ -29,7 +29,7 @@
     List,
     /// A list of the store, sent by a relay that read it.
     #[display("told")]
-    Told,
+    Snapshot,
     /// A watch of the store.
     #[display("watch")]
     Watch,
@@ -309,7 +309,7 @@
         }
     }
 
-    /// Treats an entry without a start time, of a replica whose own entry had update, as another
+    /// Treats an entry without a start time, of a replica whose own entry had one, as another
     /// writer's.
     fn check_start(&self, update: ReplicaUpdate) -> ReplicaUpdate {
         let reported = update.entry.as_ref().map(|entry| entry.instance.started_at());
