--- a/crates/relay/src/forward/recovery.rs
+++ b/crates/relay/src/forward/recovery.rs
@@ -15,9 +15,9 @@
 use crate::{
     admit::admit,
     counts::count,
-    engines::{OrderEnd, order_repath, probe_replicas},
+    engines::{OrderOutcome, order_repath, probe_replicas},
     paths::{CrossingRule, MemoryRule, PathCriteria, PathReservation, find_path},
-    quarantine::quarantine_left,
+    quarantine::quarantine_remaining,
     run_tracker::RunTracker,
     state::PartState,
     stream::{OpenOutcome, OpenStream, find_stalled_replica, open_stream, suspect_at, take_retry},
@@ -155,13 +155,13 @@
     async fn repath(&mut self) -> bool {
         let mut excluded = self.restarted_replicas();
         // A move counts as a send: the replicas of the new stages begin to run the request.
-        if quarantine_left(&self.relay, &self.request).is_some() {
+        if quarantine_remaining(&self.relay, &self.request).is_some() {
             return false;
         }
         for _ in 0..MAX_REPATHS {
             match self.order_path(&excluded).await {
-                Some(OrderEnd::Taken) => return true,
-                Some(OrderEnd::Refused(_, Some(faulty_replica))) => {
+                Some(OrderOutcome::Taken) => return true,
+                Some(OrderOutcome::Refused(_, Some(faulty_replica))) => {
                     probe_replicas(&self.relay, std::iter::once(faulty_replica));
                     let beliefs = self.relay.beliefs.borrow();
                     let Some(replica) = beliefs.fleet.view.at_address(faulty_replica) else {
@@ -188,7 +188,7 @@
 
     /// Orders the first engine to move the request to the cheapest path without the excluded
     /// replicas. Returns `None` if there is no such path.
-    async fn order_path(&mut self, excluded: &[ReplicaInstance]) -> Option<OrderEnd> {
+    async fn order_path(&mut self, excluded: &[ReplicaInstance]) -> Option<OrderOutcome> {
         let service = self.permit.config.services.get(&self.permit.service);
         let engine = service.and_then(|service| service.engine.as_ref())?;
         let tokens = self
@@ -212,7 +212,7 @@
         let end = order_repath(&self.relay, id, &path).await;
         let quiet_ms = now_millis() - self.last_progress;
         tracing::info!(event = "repath", request = id, ?end, quiet_ms, parts = path.len());
-        if end == OrderEnd::Taken {
+        if end == OrderOutcome::Taken {
             self.run = RunTracker::over_path(&path);
             self.run.record_start();
             self.reservation = PathReservation::new(&self.relay, &path, tokens);
@@ -249,7 +249,7 @@
             (Err(not_resumed), StreamLoss::Broken) => self.give_up(why, &not_resumed),
             // A quarantined request can be resumed nowhere, so its caller need not wait.
             (Err(not_resumed), StreamLoss::Silent)
-                if quarantine_left(&self.relay, &self.request).is_some() =>
+                if quarantine_remaining(&self.relay, &self.request).is_some() =>
             {
                 self.give_up(why, &not_resumed);
             }
--- a/crates/relay/src/paths.rs
+++ b/crates/relay/src/paths.rs
@@ -19,8 +19,8 @@
 use tokio::time::{Instant, sleep};
 
 use crate::{
-    limits::{GrantWait, want_grant},
-    notices::soonest_end,
+    limits::{GrantWait, request_grant},
+    notices::min_send_wait,
     state::{Beliefs, Relay},
 };
 
@@ -236,7 +236,7 @@
     let can_start = |replica: &ReplicaEntry| {
         is_start_candidate(replica, criteria) && (!starts_locally || replica.data_centre == *local)
     };
-    want_grant(relay, criteria.service, criteria.rank, can_start);
+    request_grant(relay, criteria.service, criteria.rank, can_start);
 }
 
 fn is_start_candidate(replica: &ReplicaEntry, criteria: &PathCriteria<'_>) -> bool {
@@ -253,7 +253,7 @@
 fn throttle_remaining(relay: &Relay, criteria: &PathCriteria<'_>) -> Option<Duration> {
     let can_start = |replica: &ReplicaEntry| is_start_candidate(replica, criteria);
     let remaining =
-        soonest_end(&relay.beliefs.borrow(), criteria.service, criteria.rank, can_start)?;
+        min_send_wait(&relay.beliefs.borrow(), criteria.service, criteria.rank, can_start)?;
     Some(Duration::from_millis(remaining))
 }
 
--- a/crates/relay/src/plain.rs
+++ b/crates/relay/src/plain.rs
@@ -30,10 +30,10 @@
 use crate::{
     admit::{Permit, admit},
     counts::count,
-    limits::{GrantWait, want_grant},
-    notices::{SendGate, hear_notices, refusal_without_replica, soonest_end},
+    limits::{GrantWait, request_grant},
+    notices::{SendGate, apply_notices, min_send_wait, refusal_without_replica},
     pool::{ActiveConnection, SendError},
-    quarantine::{check_quarantine, note_result},
+    quarantine::{check_quarantine, record_result},
     request::{CallerRequest, ReplicaTarget},
     responses::{Refusal, RelayResponse, full_body},
     run_tracker::RunTracker,
@@ -199,11 +199,11 @@
     loop {
         if let Some(replica) = choose_replica(relay, permit, tried) {
             if grant_wait.is_none() {
-                want_grant(relay, service, *priority, untried);
+                request_grant(relay, service, *priority, untried);
             }
             return Some(replica);
         }
-        let remaining = soonest_end(&relay.beliefs.borrow(), service, *priority, untried)?;
+        let remaining = min_send_wait(&relay.beliefs.borrow(), service, *priority, untried)?;
         if now_millis() + remaining > wait_until {
             return None;
         }
@@ -292,8 +292,8 @@
         match (next, outcome.response) {
             (NextStep::PassOn, Some(response)) => {
                 let took = now - request.arrived_at;
-                relay.metrics.note_head(&permit, took);
-                relay.metrics.note_end(&permit, took, None);
+                relay.metrics.record_head(&permit, took);
+                relay.metrics.record_end(&permit, took, None);
                 return Ok(forward(response));
             }
             (NextStep::TryElsewhere, _) => {
@@ -354,7 +354,7 @@
             run.record_loss(relay, request, &outcome.detail);
             check_reachable(relay, replica).await;
         }
-        AttemptEnd::Answered(_) => note_result(relay, request),
+        AttemptEnd::Answered(_) => record_result(relay, request),
         AttemptEnd::NotSent | AttemptEnd::Rejected => {}
     }
     if outcome.is_throttled {
@@ -422,7 +422,7 @@
     let sent =
         relay.pool.send(target.replica.address, outgoing, new_connection, || gate.pass()).await;
     if sent.as_ref().is_err_and(SendError::is_unsent) {
-        gate.note_unsent();
+        gate.record_unsent();
     }
     let (response, connection) = match sent {
         Ok(sent) => sent,
@@ -440,7 +440,7 @@
     let (parts, body) = response.into_parts();
     let headers = read_response_headers(&parts.headers);
     let received = request.received_response(&headers, parts.status, sent_at);
-    hear_notices(relay, &target.replica.instance, received);
+    apply_notices(relay, &target.replica.instance, received);
     if let Some(end) = end_from_headers(request, &headers, parts.status) {
         drain_rejection(relay, connection, body, &headers).await;
         return AttemptOutcome::without_response(end, format!("status {}", parts.status));
--- a/crates/relay/src/request.rs
+++ b/crates/relay/src/request.rs
@@ -25,7 +25,7 @@
 use crate::{
     admit::{AdmissionRequest, Permit, admit},
     counts::count,
-    notices::HeardAnswer,
+    notices::ReplicaResponse,
     plain::run_plain,
     quarantine::check_quarantine,
     responses::{Refusal, RelayResponse},
@@ -90,14 +90,14 @@
         headers.attempt_id.as_ref().is_none_or(|id| *id == self.headers.attempt_id)
     }
 
-    /// Describes a response that was received to the attempt sent at `sent`.
+    /// Describes a response that was received to the attempt sent at `sent_at`.
     pub fn received_response<'a>(
         &self,
         headers: &'a ResponseHeaders,
         status: StatusCode,
-        sent: Millis,
-    ) -> HeardAnswer<'a> {
-        HeardAnswer { status, marks: headers, sent, is_own: self.matches_response(headers) }
+        sent_at: Millis,
+    ) -> ReplicaResponse<'a> {
+        ReplicaResponse { status, headers, sent_at, is_own: self.matches_response(headers) }
     }
 
     /// Estimates the number of tokens that it may hold, those of its prompt and of its completion.
@@ -188,7 +188,7 @@
         if is_forwarded {
             return;
         }
-        relay.metrics.note_attempt(end, next);
+        relay.metrics.record_attempt(end, next);
         tracing::warn!(
             event = "attempt-failed",
             request = self.headers.attempt_id,
@@ -215,7 +215,7 @@
         Ok(response) => {
             let status = response.status().as_u16();
             count(&relay.counts.answered);
-            relay.metrics.note_outcome(status, "answered");
+            relay.metrics.record_outcome(status, "answered");
             tracing::info!(
                 event = "answered",
                 request = id,
@@ -320,7 +320,7 @@
         503 => count(&relay.counts.refused),
         _ => count(&relay.counts.failed),
     }
-    relay.metrics.note_outcome(status, &refusal.to_string());
+    relay.metrics.record_outcome(status, &refusal.to_string());
     let config = relay.config().map_or(0, |config| config.version);
     let config_age = relay.beliefs.borrow().config_lease.age(now_millis());
     tracing::warn!(
--- a/crates/relay/src/stream.rs
+++ b/crates/relay/src/stream.rs
@@ -23,13 +23,13 @@
     counts::count,
     engines::{ReportState, probe_replicas, recent_report},
     forward::stream_body,
-    heads::{HeadGuard, HeadWait, Sent, WaitEnd},
-    notices::{SendGate, hear_notices, refusal_without_replica},
+    notices::{SendGate, apply_notices, refusal_without_replica},
     paths::{PathCriteria, PathReservation, can_start_path, wait_for_path},
     plain::{drain_rejection, end_from_headers},
     pool::{ActiveConnection, SendError},
-    quarantine::{check_quarantine, note_result},
+    quarantine::{check_quarantine, record_result},
     request::{CallerRequest, ReplicaTarget},
+    response_head::{HeadError, HeadWait, PendingHead, ReceivedHead},
     responses::{Refusal, RelayResponse, full_body},
     run_tracker::RunTracker,
     shutdown::InFlightGuard,
@@ -208,30 +208,30 @@
     let outgoing = request.build_replica_request(permit, &target);
     let new_connection = !permit.route.is_repeatable();
     let mut run = RunTracker::over_path(&path);
-    let head = HeadGuard::new(relay, &first.instance);
+    let head = PendingHead::new(relay, &first.instance);
     let sent_at = now_millis();
     let sent = {
         let gate = SendGate::new(relay, &first.instance, permit.priority);
         let sending = relay.pool.send(first.address, outgoing, new_connection, || gate.pass());
         let wait = HeadWait { relay, request, permit, earlier_sends: history.sends, path: &path };
         let sent = wait.run(sending).await;
-        if matches!(&sent, Err(WaitEnd::Send(error)) if error.is_unsent()) {
-            gate.note_unsent();
+        if matches!(&sent, Err(HeadError::Send(error)) if error.is_unsent()) {
+            gate.record_unsent();
         }
         sent
     };
     let sent = match sent {
         Ok(sent) => sent,
-        Err(WaitEnd::Send(SendError::NotSent { detail })) => {
+        Err(HeadError::Send(SendError::NotSent { detail })) => {
             relay.suspect(&first.instance, &detail);
             history.excluded.push(first.instance);
             return Some(OpenOutcome::Failed(AttemptEnd::NotSent, detail));
         }
-        Err(WaitEnd::Send(error @ SendError::Throttled { .. })) => {
+        Err(HeadError::Send(error @ SendError::Throttled { .. })) => {
             history.excluded.push(first.instance);
             return Some(OpenOutcome::Failed(AttemptEnd::NotSent, error.to_string()));
         }
-        Err(WaitEnd::Send(SendError::NoResponse { detail })) => {
+        Err(HeadError::Send(SendError::NoResponse { detail })) => {
             // The replica is not suspected for this: one malformed or cut response says little
             // about the next. The probe finds out whether the replica is lost.
             probe_replicas(relay, std::iter::once(first.address));
@@ -240,13 +240,13 @@
             history.excluded.push(first.instance);
             return Some(OpenOutcome::Failed(AttemptEnd::Broken, detail));
         }
-        Err(WaitEnd::Stalled(detail)) => {
+        Err(HeadError::Stalled(detail)) => {
             run.record_loss(relay, request, &detail);
             history.sends += 1;
             history.excluded.push(first.instance);
             return Some(OpenOutcome::Failed(AttemptEnd::Broken, detail));
         }
-        Err(WaitEnd::TimeUp) => {
+        Err(HeadError::DeadlinePassed) => {
             history.sends += 1;
             return Some(OpenOutcome::Failed(AttemptEnd::Broken, "deadline passed".to_owned()));
         }
@@ -273,9 +273,9 @@
     attempt_id: &str,
 ) -> Option<SocketAddr> {
     let report = match recent_report(relay, first).await {
-        ReportState::Asking => return None,
-        ReportState::Silent => return Some(first),
-        ReportState::Answered(report) => report,
+        ReportState::Pending => return None,
+        ReportState::NoResponse => return Some(first),
+        ReportState::Received(report) => report,
     };
     let stalled = report.stalled.iter().find(|request| request.attempt_id == attempt_id);
     stalled.and_then(|stalled| stalled.faulty_replica)
@@ -314,13 +314,17 @@
     request: &CallerRequest,
     history: &mut SendHistory,
     first: ReplicaEntry,
-    (response, connection): Sent,
+    (response, connection): ReceivedHead,
     sent: SentRun,
 ) -> OpenOutcome {
     let SentRun { path, reservation, mut run, sent_at } = sent;
     let (head, body) = response.into_parts();
     let headers = read_response_headers(&head.headers);
-    hear_notices(relay, &first.instance, request.received_response(&headers, head.status, sent_at));
+    apply_notices(
+        relay,
+        &first.instance,
+        request.received_response(&headers, head.status, sent_at),
+    );
     if let Some(end) = end_from_headers(request, &headers, head.status) {
         handle_rejection(relay, history, &headers, &first, head.status).await;
         match end {
@@ -346,7 +350,7 @@
     }
     let end = read_full_response(relay, head, body, connection, &headers).await;
     if matches!(end, OpenOutcome::Responded(_) | OpenOutcome::Failed(AttemptEnd::Answered(_), _)) {
-        note_result(relay, request);
+        record_result(relay, request);
     }
     end
 }
@@ -379,17 +383,17 @@
     }
     if headers.faulty_replica.is_some() && status == StatusCode::SERVICE_UNAVAILABLE {
         match recent_report(relay, faulty_replica).await {
-            ReportState::Asking => {}
-            ReportState::Silent => {
+            ReportState::Pending => {}
+            ReportState::NoResponse => {
                 relay.suspect(&instance, "rejected a request and gave no report")
             }
-            ReportState::Answered(report) if report.layers.is_none() => {
+            ReportState::Received(report) if report.layers.is_none() => {
                 relay.suspect(&instance, "rejected a request and holds no layers");
             }
-            ReportState::Answered(report) if report.kv_used > report.kv_total * FULL_FRACTION => {
+            ReportState::Received(report) if report.kv_used > report.kv_total * FULL_FRACTION => {
                 relay.note_full(&instance);
             }
-            ReportState::Answered(_) => {}
+            ReportState::Received(_) => {}
         }
     }
     history.excluded.push(instance);
@@ -432,7 +436,7 @@
     in_flight: InFlightGuard,
 ) -> RelayResponse {
     let took = now_millis() - request.arrived_at;
-    relay.metrics.note_head(&permit, took);
+    relay.metrics.record_head(&permit, took);
     let mut head = stream.head.clone();
     strip_hop_headers(&mut head.headers);
     let body = stream_body(relay.clone(), request, permit, history, stream, in_flight);
