--- a/crates/ctl/src/ask.rs
+++ b/crates/ctl/src/ask.rs
@@ -6,7 +6,7 @@
 use http::{Request, StatusCode};
 use http_body_util::Full;
 use serde_json::Value;
-use switchfold_entry::commands::TableAnswer;
+use switchfold_entry::commands::ResultTable;
 use switchfold_kernel::http::{CallError, HttpClient};
 
 use crate::table::render_table;
@@ -79,7 +79,7 @@
     if asked.json {
         return Ok(value.to_string());
     }
-    Ok(match serde_json::from_value::<TableAnswer>(value.clone()) {
+    Ok(match serde_json::from_value::<ResultTable>(value.clone()) {
         Ok(table) => render_table(&table),
         Err(_) => accepted_text(&value),
     })
--- a/crates/entry/src/claims.rs
+++ b/crates/entry/src/claims.rs
@@ -23,7 +23,7 @@
 };
 use xtra::{Actor, Address, Context, Handler};
 
-use crate::config::PeerBook;
+use crate::config::PeerDirectory;
 
 /// Name of the service in the entry's registry.
 pub const CLAIMS: ServiceName = ServiceName("claims");
@@ -49,11 +49,11 @@
 
 /// Asks for a claim at this entry.
 #[derive(Clone, Debug)]
-pub struct MakeClaim {
+pub struct AcquireClaim {
     /// The claim.
-    pub wish: ClaimProposal,
+    pub proposal: ClaimProposal,
     /// How long to try.
-    pub patience: Duration,
+    pub timeout: Duration,
 }
 
 /// How a claim ended.
@@ -69,7 +69,7 @@
 
 #[derive(Debug)]
 struct PendingClaim {
-    wish: ClaimProposal,
+    proposal: ClaimProposal,
     until: Instant,
     answer: oneshot::Sender<ClaimState>,
 }
@@ -97,23 +97,23 @@
 }
 
 /// Puts a claim among those of its shard; the answer comes later.
-struct EnqueueClaim(MakeClaim);
+struct EnqueueClaim(AcquireClaim);
 
 impl Handler<EnqueueClaim> for ClaimService {
     type Return = oneshot::Receiver<ClaimState>;
 
     async fn handle(&mut self, message: EnqueueClaim, _: &mut Context<Self>) -> Self::Return {
         let (answer, receiver) = oneshot::channel();
-        let MakeClaim { wish, patience } = message.0;
-        let number = wish.key.shard();
-        let pending = PendingClaim { wish, until: Instant::now() + patience, answer };
+        let AcquireClaim { proposal, timeout } = message.0;
+        let number = proposal.key.shard();
+        let pending = PendingClaim { proposal, until: Instant::now() + timeout, answer };
         let _keeper_lives_with_service = self.shard(number).send(pending);
         receiver
     }
 }
 
 /// Makes a claim at this entry.
-pub async fn claim_here(claims: &Address<ClaimService>, claim: MakeClaim) -> ClaimState {
+pub async fn claim_locally(claims: &Address<ClaimService>, claim: AcquireClaim) -> ClaimState {
     match claims.send(EnqueueClaim(claim)).await {
         Ok(receiver) => receiver.await.unwrap_or(ClaimState::Unavailable),
         Err(_) => ClaimState::Unavailable,
@@ -123,44 +123,44 @@
 /// Makes a claim at the home of its shard, or here where the home is this entry or out of reach.
 ///
 /// Both ways are safe: a claim made here and one made at the home meet in the conditional write.
-pub async fn claim_at_home(
-    book: &PeerBook,
+pub async fn claim_at_owner(
+    directory: &PeerDirectory,
     own_name: &str,
     claims: &Address<ClaimService>,
-    claim: MakeClaim,
+    claim: AcquireClaim,
 ) -> ClaimState {
-    let others = book.others();
+    let others = directory.others();
     let names = others.iter().map(|peer| peer.name.as_str()).chain([own_name]);
-    let shard = format!("claims-{}", claim.wish.key.shard());
+    let shard = format!("claims-{}", claim.proposal.key.shard());
     let home = rendezvous_owner(&shard, names).unwrap_or(own_name);
     let Some(peer) = others.iter().find(|peer| peer.name == home) else {
-        return claim_here(claims, claim).await;
+        return claim_locally(claims, claim).await;
     };
     let request = claim_request(&claim);
     let answered = async {
-        let mut client = book.client(&peer.address).await?;
+        let mut client = directory.client(&peer.address).await?;
         client.claim(request).await.ok().map(|answer| answer.into_inner())
     };
-    match timeout(claim.patience, answered).await {
+    match timeout(claim.timeout, answered).await {
         Ok(Some(answer)) => claim_state(answer),
         Ok(None) => {
-            book.forget(&peer.address);
-            claim_here(claims, claim).await
+            directory.forget(&peer.address);
+            claim_locally(claims, claim).await
         }
         Err(_) => ClaimState::Unavailable,
     }
 }
 
-fn claim_request(claim: &MakeClaim) -> ClaimRequest {
-    let replaces = claim.wish.replaces;
-    let (high, low) = claim.wish.key.halves();
+fn claim_request(claim: &AcquireClaim) -> ClaimRequest {
+    let replaces = claim.proposal.replaces;
+    let (high, low) = claim.proposal.key.halves();
     ClaimRequest {
         key_high: high,
         key_low: low,
-        incarnation: claim.wish.request.incarnation,
-        counter: claim.wish.request.counter,
-        timeout_millis: claim.patience.as_millis() as u32,
-        entry: claim.wish.entry.clone(),
+        incarnation: claim.proposal.request.incarnation,
+        counter: claim.proposal.request.counter,
+        timeout_millis: claim.timeout.as_millis() as u32,
+        entry: claim.proposal.entry.clone(),
         replaces: replaces.is_some(),
         replaces_incarnation: replaces.map_or(0, |id| id.incarnation),
         replaces_counter: replaces.map_or(0, |id| id.counter),
@@ -178,20 +178,20 @@
     ClaimState::Held(ClaimHolder { request, entry: answer.entry })
 }
 
-impl From<ClaimRequest> for MakeClaim {
+impl From<ClaimRequest> for AcquireClaim {
     fn from(request: ClaimRequest) -> Self {
         let replaced = RequestId {
             incarnation: request.replaces_incarnation,
             counter: request.replaces_counter,
         };
         Self {
-            wish: ClaimProposal {
+            proposal: ClaimProposal {
                 key: ClaimKey::from_halves(request.key_high, request.key_low),
                 request: RequestId { incarnation: request.incarnation, counter: request.counter },
                 entry: request.entry,
                 replaces: request.replaces.then_some(replaced),
             },
-            patience: Duration::from_millis(request.timeout_millis.into()),
+            timeout: Duration::from_millis(request.timeout_millis.into()),
         }
     }
 }
@@ -255,8 +255,10 @@
                 continue;
             }
             for pending in std::mem::take(&mut group) {
-                let state = match self.shard.holder(pending.wish.key) {
-                    Some(holder) if holder.request == pending.wish.request => ClaimState::Granted,
+                let state = match self.shard.holder(pending.proposal.key) {
+                    Some(holder) if holder.request == pending.proposal.request => {
+                        ClaimState::Granted
+                    }
                     Some(holder) => ClaimState::Held(holder),
                     None => ClaimState::Unavailable,
                 };
@@ -269,8 +271,9 @@
         if !self.loaded {
             self.load().await?;
         }
-        let wishes: Vec<ClaimProposal> = group.iter().map(|pending| pending.wish.clone()).collect();
-        let Some(write) = self.shard.plan(&wishes, epoch_millis()) else {
+        let proposals: Vec<ClaimProposal> =
+            group.iter().map(|pending| pending.proposal.clone()).collect();
+        let Some(write) = self.shard.plan(&proposals, epoch_millis()) else {
             return Ok(());
         };
         self.write(write).await
--- a/crates/entry/src/commands.rs
+++ b/crates/entry/src/commands.rs
@@ -18,11 +18,11 @@
 use xtra::Address;
 
 use crate::{
-    config::{ConfigService, ConfigView, PeerBook},
+    config::{ConfigService, ConfigView, PeerDirectory},
     service::DispatchService,
 };
 
-pub use tables::TableAnswer;
+pub use tables::ResultTable;
 
 /// How long a change tries to reach the store.
 const CHANGE_PATIENCE: Duration = Duration::from_secs(5);
@@ -41,15 +41,15 @@
     /// Requests and replicas.
     pub dispatch: Address<DispatchService>,
     /// Other entries.
-    pub book: PeerBook,
+    pub directory: PeerDirectory,
 }
 
 /// What a statement gave.
 #[derive(Clone, Debug, Serialize)]
 #[serde(rename_all = "kebab-case", tag = "result")]
-pub enum CommandAnswer {
+pub enum CommandOutput {
     /// A table.
-    Table(TableAnswer),
+    Table(ResultTable),
     /// A change that was accepted.
     Accepted {
         /// Kind of the object.
@@ -68,13 +68,13 @@
 pub enum CommandError {
     /// It is not understood.
     #[display("{source}")]
-    NotUnderstood {
+    InvalidStatement {
         /// Where and why.
         source: LangError,
     },
     /// There is no such object.
     #[display("no {kind} {name:?}; it is created by: create {kind} {{…}}")]
-    Missing {
+    NotFound {
         /// Kind of the object.
         kind: &'static str,
         /// Name of the object.
@@ -82,7 +82,7 @@
     },
     /// What it says makes no sense for the object.
     #[display("{detail}")]
-    Unfit {
+    InvalidChange {
         /// What is wrong, and what is expected.
         detail: String,
     },
@@ -106,7 +106,7 @@
     },
     /// The store's answer was lost and could not be read back in time.
     #[display("it is not known whether the change was accepted: {source}; show config tells")]
-    Unclear {
+    OutcomeUnknown {
         /// What happened.
         source: StoreError,
     },
@@ -124,10 +124,10 @@
     context: &CommandContext,
     text: &str,
     command: &str,
-) -> Result<CommandAnswer, CommandError> {
-    let statement = parse(text).map_err(|source| CommandError::NotUnderstood { source })?;
+) -> Result<CommandOutput, CommandError> {
+    let statement = parse(text).map_err(|source| CommandError::InvalidStatement { source })?;
     match statement.command {
-        Command::Show(query) => tables::show(context, &query).await.map(CommandAnswer::Table),
+        Command::Show(query) => tables::show(context, &query).await.map(CommandOutput::Table),
         change => {
             let accepted =
                 change::run_change(context, change, statement.expected_version, command).await?;
@@ -136,8 +136,8 @@
     }
 }
 
-fn accepted_answer(key: &ObjectKey, version: u64, command: &str) -> CommandAnswer {
-    CommandAnswer::Accepted {
+fn accepted_answer(key: &ObjectKey, version: u64, command: &str) -> CommandOutput {
+    CommandOutput::Accepted {
         kind: key.kind.clone(),
         name: key.name.clone(),
         version,
--- a/crates/entry/src/commands/change.rs
+++ b/crates/entry/src/commands/change.rs
@@ -88,7 +88,9 @@
             delete_organisation(context, &organisation, command).await
         }
         Command::Drain { vm, draining } => drain(context, vm, draining, command).await,
-        Command::Show(_) => Err(CommandError::Unfit { detail: "show changes nothing".to_owned() }),
+        Command::Show(_) => {
+            Err(CommandError::InvalidChange { detail: "show changes nothing".to_owned() })
+        }
     }
 }
 
@@ -107,7 +109,7 @@
 ) -> Result<(), CommandError> {
     let names: Vec<String> = config.classes.iter().map(|class| class.name.clone()).collect();
     let class = config.classes.iter_mut().find(|class| class.name == name);
-    let class = class.ok_or_else(|| CommandError::Unfit {
+    let class = class.ok_or_else(|| CommandError::InvalidChange {
         detail: format!("no class {name:?}, expected one of {}", names.join(", ")),
     })?;
     match setting {
@@ -123,7 +125,8 @@
 }
 
 fn parse<T: DeserializeOwned>(key: &ObjectKey, value: &[u8]) -> Result<T, CommandError> {
-    parse_object(key, value).map_err(|error| CommandError::Unfit { detail: error.to_string() })
+    parse_object(key, value)
+        .map_err(|error| CommandError::InvalidChange { detail: error.to_string() })
 }
 
 fn plan<T: Serialize>(key: ObjectKey, stored: StoredObject, value: &T) -> PlannedChange {
@@ -139,7 +142,7 @@
     check_name("event", event)?;
     let key = event_key(event);
     let stored = read(context, &key).await?;
-    let missing = || CommandError::Missing { kind: "event", name: event.to_owned() };
+    let missing = || CommandError::NotFound { kind: "event", name: event.to_owned() };
     let value = stored.value.as_deref().ok_or_else(missing)?;
     let mut config: EventConfig = parse(&key, value)?;
     alter(&mut config)?;
@@ -169,7 +172,7 @@
 ) -> Result<PlannedChange, CommandError> {
     let (key, stored, mut shard) = read_shard(context, organisation).await?;
     let config = shard.organisations.iter_mut().find(|config| config.name == organisation);
-    let missing = || CommandError::Missing { kind: "organisation", name: organisation.to_owned() };
+    let missing = || CommandError::NotFound { kind: "organisation", name: organisation.to_owned() };
     alter(config.ok_or_else(missing)?);
     command.clone_into(&mut shard.command);
     Ok(plan(key, stored, &shard))
@@ -183,7 +186,7 @@
     let mut config: EventConfig = parse_json("event", json)?;
     check_name("event", &config.name)?;
     if config.classes.is_empty() {
-        return Err(CommandError::Unfit {
+        return Err(CommandError::InvalidChange {
             detail: "event: classes must name at least one class".to_owned(),
         });
     }
@@ -220,7 +223,7 @@
     let before = shard.organisations.len();
     shard.organisations.retain(|config| config.name != organisation);
     if shard.organisations.len() == before {
-        return Err(CommandError::Missing { kind: "organisation", name: organisation.to_owned() });
+        return Err(CommandError::NotFound { kind: "organisation", name: organisation.to_owned() });
     }
     command.clone_into(&mut shard.command);
     Ok(plan(key, stored, &shard))
@@ -235,7 +238,7 @@
     let key = event_key(event);
     let stored = read(context, &key).await?;
     if stored.value.is_none() {
-        return Err(CommandError::Missing { kind: "event", name: event.to_owned() });
+        return Err(CommandError::NotFound { kind: "event", name: event.to_owned() });
     }
     Ok(PlannedChange { key, stored, value: Vec::new() })
 }
@@ -251,7 +254,7 @@
     let stored = read(context, &key).await?;
     if !draining {
         if stored.value.is_none() {
-            return Err(CommandError::Unfit {
+            return Err(CommandError::InvalidChange {
                 detail: format!("vm {vm:?} does not drain by a command"),
             });
         }
@@ -268,12 +271,12 @@
         return Ok(());
     }
     let detail = format!("{kind} {name:?}: expected 1 to {MOST_NAME} letters, digits, or - _ . :");
-    Err(CommandError::Unfit { detail })
+    Err(CommandError::InvalidChange { detail })
 }
 
 fn parse_json<T: DeserializeOwned>(kind: &str, json: &str) -> Result<T, CommandError> {
     serde_json::from_str(json)
-        .map_err(|error| CommandError::Unfit { detail: format!("{kind}: {error}") })
+        .map_err(|error| CommandError::InvalidChange { detail: format!("{kind}: {error}") })
 }
 
 fn conflict(key: &ObjectKey, stored: &StoredObject) -> CommandError {
@@ -313,14 +316,14 @@
             settle_delete(context, &key, &stored, source).await?
         }
         Err(source @ StoreError::OutcomeUnknown { .. }) => {
-            return Err(CommandError::Unclear { source });
+            return Err(CommandError::OutcomeUnknown { source });
         }
         Err(source) => return Err(CommandError::Store { source }),
     };
     let contents = (!is_delete).then(|| Arc::from(value));
     let copy = ObjectCopy { version, value: contents };
     let merge =
-        Merge { copies: vec![NamedCopy { key: key.clone(), copy }], origin: MergeOrigin::Own };
+        Merge { copies: vec![NamedCopy { key: key.clone(), copy }], origin: MergeOrigin::Local };
     context.config.send(merge).await.map_err(|_| CommandError::Stopping)?;
     log::info!(
         "object={}/{} version={version} command={command} state=accepted",
@@ -341,6 +344,6 @@
         Ok(current) if current.value.is_none() => Ok(current.version),
         Ok(current) if current.version == stored.version => Err(CommandError::Store { source }),
         Ok(current) => Err(conflict(key, &current)),
-        Err(source) => Err(CommandError::Unclear { source }),
+        Err(source) => Err(CommandError::OutcomeUnknown { source }),
     }
 }
--- a/crates/entry/src/commands/tables.rs
+++ b/crates/entry/src/commands/tables.rs
@@ -11,19 +11,19 @@
 use crate::{
     config::{ReadConfig, ReadPeers},
     dispatch::replica::{ReplicaRole, ReplicaView},
-    service::{NamedReplica, ReadCounts, ReadReplicas, ReadWaiting},
+    service::{NamedReplica, ReadCounts, ReadQueueDepths, ReadReplicas},
 };
 
 /// A table of texts.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct TableAnswer {
+pub struct ResultTable {
     /// Names of the columns.
     pub columns: Vec<String>,
     /// Rows, each with a text for each column.
     pub rows: Vec<Vec<String>>,
 }
 
-impl TableAnswer {
+impl ResultTable {
     fn new(columns: &[&str]) -> Self {
         Self { columns: columns.iter().map(|name| (*name).to_owned()).collect(), rows: Vec::new() }
     }
@@ -36,7 +36,7 @@
 pub(super) async fn show(
     context: &CommandContext,
     query: &Query,
-) -> Result<TableAnswer, CommandError> {
+) -> Result<ResultTable, CommandError> {
     let table = match query.table {
         Table::Events => events(context),
         Table::Organisations => organisations(context),
@@ -52,7 +52,7 @@
 }
 
 /// Applies the conditions, then counts by a field.
-fn select(mut table: TableAnswer, query: &Query) -> Result<TableAnswer, CommandError> {
+fn select(mut table: ResultTable, query: &Query) -> Result<ResultTable, CommandError> {
     for condition in &query.conditions {
         let column = column(&table, &condition.field)?;
         table.rows.retain(|row| condition.matches(&row[column]));
@@ -67,16 +67,16 @@
         let weight = counted.and_then(|counted| row[counted].parse().ok()).unwrap_or(1);
         *groups.entry(row[column].clone()).or_default() += weight;
     }
-    let mut grouped = TableAnswer::new(&[field, "count"]);
+    let mut grouped = ResultTable::new(&[field, "count"]);
     for (name, count) in groups {
         grouped.push([name, count.to_string()]);
     }
     Ok(grouped)
 }
 
-fn column(table: &TableAnswer, field: &str) -> Result<usize, CommandError> {
+fn column(table: &ResultTable, field: &str) -> Result<usize, CommandError> {
     let found = table.columns.iter().position(|name| name == field);
-    found.ok_or_else(|| CommandError::Unfit {
+    found.ok_or_else(|| CommandError::InvalidChange {
         detail: format!("no field {field:?}, expected one of {}", table.columns.join(", ")),
     })
 }
@@ -85,9 +85,9 @@
     context.dispatch.send(ReadReplicas).await.map_err(|_| CommandError::Stopping)
 }
 
-fn events(context: &CommandContext) -> TableAnswer {
+fn events(context: &CommandContext) -> ResultTable {
     let view = context.view.borrow().clone();
-    let mut table = TableAnswer::new(&[
+    let mut table = ResultTable::new(&[
         "event",
         "state",
         "class",
@@ -115,9 +115,9 @@
     table
 }
 
-fn organisations(context: &CommandContext) -> TableAnswer {
+fn organisations(context: &CommandContext) -> ResultTable {
     let view = context.view.borrow().clone();
-    let mut table = TableAnswer::new(&["organisation", "weight", "limit_per_s"]);
+    let mut table = ResultTable::new(&["organisation", "weight", "limit_per_s"]);
     for config in view.organisations.values() {
         table.push([
             config.name.clone(),
@@ -137,8 +137,8 @@
     }
 }
 
-fn placement(replicas: &[NamedReplica]) -> TableAnswer {
-    let mut table = TableAnswer::new(&[
+fn placement(replicas: &[NamedReplica]) -> ResultTable {
+    let mut table = ResultTable::new(&[
         "vm",
         "model",
         "first_layer",
@@ -166,8 +166,8 @@
     table
 }
 
-fn endpoints(replicas: &[NamedReplica]) -> TableAnswer {
-    let mut table = TableAnswer::new(&[
+fn endpoints(replicas: &[NamedReplica]) -> ResultTable {
+    let mut table = ResultTable::new(&[
         "vm",
         "serves",
         "address",
@@ -196,9 +196,9 @@
     table
 }
 
-async fn waiting(context: &CommandContext) -> Result<TableAnswer, CommandError> {
-    let rows = context.dispatch.send(ReadWaiting).await.map_err(|_| CommandError::Stopping)?;
-    let mut table = TableAnswer::new(&["entry", "target", "organisation", "waiting"]);
+async fn waiting(context: &CommandContext) -> Result<ResultTable, CommandError> {
+    let rows = context.dispatch.send(ReadQueueDepths).await.map_err(|_| CommandError::Stopping)?;
+    let mut table = ResultTable::new(&["entry", "target", "organisation", "waiting"]);
     for row in rows {
         table.push([
             context.process.clone(),
@@ -210,9 +210,9 @@
     Ok(table)
 }
 
-async fn outcomes(context: &CommandContext) -> Result<TableAnswer, CommandError> {
+async fn outcomes(context: &CommandContext) -> Result<ResultTable, CommandError> {
     let counts = context.dispatch.send(ReadCounts).await.map_err(|_| CommandError::Stopping)?;
-    let mut table = TableAnswer::new(&["entry", "outcome", "count"]);
+    let mut table = ResultTable::new(&["entry", "outcome", "count"]);
     let rows = [
         ("submitted", counts.submitted),
         ("done", counts.done),
@@ -230,9 +230,9 @@
     Ok(table)
 }
 
-fn entries(context: &CommandContext) -> TableAnswer {
+fn entries(context: &CommandContext) -> ResultTable {
     let view = context.view.borrow().clone();
-    let mut table = TableAnswer::new(&["entry", "address", "data_centre", "state"]);
+    let mut table = ResultTable::new(&["entry", "address", "data_centre", "state"]);
     for vm in view.vms.vms.iter().filter(|vm| vm.role == VmRole::Entry) {
         let state = format!("{:?}", vm.state).to_lowercase();
         table.push([vm.name.clone(), vm.address.clone(), vm.data_centre.clone(), state]);
@@ -241,20 +241,20 @@
     table
 }
 
-async fn config(context: &CommandContext) -> Result<TableAnswer, CommandError> {
+async fn config(context: &CommandContext) -> Result<ResultTable, CommandError> {
     let reading = context.config.send(ReadConfig).await.map_err(|_| CommandError::Stopping)?;
-    let mut table = TableAnswer::new(&["kind", "name", "version", "deleted"]);
+    let mut table = ResultTable::new(&["kind", "name", "version", "deleted"]);
     for row in reading.rows {
         table.push([row.key.kind, row.key.name, row.version.to_string(), row.deleted.to_string()]);
     }
     Ok(table)
 }
 
-async fn laggards(context: &CommandContext) -> Result<TableAnswer, CommandError> {
+async fn laggards(context: &CommandContext) -> Result<ResultTable, CommandError> {
     let readings = context.config.send(ReadPeers).await.map_err(|_| CommandError::Stopping)?;
     let now = switchfold_kernel::clock::now_millis();
-    let mut table = TableAnswer::new(&["entry", "same_versions", "heard_ms_ago"]);
-    for vm in context.book.others() {
+    let mut table = ResultTable::new(&["entry", "same_versions", "heard_ms_ago"]);
+    for vm in context.directory.others() {
         let reading = readings.iter().find(|reading| reading.peer == vm.name);
         match reading {
             Some(reading) if reading.same => {}
--- a/crates/entry/src/config/gossip.rs
+++ b/crates/entry/src/config/gossip.rs
@@ -19,8 +19,8 @@
 
 use super::{
     service::{
-        ConfigService, Merge, MergeOrigin, NotePeer, PushOrder, TakeDigest, TakeFullDigest,
-        TakeNewer, copy_from_message,
+        BuildDigest, BuildFullDigest, CollectNewer, ConfigService, Merge, MergeOrigin, PendingPush,
+        RecordPeerHash, copy_from_message,
     },
     view::ConfigView,
 };
@@ -35,11 +35,11 @@
 const PEER_PATIENCE: Duration = Duration::from_secs(2);
 
 /// Largest message between entries: a full copy of the configuration.
-const MOST_MESSAGE_BYTES: usize = 32 << 20;
+const MAX_MESSAGE_BYTES: usize = 32 << 20;
 
 /// The other entries, and open channels to them.
 #[derive(Clone, Debug)]
-pub struct PeerBook {
+pub struct PeerDirectory {
     process: String,
     token: String,
     seeds: Vec<String>,
@@ -56,8 +56,8 @@
     pub address: String,
 }
 
-impl PeerBook {
-    /// Makes a book from the settings and the list of VMs.
+impl PeerDirectory {
+    /// Makes a directory from the settings and the list of VMs.
     pub fn new(
         process: &str,
         token: &str,
@@ -111,8 +111,8 @@
         let client = PeerClient::new(channel);
         Some(
             client
-                .max_decoding_message_size(MOST_MESSAGE_BYTES)
-                .max_encoding_message_size(MOST_MESSAGE_BYTES),
+                .max_decoding_message_size(MAX_MESSAGE_BYTES)
+                .max_encoding_message_size(MAX_MESSAGE_BYTES),
         )
     }
 
@@ -135,44 +135,52 @@
 }
 
 /// Pushes changes to this entry's children in the tree of each push.
-pub async fn keep_pushing(book: PeerBook, mut pushes: mpsc::UnboundedReceiver<PushOrder>) {
+pub async fn push_changes(
+    directory: PeerDirectory,
+    mut pushes: mpsc::UnboundedReceiver<PendingPush>,
+) {
     while let Some(order) = pushes.recv().await {
-        for child in book.children(&order.root) {
-            let book = book.clone();
+        for child in directory.children(&order.root) {
+            let directory = directory.clone();
             let push =
                 ObjectPush { sender: order.root.clone(), objects: order.objects.clone(), hops: 0 };
-            tokio::spawn(async move { push_to(&book, &child, push).await });
+            tokio::spawn(async move { push_to(&directory, &child, push).await });
         }
     }
 }
 
 /// A push that fails is made good by the next exchange.
-async fn push_to(book: &PeerBook, child: &PeerAddress, push: ObjectPush) {
+async fn push_to(directory: &PeerDirectory, child: &PeerAddress, push: ObjectPush) {
     let pushed = async {
-        let mut client = book.client(&child.address).await?;
+        let mut client = directory.client(&child.address).await?;
         client.push(push).await.ok()
     };
     if !matches!(timeout(PEER_PATIENCE, pushed).await, Ok(Some(_))) {
-        book.forget(&child.address);
+        directory.forget(&child.address);
     }
 }
 
 /// Compares versions with a random entry each second, and repairs both sides.
-pub async fn keep_exchanging(
-    book: PeerBook,
+pub async fn exchange_digests(
+    directory: PeerDirectory,
     config: Address<ConfigService>,
     mut random: impl Rng + Send,
 ) {
     let mut ticks = interval(EXCHANGE_EVERY);
     loop {
         ticks.tick().await;
-        let others = book.others();
+        let others = directory.others();
         if others.is_empty() {
             continue;
         }
         let peer = others[random.random_range(0..others.len())].clone();
-        if timeout(PEER_PATIENCE, exchange(&book, &peer, &config)).await.ok().flatten().is_none() {
-            book.forget(&peer.address);
+        if timeout(PEER_PATIENCE, exchange(&directory, &peer, &config))
+            .await
+            .ok()
+            .flatten()
+            .is_none()
+        {
+            directory.forget(&peer.address);
         }
         if !config.is_connected() {
             return;
@@ -182,23 +190,23 @@
 
 /// Compares hashes; where they differ, takes what is newer there and gives what is newer here.
 async fn exchange(
-    book: &PeerBook,
+    directory: &PeerDirectory,
     peer: &PeerAddress,
     config: &Address<ConfigService>,
 ) -> Option<()> {
-    let mut client = book.client(&peer.address).await?;
-    let digest = config.send(TakeDigest).await.ok()?;
+    let mut client = directory.client(&peer.address).await?;
+    let digest = config.send(BuildDigest).await.ok()?;
     let hash = digest.hash;
     let answer = client.exchange(digest).await.ok()?.into_inner();
     if answer.same {
-        config.send(NotePeer { peer: peer.name.clone(), hash }).await.ok()?;
+        config.send(RecordPeerHash { peer: peer.name.clone(), hash }).await.ok()?;
         return Some(());
     }
-    let full = config.send(TakeFullDigest).await.ok()?;
+    let full = config.send(BuildFullDigest).await.ok()?;
     let answer = client.exchange(full).await.ok()?.into_inner();
     let copies = answer.newer.into_iter().map(copy_from_message).collect();
     config.send(Merge { copies, origin: MergeOrigin::Exchanged }).await.ok()?;
-    let newer = config.send(TakeNewer(answer.versions)).await.ok()?;
+    let newer = config.send(CollectNewer(answer.versions)).await.ok()?;
     if !newer.is_empty() {
         // Rooted at the other entry: it has no parent to push to, and this one no child.
         let push = ObjectPush { sender: String::new(), objects: newer, hops: 0 };
--- a/crates/entry/src/config/mod.rs
+++ b/crates/entry/src/config/mod.rs
@@ -12,16 +12,16 @@
 //! [`VersionedObjects`]: switchfold_core::version::VersionedObjects
 
 mod gossip;
-mod peers;
+mod peer_server;
 mod service;
 mod view;
 mod watch;
 
-pub use gossip::{PeerAddress, PeerBook, keep_exchanging, keep_pushing};
-pub use peers::PeerServer;
+pub use gossip::{PeerAddress, PeerDirectory, exchange_digests, push_changes};
+pub use peer_server::PeerServer;
 pub use service::{
-    CONFIG, ConfigReading, ConfigRow, ConfigService, ExchangeEnd, Merge, MergeOrigin, NamedCopy,
-    NotePeer, PeerReading, PushOrder, ReadConfig, ReadPeers, TakeDigest,
+    BuildDigest, CONFIG, CompareDigest, ConfigService, ConfigVersion, ConfigVersions, Merge,
+    MergeOrigin, NamedCopy, PeerSyncStatus, PendingPush, ReadConfig, ReadPeers, RecordPeerHash,
 };
 pub use view::{ConfigView, StoredPlan, VM_LIST_KIND, VersionedPlan};
-pub use watch::{WatchDuty, keep_listing, keep_watching};
+pub use watch::{WatcherSelection, poll_vm_list, watch_config};
--- a/crates/entry/src/config/peers.rs
+++ b/crates/entry/src/config/peer_server.rs
@@ -9,9 +9,9 @@
 use tonic::{Request, Response, Status};
 use xtra::Address;
 
-use super::service::{ConfigService, ExchangeEnd, Merge, MergeOrigin, copy_from_message};
+use super::service::{CompareDigest, ConfigService, Merge, MergeOrigin, copy_from_message};
 use crate::{
-    claims::{ClaimService, MakeClaim, claim_here},
+    claims::{AcquireClaim, ClaimService, claim_locally},
     service::{DispatchService, ReadOutcome},
 };
 
@@ -55,13 +55,13 @@
 
     async fn exchange(&self, request: Request<Digest>) -> Result<Response<DigestAnswer>, Status> {
         check_token(request.metadata(), &self.token)?;
-        let answer = self.config.send(ExchangeEnd(request.into_inner())).await;
+        let answer = self.config.send(CompareDigest(request.into_inner())).await;
         answer.map(Response::new).map_err(stopping)
     }
 
     async fn claim(&self, request: Request<ClaimRequest>) -> Result<Response<ClaimAnswer>, Status> {
         check_token(request.metadata(), &self.token)?;
-        let state = claim_here(&self.claims, MakeClaim::from(request.into_inner())).await;
+        let state = claim_locally(&self.claims, AcquireClaim::from(request.into_inner())).await;
         Ok(Response::new(state.into()))
     }
 
--- a/crates/entry/src/config/service.rs
+++ b/crates/entry/src/config/service.rs
@@ -18,7 +18,7 @@
 
 /// Copies that are to be pushed on.
 #[derive(Clone, Debug)]
-pub struct PushOrder {
+pub struct PendingPush {
     /// Entry from which the push started; the tree is rooted there.
     pub root: String,
     /// The copies.
@@ -31,16 +31,16 @@
     process: String,
     objects: VersionedObjects,
     view: watch::Sender<Arc<ConfigView>>,
-    pushes: mpsc::UnboundedSender<PushOrder>,
-    peers: BTreeMap<String, PeerReading>,
-    in_touch: watch::Sender<Millis>,
+    pushes: mpsc::UnboundedSender<PendingPush>,
+    peers: BTreeMap<String, PeerSyncStatus>,
+    last_contact: watch::Sender<Millis>,
 }
 
 /// Where copies came from.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum MergeOrigin {
     /// The store, or a write of this entry: to be pushed to all.
-    Own,
+    Local,
     /// A push that started at this entry: to be pushed on along its tree.
     Pushed {
         /// Where it started.
@@ -69,15 +69,15 @@
 }
 
 /// Makes a digest to send to another entry.
-pub struct TakeDigest;
+pub struct BuildDigest;
 
 /// Answers the digest of another entry.
 #[derive(Debug)]
-pub struct ExchangeEnd(pub Digest);
+pub struct CompareDigest(pub Digest);
 
 /// Notes what another entry said of its versions.
 #[derive(Debug)]
-pub struct NotePeer {
+pub struct RecordPeerHash {
     /// The other entry.
     pub peer: String,
     /// Hash of all its versions.
@@ -92,7 +92,7 @@
 
 /// What another entry last said.
 #[derive(Clone, Debug)]
-pub struct PeerReading {
+pub struct PeerSyncStatus {
     /// The other entry.
     pub peer: String,
     /// Whether its versions were those of this entry.
@@ -103,7 +103,7 @@
 
 /// One object in force.
 #[derive(Clone, Debug)]
-pub struct ConfigRow {
+pub struct ConfigVersion {
     /// Name of the object.
     pub key: ObjectKey,
     /// Version in force.
@@ -114,9 +114,9 @@
 
 /// The objects in force.
 #[derive(Clone, Debug)]
-pub struct ConfigReading {
+pub struct ConfigVersions {
     /// All of them.
-    pub rows: Vec<ConfigRow>,
+    pub rows: Vec<ConfigVersion>,
     /// Hash of all versions.
     pub hash: u64,
 }
@@ -126,8 +126,8 @@
     pub fn new(
         process: &str,
         view: watch::Sender<Arc<ConfigView>>,
-        pushes: mpsc::UnboundedSender<PushOrder>,
-        in_touch: watch::Sender<Millis>,
+        pushes: mpsc::UnboundedSender<PendingPush>,
+        last_contact: watch::Sender<Millis>,
     ) -> Self {
         Self {
             process: process.to_owned(),
@@ -135,7 +135,7 @@
             view,
             pushes,
             peers: BTreeMap::new(),
-            in_touch,
+            last_contact,
         }
     }
 
@@ -175,7 +175,7 @@
     type Return = usize;
 
     async fn handle(&mut self, message: Merge, _: &mut Context<Self>) -> usize {
-        self.in_touch.send_replace(now_millis());
+        self.last_contact.send_replace(now_millis());
         let mut taken = Vec::new();
         for named in message.copies {
             if self.objects.merge(&named.key, named.copy.clone()) {
@@ -192,21 +192,21 @@
         self.view.send_replace(Arc::new(view));
         let count = taken.len();
         let root = match message.origin {
-            MergeOrigin::Own => Some(self.process.clone()),
+            MergeOrigin::Local => Some(self.process.clone()),
             MergeOrigin::Pushed { root } => Some(root),
             MergeOrigin::Exchanged => None,
         };
         if let Some(root) = root {
-            let _pusher_may_have_stopped = self.pushes.send(PushOrder { root, objects: taken });
+            let _pusher_may_have_stopped = self.pushes.send(PendingPush { root, objects: taken });
         }
         count
     }
 }
 
-impl Handler<TakeDigest> for ConfigService {
+impl Handler<BuildDigest> for ConfigService {
     type Return = Digest;
 
-    async fn handle(&mut self, _: TakeDigest, _: &mut Context<Self>) -> Digest {
+    async fn handle(&mut self, _: BuildDigest, _: &mut Context<Self>) -> Digest {
         Digest {
             sender: self.process.clone(),
             hash: self.objects.hash(),
@@ -217,12 +217,12 @@
 }
 
 /// Makes a digest with all versions in it.
-pub(super) struct TakeFullDigest;
+pub(super) struct BuildFullDigest;
 
-impl Handler<TakeFullDigest> for ConfigService {
+impl Handler<BuildFullDigest> for ConfigService {
     type Return = Digest;
 
-    async fn handle(&mut self, _: TakeFullDigest, _: &mut Context<Self>) -> Digest {
+    async fn handle(&mut self, _: BuildFullDigest, _: &mut Context<Self>) -> Digest {
         Digest {
             sender: self.process.clone(),
             hash: self.objects.hash(),
@@ -233,12 +233,16 @@
 }
 
 /// Copies that another entry lacks, given its versions.
-pub(super) struct TakeNewer(pub(super) Vec<peer::ObjectVersion>);
+pub(super) struct CollectNewer(pub(super) Vec<peer::ObjectVersion>);
 
-impl Handler<TakeNewer> for ConfigService {
+impl Handler<CollectNewer> for ConfigService {
     type Return = Vec<peer::ObjectCopy>;
 
-    async fn handle(&mut self, message: TakeNewer, _: &mut Context<Self>) -> Vec<peer::ObjectCopy> {
+    async fn handle(
+        &mut self,
+        message: CollectNewer,
+        _: &mut Context<Self>,
+    ) -> Vec<peer::ObjectCopy> {
         self.newer_than(&message.0)
     }
 }
@@ -256,21 +260,21 @@
         newer.map(|(key, copy)| copy_to_message(key, copy)).collect()
     }
 
-    fn note_peer(&mut self, peer: &str, hash: u64) {
+    fn record_peer_hash(&mut self, peer: &str, hash: u64) {
         let now = now_millis();
-        self.in_touch.send_replace(now);
+        self.last_contact.send_replace(now);
         let same = hash == self.objects.hash();
-        let reading = PeerReading { peer: peer.to_owned(), same, at: now };
+        let reading = PeerSyncStatus { peer: peer.to_owned(), same, at: now };
         self.peers.insert(peer.to_owned(), reading);
     }
 }
 
-impl Handler<ExchangeEnd> for ConfigService {
+impl Handler<CompareDigest> for ConfigService {
     type Return = DigestAnswer;
 
-    async fn handle(&mut self, message: ExchangeEnd, _: &mut Context<Self>) -> DigestAnswer {
+    async fn handle(&mut self, message: CompareDigest, _: &mut Context<Self>) -> DigestAnswer {
         let digest = message.0;
-        self.note_peer(&digest.sender, digest.hash);
+        self.record_peer_hash(&digest.sender, digest.hash);
         if digest.hash == self.objects.hash() {
             return DigestAnswer { same: true, versions: Vec::new(), newer: Vec::new() };
         }
@@ -282,31 +286,31 @@
     }
 }
 
-impl Handler<NotePeer> for ConfigService {
+impl Handler<RecordPeerHash> for ConfigService {
     type Return = ();
 
-    async fn handle(&mut self, message: NotePeer, _: &mut Context<Self>) {
-        self.note_peer(&message.peer, message.hash);
+    async fn handle(&mut self, message: RecordPeerHash, _: &mut Context<Self>) {
+        self.record_peer_hash(&message.peer, message.hash);
     }
 }
 
 impl Handler<ReadConfig> for ConfigService {
-    type Return = ConfigReading;
+    type Return = ConfigVersions;
 
-    async fn handle(&mut self, _: ReadConfig, _: &mut Context<Self>) -> ConfigReading {
-        let rows = self.objects.iter().map(|(key, copy)| ConfigRow {
+    async fn handle(&mut self, _: ReadConfig, _: &mut Context<Self>) -> ConfigVersions {
+        let rows = self.objects.iter().map(|(key, copy)| ConfigVersion {
             key: key.clone(),
             version: copy.version,
             deleted: copy.value.is_none(),
         });
-        ConfigReading { rows: rows.collect(), hash: self.objects.hash() }
+        ConfigVersions { rows: rows.collect(), hash: self.objects.hash() }
     }
 }
 
 impl Handler<ReadPeers> for ConfigService {
-    type Return = Vec<PeerReading>;
+    type Return = Vec<PeerSyncStatus>;
 
-    async fn handle(&mut self, _: ReadPeers, _: &mut Context<Self>) -> Vec<PeerReading> {
+    async fn handle(&mut self, _: ReadPeers, _: &mut Context<Self>) -> Vec<PeerSyncStatus> {
         self.peers.values().cloned().collect()
     }
 }
--- a/crates/entry/src/config/watch.rs
+++ b/crates/entry/src/config/watch.rs
@@ -37,7 +37,7 @@
 
 /// Who this entry is among those that could watch.
 #[derive(Clone, Debug)]
-pub struct WatchDuty {
+pub struct WatcherSelection {
     /// Name of the entry.
     pub process: String,
     /// Its data centre.
@@ -46,9 +46,9 @@
     pub view: watch::Receiver<Arc<ConfigView>>,
 }
 
-impl WatchDuty {
+impl WatcherSelection {
     /// Tells whether this entry is one of its data centre's watchers; so is one that knows no list.
-    fn is_mine(&self) -> bool {
+    fn is_watcher(&self) -> bool {
         let view = self.view.borrow();
         let here = view.vms.vms.iter();
         let here = here.filter(|vm| vm.role == VmRole::Entry && vm.data_centre == self.data_centre);
@@ -62,12 +62,16 @@
 
 /// Watches the configuration while it is this entry's duty. The first reading is every entry's duty,
 /// unless others told it of the list of VMs before.
-pub async fn keep_watching(store: StoreClient, duty: WatchDuty, config: Address<ConfigService>) {
+pub async fn watch_config(
+    store: StoreClient,
+    duty: WatcherSelection,
+    config: Address<ConfigService>,
+) {
     let seed = hash_bytes(1, duty.process.as_bytes());
     let mut backoff = Backoff::new(ChaCha8Rng::seed_from_u64(seed));
     let mut revision = None;
     while config.is_connected() {
-        if !duty.is_mine() {
+        if !duty.is_watcher() {
             // What changed meanwhile comes from the others; a later watch starts anew.
             revision = None;
             sleep(DUTY_EVERY).await;
@@ -83,7 +87,7 @@
                 backoff.reset();
                 let copies = batch.changes.into_iter().map(named_copy).collect();
                 let _config_may_have_stopped =
-                    config.send(Merge { copies, origin: MergeOrigin::Own }).await;
+                    config.send(Merge { copies, origin: MergeOrigin::Local }).await;
             }
             Err(error) => {
                 if error == StoreError::RevisionExpired {
@@ -108,9 +112,13 @@
 }
 
 /// Reads the list of VMs every second while it is this entry's duty.
-pub async fn keep_listing(store: StoreClient, duty: WatchDuty, config: Address<ConfigService>) {
+pub async fn poll_vm_list(
+    store: StoreClient,
+    duty: WatcherSelection,
+    config: Address<ConfigService>,
+) {
     while config.is_connected() {
-        if duty.is_mine()
+        if duty.is_watcher()
             && let Ok(list) = store.list_vms().await
             && let Ok(value) = serde_json::to_vec(&list)
         {
@@ -118,7 +126,7 @@
             let key = ObjectKey::new(VM_LIST_KIND, "platform");
             let copies = vec![NamedCopy { key, copy }];
             let _config_may_have_stopped =
-                config.send(Merge { copies, origin: MergeOrigin::Own }).await;
+                config.send(Merge { copies, origin: MergeOrigin::Local }).await;
         }
         sleep(LIST_EVERY).await;
     }
--- a/crates/entry/src/links.rs
+++ b/crates/entry/src/links.rs
@@ -30,18 +30,18 @@
 
 /// Keeps one link; dropping it ends the link.
 #[derive(Debug)]
-pub(crate) struct LinkKeeper {
+pub(crate) struct AgentLink {
     pub(crate) address: String,
     task: JoinHandle<()>,
 }
 
-impl Drop for LinkKeeper {
+impl Drop for AgentLink {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-impl LinkKeeper {
+impl AgentLink {
     /// Starts to keep a link to an agent.
     pub(crate) fn start(
         identity: LinkIdentity,
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -26,14 +26,14 @@
     claims::{CLAIMS, ClaimService},
     commands::CommandContext,
     config::{
-        CONFIG, ConfigService, ConfigView, PeerBook, PeerServer, WatchDuty, keep_exchanging,
-        keep_listing, keep_pushing, keep_watching,
+        CONFIG, ConfigService, ConfigView, PeerDirectory, PeerServer, WatcherSelection,
+        exchange_digests, poll_vm_list, push_changes, watch_config,
     },
     dispatch::DispatchConfig,
     links::LinkIdentity,
     metrics::EntryMetrics,
     service::{
-        DISPATCH, DispatchService, DispatchTick, Introduce, PlannedAssignment, SetMembership,
+        DISPATCH, DispatchService, DispatchTick, PlannedAssignment, SetAddress, SetMembership,
         dispatch_seed,
     },
     settings::EntrySettings,
@@ -47,7 +47,7 @@
 const TICK: Duration = Duration::from_millis(50);
 
 /// Largest message between entries: a full copy of the configuration.
-const MOST_MESSAGE_BYTES: usize = 32 << 20;
+const MAX_MESSAGE_BYTES: usize = 32 << 20;
 
 /// Sockets of an entry, bound before it starts.
 #[derive(Debug)]
@@ -83,10 +83,10 @@
         process: settings.name.clone(),
     });
     let (view_sender, view) = watch::channel(Arc::new(ConfigView::default()));
-    let (touch_sender, in_touch) = watch::channel(0);
+    let (contact_sender, last_contact) = watch::channel(0);
     let (push_sender, pushes) = mpsc::unbounded_channel();
 
-    let config = ConfigService::new(&settings.name, view_sender, push_sender, touch_sender);
+    let config = ConfigService::new(&settings.name, view_sender, push_sender, contact_sender);
     let services = EntryServices {
         dispatch: start_dispatch(&settings, Arc::clone(&metrics)).await,
         config: xtra::spawn_tokio(config, Mailbox::unbounded()),
@@ -95,23 +95,23 @@
     let registry = ServiceRegistry::new();
     register(&registry, &services).map_err(|source| EntryError::Registry { source })?;
 
-    let book = PeerBook::new(
+    let directory = PeerDirectory::new(
         &settings.name,
         &settings.cluster_token,
         settings.peers.clone(),
         view.clone(),
     );
-    let duty = WatchDuty {
+    let duty = WatcherSelection {
         process: settings.name.clone(),
         data_centre: settings.data_centre.clone(),
         view: view.clone(),
     };
     let random = ChaCha8Rng::seed_from_u64(dispatch_seed(&settings.name, epoch_micros()));
     let mut tasks = JoinSet::new();
-    tasks.spawn(keep_watching(store.clone(), duty.clone(), services.config.clone()));
-    tasks.spawn(keep_listing(store.clone(), duty, services.config.clone()));
-    tasks.spawn(keep_pushing(book.clone(), pushes));
-    tasks.spawn(keep_exchanging(book.clone(), services.config.clone(), random));
+    tasks.spawn(watch_config(store.clone(), duty.clone(), services.config.clone()));
+    tasks.spawn(poll_vm_list(store.clone(), duty, services.config.clone()));
+    tasks.spawn(push_changes(directory.clone(), pushes));
+    tasks.spawn(exchange_digests(directory.clone(), services.config.clone(), random));
     tasks.spawn(follow_membership(view.clone(), services.dispatch.clone()));
     tasks.spawn(tick(services.dispatch.clone()));
 
@@ -122,7 +122,7 @@
         view: view.clone(),
         config: services.config.clone(),
         dispatch: services.dispatch.clone(),
-        book: book.clone(),
+        directory: directory.clone(),
     };
     let context = WebContext {
         settings: Arc::clone(&settings),
@@ -130,12 +130,12 @@
         claims: services.claims.clone(),
         commands,
         view,
-        book,
+        directory,
         metrics,
         limits: Arc::new(RateLimits::default()),
         shutdown: shutdown.clone(),
         work: work.clone(),
-        in_touch,
+        last_contact,
     };
     let limits = HttpLimits { max_connections: settings.connections, ..HttpLimits::default() };
     let handler = move |request| context.clone().answer(request);
@@ -148,8 +148,8 @@
         services.claims.clone(),
     );
     let peers = PeerGrpcServer::new(peers)
-        .max_decoding_message_size(MOST_MESSAGE_BYTES)
-        .max_encoding_message_size(MOST_MESSAGE_BYTES);
+        .max_decoding_message_size(MAX_MESSAGE_BYTES)
+        .max_encoding_message_size(MAX_MESSAGE_BYTES);
     let server = tonic::transport::Server::builder().add_service(peers);
     tokio::select! {
         served = server.serve_with_incoming(bind_incoming(sockets.peer)) => {
@@ -184,7 +184,7 @@
     };
     let service = DispatchService::new(config, identity, settings.agent_links, metrics);
     let dispatch = xtra::spawn_tokio(service, Mailbox::unbounded());
-    let _just_started = dispatch.send(Introduce(dispatch.downgrade())).await;
+    let _just_started = dispatch.send(SetAddress(dispatch.downgrade())).await;
     dispatch
 }
 
--- a/crates/entry/src/service.rs
+++ b/crates/entry/src/service.rs
@@ -22,7 +22,7 @@
         replica::ReplicaView,
         submission::{CallerEvent, NotRunReason, Outcome, Submission},
     },
-    links::{LinkId, LinkIdentity, LinkKeeper},
+    links::{AgentLink, LinkId, LinkIdentity},
     metrics::EntryMetrics,
 };
 
@@ -40,7 +40,7 @@
     agent_links: usize,
     links: HashMap<String, OpenLink>,
     keepers_started: u64,
-    keepers: HashMap<String, LinkKeeper>,
+    keepers: HashMap<String, AgentLink>,
     callers: HashMap<RequestId, Caller>,
     vms: Vec<VmEntry>,
     draining: BTreeSet<String>,
@@ -71,7 +71,7 @@
 }
 
 /// Tells the service its own address.
-pub(crate) struct Introduce(pub(crate) WeakAddress<DispatchService>);
+pub(crate) struct SetAddress(pub(crate) WeakAddress<DispatchService>);
 
 /// Issues an identifier.
 pub struct IssueId;
@@ -87,7 +87,7 @@
 }
 
 /// Notes that a request was refused before it was submitted, so that its outcome can be asked for.
-pub struct NoteNotRun {
+pub struct RecordNotRun {
     /// The request.
     pub request: RequestId,
     /// Why it did not run.
@@ -135,7 +135,7 @@
 pub struct ReadOutcome(pub RequestId);
 
 /// Asks what waits.
-pub struct ReadWaiting;
+pub struct ReadQueueDepths;
 
 /// Asks for the counters.
 pub struct ReadCounts;
@@ -227,8 +227,7 @@
         };
         self.keepers_started += 1;
         let identity = self.identity.clone();
-        let keeper =
-            LinkKeeper::start(identity, self.keepers_started, process.clone(), address, me);
+        let keeper = AgentLink::start(identity, self.keepers_started, process.clone(), address, me);
         self.keepers.insert(process, keeper);
     }
 
@@ -300,10 +299,10 @@
     }
 }
 
-impl Handler<Introduce> for DispatchService {
+impl Handler<SetAddress> for DispatchService {
     type Return = ();
 
-    async fn handle(&mut self, message: Introduce, _: &mut Context<Self>) {
+    async fn handle(&mut self, message: SetAddress, _: &mut Context<Self>) {
         self.me = Some(message.0);
     }
 }
@@ -327,10 +326,10 @@
     }
 }
 
-impl Handler<NoteNotRun> for DispatchService {
+impl Handler<RecordNotRun> for DispatchService {
     type Return = ();
 
-    async fn handle(&mut self, message: NoteNotRun, _: &mut Context<Self>) {
+    async fn handle(&mut self, message: RecordNotRun, _: &mut Context<Self>) {
         self.state.record_not_run(message.request, message.reason);
     }
 }
@@ -418,10 +417,10 @@
     }
 }
 
-impl Handler<ReadWaiting> for DispatchService {
+impl Handler<ReadQueueDepths> for DispatchService {
     type Return = Vec<QueueDepth>;
 
-    async fn handle(&mut self, _: ReadWaiting, _: &mut Context<Self>) -> Vec<QueueDepth> {
+    async fn handle(&mut self, _: ReadQueueDepths, _: &mut Context<Self>) -> Vec<QueueDepth> {
         self.state.queue_depths()
     }
 }
--- a/crates/entry/src/web/access.rs
+++ b/crates/entry/src/web/access.rs
@@ -8,7 +8,7 @@
 use switchfold_core::config::{ClassConfig, EventConfig, EventState, OrganisationConfig};
 use switchfold_kernel::http::{HttpResponse, set_header};
 
-use super::{WebContext, answer::refusal};
+use super::{WebContext, responses::refusal};
 use crate::config::ConfigView;
 
 const EVENT: &str = "switchfold-event";
--- a/crates/entry/src/web/calls.rs
+++ b/crates/entry/src/web/calls.rs
@@ -9,8 +9,8 @@
 use super::{
     WebContext,
     access::check_caller,
-    answer,
     completions::{CallerRequest, ended, start},
+    responses,
 };
 use crate::dispatch::submission::{CallerEvent, Outcome, UnknownReason, Work};
 
@@ -33,7 +33,7 @@
     let (service, path) = rest.split_once('/').unwrap_or((rest, ""));
     if service.is_empty() {
         let message = "expected /v1/services/{service}/…";
-        return answer::refusal(StatusCode::NOT_FOUND, "unknown-target", message);
+        return responses::refusal(StatusCode::NOT_FOUND, "unknown-target", message);
     }
     let access = match check_caller(context, &parts.headers, service) {
         Ok(access) => access,
@@ -42,14 +42,18 @@
     let body = match read_body(body, context.settings.body_bytes).await {
         Ok(body) => body,
         Err(error @ BodyError::TooLarge { .. }) => {
-            return answer::refusal(
+            return responses::refusal(
                 StatusCode::PAYLOAD_TOO_LARGE,
                 "body-too-large",
                 &error.to_string(),
             );
         }
         Err(error) => {
-            return answer::refusal(StatusCode::BAD_REQUEST, "body-truncated", &error.to_string());
+            return responses::refusal(
+                StatusCode::BAD_REQUEST,
+                "body-truncated",
+                &error.to_string(),
+            );
         }
     };
     let query = parts.uri.query().map(|query| format!("?{query}")).unwrap_or_default();
@@ -82,13 +86,13 @@
                 caller.finished();
                 let mut answer =
                     result.unwrap_or_else(|| full_response(StatusCode::OK, "text/plain", ""));
-                answer::state(&mut answer, id, Outcome::Done);
+                responses::state(&mut answer, id, Outcome::Done);
                 return answer;
             }
             last => return ended(caller, last),
         }
     }
-    answer::unknown(id, UnknownReason::EntryStopped)
+    responses::unknown(id, UnknownReason::EntryStopped)
 }
 
 fn service_answer(status: u32, headers: Vec<Header>, body: Bytes) -> HttpResponse {
--- a/crates/entry/src/web/completions.rs
+++ b/crates/entry/src/web/completions.rs
@@ -17,7 +17,7 @@
 use super::{
     WebContext,
     access::{CallerAccess, check_caller},
-    answer, keyed,
+    idempotency, responses,
 };
 use crate::{
     dispatch::submission::{CallerEvent, Outcome, Submission, Work},
@@ -132,7 +132,7 @@
             context.settings.models.iter().map(|model| model.name.as_str()).collect();
         let message =
             format!("no model {:?}, expected one of {}", completion.model, names.join(", "));
-        return answer::refusal(StatusCode::NOT_FOUND, "unknown-model", &message);
+        return responses::refusal(StatusCode::NOT_FOUND, "unknown-model", &message);
     }
     let (model, stream) = (completion.model.clone(), completion.stream);
     let max_tokens = completion.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS);
@@ -148,7 +148,8 @@
     context: &WebContext,
     body: Incoming,
 ) -> Result<CompletionRequest, Box<HttpResponse>> {
-    let refuse = |status, reason, message: &str| Box::new(answer::refusal(status, reason, message));
+    let refuse =
+        |status, reason, message: &str| Box::new(responses::refusal(status, reason, message));
     let body = read_body(body, context.settings.body_bytes).await.map_err(|error| match error {
         BodyError::TooLarge { .. } => {
             refuse(StatusCode::PAYLOAD_TOO_LARGE, "body-too-large", &error.to_string())
@@ -183,20 +184,20 @@
     target: &str,
     work: Work,
 ) -> Result<CallerRequest, Box<HttpResponse>> {
-    let key = keyed::key_of(headers)?;
+    let key = idempotency::key_of(headers)?;
     let stopping =
-        || Box::new(answer::refusal(StatusCode::SERVICE_UNAVAILABLE, "stopping", "stopping"));
+        || Box::new(responses::refusal(StatusCode::SERVICE_UNAVAILABLE, "stopping", "stopping"));
     let id = context.dispatch.send(IssueId).await.map_err(|_| stopping())?;
     let now = now_millis();
-    let entries = context.book.others().len() + 1;
+    let entries = context.directory.others().len() + 1;
     if let Err(wait) = context.limits.take(&access.organisation, entries, now) {
         let reason = crate::dispatch::submission::NotRunReason::RateLimit;
-        return Err(Box::new(answer::not_run(id, reason, wait)));
+        return Err(Box::new(responses::not_run(id, reason, wait)));
     }
     let deadline = now + access.class.deadline_ms;
     if let Some(key) = key {
         let patience = Duration::from_millis(access.class.deadline_ms);
-        keyed::claim(context, &access.organisation.name, key, id, patience).await?;
+        idempotency::claim(context, &access.organisation.name, key, id, patience).await?;
     }
     let submission = Submission {
         id,
@@ -227,13 +228,13 @@
                 let text = id.to_string();
                 let body = completion_answer(&text, model, &tokens, Some("length"));
                 let mut answer = json_response(StatusCode::OK, &body);
-                answer::state(&mut answer, id, Outcome::Done);
+                responses::state(&mut answer, id, Outcome::Done);
                 return answer;
             }
             last => return ended(caller, last),
         }
     }
-    answer::unknown(id, crate::dispatch::submission::UnknownReason::EntryStopped)
+    responses::unknown(id, crate::dispatch::submission::UnknownReason::EntryStopped)
 }
 
 /// Answer to a request that gave no result.
@@ -241,10 +242,12 @@
     caller.finished();
     match event {
         CallerEvent::NotRun { reason, retry_after } => {
-            answer::not_run(caller.id, reason, retry_after)
+            responses::not_run(caller.id, reason, retry_after)
+        }
+        CallerEvent::Unknown { reason } => responses::unknown(caller.id, reason),
+        _ => {
+            responses::unknown(caller.id, crate::dispatch::submission::UnknownReason::EntryStopped)
         }
-        CallerEvent::Unknown { reason } => answer::unknown(caller.id, reason),
-        _ => answer::unknown(caller.id, crate::dispatch::submission::UnknownReason::EntryStopped),
     }
 }
 
@@ -266,7 +269,10 @@
         Some(CallerEvent::Tokens(tokens)) => tokens,
         Some(last) => return ended(caller, last),
         None => {
-            return answer::unknown(id, crate::dispatch::submission::UnknownReason::EntryStopped);
+            return responses::unknown(
+                id,
+                crate::dispatch::submission::UnknownReason::EntryStopped,
+            );
         }
     };
     let (sender, body) = Channel::new(STREAM_FRAMES);
@@ -278,7 +284,7 @@
     headers
         .insert(header::TRAILER, HeaderValue::from_static("switchfold-outcome, switchfold-reason"));
     if let Ok(value) = HeaderValue::from_str(&id.to_string()) {
-        headers.insert(HeaderName::from_static(answer::REQUEST), value);
+        headers.insert(HeaderName::from_static(responses::REQUEST), value);
     }
     answer
 }
@@ -341,9 +347,9 @@
         .send_data(Bytes::from(format!("event: outcome\ndata: {json}\n\ndata: [DONE]\n\n")))
         .await?;
     let mut trailers = HeaderMap::new();
-    trailers.insert(answer::OUTCOME, HeaderValue::from_static(outcome.as_str()));
+    trailers.insert(responses::OUTCOME, HeaderValue::from_static(outcome.as_str()));
     if let Ok(reason) = HeaderValue::from_str(&reason) {
-        trailers.insert(answer::REASON, reason);
+        trailers.insert(responses::REASON, reason);
     }
     sender.send(Frame::trailers(trailers)).await
 }
--- a/crates/entry/src/web/keyed.rs
+++ b/crates/entry/src/web/idempotency.rs
@@ -10,11 +10,11 @@
 use switchfold_kernel::http::{HttpResponse, set_header};
 use switchfold_proto::peer::OutcomeRequest;
 
-use super::{WebContext, answer};
+use super::{WebContext, responses};
 use crate::{
-    claims::{ClaimState, MakeClaim, claim_at_home},
+    claims::{AcquireClaim, ClaimState, claim_at_owner},
     dispatch::submission::{NotRunReason, Outcome, UnknownReason},
-    service::{NoteNotRun, ReadOutcome},
+    service::{ReadOutcome, RecordNotRun},
 };
 
 const KEY: &str = "idempotency-key";
@@ -41,7 +41,7 @@
     let text = value.to_str().ok().filter(|text| !text.is_empty() && text.len() <= MOST_KEY);
     text.map(Some).ok_or_else(|| {
         let message = format!("Idempotency-Key: expected 1 to {MOST_KEY} visible ASCII characters");
-        Box::new(answer::refusal(StatusCode::BAD_REQUEST, "malformed-key", &message))
+        Box::new(responses::refusal(StatusCode::BAD_REQUEST, "malformed-key", &message))
     })
 }
 
@@ -51,18 +51,19 @@
     organisation: &str,
     key: &str,
     id: RequestId,
-    patience: Duration,
+    timeout: Duration,
 ) -> Result<(), Box<HttpResponse>> {
-    let mut wish = ClaimProposal {
+    let mut proposal = ClaimProposal {
         key: ClaimKey::new(organisation, key),
         request: id,
         entry: context.settings.name.clone(),
         replaces: None,
     };
     for _ in 0..MOST_TAKEOVERS {
-        let claim = MakeClaim { wish: wish.clone(), patience };
+        let claim = AcquireClaim { proposal: proposal.clone(), timeout };
         let state =
-            claim_at_home(&context.book, &context.settings.name, &context.claims, claim).await;
+            claim_at_owner(&context.directory, &context.settings.name, &context.claims, claim)
+                .await;
         let holder = match state {
             ClaimState::Granted => return Ok(()),
             ClaimState::Unavailable => {
@@ -75,7 +76,7 @@
             return Err(Box::new(held_answer(id, &holder, outcome.as_ref())));
         }
         // Its holder never ran and never will: the key is free again.
-        wish.replaces = Some(holder.request);
+        proposal.replaces = Some(holder.request);
     }
     Err(unavailable(context, id).await)
 }
@@ -85,8 +86,8 @@
 async fn unavailable(context: &WebContext, id: RequestId) -> Box<HttpResponse> {
     let reason = NotRunReason::ClaimUnavailable;
     let _dispatch_may_have_stopped =
-        context.dispatch.send(NoteNotRun { request: id, reason }).await;
-    Box::new(answer::not_run(id, reason, RETRY_AFTER_MS))
+        context.dispatch.send(RecordNotRun { request: id, reason }).await;
+    Box::new(responses::not_run(id, reason, RETRY_AFTER_MS))
 }
 
 /// The request itself did not run, but the one that holds its key may have: the answer is about that.
@@ -99,9 +100,9 @@
     let outcome =
         if is_done { Outcome::Done } else { Outcome::Unknown(UnknownReason::AlreadyClaimed) };
     let message = format!("request {} holds this key; the outcome is that one's", holder.request);
-    let mut answer = answer::with_outcome(StatusCode::CONFLICT, id, outcome, &message);
+    let mut answer = responses::with_outcome(StatusCode::CONFLICT, id, outcome, &message);
     set_header(&mut answer, "switchfold-original", &holder.request.to_string());
-    set_header(&mut answer, answer::REASON, "already-claimed");
+    set_header(&mut answer, responses::REASON, "already-claimed");
     answer
 }
 
@@ -110,8 +111,8 @@
         let outcome = context.dispatch.send(ReadOutcome(holder.request)).await.ok()??;
         return Some(HolderOutcome { word: outcome.as_str().to_owned() });
     }
-    let peer = context.book.address_of(&holder.entry)?;
-    let mut client = context.book.client(&peer.address).await?;
+    let peer = context.directory.address_of(&holder.entry)?;
+    let mut client = context.directory.client(&peer.address).await?;
     let request =
         OutcomeRequest { incarnation: holder.request.incarnation, counter: holder.request.counter };
     let answer = client.outcome(request).await.ok()?.into_inner();
--- a/crates/entry/src/web/mod.rs
+++ b/crates/entry/src/web/mod.rs
@@ -13,13 +13,13 @@
 //! again at its end, as a last event and as a trailer.
 
 mod access;
-mod answer;
 mod calls;
 mod completions;
-mod keyed;
+mod idempotency;
 mod limits;
 mod operator;
 mod outcomes;
+mod responses;
 
 use std::sync::Arc;
 
@@ -37,7 +37,7 @@
 use crate::{
     claims::ClaimService,
     commands::CommandContext,
-    config::{ConfigView, PeerBook},
+    config::{ConfigView, PeerDirectory},
     metrics::EntryMetrics,
     service::DispatchService,
     settings::EntrySettings,
@@ -59,7 +59,7 @@
     /// What is in force.
     pub view: watch::Receiver<Arc<ConfigView>>,
     /// Other entries.
-    pub book: PeerBook,
+    pub directory: PeerDirectory,
     /// Metrics.
     pub metrics: Arc<EntryMetrics>,
     /// Rates of organisations.
@@ -69,7 +69,7 @@
     /// Work that a planned stop waits for.
     pub work: ShutdownSignal,
     /// When the store or a peer was last heard of.
-    pub in_touch: watch::Receiver<Millis>,
+    pub last_contact: watch::Receiver<Millis>,
 }
 
 impl WebContext {
@@ -93,7 +93,7 @@
                 outcomes::answer(&self, &request).await
             }
             (_, path) if path.starts_with("/v1/services/") => calls::answer(&self, request).await,
-            _ => answer::refusal(
+            _ => responses::refusal(
                 StatusCode::NOT_FOUND,
                 "no-such-path",
                 "see the list of paths in the README",
@@ -106,7 +106,7 @@
         if self.shutdown.is_raised() {
             return full_response(StatusCode::SERVICE_UNAVAILABLE, "text/plain", "stopping\n");
         }
-        let heard = *self.in_touch.borrow();
+        let heard = *self.last_contact.borrow();
         if heard == 0 {
             return full_response(
                 StatusCode::SERVICE_UNAVAILABLE,
--- a/crates/entry/src/web/operator.rs
+++ b/crates/entry/src/web/operator.rs
@@ -6,7 +6,7 @@
 use switchfold_kernel::http::{HttpResponse, json_response, read_body};
 use switchfold_lang::MAX_STATEMENT_BYTES;
 
-use super::{WebContext, access, answer};
+use super::{WebContext, access, responses};
 use crate::{
     commands::{CommandError, run_statement},
     service::IssueId,
@@ -37,7 +37,7 @@
     let command = match given {
         Some(id) if id.is_empty() || id.len() > MOST_COMMAND_ID || !id.bytes().all(is_id_byte) => {
             let message = "Switchfold-Command: expected letters, digits and -";
-            return answer::refusal(StatusCode::BAD_REQUEST, "malformed-command-id", message);
+            return responses::refusal(StatusCode::BAD_REQUEST, "malformed-command-id", message);
         }
         Some(id) => id.to_owned(),
         None => match context.dispatch.send(IssueId).await {
@@ -48,7 +48,7 @@
     let text = match read_body(request.into_body(), MAX_STATEMENT_BYTES).await {
         Ok(body) => String::from_utf8_lossy(&body).into_owned(),
         Err(error) => {
-            return answer::refusal(StatusCode::PAYLOAD_TOO_LARGE, "body", &error.to_string());
+            return responses::refusal(StatusCode::PAYLOAD_TOO_LARGE, "body", &error.to_string());
         }
     };
     match run_statement(&context.commands, &text, &command).await {
@@ -63,12 +63,12 @@
 
 fn refused(error: &CommandError) -> HttpResponse {
     let (status, reason) = match error {
-        CommandError::NotUnderstood { .. } => (StatusCode::BAD_REQUEST, "not-understood"),
-        CommandError::Missing { .. } => (StatusCode::NOT_FOUND, "missing"),
-        CommandError::Unfit { .. } => (StatusCode::BAD_REQUEST, "unfit"),
+        CommandError::InvalidStatement { .. } => (StatusCode::BAD_REQUEST, "not-understood"),
+        CommandError::NotFound { .. } => (StatusCode::NOT_FOUND, "missing"),
+        CommandError::InvalidChange { .. } => (StatusCode::BAD_REQUEST, "unfit"),
         CommandError::Conflict { .. } => (StatusCode::CONFLICT, "conflict"),
         CommandError::Store { .. } => (StatusCode::SERVICE_UNAVAILABLE, "store"),
-        CommandError::Unclear { .. } => (StatusCode::BAD_GATEWAY, "unclear"),
+        CommandError::OutcomeUnknown { .. } => (StatusCode::BAD_GATEWAY, "unclear"),
         CommandError::Stopping => (StatusCode::SERVICE_UNAVAILABLE, "stopping"),
     };
     let mut body = CommandRefusal {
@@ -78,7 +78,7 @@
         line: None,
         column: None,
     };
-    if let CommandError::NotUnderstood { source } = error {
+    if let CommandError::InvalidStatement { source } = error {
         body.line = Some(source.line);
         body.column = Some(source.column);
     }
--- a/crates/entry/src/web/outcomes.rs
+++ b/crates/entry/src/web/outcomes.rs
@@ -6,7 +6,7 @@
 use switchfold_kernel::http::HttpResponse;
 use switchfold_proto::peer::OutcomeRequest;
 
-use super::{WebContext, access, answer};
+use super::{WebContext, access, responses};
 use crate::{
     dispatch::submission::{Outcome, UnknownReason},
     service::ReadOutcome,
@@ -20,7 +20,11 @@
     let id: RequestId = match text.parse() {
         Ok(id) => id,
         Err(error) => {
-            return answer::refusal(StatusCode::BAD_REQUEST, "malformed-id", &format!("{error}"));
+            return responses::refusal(
+                StatusCode::BAD_REQUEST,
+                "malformed-id",
+                &format!("{error}"),
+            );
         }
     };
     match context.dispatch.send(ReadOutcome(id)).await {
@@ -36,13 +40,13 @@
         Outcome::NotRun(_) => (StatusCode::OK, "it did not run, and never will"),
         Outcome::Unknown(_) => (StatusCode::OK, "it may have run"),
     };
-    answer::with_outcome(status, id, outcome, message)
+    responses::with_outcome(status, id, outcome, message)
 }
 
 /// Another entry may have issued it; where none knows it, nothing can be said of it.
 async fn ask_others(context: &WebContext, id: RequestId) -> HttpResponse {
-    for peer in context.book.others() {
-        let Some(mut client) = context.book.client(&peer.address).await else {
+    for peer in context.directory.others() {
+        let Some(mut client) = context.directory.client(&peer.address).await else {
             continue;
         };
         let asked = OutcomeRequest { incarnation: id.incarnation, counter: id.counter };
@@ -63,7 +67,7 @@
         }
     }
     let message = "no entry that can be reached remembers this request: it may have run";
-    answer::with_outcome(
+    responses::with_outcome(
         StatusCode::NOT_FOUND,
         id,
         Outcome::Unknown(UnknownReason::EntryStopped),
--- a/crates/local/src/cluster.rs
+++ b/crates/local/src/cluster.rs
@@ -14,7 +14,7 @@
 use switchfold_core::config::{
     OrganisationConfig, OrganisationShard, event_key, organisation_key, render_object,
 };
-use switchfold_entry::{EntrySockets, commands::TableAnswer, run_entry, settings::EntrySettings};
+use switchfold_entry::{EntrySockets, commands::ResultTable, run_entry, settings::EntrySettings};
 use switchfold_kernel::{
     http::{CallError, HttpClient},
     shutdown::ShutdownSignal,
@@ -373,7 +373,7 @@
     /// # Errors
     ///
     /// Fails where the entry cannot be called or refuses.
-    pub async fn statement(&self, web: &str, text: &str) -> Result<TableAnswer, ClusterError> {
+    pub async fn statement(&self, web: &str, text: &str) -> Result<ResultTable, ClusterError> {
         send_statement(&self.http, web, text).await
     }
 
@@ -424,7 +424,7 @@
     http: &HttpClient,
     web: &str,
     text: &str,
-) -> Result<TableAnswer, ClusterError> {
+) -> Result<ResultTable, ClusterError> {
     let request = Request::builder()
         .method("POST")
         .uri(format!("http://{web}/v1/operator"))
--- a/crates/local/src/measure.rs
+++ b/crates/local/src/measure.rs
@@ -11,7 +11,7 @@
     claim::{ClaimKey, ClaimProposal},
     id::RequestId,
 };
-use switchfold_entry::claims::{ClaimService, ClaimState, MakeClaim, claim_here};
+use switchfold_entry::claims::{AcquireClaim, ClaimService, ClaimState, claim_locally};
 use switchfold_kernel::{http::HttpClient, shutdown::ShutdownSignal};
 use switchfold_standin::platform::PlatformStandin;
 use switchfold_store::{StoreClient, StoreConfig};
@@ -215,7 +215,7 @@
                 replaces: None,
             };
             let asked = Instant::now();
-            let state = claim_here(&claims, MakeClaim { wish, patience: timeout }).await;
+            let state = claim_locally(&claims, AcquireClaim { proposal: wish, timeout }).await;
             (state, asked.elapsed().as_micros() as u64)
         });
     }
