--- a/crates/relay/src/bin/switchfold-relay.rs
+++ b/crates/relay/src/bin/switchfold-relay.rs
@@ -1,4 +1,4 @@
-//! The relay as a program.
+//! The relay process.
 
 use std::{path::PathBuf, process::ExitCode};
 
@@ -18,7 +18,7 @@
 
 /// Entry for platforms whose engines chain pipelines themselves.
 ///
-/// Exit codes: 0 stopped in order; 2 wrong settings; 3 an address is not to be had.
+/// Exit codes: 0 clean shutdown; 2 invalid settings; 3 an address cannot be bound.
 #[derive(Debug, Parser)]
 #[command(
     version,
@@ -28,10 +28,10 @@
     /// Settings file in JSON.
     #[arg(long, value_name = "FILE", env = "SWITCHFOLD_NODE_FILE")]
     settings: PathBuf,
-    /// Level of the log: off, error, warn, info, debug, trace.
+    /// Log level: off, error, warn, info, debug, trace.
     #[arg(long, default_value = "info")]
     log_level: LevelFilter,
-    /// Check the settings, print every fault, and stop.
+    /// Validate the settings, print all errors, and exit.
     #[arg(long)]
     check: bool,
 }
@@ -51,7 +51,7 @@
         println!("{}: no faults", arguments.settings.display());
         return ExitCode::from(OK);
     }
-    let _written_at_the_end = logs::start(arguments.log_level);
+    let _flush_on_drop = logs::start(arguments.log_level);
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
         Err(error) => return fail(UNAVAILABLE, &error),
--- a/crates/relay/src/counts.rs
+++ b/crates/relay/src/counts.rs
@@ -1,82 +1,83 @@
-//! Counters of a relay.
+//! Counters of a relay. Their names are those of the log line `figures` and of the metric
+//! `switchfold_figures`.
 
 use std::cell::Cell;
 
-/// Counts since the process began.
+/// Counts since the start of the process.
 #[derive(Debug, Default)]
 pub struct Counts {
-    /// Requests of callers.
+    /// Requests received from callers.
     pub requests: Cell<u64>,
-    /// Requests that ended with a replica's answer.
+    /// Requests that ended with the response of a replica.
     pub answered: Cell<u64>,
-    /// Requests refused before they ran.
+    /// Requests rejected before they ran.
     pub refused: Cell<u64>,
-    /// Requests that ended without an answer of a replica.
+    /// Requests that ended without a response of a replica.
     pub failed: Cell<u64>,
     /// Runs at replicas that ended without a result.
     pub lost_runs: Cell<u64>,
-    /// Requests stopped for ending the replicas that ran them.
+    /// Requests quarantined because they crashed the replicas that ran them.
     pub stopped_requests: Cell<u64>,
-    /// Attempts refused for that.
+    /// Attempts rejected because their request is quarantined.
     pub quarantined: Cell<u64>,
-    /// Rejections by which a replica asked this VM to stay away for a time.
+    /// Rejections in which a replica asked this VM to back off (`Retry-After`).
     pub backoffs_asked: Cell<u64>,
-    /// Requests that were not sent at the last moment, since their replica wanted none.
+    /// Sends cancelled just before the write because of a back-off or a missing grant.
     pub held_back: Cell<u64>,
-    /// Replicas that said in an answer that they are leaving.
+    /// Replicas that announced in a response that they are leaving.
     pub leaving_told: Cell<u64>,
-    /// Times that a replica named a limit, another one, or none any more.
+    /// Times that a replica set, changed or removed its rate limit.
     pub limits_changed: Cell<u64>,
-    /// Grants asked for, to send to replicas with limits.
+    /// Grants requested for sends to rate-limited replicas.
     pub grants_asked: Cell<u64>,
-    /// Grants handed out, to this relay and to others.
+    /// Grants issued by this relay, to itself and to others.
     pub grants_issued: Cell<u64>,
-    /// Requests sent on grants.
+    /// Requests sent with a grant.
     pub grants_spent: Cell<u64>,
-    /// Sends to a second replica.
+    /// Retries at another replica.
     pub repeats: Cell<u64>,
-    /// Streams moved to another path while they ran.
+    /// Running streams moved to another path.
     pub repaths: Cell<u64>,
-    /// Streams taken up at another replica.
+    /// Streams resumed at another replica.
     pub resumes: Cell<u64>,
-    /// Times that new callers were left to other relays.
+    /// Times that this relay stopped being ready so that new callers go to other relays.
     pub step_asides: Cell<u64>,
-    /// Orders to hold other layers.
+    /// Orders to engines to load other layers.
     pub orders: Cell<u64>,
-    /// Questions to neighbours for what they read from the store.
+    /// Snapshots of the store requested from other relays.
     pub snapshots_asked: Cell<u64>,
-    /// Answers to such questions of theirs.
+    /// Snapshots sent to other relays.
     pub snapshots_told: Cell<u64>,
-    /// Such questions and answers that could not be read.
+    /// Snapshot requests and responses that could not be decoded.
     pub bad_snapshots: Cell<u64>,
-    /// News of a replica that was older than what was held of it.
+    /// Updates of a replica that were older than the known state of it.
     pub older_news: Cell<u64>,
-    /// Messages of its state that this relay sent to others.
+    /// State messages sent to other relays.
     pub states_told: Cell<u64>,
-    /// Such messages of theirs that it read.
+    /// State messages received from other relays.
     pub states_heard: Cell<u64>,
-    /// Datagrams that were dropped: damaged, of another form, or of more relays than can be there.
+    /// Dropped datagrams: damaged, of an unknown format, or from more relays than are accepted.
     pub bad_datagrams: Cell<u64>,
-    /// Messages of other relays that were overtaken by later ones.
+    /// State messages that arrived after a newer one of the same relay.
     pub older_states: Cell<u64>,
-    /// Replicas that were leaving, and by later news were not.
+    /// Replicas that were leaving and returned to service according to a newer update.
     pub returned: Cell<u64>,
-    /// Replicas that started again under their ids.
+    /// Replicas that restarted under the same id.
     pub restarted: Cell<u64>,
-    /// Entries that are not a replica's own, each once for each revision, and objects that are none.
+    /// Entries not written by their replica, counted once per revision, and malformed objects.
     pub odd_entries: Cell<u64>,
-    /// Times that the store came back from a copy of before.
+    /// Times that the store was restored from a backup.
     pub store_copies: Cell<u64>,
-    /// Changes that a list told and that a watch had passed by.
+    /// Changes that a watch missed and a later list contained.
     pub passed_changes: Cell<u64>,
 }
 
-/// Adds one.
+/// Increments a counter by one.
 pub fn count(counter: &Cell<u64>) {
     add(counter, 1);
 }
 
-/// Adds so many.
-pub fn add(counter: &Cell<u64>, many: u64) {
-    counter.set(counter.get() + many);
+/// Increments a counter by `amount`.
+pub fn add(counter: &Cell<u64>, amount: u64) {
+    counter.set(counter.get() + amount);
 }
--- a/crates/relay/src/engines.rs
+++ b/crates/relay/src/engines.rs
@@ -1,4 +1,4 @@
-//! Calls to the engines' own interface: reports, orders, and probes of whether a replica is there.
+//! Calls to the control interface of the engines: reports, orders and probes.
 
 use std::{
     cell::{Cell, RefCell},
@@ -34,35 +34,38 @@
     state::Relay,
 };
 
-/// Time for a report or an order: links take under a millisecond, a busy engine answers all the same.
-const CALL_TIME: Duration = Duration::from_millis(300);
+/// Timeout of a call for a report or an order. Links take less than a millisecond, and the control
+/// interface responds at once even if the engine is busy.
+const CALL_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Largest answer, in bytes.
-const MOST_ANSWER: usize = 1 << 20;
+/// Maximum size of a response body, in bytes.
+const MAX_RESPONSE_BYTES: usize = 1 << 20;
 
-/// How an order ended.
+/// The result of an order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum OrderOutcome {
-    /// It began, or what it asks for holds already.
+    /// The engine started to carry it out, or is already in the ordered state.
     Taken,
-    /// It does not fit the engine's state, or that of the replica at this address.
+    /// The engine rejected it with this status: it does not fit the state of the engine, or that of
+    /// the replica at the address, if one is given.
     Refused(u16, Option<SocketAddr>),
-    /// It never left.
+    /// It was not sent.
     NotSent,
-    /// It may have been taken, or may be carried out later.
+    /// No response arrived: the engine may have accepted it, or may still do so.
     Unknown,
 }
 
-/// Time for which a report serves all who ask, in milliseconds: it is some hundred milliseconds old
-/// anyway, and each question has a price.
-const REPORT_AGE: Millis = 80;
+/// Time for which a cached report is used instead of a new call, in milliseconds. A report describes a
+/// state some hundred milliseconds old anyway, and each call costs time of the engine.
+const REPORT_TTL: Millis = 80;
 
-/// Time between two probes of one replica by the relays of a data centre together, in milliseconds: under
-/// load many streams are quiet at once, and each probe has a price. What one of them finds lost, it tells
-/// the others at once, so each probes less often the more they are.
-const PROBE_EVERY: Millis = 300;
+/// Interval between two probes of one replica by all relays of a data centre together, in
+/// milliseconds. Under load many streams are silent at once, and each probe costs time of the replica.
+/// A relay that finds a replica lost notifies the others at once, so each relay probes less often the
+/// more relays there are.
+const PROBE_INTERVAL: Millis = 300;
 
-/// Latest reports and probes, by address.
+/// Cache of the latest reports, and the times of the latest probes, by address.
 #[derive(Debug, Default)]
 pub struct ReportCache {
     reports: RefCell<HashMap<SocketAddr, CachedReport>>,
@@ -71,25 +74,25 @@
 }
 
 impl ReportCache {
-    /// Forgets what a replica told that is gone.
-    pub fn forget(&self, address: SocketAddr) {
+    /// Removes all entries of a replica that is no longer listed.
+    pub fn remove(&self, address: SocketAddr) {
         self.reports.borrow_mut().remove(&address);
         self.probed.borrow_mut().remove(&address);
     }
 
-    /// Notes a probe of a replica where none was made for `pause` milliseconds; tells whether it is to be
-    /// made.
-    fn begin_probe(&self, address: SocketAddr, pause: Millis, now: Millis) -> bool {
+    /// Returns whether a replica may be probed, that is if its last probe was at least `interval`
+    /// milliseconds ago. Records the probe in that case.
+    fn begin_probe(&self, address: SocketAddr, interval: Millis, now: Millis) -> bool {
         let mut probed = self.probed.borrow_mut();
         let last = probed.get(&address).copied();
-        let due = last.is_none_or(|last| now.saturating_sub(last) >= pause);
-        if due {
+        let is_due = last.is_none_or(|last| now.saturating_sub(last) >= interval);
+        if is_due {
             probed.insert(address, now);
         }
-        due
+        is_due
     }
 
-    /// When a replica was last probed because requests over it were quiet.
+    /// Returns the time of the last call of [`probe_replicas`], or `None` before the first.
     pub fn last_probe(&self) -> Option<Millis> {
         self.last_probe.get()
     }
@@ -97,44 +100,46 @@
 
 #[derive(Clone, Debug)]
 struct CachedReport {
-    asked: Millis,
+    requested_at: Millis,
     state: ReportState,
 }
 
-/// What is known of an engine's state.
+/// What is known of the state of an engine.
 #[derive(Clone, Debug)]
 pub enum ReportState {
-    /// It is being asked, and there is no earlier report.
+    /// The first report has been requested and has not arrived yet.
     Pending,
-    /// It was asked and did not answer as its interface says.
+    /// The last call failed, or its response was not a valid report.
     NoResponse,
-    /// Its report.
+    /// The latest report.
     Received(Rc<EngineReport>),
 }
 
-/// Gives an engine's report, asked for lately by anyone.
+/// Returns a recent report of an engine: the cached one if it is at most [`REPORT_TTL`] old, otherwise
+/// a new one. While a new one is being fetched, other callers get the previous state.
 pub async fn recent_report(relay: &Relay, address: SocketAddr) -> ReportState {
     let now = now_millis();
     let cached = relay.reports.reports.borrow().get(&address).cloned();
-    let asked = cached.as_ref().map(|cached| cached.asked);
+    let requested_at = cached.as_ref().map(|cached| cached.requested_at);
     let state = cached.map_or(ReportState::Pending, |cached| cached.state);
-    if asked.is_some_and(|asked| now.saturating_sub(asked) < REPORT_AGE) {
+    if requested_at.is_some_and(|requested_at| now.saturating_sub(requested_at) < REPORT_TTL) {
         return state;
     }
-    keep_report(relay, address, now, state);
+    cache_report(relay, address, now, state);
     let state = match fetch_report(relay, address).await {
         Some(report) => ReportState::Received(Rc::new(report)),
         None => ReportState::NoResponse,
     };
-    keep_report(relay, address, now, state.clone());
+    cache_report(relay, address, now, state.clone());
     state
 }
 
-fn keep_report(relay: &Relay, address: SocketAddr, asked: Millis, state: ReportState) {
-    relay.reports.reports.borrow_mut().insert(address, CachedReport { asked, state });
+fn cache_report(relay: &Relay, address: SocketAddr, requested_at: Millis, state: ReportState) {
+    relay.reports.reports.borrow_mut().insert(address, CachedReport { requested_at, state });
 }
 
-/// Asks an engine for its report; nothing where it does not answer as its interface says.
+/// Fetches the report of an engine. Returns `None` if the call fails, its response is not a valid
+/// report, or the report names an earlier or an implausible start of the replica.
 pub async fn fetch_report(relay: &Relay, address: SocketAddr) -> Option<EngineReport> {
     let (status, body) = call(relay, address, Method::GET, REPORT_PATH, Vec::new()).await.ok()?;
     if status != StatusCode::OK {
@@ -149,19 +154,20 @@
     }
 }
 
-/// Orders an engine to hold other layers, where it took `orders_taken` orders so far.
+/// Orders an engine to load other layers. The engine accepts the order only if it has taken
+/// `orders_taken` orders so far.
 pub async fn order_layers(
     relay: &Relay,
     address: SocketAddr,
     range: LayerRange,
-    give_up: UnloadMode,
+    unload_mode: UnloadMode,
     orders_taken: u64,
 ) -> OrderOutcome {
     count(&relay.counts.orders);
-    order(relay, address, encode_place_order(range, give_up, orders_taken)).await
+    order(relay, address, encode_place_order(range, unload_mode, orders_taken)).await
 }
 
-/// Orders the first engine of a request's path to go on over another path.
+/// Orders the first engine of a request's path to continue over another path.
 pub async fn order_repath(relay: &Relay, attempt_id: &str, path: &[PathStage]) -> OrderOutcome {
     count(&relay.counts.repaths);
     order(relay, path[0].address, encode_repath_order(attempt_id, path)).await
@@ -176,34 +182,34 @@
     }
 }
 
-/// Probes replicas that may be lost, in the background; one that does not answer is kept away from, and
-/// running streams are told. Whoever asks for the same replica meanwhile shares the probe.
+/// Probes replicas that may be lost, in the background. A replica found lost is avoided from then on,
+/// and running streams check their paths. A replica that was probed recently is not probed again.
 pub fn probe_replicas(relay: &Rc<Relay>, addresses: impl Iterator<Item = SocketAddr>) {
     let now = now_millis();
     relay.reports.last_probe.set(Some(now));
-    let near = relay.beliefs.borrow().peers.known_count_in(&relay.settings.data_centre);
-    let pause = PROBE_EVERY * (1 + near as Millis);
+    let peers_nearby = relay.beliefs.borrow().peers.known_count_in(&relay.settings.data_centre);
+    let interval = PROBE_INTERVAL * (1 + peers_nearby as Millis);
     let due: Vec<SocketAddr> =
-        addresses.filter(|address| relay.reports.begin_probe(*address, pause, now)).collect();
+        addresses.filter(|address| relay.reports.begin_probe(*address, interval, now)).collect();
     if due.is_empty() {
         return;
     }
     let relay = relay.clone();
     spawn_local(async move {
-        let ends = join_all(due.iter().map(|address| probe(&relay, *address))).await;
-        let silence_counts = silence_is_conclusive(&ends);
-        for (address, end) in due.into_iter().zip(ends) {
-            take_probe(&relay, address, end, silence_counts);
+        let outcomes = join_all(due.iter().map(|address| probe(&relay, *address))).await;
+        let silence_counts = silence_is_conclusive(&outcomes);
+        for (address, outcome) in due.into_iter().zip(outcomes) {
+            apply_probe(&relay, address, outcome, silence_counts);
         }
     });
 }
 
-/// Keeps away from a replica that a probe showed to be lost.
-fn take_probe(relay: &Relay, address: SocketAddr, end: ProbeOutcome, silence_counts: bool) {
-    let lost = match &end {
+/// Avoids a replica that a probe has shown to be lost.
+fn apply_probe(relay: &Relay, address: SocketAddr, outcome: ProbeOutcome, silence_counts: bool) {
+    let loss = match &outcome {
         ProbeOutcome::Reached => return,
         ProbeOutcome::Refused(detail) => Some(detail.as_str()),
-        ProbeOutcome::Silent if silence_counts => Some("no answer to a probe"),
+        ProbeOutcome::Silent if silence_counts => Some("no response to a probe"),
         ProbeOutcome::Silent | ProbeOutcome::Unclear => None,
     };
     let instance = relay
@@ -214,13 +220,13 @@
         .at_address(address)
         .map(|replica| replica.instance.clone());
     let replica = instance.as_ref().map(ReplicaInstance::to_string);
-    tracing::info!(event = "probe-failed", %address, replica, ?end, silence_counts);
-    if let (Some(instance), Some(why)) = (instance, lost) {
+    tracing::info!(event = "probe-failed", %address, replica, end = ?outcome, silence_counts);
+    if let (Some(instance), Some(why)) = (instance, loss) {
         relay.suspect(&instance, why);
     }
 }
 
-/// Whether a replica answers, as far as a probe can tell.
+/// Probes a replica and returns whether it may be reachable. An unclear outcome counts as reachable.
 pub async fn is_reachable(relay: &Relay, address: SocketAddr) -> bool {
     matches!(probe(relay, address).await, ProbeOutcome::Reached | ProbeOutcome::Unclear)
 }
@@ -239,9 +245,9 @@
     path: &str,
     body: Vec<u8>,
 ) -> Result<(StatusCode, Bytes), SendError> {
-    let late = || SendError::NoResponse { detail: "no answer in time".to_owned() };
+    let timed_out = || SendError::NoResponse { detail: "no response in time".to_owned() };
     let exchange = exchange(relay, address, method, path, body, false);
-    timeout(CALL_TIME, exchange).await.unwrap_or_else(|_| Err(late()))
+    timeout(CALL_TIMEOUT, exchange).await.unwrap_or_else(|_| Err(timed_out()))
 }
 
 async fn exchange(
@@ -253,19 +259,19 @@
     fresh: bool,
 ) -> Result<(StatusCode, Bytes), SendError> {
     let request = engine_request(address, method, path, body);
-    let sent = now_millis();
+    let sent_at = now_millis();
     let (response, link) = relay.pool.send(address, request, fresh, || Ok(())).await?;
     let (parts, body) = response.into_parts();
-    let marks = read_response_headers(&parts.headers);
+    let headers = read_response_headers(&parts.headers);
     apply_notices_at(
         relay,
         address,
-        ReplicaResponse { status: parts.status, headers: &marks, sent_at: sent, is_own: true },
+        ReplicaResponse { status: parts.status, headers: &headers, sent_at, is_own: true },
     );
-    let body = Limited::new(body, MOST_ANSWER).collect().await;
+    let body = Limited::new(body, MAX_RESPONSE_BYTES).collect().await;
     let body = body.map_err(|error| SendError::NoResponse { detail: error.to_string() })?;
-    if !marks.closes_connection {
-        link.return_to(&relay.pool, marks.keep_alive);
+    if !headers.closes_connection {
+        link.return_to(&relay.pool, headers.keep_alive);
     }
     Ok((parts.status, body.to_bytes()))
 }
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -1,24 +1,25 @@
 //! The relay: the entry of platforms whose engines chain pipelines themselves.
 //!
-//! It takes callers' requests, chooses the whole path of each over the engines that hold the model's
-//! layers, hands the request to the first of them and passes the answer on. Every choice is made by
-//! `switchfold-router`; every name of the platform stands in `switchfold-platform`; this crate moves
-//! bytes between them. It runs on one thread: at the size of an entry VM, a second one costs more than
-//! it brings, and what the relay knows needs no lock.
+//! A relay accepts requests of callers, chooses the whole path of each over the engines that hold the
+//! layers of the model, sends the request to the first engine of the path and passes the response on.
+//! All decisions are made by `switchfold-router`, and all names of the platform are defined in
+//! `switchfold-platform`; this crate does the I/O between them. It runs on one thread: at the size of
+//! an entry VM a second thread costs more than it gains, and the state needs no locks.
 //!
-//! | module | job |
+//! | module | purpose |
 //! |---|---|
-//! | [`serve`], [`request`], [`admit`] | callers, and what the configuration lets them do |
+//! | [`serve`], [`request`], [`admit`] | requests of callers, and what the configuration permits them |
 //! | [`plain`] | requests to plain services |
-//! | [`stream`], [`response_head`], [`forward`], [`paths`] | requests over engines: opening, running, paths |
-//! | [`run_tracker`] | runs of requests at replicas, and what is left of lost ones |
-//! | [`pool`], [`engines`] | connections and calls to replicas |
-//! | [`watch`], [`replicas`], [`peers`], [`news`] | what the relay knows, from the store and from other relays |
-//! | [`copies`] | what the store lost when it came back from a copy |
-//! | [`notices`] | what replicas say of themselves in their answers |
-//! | [`quarantine`] | requests that end the replicas that run them |
+//! | [`stream`], [`response_head`], [`forward`], [`paths`] | requests to engines: opening, forwarding, paths |
+//! | [`run_tracker`] | runs of requests at replicas, and evidence from lost runs |
+//! | [`pool`], [`engines`], [`probes`] | connections, calls and probes to replicas |
+//! | [`watch`], [`replicas`], [`peers`], [`news`], [`snapshot`] | state from the store and from other relays |
+//! | [`copies`] | writes that the store lost when it was restored from a backup |
+//! | [`notices`] | what replicas report of themselves in response headers |
+//! | [`limits`] | grants for replicas with a rate limit |
+//! | [`quarantine`] | requests that crash the replicas that run them |
 //! | [`survey`] | which engines are slow |
-//! | [`placer`] | orders to engines to hold layers |
+//! | [`placer`] | orders to engines to load layers |
 //! | [`shutdown`], [`run`], [`reload`], [`settings`], [`logs`], [`counts`], [`metrics`] | the process |
 
 pub mod admit;
--- a/crates/relay/src/logs.rs
+++ b/crates/relay/src/logs.rs
@@ -1,9 +1,9 @@
-//! Structured logs: one JSON object a line, on standard output.
+//! Structured logs: one JSON object per line, on standard output.
 //!
-//! Lines are handed to a thread of their own over a bounded queue that drops what does not fit, so
-//! writing never holds a request up, whatever reads the output. In any second only so many lines are
-//! written; failures have a share of their own, so that a flood of successes never displaces them. What
-//! was left out is counted.
+//! A separate thread writes the lines. It takes them from a bounded queue that drops what does not
+//! fit, so logging never blocks a request, even if nothing reads the output. The number of lines per
+//! second is limited. Warnings and errors have a limit of their own, so that a flood of other lines
+//! never displaces them. Lines dropped by these limits are counted.
 
 use std::{
     io::{self, Write},
@@ -15,71 +15,72 @@
 use tracing_appender::non_blocking::{NonBlockingBuilder, WorkerGuard};
 use tracing_subscriber::{Layer, filter::dynamic_filter_fn, fmt, layer::SubscriberExt};
 
-/// Lines that wait to be written at most; more are dropped.
-const MOST_WAITING: usize = 4_096;
+/// Maximum number of queued lines; further ones are dropped.
+const MAX_QUEUED_LINES: usize = 4_096;
 
-/// Lines of successes and changes written in one second at most: some for each of 50 requests.
-pub const USUAL_LINES: u64 = 200;
+/// Maximum number of lines per second at the levels info and below: some for each of 50 requests.
+pub const MAX_INFO_LINES: u64 = 200;
 
-/// Lines of failures written in one second at most.
-pub const FAILURE_LINES: u64 = 400;
+/// Maximum number of warnings and errors per second.
+pub const MAX_FAILURE_LINES: u64 = 400;
 
-/// Lines of one level that may still be written in a second.
+/// Limits the number of lines per second.
 #[derive(Debug)]
-pub struct LineBudget {
-    most: u64,
+pub struct LineLimit {
+    per_second: u64,
     second: AtomicU64,
     written: AtomicU64,
-    left_out: AtomicU64,
+    dropped: AtomicU64,
 }
 
-impl LineBudget {
-    /// Makes a budget of `most` lines a second.
-    pub const fn new(most: u64) -> Self {
+impl LineLimit {
+    /// Creates a limit of `per_second` lines.
+    pub const fn new(per_second: u64) -> Self {
         let (second, written) = (AtomicU64::new(0), AtomicU64::new(0));
-        Self { most, second, written, left_out: AtomicU64::new(0) }
+        Self { per_second, second, written, dropped: AtomicU64::new(0) }
     }
 
-    /// Takes a line of the second of `now`, in milliseconds; tells whether there was one.
-    pub fn take(&self, now: u64) -> bool {
+    /// Counts a line at `now`, in milliseconds. Returns whether it is within the limit and may be
+    /// written.
+    pub fn admit(&self, now: u64) -> bool {
         let second = now / 1_000 + 1;
         if self.second.swap(second, Ordering::Relaxed) != second {
             self.written.store(0, Ordering::Relaxed);
         }
-        let within = self.written.fetch_add(1, Ordering::Relaxed) < self.most;
+        let within = self.written.fetch_add(1, Ordering::Relaxed) < self.per_second;
         if !within {
-            self.left_out.fetch_add(1, Ordering::Relaxed);
+            self.dropped.fetch_add(1, Ordering::Relaxed);
         }
         within
     }
 
-    /// Lines left out so far.
-    pub fn left_out(&self) -> u64 {
-        self.left_out.load(Ordering::Relaxed)
+    /// Returns the number of lines dropped so far.
+    pub fn dropped(&self) -> u64 {
+        self.dropped.load(Ordering::Relaxed)
     }
 }
 
-static USUAL: LineBudget = LineBudget::new(USUAL_LINES);
-static FAILURES: LineBudget = LineBudget::new(FAILURE_LINES);
+static INFO_LIMIT: LineLimit = LineLimit::new(MAX_INFO_LINES);
+static FAILURE_LIMIT: LineLimit = LineLimit::new(MAX_FAILURE_LINES);
 
-/// Lines left out since the start, for want of a place in their second.
+/// Returns the number of lines dropped by the limits since the start of the process.
 pub fn dropped_lines() -> u64 {
-    USUAL.left_out() + FAILURES.left_out()
+    INFO_LIMIT.dropped() + FAILURE_LIMIT.dropped()
 }
 
-fn has_place(metadata: &Metadata<'_>) -> bool {
-    let budget = if *metadata.level() <= Level::WARN { &FAILURES } else { &USUAL };
-    budget.take(now_millis())
+fn is_admitted(metadata: &Metadata<'_>) -> bool {
+    let limit = if *metadata.level() <= Level::WARN { &FAILURE_LIMIT } else { &INFO_LIMIT };
+    limit.admit(now_millis())
 }
 
-/// Starts logging to standard output; the guard writes what is left when it is dropped.
+/// Starts logging to standard output. Dropping the guard flushes the queue.
 pub fn start(level: LevelFilter) -> WorkerGuard {
     start_to(level, io::stdout())
 }
 
-/// Starts logging to any writer, on a thread of its own.
+/// Starts logging to `output`, which is written by a separate thread.
 pub fn start_to(level: LevelFilter, output: impl Write + Send + 'static) -> WorkerGuard {
-    let builder = NonBlockingBuilder::default().buffered_lines_limit(MOST_WAITING).lossy(true);
+    let builder = NonBlockingBuilder::default().buffered_lines_limit(MAX_QUEUED_LINES).lossy(true);
     let (writer, guard) = builder.finish(output);
     let lines = fmt::layer()
         .json()
@@ -89,10 +90,10 @@
         .with_target(false)
         .with_writer(writer)
         .with_filter(dynamic_filter_fn(move |metadata, _| {
-            *metadata.level() <= level && has_place(metadata)
+            *metadata.level() <= level && is_admitted(metadata)
         }));
     let subscriber = tracing_subscriber::registry().with(lines);
-    // A second start in one process, as in tests, keeps the first subscriber.
+    // Only the first start in a process takes effect; tests may start logging again.
     let _already_set = tracing::subscriber::set_global_default(subscriber);
     guard
 }
--- a/crates/relay/src/metrics.rs
+++ b/crates/relay/src/metrics.rs
@@ -1,7 +1,8 @@
-//! Counters and histograms of a relay, read as Prometheus text.
+//! Metrics of a relay, exported as Prometheus text.
 //!
-//! Histograms are by route and organisation, with bounded labels. Counters of what happens often are
-//! plain cells ([`Counts`](crate::counts::Counts)), copied when the metrics are read.
+//! Histograms are labelled by route and organisation, with a bounded number of label values. Frequent
+//! events are counted in plain cells ([`Counts`](crate::counts::Counts)), which are copied into gauges
+//! when the metrics are read.
 
 use std::cell::RefCell;
 
@@ -20,17 +21,17 @@
 
 use crate::{admit::Permit, state::Relay};
 
-/// Organisations that keep a name of their own; the rest go together.
-const NAMED_ORGANISATIONS: usize = 50;
+/// Maximum number of organisations with a label value of their own; all others share one.
+const MAX_ORGANISATION_LABELS: usize = 50;
 
-/// Routes that keep a name of their own.
-const NAMED_ROUTES: usize = 40;
+/// Maximum number of routes with a label value of their own; all others share one.
+const MAX_ROUTE_LABELS: usize = 40;
 
-/// Requests after which a name is kept.
+/// Number of requests after which a name gets a label value of its own.
 const PROMOTE_AFTER: u64 = 2;
 
-/// Bounds of the histograms, in milliseconds.
-const BOUNDS: &[f64] = &[
+/// Bucket boundaries of the histograms, in milliseconds.
+const BUCKET_BOUNDS_MS: &[f64] = &[
     1.0, 5.0, 10.0, 25.0, 50.0, 100.0, 150.0, 200.0, 300.0, 500.0, 700.0, 1_000.0, 2_000.0,
     5_000.0, 10_000.0, 30_000.0,
 ];
@@ -52,48 +53,51 @@
 }
 
 impl RelayMetrics {
-    /// Sets up the metrics.
+    /// Creates the metrics with all counters at zero.
     ///
     /// # Errors
     ///
-    /// Fails where the exporter cannot be made.
+    /// Fails if the exporter cannot be created.
     pub fn new() -> Result<Self, MetricsError> {
         let hub = MetricsHub::new()?;
         let meter = hub.meter();
         let histogram = |name: &'static str, help: &'static str| {
             let builder = meter.f64_histogram(name).with_description(help).with_unit("ms");
-            builder.with_boundaries(BOUNDS.to_vec()).build()
+            builder.with_boundaries(BUCKET_BOUNDS_MS.to_vec()).build()
         };
         Ok(Self {
-            first_byte: histogram("switchfold_first_byte", "From arrival to the answer's head"),
-            total: histogram("switchfold_total", "From arrival to the answer's end"),
+            first_byte: histogram(
+                "switchfold_first_byte",
+                "Time from arrival to the head of the response",
+            ),
+            total: histogram("switchfold_total", "Time from arrival to the end of the response"),
             pause: histogram(
                 "switchfold_longest_pause",
                 "Longest pause between events of a stream",
             ),
             outcomes: meter
                 .u64_counter("switchfold_outcomes")
-                .with_description("Ended requests by status and reason")
+                .with_description("Finished requests, by status and reason")
                 .build(),
             attempts: meter
                 .u64_counter("switchfold_attempts")
-                .with_description("Attempts that did not simply succeed, by end and next step")
+                .with_description("Attempts other than plain successes, by result and next step")
                 .build(),
             store_calls: meter
                 .u64_gauge("switchfold_store_calls")
-                .with_description("Calls of the store by kind of object, verb, cause and end")
+                .with_description("Calls to the store, by kind of object, verb, cause and result")
                 .build(),
             figures: meter
                 .u64_gauge("switchfold_figures")
-                .with_description("Counts since the start, and present sizes, by name")
+                .with_description("Counts since the start and current sizes, by name")
                 .build(),
             ages: meter
                 .u64_gauge("switchfold_belief_age")
-                .with_description("Age of what the relay believes, by belief")
+                .with_description("Age of the configuration and of the replica list")
                 .with_unit("ms")
                 .build(),
-            routes: RefCell::new(LabelBudget::new(NAMED_ROUTES, PROMOTE_AFTER)),
-            organisations: RefCell::new(LabelBudget::new(NAMED_ORGANISATIONS, PROMOTE_AFTER)),
+            routes: RefCell::new(LabelBudget::new(MAX_ROUTE_LABELS, PROMOTE_AFTER)),
+            organisations: RefCell::new(LabelBudget::new(MAX_ORGANISATION_LABELS, PROMOTE_AFTER)),
             hub,
         })
     }
@@ -105,12 +109,13 @@
         [KeyValue::new("organisation", organisation), KeyValue::new("route", route)]
     }
 
-    /// Notes the head of an answer.
+    /// Records the arrival of a response head after `took` milliseconds.
     pub fn record_head(&self, permit: &Permit, took: Millis) {
         self.first_byte.record(took as f64, &self.labels(permit));
     }
 
-    /// Notes the end of an answer that a replica made.
+    /// Records the end of a replica's response after `took` milliseconds. `longest_pause` is that
+    /// between the events of a stream.
     pub fn record_end(&self, permit: &Permit, took: Millis, longest_pause: Option<Millis>) {
         let labels = self.labels(permit);
         self.total.record(took as f64, &labels);
@@ -119,7 +124,7 @@
         }
     }
 
-    /// Notes how a request ended.
+    /// Records the result of a request.
     pub fn record_outcome(&self, status: u16, reason: &str) {
         let labels = [
             KeyValue::new("status", i64::from(status)),
@@ -128,26 +133,26 @@
         self.outcomes.add(1, &labels);
     }
 
-    /// Notes an attempt.
+    /// Records the result of an attempt.
     pub fn record_attempt(&self, end: AttemptEnd, next: NextStep) {
         let labels =
             [KeyValue::new("end", format!("{end:?}")), KeyValue::new("next", format!("{next:?}"))];
         self.attempts.add(1, &labels);
     }
 
-    /// All metrics as Prometheus text.
+    /// Returns all metrics as Prometheus text.
     ///
     /// # Errors
     ///
-    /// Fails where a metric has no text form.
+    /// Fails if a metric cannot be encoded.
     pub fn render(&self, relay: &Relay) -> Result<Vec<u8>, MetricsError> {
-        self.copy_figures(relay);
-        self.copy_calls(relay);
+        self.copy_counts(relay);
+        self.copy_store_calls(relay);
         self.copy_ages(relay);
         self.hub.render()
     }
 
-    fn copy_figures(&self, relay: &Relay) {
+    fn copy_counts(&self, relay: &Relay) {
         let counts = &relay.counts;
         let beliefs = relay.beliefs.borrow();
         let now = now_millis();
@@ -203,7 +208,7 @@
         }
     }
 
-    fn copy_calls(&self, relay: &Relay) {
+    fn copy_store_calls(&self, relay: &Relay) {
         for (call, end, count) in relay.calls.rows() {
             let labels = [
                 KeyValue::new("kind", call.kind.to_string()),
--- a/crates/relay/src/notices.rs
+++ b/crates/relay/src/notices.rs
@@ -1,7 +1,9 @@
-//! What replicas say of themselves in their answers: that they want no requests for a time, or that they are leaving.
+//! What replicas report of themselves in response headers: a back-off (`Retry-After`), a rate limit
+//! (`Server-Limit`), or that they are leaving (`Server-Leaving`).
 //!
-//! Neither ends with the request that was answered: the one holds back what this relay sends until the time is over, the other is a
-//! leaving like any that the store tells, and binds before the store does.
+//! These notices apply to more than the request that they came with. A back-off or a limit delays
+//! later requests of this relay to the replica. A leaving replica is treated as if the store listed it
+//! as draining, before the store does.
 
 use std::{cell::Cell, net::SocketAddr, rc::Rc};
 
@@ -21,36 +23,38 @@
     state::{Beliefs, Relay},
 };
 
-/// An answer of a replica, as far as it says something of that replica.
+/// The parts of a response that tell something of the replica that sent it.
 #[derive(Clone, Copy, Debug)]
 pub struct ReplicaResponse<'a> {
-    /// Its status.
+    /// Status of the response.
     pub status: StatusCode,
-    /// What it says beside.
+    /// The evaluated headers of the response.
     pub headers: &'a ResponseHeaders,
-    /// When the request was sent.
+    /// Time at which the request was sent.
     pub sent_at: Millis,
-    /// Whether it answers that request: one to an earlier request may come in its place.
+    /// Whether it is the response to that request. A response to an earlier request may arrive in its
+    /// place.
     pub is_own: bool,
 }
 
-/// Hears what an answer to a request says of the replica that it was sent to.
-pub fn apply_notices(relay: &Relay, instance: &ReplicaInstance, answer: ReplicaResponse<'_>) {
-    let ReplicaResponse { status, headers, .. } = answer;
+/// Applies the notices in the response to a request that was sent to this replica.
+pub fn apply_notices(relay: &Relay, instance: &ReplicaInstance, response: ReplicaResponse<'_>) {
+    let ReplicaResponse { status, headers, .. } = response;
     if status != StatusCode::SERVICE_UNAVAILABLE && !headers.not_executed {
         relay.beliefs.borrow_mut().backoffs.record_success(instance, now_millis());
     }
-    hear_word(relay, instance, answer);
-    // Another replica may answer this way at the address of one that ended.
-    let is_its_own = answer.is_own && status != StatusCode::MISDIRECTED_REQUEST;
-    if is_its_own && headers.limit.is_none() {
-        let word = LimitReport { per_second: None, sent: answer.sent_at as i64 };
-        update_limit(relay, instance.id(), word, None);
+    apply_headers(relay, instance, response);
+    // With this status, another replica may respond at the address of one that is gone.
+    let is_of_replica = response.is_own && status != StatusCode::MISDIRECTED_REQUEST;
+    if is_of_replica && headers.limit.is_none() {
+        let report = LimitReport { per_second: None, sent: response.sent_at as i64 };
+        update_limit(relay, instance.id(), report, None);
     }
 }
 
-/// Hears what an answer to a call of an engine's own interface says of the replica that is listed at an address.
-pub fn apply_notices_at(relay: &Relay, address: SocketAddr, answer: ReplicaResponse<'_>) {
+/// Applies the notices in the response of an engine's control interface to the replica that is listed
+/// at this address.
+pub fn apply_notices_at(relay: &Relay, address: SocketAddr, response: ReplicaResponse<'_>) {
     let instance = relay
         .beliefs
         .borrow()
@@ -59,24 +63,25 @@
         .at_address(address)
         .map(|replica| replica.instance.clone());
     if let Some(instance) = instance {
-        hear_word(relay, &instance, answer);
+        apply_headers(relay, &instance, response);
     }
 }
 
-/// Hears what an answer says of its replica, whatever it answers. That it names no limit says something only where the
-/// replica names them in such answers, and nothing tells that it does so in those to calls of its own interface.
-fn hear_word(relay: &Relay, instance: &ReplicaInstance, answer: ReplicaResponse<'_>) {
-    let ReplicaResponse { status, headers, sent_at, .. } = answer;
+/// Applies the notices in the headers of any response of a replica. A missing limit is ignored here: it
+/// means that the replica has none only in responses that would name it, and nothing guarantees that
+/// those of the control interface do.
+fn apply_headers(relay: &Relay, instance: &ReplicaInstance, response: ReplicaResponse<'_>) {
+    let ReplicaResponse { status, headers, sent_at, .. } = response;
     if status == StatusCode::SERVICE_UNAVAILABLE {
-        hear_backoff(relay, instance, headers);
+        apply_backoff(relay, instance, headers);
     }
     if headers.is_leaving {
         apply_draining(relay, instance);
     }
     match &headers.limit {
         Some(ServerLimit::PerSecond(limit)) => {
-            let word = LimitReport { per_second: Some(*limit), sent: sent_at as i64 };
-            update_limit(relay, instance.id(), word, None);
+            let report = LimitReport { per_second: Some(*limit), sent: sent_at as i64 };
+            update_limit(relay, instance.id(), report, None);
         }
         Some(ServerLimit::Unreadable(value)) => {
             tracing::warn!(event = "limit-unreadable", replica = %instance, value);
@@ -85,7 +90,7 @@
     }
 }
 
-fn hear_backoff(relay: &Relay, instance: &ReplicaInstance, headers: &ResponseHeaders) {
+fn apply_backoff(relay: &Relay, instance: &ReplicaInstance, headers: &ResponseHeaders) {
     match &headers.retry_after {
         Some(RetryAfter::Millis(asked)) => {
             count(&relay.counts.backoffs_asked);
@@ -99,36 +104,37 @@
     }
 }
 
-/// Decides at the last moment before a request is written whether its replica wants requests: between the choice and that
-/// lie a connection and what other requests were told meanwhile. To a replica that named a limit a request goes on a grant.
+/// Decides just before a request is written whether it may be sent to its replica. After the replica
+/// was chosen, a connection had to be opened, and responses to other requests may have brought new
+/// notices. A request to a rate-limited replica spends a grant.
 #[derive(Debug)]
 pub struct SendGate<'a> {
     relay: &'a Rc<Relay>,
     instance: &'a ReplicaInstance,
     rank: u8,
-    passed: Cell<bool>,
+    has_passed: Cell<bool>,
     is_trial: Cell<bool>,
     grant: Cell<Option<Millis>>,
 }
 
 impl<'a> SendGate<'a> {
-    /// Makes the gate of one request of a rank to a replica.
+    /// Creates the gate of one request with this priority rank to a replica.
     pub fn new(relay: &'a Rc<Relay>, instance: &'a ReplicaInstance, rank: u8) -> Self {
-        let (passed, is_trial, grant) = Default::default();
-        Self { relay, instance, rank, passed, is_trial, grant }
+        let (has_passed, is_trial, grant) = Default::default();
+        Self { relay, instance, rank, has_passed, is_trial, grant }
     }
 
-    /// Lets the request go.
+    /// Decides whether the request may be sent now.
     ///
     /// # Errors
     ///
-    /// Gives the time for which the replica wants none, in milliseconds.
+    /// Returns the time until a request may be sent to the replica, in milliseconds.
     pub fn pass(&self) -> Result<(), Millis> {
-        let passes = self.decide(now_millis());
-        if passes.is_err() {
+        let decision = self.decide(now_millis());
+        if decision.is_err() {
             count(&self.relay.counts.held_back);
         }
-        passes
+        decision
     }
 
     fn decide(&self, now: Millis) -> Result<(), Millis> {
@@ -136,80 +142,83 @@
         let is_trial = beliefs.backoffs.begin_send(self.instance, self.is_trial.get(), now)?;
         self.is_trial.set(is_trial);
         let is_limited = beliefs.limits.limit(self.instance.id()).is_some();
-        // One that passed before is on its way: its connection opened meanwhile.
-        if is_limited && !self.passed.get() {
+        // The gate is passed again after a new connection was opened; the grant is spent only once.
+        if is_limited && !self.has_passed.get() {
             let grant = beliefs.grants.spend(self.instance.id(), self.rank, now)?;
             self.grant.set(Some(grant));
             count(&self.relay.counts.grants_spent);
         }
-        self.passed.set(true);
+        self.has_passed.set(true);
         Ok(())
     }
 
-    /// Notes that no byte of the request left: its grant serves another one.
+    /// Records that no byte of the request was sent. Its grant becomes available to another request.
     pub fn record_unsent(&self) {
-        if let Some(end) = self.grant.take() {
-            self.relay.beliefs.borrow_mut().grants.give_back(self.instance.id(), end);
+        if let Some(expiry) = self.grant.take() {
+            self.relay.beliefs.borrow_mut().grants.give_back(self.instance.id(), expiry);
         }
     }
 }
 
-/// Why a request is refused that no replica takes: where all that could begin it want none for a time, or few, its caller
-/// comes back when one of them may take it. `begins` tells which could begin it.
+/// Returns the rejection of a request that no replica accepts. If all replicas that can start it are
+/// waiting out a back-off or a rate limit, it tells the caller when to retry; otherwise it is
+/// `otherwise`. `can_start` tells which replicas can start the request.
 pub fn refusal_without_replica(
     relay: &Relay,
     service: &str,
     rank: u8,
-    begins: impl Fn(&ReplicaEntry) -> bool,
+    can_start: impl Fn(&ReplicaEntry) -> bool,
     otherwise: Refusal,
 ) -> Refusal {
-    let Some(left) = min_send_wait(&relay.beliefs.borrow(), service, rank, &begins) else {
+    let Some(wait) = min_send_wait(&relay.beliefs.borrow(), service, rank, &can_start) else {
         return otherwise;
     };
     let now = now_millis();
-    let per_second = limited_rate(&relay.beliefs.borrow(), service, &begins, now);
+    let per_second = limited_rate(&relay.beliefs.borrow(), service, &can_start, now);
     if per_second == 0.0 {
-        return Refusal::Throttled(left + relay.draw(RETURN_SPREAD));
+        return Refusal::Throttled(wait + relay.draw(RETRY_SPREAD));
     }
     let draw = relay.random.borrow_mut().random();
     let mut beliefs = relay.beliefs.borrow_mut();
-    let slots = beliefs.return_slots.entry(service.to_owned()).or_default();
-    Refusal::Throttled(slots.next_delay(left, per_second, draw, now))
+    let schedule = beliefs.return_slots.entry(service.to_owned()).or_default();
+    Refusal::Throttled(schedule.next_delay(wait, per_second, draw, now))
 }
 
-/// Time over which callers come back that were refused until the same end, in milliseconds.
-const RETURN_SPREAD: Millis = 250;
+/// Time over which the retries of callers are spread that were rejected until the same time, in
+/// milliseconds.
+const RETRY_SPREAD: Millis = 250;
 
-/// Requests a second that this relay may expect to begin at replicas with limits; 0 where it knows none.
+/// Returns the number of requests per second that this relay can expect to start at rate-limited
+/// replicas, or 0 if it knows none.
 fn limited_rate(
     beliefs: &Beliefs,
     service: &str,
-    begins: impl Fn(&ReplicaEntry) -> bool,
+    can_start: impl Fn(&ReplicaEntry) -> bool,
     now: Millis,
 ) -> f64 {
     let limited = |replica: &&ReplicaEntry| {
-        begins(replica) && beliefs.limits.limit(replica.instance.id()).is_some()
+        can_start(replica) && beliefs.limits.limit(replica.instance.id()).is_some()
     };
     let replicas = beliefs.fleet.view.of_service(service).filter(limited);
     replicas.filter_map(|replica| beliefs.grants.share(replica.instance.id(), now)).sum()
 }
 
-/// Time until the first of the replicas that could begin a request of a rank takes it; nothing where one does now, or there
-/// is none.
+/// Returns the time in milliseconds until a request with this priority rank may be sent to the first
+/// of the replicas that can start it. Returns `None` if one is available now, or if there is none.
 pub fn min_send_wait(
     beliefs: &Beliefs,
     service: &str,
     rank: u8,
-    begins: impl Fn(&ReplicaEntry) -> bool,
+    can_start: impl Fn(&ReplicaEntry) -> bool,
 ) -> Option<Millis> {
     let now = now_millis();
-    let usable = |replica: &&ReplicaEntry| {
+    let is_usable = |replica: &&ReplicaEntry| {
         replica.is_ready()
             && !beliefs.suspects.is_suspect(&replica.instance, now)
-            && begins(replica)
+            && can_start(replica)
     };
-    let replicas = beliefs.fleet.view.of_service(service).filter(usable);
-    let mut lefts = replicas.map(|replica| beliefs.send_wait(&replica.instance, rank, now));
-    let first = lefts.next()??;
-    lefts.try_fold(first, |soonest, left| Some(soonest.min(left?)))
+    let replicas = beliefs.fleet.view.of_service(service).filter(is_usable);
+    let mut waits = replicas.map(|replica| beliefs.send_wait(&replica.instance, rank, now));
+    let first = waits.next()??;
+    waits.try_fold(first, |shortest, wait| Some(shortest.min(wait?)))
 }
--- a/crates/relay/src/placer.rs
+++ b/crates/relay/src/placer.rs
@@ -1,9 +1,10 @@
-//! Orders to engines to hold layers.
+//! Planning of which layers each engine holds, and the orders that carry out the plan.
 //!
-//! The first relays by name among those that are well give the orders, each for some groups of replicas: one relay
-//! up to the largest deployments of today. They keep no plan: each round computes the orders from the list of
-//! replicas and from the planner's own orders under way. Two relays that both take themselves for a group's planner
-//! order the same, and an order names how many orders the engine took before, so a late one is refused.
+//! The first healthy relays by name are the planners, each for some of the groups of replicas. One
+//! planner suffices for the largest deployments of today. No plan is stored: each round computes the
+//! orders from the replica list and from the pending orders of this relay. If two relays both plan the
+//! same group, they give the same orders. An order also states how many orders the engine has taken
+//! before, so the engine rejects a late or duplicate one.
 
 use std::{
     cell::RefCell,
@@ -35,7 +36,8 @@
 
 use self::{
     groups::{
-        GroupName, GroupTotal, PlanGroups, PlanShare, covered_places, deal_groups, keep_share,
+        GroupName, GroupTotal, PlanGroups, PlanShare, covered_data_centres, retain_share,
+        split_groups,
     },
     searches::LayoutSearches,
 };
@@ -44,90 +46,99 @@
     state::Relay,
 };
 
-/// Time between two rounds.
-const ROUND: Duration = Duration::from_millis(200);
+/// Interval between two planning rounds.
+const ROUND_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Time after the start before the first orders, in milliseconds: peers are heard by then.
-const FIRST_ROUND: Millis = 900;
+/// Time after the start of the relay before its first orders, in milliseconds. Messages of the other
+/// relays have arrived by then.
+const FIRST_ROUND_DELAY: Millis = 900;
 
-/// Time for which a relay must be the first before it gives orders, in milliseconds: two messages of its
-/// predecessor may be lost.
-const TAKE_CHARGE: Millis = 600;
+/// Time for which a relay must have had its share of the planning before it gives orders, in
+/// milliseconds: two messages of its predecessor may be lost.
+const TAKEOVER_DELAY: Millis = 600;
 
-/// Time without a new replica after which the first layout is made, in milliseconds.
-const SETTLED: Millis = 900;
+/// Time without a change in the number of replicas after which the first layout is planned, in
+/// milliseconds.
+const SETTLE_TIME: Millis = 900;
 
-/// Time after the start after which the layout is made whatever still comes, in milliseconds.
-const LATEST_START: Millis = 4_000;
+/// Time after the start of the relay after which the first layout is planned even if replicas still
+/// join, in milliseconds.
+const MAX_SETTLE_TIME: Millis = 4_000;
 
-/// Time beyond the load itself until an order's effect must be listed, in milliseconds: the list lags by
-/// a heartbeat and its delay.
-const LIST_LAG: Millis = 3_000;
+/// Additional time, beyond that of the load, within which the replica list must show the effect of an
+/// order, in milliseconds: the list lags by a heartbeat and its delay.
+const LIST_DELAY: Millis = 3_000;
 
-/// Time for which a replica keeps its place in the layout although another writer's entry stands in its place, in
-/// milliseconds: the replica writes anew with its next heartbeat, and three of those may be missed.
-const KEEP_OVERWRITTEN: Millis = 3_600;
+/// Time for which a replica whose entry was overwritten by another writer remains in the layout, in
+/// milliseconds: the replica restores its entry with its next heartbeat, and three of those may be
+/// missed.
+const OVERWRITTEN_RETENTION: Millis = 3_600;
 
-/// Time after a refused order before the replica is planned for again, in milliseconds: another order
-/// may be under way there, and the list shows it by then.
-const REFUSED_PAUSE: Millis = 1_000;
+/// Time after a rejected order before another one is planned for the replica, in milliseconds. The
+/// replica may be carrying out another order, which the list shows by then.
+const REJECTED_PAUSE: Millis = 1_000;
 
-/// An order under way.
+/// An order that the replica list does not show as done yet.
 #[derive(Clone, Copy, Debug)]
 struct PendingOrder {
     range: LayerRange,
+    /// Time at which the order is given up.
     until: Millis,
 }
 
-/// Time for which the answer of a suspected replica to a question counts, in milliseconds.
-const PROBE_AGE: Millis = 400;
+/// Interval between two reports requested from a suspected replica, in milliseconds.
+const SUSPECT_INTERVAL: Millis = 400;
 
-/// What asking a suspected replica told.
+/// The last report of a suspected replica.
 #[derive(Clone, Copy, Debug)]
-struct ProbeOutcome {
-    asked: Millis,
+struct SuspectReport {
+    requested_at: Millis,
+    /// Whether the replica responded and holds layers.
     holds: bool,
 }
 
-/// Orders that are given at once: each takes two calls that must be answered within 300 ms, also where a small VM has
-/// several hundred orders to give after a start of all.
-const MOST_ORDERS: usize = 16;
+/// Maximum number of orders sent at once. Each takes two calls that time out after 300 ms, and a small
+/// VM may have several hundred orders to send after a start of the whole system.
+const MAX_CONCURRENT_ORDERS: usize = 16;
 
-/// Orders under way, by replica, and what suspected replicas answered.
+/// The planner of this relay: pending orders, and reports of suspected replicas.
 #[derive(Debug)]
 struct Placer {
     pending: HashMap<ReplicaInstance, PendingOrder>,
-    probes: HashMap<ReplicaInstance, ProbeOutcome>,
-    refused: Rc<RefCell<Vec<ReplicaInstance>>>,
-    /// Places for orders that are being given.
-    ordering: Rc<Semaphore>,
-    /// Groups that needed no orders when last planned.
+    suspects: HashMap<ReplicaInstance, SuspectReport>,
+    rejected: Rc<RefCell<Vec<ReplicaInstance>>>,
+    /// Limits the number of orders that are sent at once.
+    order_permits: Rc<Semaphore>,
+    /// Groups that needed no orders when they were last planned.
     settled: BTreeMap<GroupName, Vec<LayerHolder>>,
     /// Searches for better first layouts.
     searches: LayoutSearches,
-    fleet_seen: u64,
+    replica_count: u64,
+    /// Time of the last change of `replica_count`.
     fleet_changed: Millis,
     groups: GroupTotal,
+    /// Current share of the planning, and since when this relay has had it.
     share: Option<(PlanShare, Millis)>,
 }
 
-/// Places layers for good.
+/// Plans and orders layers in regular rounds. Never returns.
 pub async fn place_layers(relay: Rc<Relay>) {
-    let begun = now_millis();
+    let started = now_millis();
     let mut placer = Placer::new();
     loop {
-        sleep(ROUND).await;
+        sleep(ROUND_INTERVAL).await;
         let now = now_millis();
         placer.observe(&relay, now);
-        let age = now - begun;
-        let Some(share) = placer.share_in_charge(&relay, now).filter(|_| age >= FIRST_ROUND) else {
+        let age = now - started;
+        let Some(share) = placer.active_share(&relay, now).filter(|_| age >= FIRST_ROUND_DELAY)
+        else {
             continue;
         };
-        let settled = now - placer.fleet_changed > SETTLED;
-        if age < LATEST_START && !settled {
+        let settled = now - placer.fleet_changed > SETTLE_TIME;
+        if age < MAX_SETTLE_TIME && !settled {
             continue;
         }
-        placer.round(&relay, share, now).await;
+        placer.run_round(&relay, share, now).await;
     }
 }
 
@@ -135,84 +146,85 @@
     fn new() -> Self {
         Self {
             pending: HashMap::new(),
-            probes: HashMap::new(),
-            refused: Rc::default(),
-            ordering: Rc::new(Semaphore::new(MOST_ORDERS)),
+            suspects: HashMap::new(),
+            rejected: Rc::default(),
+            order_permits: Rc::new(Semaphore::new(MAX_CONCURRENT_ORDERS)),
             settled: BTreeMap::new(),
             searches: LayoutSearches::default(),
-            fleet_seen: 0,
+            replica_count: 0,
             fleet_changed: 0,
             groups: GroupTotal::default(),
             share: None,
         }
     }
 
-    /// This relay's share of the planning; nothing where others do all of it.
+    /// Returns the share of the planning that falls to this relay, or `None` if it plans nothing.
     fn plan_share(&mut self, relay: &Relay, now: Millis) -> Option<PlanShare> {
         let config = relay.config()?;
         let fresh = relay.is_fleet_fresh(now);
         let beliefs = relay.beliefs.borrow();
         let rank = beliefs.peers.rank(&relay.settings.name, fresh, now)?;
-        let groups = self.groups.renew(&config, &beliefs.fleet.view);
+        let groups = self.groups.update(&config, &beliefs.fleet.view);
         let planners = planner_count(groups, beliefs.peers.live_speaker_count(now) + 1);
         (rank < planners).then_some(PlanShare { rank, planners })
     }
 
-    /// This relay's share of the planning, where it has had that for a while: another one that did may still have
-    /// some orders under way.
-    fn share_in_charge(&mut self, relay: &Relay, now: Millis) -> Option<PlanShare> {
+    /// Returns the share of the planning that falls to this relay once it has been the same for
+    /// [`TAKEOVER_DELAY`]. The relay that had it before may still have pending orders.
+    fn active_share(&mut self, relay: &Relay, now: Millis) -> Option<PlanShare> {
         let share = self.plan_share(relay, now);
         let known = self.share.filter(|(known, _)| Some(*known) == share);
         self.share = share.map(|share| known.unwrap_or((share, now)));
-        self.share.filter(|(_, since)| now - since >= TAKE_CHARGE).map(|(share, _)| share)
+        self.share.filter(|(_, since)| now - since >= TAKEOVER_DELAY).map(|(share, _)| share)
     }
 
-    /// Notes joined and left replicas, and orders that took effect.
+    /// Records changes of the number of replicas, and drops pending orders that are done, expired or
+    /// rejected.
     fn observe(&mut self, relay: &Relay, now: Millis) {
-        for instance in self.refused.borrow_mut().drain(..) {
+        for instance in self.rejected.borrow_mut().drain(..) {
             if let Some(order) = self.pending.get_mut(&instance) {
-                order.until = order.until.min(now + REFUSED_PAUSE);
+                order.until = order.until.min(now + REJECTED_PAUSE);
             }
         }
         let beliefs = relay.beliefs.borrow();
         let count = beliefs.fleet.view.len() as u64;
-        if count != self.fleet_seen {
-            self.fleet_seen = count;
+        if count != self.replica_count {
+            self.replica_count = count;
             self.fleet_changed = now;
         }
         self.pending.retain(|instance, order| {
             let Some(replica) = beliefs.fleet.view.get_current(instance) else { return false };
-            let done = replica.layers == Some(order.range);
-            !done && now < order.until
+            let is_done = replica.layers == Some(order.range);
+            !is_done && now < order.until
         });
     }
 
-    async fn round(&mut self, relay: &Rc<Relay>, share: PlanShare, now: Millis) {
+    async fn run_round(&mut self, relay: &Rc<Relay>, share: PlanShare, now: Millis) {
         let Some(config) = relay.config() else { return };
-        self.probe_suspects(relay, now).await;
+        self.check_suspects(relay, now).await;
         for (service, engine) in config.engines() {
             let orders = self.plan(relay, share, service, engine, now).await;
             let limit = (engine.max_parallel_loads as usize / share.planners).max(1);
-            // Before the first request, loads are quick and all may run at once.
-            let untouched = is_untouched(relay);
+            // Before the first request, loads are quick and all of them may run at once.
+            let is_unused = is_unused(relay);
             let free = limit.saturating_sub(self.pending.len());
-            let now_possible = if untouched { orders.len() } else { free };
-            for order in orders.into_iter().take(now_possible) {
-                self.give(relay, engine, order, now).await;
+            let max_orders = if is_unused { orders.len() } else { free };
+            for order in orders.into_iter().take(max_orders) {
+                self.start_order(relay, engine, order, now).await;
             }
-            for order in self.searched_orders(relay, share, service, engine, now).await {
-                self.give(relay, engine, order, now).await;
+            for order in self.search_orders(relay, share, service, engine, now).await {
+                self.start_order(relay, engine, order, now).await;
             }
         }
     }
 
-    /// Asks suspected replicas whether they still hold their layers, and goes on asking those that do
-    /// not until they do or are listed no more. A suspicion alone does not move layers: it may come of
-    /// one bad link.
-    async fn probe_suspects(&mut self, relay: &Relay, now: Millis) {
-        let due = self.due_probes(relay, now);
-        let asked = due.iter().map(|replica| recent_report(relay, replica.address));
-        let reports = join_all(asked).await;
+    /// Fetches reports of suspected replicas to find out whether they still hold their layers. Those
+    /// that do not are checked again until they do or are no longer listed. A suspicion alone moves no
+    /// layers, since a single bad link may have caused it.
+    async fn check_suspects(&mut self, relay: &Relay, now: Millis) {
+        let due = self.due_checks(relay, now);
+        let requests = due.iter().map(|replica| recent_report(relay, replica.address));
+        let reports = join_all(requests).await;
         for (replica, report) in due.iter().zip(reports) {
             let holds = match report {
                 ReportState::Pending => continue,
@@ -222,42 +234,45 @@
             if holds {
                 relay.beliefs.borrow_mut().quarantine.record_alive(&replica.instance);
             }
-            let probe = ProbeOutcome { asked: now, holds };
-            let known = self.probes.insert(replica.instance.clone(), probe);
+            let report = SuspectReport { requested_at: now, holds };
+            let known = self.suspects.insert(replica.instance.clone(), report);
             if known.is_none_or(|known| known.holds != holds) {
                 tracing::info!(event = "suspect-probed", replica = %replica.instance, holds);
             }
             if !holds {
-                relay.suspect(&replica.instance, "holds no layers, or is silent");
+                relay.suspect(&replica.instance, "holds no layers or does not respond");
             }
         }
         let beliefs = relay.beliefs.borrow();
-        self.probes.retain(|instance, _| beliefs.fleet.view.get_current(instance).is_some());
+        self.suspects.retain(|instance, _| beliefs.fleet.view.get_current(instance).is_some());
     }
 
-    fn due_probes(&self, relay: &Relay, now: Millis) -> Vec<ReplicaEntry> {
+    /// Returns the replicas whose reports are to be fetched now.
+    fn due_checks(&self, relay: &Relay, now: Millis) -> Vec<ReplicaEntry> {
         let beliefs = relay.beliefs.borrow();
         let suspects = beliefs.suspects.current(now).map(|(instance, _)| instance);
-        let lost = self.probes.iter().filter(|(_, probe)| !probe.holds);
+        let lost = self.suspects.iter().filter(|(_, report)| !report.holds);
         let instances: BTreeSet<&ReplicaInstance> =
             suspects.chain(lost.map(|(instance, _)| instance)).collect();
         let is_due = |replica: &&ReplicaEntry| {
-            let probe = self.probes.get(&replica.instance);
-            let due = probe.is_none_or(|probe| now - probe.asked >= PROBE_AGE);
-            // One that loads what it was ordered to hold holds nothing meanwhile, and is well.
-            due && replica.layers.is_some() && !self.pending.contains_key(&replica.instance)
+            let report = self.suspects.get(&replica.instance);
+            let is_due = report.is_none_or(|report| now - report.requested_at >= SUSPECT_INTERVAL);
+            // A replica with a pending order may hold nothing while it loads.
+            is_due && replica.layers.is_some() && !self.pending.contains_key(&replica.instance)
         };
         let replicas =
             instances.into_iter().filter_map(|instance| beliefs.fleet.view.get_current(instance));
         replicas.filter(is_due).cloned().collect()
     }
 
+    /// Returns whether a suspected replica did not respond or holds no layers.
     fn is_lost(&self, instance: &ReplicaInstance) -> bool {
-        self.probes.get(instance).is_some_and(|probe| !probe.holds)
+        self.suspects.get(instance).is_some_and(|report| !report.holds)
     }
 
-    /// Plans each group of replicas that changed since it needed no orders. The search takes some
-    /// milliseconds of a whole core, so it runs beside the thread that passes events on.
+    /// Plans the groups of this relay, except those that have not changed since they needed no orders.
+    /// Planning takes some milliseconds of a core, so it runs on another thread than the one that
+    /// forwards events.
     async fn plan(
         &mut self,
         relay: &Relay,
@@ -267,8 +282,8 @@
         now: Millis,
     ) -> Vec<PlacementOrder> {
         let mut groups = self.groups(relay, service, engine, now);
-        let covered = covered_places(&groups, engine.layers);
-        keep_share(&mut groups, share);
+        let covered = covered_data_centres(&groups, engine.layers);
+        retain_share(&mut groups, share);
         groups.retain(|name, holders| self.settled.get(name) != Some(holders));
         let model = model_shape(engine);
         let planning = spawn_blocking(move || {
@@ -276,11 +291,11 @@
             let planned = groups.into_iter().map(|(name, holders)| {
                 let mut orders = plan_group(&holders, model, &config);
                 if covered.contains(&name.data_centre) {
-                    let waiting = orders.into_iter().map(PlacementOrder::without_cut);
-                    orders = waiting.collect();
+                    let uncut = orders.into_iter().map(PlacementOrder::without_cut);
+                    orders = uncut.collect();
                 }
-                let worths = (!orders.is_empty()).then(|| plan_worths(&holders, &orders, model));
-                (name, holders, orders, worths)
+                let scores = (!orders.is_empty()).then(|| plan_scores(&holders, &orders, model));
+                (name, holders, orders, scores)
             });
             planned.collect::<Vec<_>>()
         });
@@ -292,24 +307,24 @@
                 return Vec::new();
             }
         };
-        let mut all = Vec::new();
-        for (name, holders, orders, worths) in planned {
+        let mut all_orders = Vec::new();
+        for (name, holders, orders, scores) in planned {
             let is_new = holders.iter().all(|holder| holder.range.is_none());
-            if is_new && share.planners == 1 && is_untouched(relay) {
-                let laid_out = carried_out(&holders, &orders);
-                self.searches.add(name.clone(), laid_out, now);
+            if is_new && share.planners == 1 && is_unused(relay) {
+                let layout = with_orders(&holders, &orders);
+                self.searches.add(name.clone(), layout, now);
             }
-            match worths {
+            match scores {
                 None => drop(self.settled.insert(name, holders)),
-                Some(worths) => log_plan(&name, holders.len(), orders.len(), worths),
+                Some(scores) => log_plan(&name, holders.len(), orders.len(), scores),
             }
-            all.extend(orders);
+            all_orders.extend(orders);
         }
-        all
+        all_orders
     }
 
-    /// Orders of searches that have ended in time.
-    async fn searched_orders(
+    /// Returns the orders of the searches that have finished. Drops all searches once requests arrive.
+    async fn search_orders(
         &mut self,
         relay: &Relay,
         share: PlanShare,
@@ -320,54 +335,56 @@
         if self.searches.is_empty() {
             return Vec::new();
         }
-        if !is_untouched(relay) {
-            self.searches.drop_all();
+        if !is_unused(relay) {
+            self.searches.cancel_all();
             return Vec::new();
         }
         let model = model_shape(engine);
         let mut groups = self.groups(relay, service, engine, now);
-        keep_share(&mut groups, share);
-        let mut all = Vec::new();
+        retain_share(&mut groups, share);
+        let mut all_orders = Vec::new();
         for (name, orders) in self.searches.advance(&groups, model, now).await {
-            let worths = plan_worths(&groups[&name], &orders, model);
-            log_plan(&name, groups[&name].len(), orders.len(), worths);
-            all.extend(orders);
+            let scores = plan_scores(&groups[&name], &orders, model);
+            log_plan(&name, groups[&name].len(), orders.len(), scores);
+            all_orders.extend(orders);
         }
-        all
+        all_orders
     }
 
-    /// Replicas of a service that may hold layers, by group.
+    /// Returns the replicas of a service that may hold layers, by group.
     fn groups(&self, relay: &Relay, service: &str, engine: &EngineSpec, now: Millis) -> PlanGroups {
         let beliefs = relay.beliefs.borrow();
-        let mut places: BTreeMap<&str, Vec<LayerHolder>> = BTreeMap::new();
-        let stays = |replica: &&ReplicaEntry| match replica.state {
+        let mut holders: BTreeMap<&str, Vec<LayerHolder>> = BTreeMap::new();
+        let is_included = |replica: &&ReplicaEntry| match replica.state {
             EntryState::Ready => true,
             EntryState::Draining => false,
             EntryState::Overwritten => {
                 let age = beliefs.fleet.view.age(replica.instance.id(), now);
-                age.is_some_and(|age| age < KEEP_OVERWRITTEN)
+                age.is_some_and(|age| age < OVERWRITTEN_RETENTION)
             }
         };
-        for replica in beliefs.fleet.view.of_service(service).filter(stays) {
-            let suspect =
+        for replica in beliefs.fleet.view.of_service(service).filter(is_included) {
+            let is_suspect =
                 !replica.is_ready() || beliefs.suspects.is_suspect(&replica.instance, now);
-            let lost = self.is_lost(&replica.instance);
-            let Some(holder) = self.holder(replica, engine, suspect, lost) else { continue };
-            places.entry(&replica.data_centre).or_default().push(holder);
+            let is_lost = self.is_lost(&replica.instance);
+            let Some(holder) = self.holder(replica, engine, is_suspect, is_lost) else { continue };
+            holders.entry(&replica.data_centre).or_default().push(holder);
         }
-        deal_groups(service, places)
+        split_groups(service, holders)
     }
 
+    /// Describes a replica to the planner. Returns `None` if the service does not name its kind of
+    /// accelerator.
     fn holder(
         &self,
         replica: &ReplicaEntry,
         engine: &EngineSpec,
-        suspect: bool,
-        lost: bool,
+        is_suspect: bool,
+        is_lost: bool,
     ) -> Option<LayerHolder> {
         let kind = engine.kind(&replica.kind)?;
         let pending = self.pending.get(&replica.instance);
-        let held = replica.layers.filter(|_| !lost);
+        let held = replica.layers.filter(|_| !is_lost);
         Some(LayerHolder {
             instance: replica.instance.clone(),
             memory_mb: kind.memory_mb,
@@ -375,11 +392,12 @@
             layer_ms: kind.step_factor * engine.step_ms / f64::from(engine.layers.max(1)),
             range: pending.map(|order| order.range).or(held),
             held,
-            can_order: pending.is_none() && !suspect,
+            can_order: pending.is_none() && !is_suspect,
         })
     }
 
-    async fn give(
+    /// Records an order as pending and sends it in the background.
+    async fn start_order(
         &mut self,
         relay: &Rc<Relay>,
         engine: &EngineSpec,
@@ -388,16 +406,16 @@
     ) {
         let replica = relay.beliefs.borrow().fleet.view.get_current(&order.instance).cloned();
         let Some(replica) = replica else { return };
-        let share =
+        let load_time =
             u64::from(order.range.len()) * engine.load_time / u64::from(engine.layers.max(1));
-        let until = now + share * 2 + LIST_LAG;
+        let until = now + load_time * 2 + LIST_DELAY;
         self.pending.insert(order.instance.clone(), PendingOrder { range: order.range, until });
-        let (relay, refused) = (relay.clone(), self.refused.clone());
-        let ordering = self.ordering.clone();
+        let (relay, rejected) = (relay.clone(), self.rejected.clone());
+        let order_permits = self.order_permits.clone();
         spawn_local(async move {
-            let _place = ordering.acquire().await;
-            if !carry_out(&relay, &replica, &order).await {
-                refused.borrow_mut().push(order.instance);
+            let _permit = order_permits.acquire().await;
+            if !send_order(&relay, &replica, &order).await {
+                rejected.borrow_mut().push(order.instance);
             }
         });
     }
@@ -412,18 +430,18 @@
     }
 }
 
-/// What a group of replicas carries before and after its orders, by the plan's own measure.
-fn plan_worths(
+/// Returns the layout score of a group of replicas before and after its orders.
+fn plan_scores(
     holders: &[LayerHolder],
     orders: &[PlacementOrder],
     model: ModelShape,
 ) -> (f64, f64) {
-    let planned = carried_out(holders, orders);
+    let planned = with_orders(holders, orders);
     (layout_score(holders, model), layout_score(&planned, model))
 }
 
-/// A group once its orders are carried out.
-fn carried_out(holders: &[LayerHolder], orders: &[PlacementOrder]) -> Vec<LayerHolder> {
+/// Returns the group as it is once its orders are carried out.
+fn with_orders(holders: &[LayerHolder], orders: &[PlacementOrder]) -> Vec<LayerHolder> {
     let mut planned = holders.to_vec();
     for order in orders {
         let holder = planned.iter_mut().find(|holder| holder.instance == order.instance);
@@ -435,20 +453,28 @@
     planned
 }
 
-/// Whether no request came yet, to this relay or to others, as far as it hears.
-fn is_untouched(relay: &Relay) -> bool {
+/// Returns whether no request has arrived yet, neither at this relay nor, as far as it knows, at others.
+fn is_unused(relay: &Relay) -> bool {
     relay.counts.requests.get() == 0 && relay.beliefs.borrow().room.is_idle()
 }
 
-/// Writes what a group of replicas carries before and after its orders.
-fn log_plan(name: &GroupName, replicas: usize, orders: usize, worths: (f64, f64)) {
-    let GroupName { data_centre, part, .. } = name;
-    let (worth_before, worth_after) = worths;
-    tracing::info!(event = "plan", data_centre, part, replicas, orders, worth_before, worth_after);
+/// Logs the plan for a group with its layout score before and after the orders.
+fn log_plan(name: &GroupName, replicas: usize, orders: usize, scores: (f64, f64)) {
+    let GroupName { data_centre, number, .. } = name;
+    let (score_before, score_after) = scores;
+    tracing::info!(
+        event = "plan",
+        data_centre,
+        part = number,
+        replicas,
+        orders,
+        worth_before = score_before,
+        worth_after = score_after,
+    );
 }
 
-/// Gives an order; tells whether it may be under way.
-async fn carry_out(relay: &Relay, replica: &ReplicaEntry, order: &PlacementOrder) -> bool {
+/// Sends an order. Returns whether the engine may carry it out.
+async fn send_order(relay: &Relay, replica: &ReplicaEntry, order: &PlacementOrder) -> bool {
     let range = order.range;
     let (from, to) = (range.from, range.to);
     let Some(report) = fetch_report(relay, replica.address).await else {
@@ -456,7 +482,7 @@
         return false;
     };
     if relay.beliefs.borrow().fleet.view.get_current(&replica.instance).is_none() {
-        // The order was planned for what an earlier life held.
+        // The order was planned for the layers that the earlier instance held.
         tracing::info!(event = "order-unsent", replica = %replica.instance, from, to, why = "restarted");
         return false;
     }
@@ -464,8 +490,9 @@
         tracing::info!(event = "order-waits", replica = %replica.instance, from, to, why = "busy");
         return false;
     }
-    let give_up = order.reason.unload_mode();
-    let end = order_layers(relay, replica.address, range, give_up, report.orders_taken).await;
+    let unload_mode = order.reason.unload_mode();
+    let outcome =
+        order_layers(relay, replica.address, range, unload_mode, report.orders_taken).await;
     tracing::info!(
         event = "order",
         replica = %replica.instance,
@@ -474,12 +501,12 @@
         from,
         to,
         reason = ?order.reason,
-        ?give_up,
+        give_up = ?unload_mode,
         orders_taken = report.orders_taken,
-        ?end,
+        end = ?outcome,
     );
-    if end == OrderOutcome::NotSent {
+    if outcome == OrderOutcome::NotSent {
         relay.suspect(&replica.instance, "order not sent");
     }
-    matches!(end, OrderOutcome::Taken | OrderOutcome::Unknown)
+    matches!(outcome, OrderOutcome::Taken | OrderOutcome::Unknown)
 }
--- a/crates/relay/src/placer/groups.rs
+++ b/crates/relay/src/placer/groups.rs
@@ -9,28 +9,29 @@
     routing::RoutingConfig,
 };
 
-/// Replicas that are planned together.
+/// Identifies a group of replicas that are planned together.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(super) struct GroupName {
     pub(super) service: String,
     pub(super) data_centre: String,
-    /// Number of the group in its data centre.
-    pub(super) part: u32,
+    /// Number of the group in its data centre, from 0.
+    pub(super) number: u32,
 }
 
-/// This relay's share of the planning.
+/// The share of the planning that falls to this relay.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) struct PlanShare {
-    /// Its rank among the relays that may plan.
+    /// Rank of this relay among those that may plan, from 0.
     pub(super) rank: usize,
-    /// Relays that plan.
+    /// Number of relays that plan.
     pub(super) planners: usize,
 }
 
 /// Replicas by group.
 pub(super) type PlanGroups = BTreeMap<GroupName, Vec<LayerHolder>>;
 
-/// Count of groups that a configuration and a list of replicas make; it is counted anew only where one of them changed.
+/// Cached number of groups for a configuration and a replica list, recomputed only when one of them
+/// changes.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub(super) struct GroupTotal {
     config: u64,
@@ -39,8 +40,8 @@
 }
 
 impl GroupTotal {
-    /// Gives the count.
-    pub(super) fn renew(&mut self, config: &RoutingConfig, fleet: &FleetView) -> usize {
+    /// Returns the number of groups for this configuration and this replica list.
+    pub(super) fn update(&mut self, config: &RoutingConfig, fleet: &FleetView) -> usize {
         if (self.config, self.fleet) != (config.version, fleet.digest()) {
             let groups = count_groups(config, fleet);
             *self = Self { config: config.version, fleet: fleet.digest(), groups };
@@ -51,49 +52,53 @@
 
 fn count_groups(config: &RoutingConfig, fleet: &FleetView) -> usize {
     let replicas = config.engines().flat_map(|(service, _)| fleet.of_service(service));
-    let mut places: BTreeMap<(&str, &str), usize> = BTreeMap::new();
+    let mut sizes: BTreeMap<(&str, &str), usize> = BTreeMap::new();
     for replica in replicas {
-        *places.entry((&replica.service, &replica.data_centre)).or_default() += 1;
+        *sizes.entry((&replica.service, &replica.data_centre)).or_default() += 1;
     }
-    places.values().map(|count| group_count(*count) as usize).sum()
+    sizes.values().map(|size| group_count(*size) as usize).sum()
 }
 
-/// Deals the replicas of a service, by data centre, to their groups.
-pub(super) fn deal_groups(service: &str, places: BTreeMap<&str, Vec<LayerHolder>>) -> PlanGroups {
+/// Splits the replicas of a service, given by data centre, into groups.
+pub(super) fn split_groups(
+    service: &str,
+    by_data_centre: BTreeMap<&str, Vec<LayerHolder>>,
+) -> PlanGroups {
     let mut groups = PlanGroups::new();
-    for (data_centre, holders) in places {
+    for (data_centre, holders) in by_data_centre {
         let count = group_count(holders.len());
-        let name = |part| GroupName {
+        let name = |number| GroupName {
             service: service.to_owned(),
             data_centre: data_centre.to_owned(),
-            part,
+            number,
         };
         for holder in holders {
-            let part = group_of(&holder.instance, count);
-            groups.entry(name(part)).or_default().push(holder);
+            let number = group_of(&holder.instance, count);
+            groups.entry(name(number)).or_default().push(holder);
         }
     }
     groups
 }
 
-/// Keeps the groups that this relay plans.
-pub(super) fn keep_share(groups: &mut PlanGroups, share: PlanShare) {
-    let mut number = 0;
+/// Retains only the groups that this relay plans.
+pub(super) fn retain_share(groups: &mut PlanGroups, share: PlanShare) {
+    let mut index = 0;
     groups.retain(|_, _| {
-        number += 1;
-        is_planned_by(number - 1, share.rank, share.planners)
+        index += 1;
+        is_planned_by(index - 1, share.rank, share.planners)
     });
 }
 
-/// Data centres of several groups that hold every layer together: no request waits for a gap in one of the groups.
-pub(super) fn covered_places(groups: &PlanGroups, layers: u32) -> BTreeSet<String> {
-    let several = groups.keys().filter(|name| name.part > 0).map(|name| &name.data_centre);
-    let places: BTreeSet<&String> = several.collect();
-    let is_covered = |place: &&String| {
-        let holders = groups.iter().filter(|(name, _)| name.data_centre == **place);
+/// Returns the data centres with several groups that together hold every layer. No request there has
+/// to wait until a gap in one of the groups is closed.
+pub(super) fn covered_data_centres(groups: &PlanGroups, layers: u32) -> BTreeSet<String> {
+    let several = groups.keys().filter(|name| name.number > 0).map(|name| &name.data_centre);
+    let data_centres: BTreeSet<&String> = several.collect();
+    let is_covered = |data_centre: &&String| {
+        let holders = groups.iter().filter(|(name, _)| name.data_centre == **data_centre);
         let ranges = holders.flat_map(|(_, holders)| holders).filter_map(|holder| holder.held);
         let ranges: Vec<LayerRange> = ranges.collect();
         (0..layers).all(|layer| ranges.iter().any(|range| range.contains(layer)))
     };
-    places.into_iter().filter(is_covered).cloned().collect()
+    data_centres.into_iter().filter(is_covered).cloned().collect()
 }
--- a/crates/relay/src/probes.rs
+++ b/crates/relay/src/probes.rs
@@ -1,65 +1,69 @@
-//! Probes: whether a replica is there, and when its silence proves that it is not.
+//! Probes: whether a replica is reachable, and when its silence proves that it is lost.
 //!
-//! A probe asks twice, and is over after a tenth of a second. A relay that is late itself cannot tell a
-//! silent replica from its own standing still: questions end late together then, some of them later than
-//! others. So replicas without an answer are counted together, whatever made each of them end.
+//! A probe makes up to two requests and ends within 100 ms. If this process itself was delayed, it
+//! cannot tell a silent replica from its own pause: requests then time out together, some of them
+//! later than others. The replicas probed together are therefore judged together, and every one
+//! without a response counts as silent, however its probe ended.
 
 use std::{fmt::Display, time::Duration};
 
 use tokio::time::{Instant, timeout};
 
-/// Time that each of a probe's two questions waits for an answer: fifty times what a link takes, and a
-/// quarter of the usual longest pause between events, so that a stream can go on elsewhere in time.
-pub const PROBE_TIME: Duration = Duration::from_millis(50);
+/// Timeout of each of the two requests of a probe: fifty times the delay of a link, and a quarter of
+/// the usual limit for the pause between events, so that a stream can continue elsewhere in time.
+pub const PROBE_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// Lateness of a probe's own timer from which its silence proves nothing: this process stood still.
-const PROBE_LATE: Duration = Duration::from_millis(10);
+/// Delay of the probe's own timer beyond which its silence proves nothing, since this process was
+/// paused.
+const MAX_TIMER_DELAY: Duration = Duration::from_millis(10);
 
-/// Of replicas probed together, one in so many may be without an answer, and one in any case: where more
-/// are, this process or its link is slow, and their silence proves nothing.
-const SILENT_ONE_IN: usize = 4;
+/// At most one in this many of the replicas probed together may be silent for their silence to prove
+/// anything; a single silent one always may. If more are silent, this process or its link is slow.
+const MAX_SILENT_ONE_IN: usize = 4;
 
-/// What a probe of a replica showed.
+/// The result of probing a replica.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ProbeOutcome {
-    /// It answered.
+    /// The replica responded.
     Reached,
-    /// Its connection failed.
+    /// The connection failed, with this error.
     Refused(String),
-    /// It said nothing.
+    /// The replica did not respond.
     Silent,
-    /// It said nothing, and this process was late itself.
+    /// The replica did not respond, but this process was delayed as well.
     Unclear,
 }
 
-/// Whether the silence of replicas that were probed together proves that they are lost. Those whose
-/// probes ended unclear count as silent here: counted by themselves, a relay that was late during some of the
-/// questions took the one or two others for lost, and moved streams off replicas that were well.
-pub fn silence_is_conclusive(ends: &[ProbeOutcome]) -> bool {
-    let unanswered = ends
+/// Returns whether the silence of replicas that were probed together proves that they are lost.
+/// Unclear outcomes count as silent here. When they did not, a relay that was delayed during some of
+/// the requests took the one or two other silent replicas for lost and moved streams away from
+/// healthy replicas.
+pub fn silence_is_conclusive(outcomes: &[ProbeOutcome]) -> bool {
+    let silent = outcomes
         .iter()
-        .filter(|end| matches!(end, ProbeOutcome::Silent | ProbeOutcome::Unclear))
+        .filter(|outcome| matches!(outcome, ProbeOutcome::Silent | ProbeOutcome::Unclear))
         .count();
-    unanswered <= (ends.len() / SILENT_ONE_IN).max(1)
+    silent <= (outcomes.len() / MAX_SILENT_ONE_IN).max(1)
 }
 
-/// Asks once, and again over a new connection where no answer came: a lost packet is sent again only
-/// after 200 ms, and a kept connection may be dead alone. `ask` is told whether the connection is to be new.
+/// Probes a replica, and if that fails a second time over a new connection: a lost packet is
+/// retransmitted only after 200 ms, and a pooled connection may be dead although the replica is not.
+/// `send` makes one request; its argument says whether to open a new connection.
 pub async fn probe_with_retry<E: Display>(
-    ask: impl AsyncFn(bool) -> Result<(), E>,
+    send: impl AsyncFn(bool) -> Result<(), E>,
 ) -> ProbeOutcome {
-    match ask_once(ask(false)).await {
+    match probe_once(send(false)).await {
         ProbeOutcome::Reached => ProbeOutcome::Reached,
-        _ => ask_once(ask(true)).await,
+        _ => probe_once(send(true)).await,
     }
 }
 
-async fn ask_once<E: Display>(asking: impl Future<Output = Result<(), E>>) -> ProbeOutcome {
-    let begun = Instant::now();
-    match timeout(PROBE_TIME, asking).await {
+async fn probe_once<E: Display>(request: impl Future<Output = Result<(), E>>) -> ProbeOutcome {
+    let started = Instant::now();
+    match timeout(PROBE_TIMEOUT, request).await {
         Ok(Ok(())) => ProbeOutcome::Reached,
         Ok(Err(error)) => ProbeOutcome::Refused(error.to_string()),
-        Err(_) if begun.elapsed() > PROBE_TIME + PROBE_LATE => ProbeOutcome::Unclear,
+        Err(_) if started.elapsed() > PROBE_TIMEOUT + MAX_TIMER_DELAY => ProbeOutcome::Unclear,
         Err(_) => ProbeOutcome::Silent,
     }
 }
--- a/crates/relay/src/reload.rs
+++ b/crates/relay/src/reload.rs
@@ -1,7 +1,7 @@
-//! Settings that change while the relay runs.
+//! Reloads the settings file while the relay runs.
 //!
-//! The platform rewrites the settings file, with or without SIGHUP. Bounds take effect at once; what
-//! names the process or its sockets takes a restart, which the log says.
+//! The platform rewrites the file, with or without sending SIGHUP. Changed bounds take effect at once;
+//! a new name or address requires a restart, which is logged.
 
 use std::{
     cell::RefCell,
@@ -18,62 +18,62 @@
     state::Relay,
 };
 
-/// Time between two looks at the settings file.
-const LOOK_EVERY: Duration = Duration::from_secs(2);
+/// Interval between two checks of the settings file.
+const CHECK_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Follows the settings file for good.
+/// Reloads the settings file whenever it changes or SIGHUP arrives. Never returns.
 pub async fn follow_settings(relay: Rc<Relay>, file: PathBuf, mut hangup: Signal) {
-    let mut seen = modified(&file);
+    let mut last_modified = modified_at(&file);
     loop {
-        let asked = tokio::select! {
+        let is_requested = tokio::select! {
             _ = hangup.recv() => true,
-            () = sleep(LOOK_EVERY) => false,
+            () = sleep(CHECK_INTERVAL) => false,
         };
-        let now = modified(&file);
-        if asked || now != seen {
-            seen = now;
+        let modified = modified_at(&file);
+        if is_requested || modified != last_modified {
+            last_modified = modified;
             reload(&relay.settings, &relay.bounds, &file);
         }
     }
 }
 
-fn modified(file: &Path) -> Option<SystemTime> {
+fn modified_at(file: &Path) -> Option<SystemTime> {
     file.metadata().and_then(|metadata| metadata.modified()).ok()
 }
 
-/// What came of reading the settings file again.
+/// The result of reloading the settings file.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ReloadOutcome {
-    /// A field is at fault: all settings stay as they were.
+    /// The file is invalid. All settings stay as they were.
     Rejected,
-    /// The bounds of the file are in force.
+    /// The bounds of the file have taken effect.
     Applied {
-        /// Whether a bound changed.
+        /// Whether a bound differs from before.
         changed: bool,
-        /// Whether something else changed that takes a restart.
+        /// Whether another setting changed that requires a restart.
         needs_restart: bool,
     },
 }
 
-/// Reads the settings file again, and puts its bounds in force where no field is at fault.
+/// Reloads the settings file. If it is valid, its bounds take effect.
 pub fn reload(
     settings: &RelaySettings,
     bounds: &RefCell<BoundSettings>,
     file: &Path,
 ) -> ReloadOutcome {
-    let read = match load_settings(file).map(RelaySettings::with_ranked_name) {
-        Ok(read) => read,
+    let loaded = match load_settings(file).map(RelaySettings::with_ranked_name) {
+        Ok(loaded) => loaded,
         Err(error) => {
             tracing::error!(event = "reload-failed", %error);
             return ReloadOutcome::Rejected;
         }
     };
-    let needs_restart = read.listen != settings.listen
-        || read.peer_listen != settings.peer_listen
-        || read.platform != settings.platform
-        || read.name != settings.name;
-    let changed = read.bounds != *bounds.borrow();
+    let needs_restart = loaded.listen != settings.listen
+        || loaded.peer_listen != settings.peer_listen
+        || loaded.platform != settings.platform
+        || loaded.name != settings.name;
+    let changed = loaded.bounds != *bounds.borrow();
     tracing::info!(event = "reload", changed, needs_restart);
-    bounds.replace(read.bounds);
+    bounds.replace(loaded.bounds);
     ReloadOutcome::Applied { changed, needs_restart }
 }
--- a/crates/relay/src/replicas.rs
+++ b/crates/relay/src/replicas.rs
@@ -261,5 +261,5 @@
         beliefs.paces.forget(instance);
     }
     relay.pool.close_idle(address);
-    relay.reports.forget(address);
+    relay.reports.remove(address);
 }
--- a/crates/relay/src/response_head.rs
+++ b/crates/relay/src/response_head.rs
@@ -1,8 +1,9 @@
-//! Waiting for the beginning of an answer.
+//! Waiting for the head of a response to a stream request.
 //!
-//! Where it is late, the replicas of the path are probed and the first engine is asked what it waits for.
-//! A request leaves a path only where that can help: it may run again and has another send, or this relay
-//! saw itself that a replica of the path is lost, so that the caller is told at once and comes back.
+//! If the head is late, the replicas of the path are probed, and the report of the first engine shows
+//! which replica holds up the request. A request leaves its path only if that helps. Either it may be
+//! retried at once, or this relay itself found a replica of the path lost, so that the caller gets an
+//! error at once and can retry.
 
 use std::{rc::Rc, time::Duration};
 
@@ -22,42 +23,44 @@
     tell::{TellReach, tell_state},
 };
 
-/// Time without the head of an answer after which the replicas of the path are probed: twice what a
-/// first event usually takes.
-const PROBE_HEAD: Duration = Duration::from_millis(100);
+/// Time without a response head after which the replicas of the path are probed: twice the usual time
+/// to the first event.
+const PROBE_DELAY: Duration = Duration::from_millis(100);
 
-/// Time without the head of an answer after which the first engine is asked what it waits for: well
-/// above the 50 ms that a first event takes, and early enough for a second try within the objective.
-const QUIET_HEAD: Duration = Duration::from_millis(200);
+/// Time without a response head after which the report of the first engine is checked: well above the
+/// usual 50 ms to the first event, and early enough for another attempt within the objective.
+const REPORT_DELAY: Duration = Duration::from_millis(200);
 
-/// Time between two looks; an engine's report is some hundred milliseconds old, and is asked for at every other one.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+/// Interval between two checks. Reports describe a state some hundred milliseconds old, and a new one is
+/// fetched at every other check.
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// An answer's head, and the connection that it came on.
+/// A response whose body has not been read, and its connection.
 pub type ReceivedHead = (Response<Incoming>, ActiveConnection);
 
-/// A request that waits for the head of its answer, as its first replica is watched; dropping it ends that.
+/// Registers a request that waits for a response head with the stall detection of its first replica.
+/// Dropping it without a response records the wait as abandoned.
 #[derive(Debug)]
 pub struct PendingHead {
     relay: Rc<Relay>,
     instance: ReplicaInstance,
-    sent: Millis,
-    is_answered: bool,
+    sent_at: Millis,
+    has_response: bool,
 }
 
 impl PendingHead {
-    /// Notes that a request is sent.
+    /// Records that a request is being sent to a replica.
     pub fn new(relay: &Rc<Relay>, instance: &ReplicaInstance) -> Self {
-        let sent = now_millis();
-        relay.beliefs.borrow_mut().heads.record_sent(instance, sent);
-        Self { relay: relay.clone(), instance: instance.clone(), sent, is_answered: false }
+        let sent_at = now_millis();
+        relay.beliefs.borrow_mut().heads.record_sent(instance, sent_at);
+        Self { relay: relay.clone(), instance: instance.clone(), sent_at, has_response: false }
     }
 
-    /// Notes that the replica answered, with the head of a stream or with something else.
-    pub fn answered(mut self, begins: bool) {
-        self.is_answered = true;
+    /// Records that the replica responded. `starts_stream` is false for a rejection.
+    pub fn record_response(mut self, starts_stream: bool) {
+        self.has_response = true;
         let now = now_millis();
-        let took = begins.then_some(now - self.sent);
+        let took = starts_stream.then_some(now - self.sent_at);
         if self.relay.beliefs.borrow_mut().heads.record_response(&self.instance, took, now) {
             tracing::info!(event = "mute-ended", replica = %self.instance, took);
         }
@@ -66,87 +69,90 @@
 
 impl Drop for PendingHead {
     fn drop(&mut self) {
-        if !self.is_answered {
+        if !self.has_response {
             self.relay.beliefs.borrow_mut().heads.record_abandoned(&self.instance);
         }
     }
 }
 
-/// Why no head came.
+/// The reason why a request got no response head.
 #[derive(Debug)]
 pub enum HeadError {
     /// The connection failed.
     Send(SendError),
-    /// The path is left.
+    /// The request leaves its path, for this reason.
     Stalled(String),
-    /// The request's time is up.
+    /// The deadline of the request has passed.
     DeadlinePassed,
 }
 
-/// A request that waits for the head of its answer.
+/// Waits for the response head of one request.
 #[derive(Debug)]
 pub struct HeadWait<'a> {
-    /// The relay.
+    /// The relay that sends the request.
     pub relay: &'a Rc<Relay>,
-    /// The request.
+    /// The request that waits.
     pub request: &'a CallerRequest,
-    /// What lets it in.
+    /// The permit under which it was admitted.
     pub permit: &'a Permit,
-    /// Earlier sends that a replica may have run.
+    /// Number of earlier sends that a replica may have run.
     pub earlier_sends: u32,
-    /// Its path.
+    /// The path of the request.
     pub path: &'a [PathStage],
 }
 
 impl HeadWait<'_> {
-    /// Waits until `sending` gives the head, or the path is to be left.
+    /// Waits until `sending` returns the head, or the request is to leave its path.
     ///
     /// # Errors
     ///
-    /// Tells why there is none.
+    /// Returns the reason why there is no head.
     pub async fn run(
         &self,
         sending: impl Future<Output = Result<ReceivedHead, SendError>>,
     ) -> Result<ReceivedHead, HeadError> {
-        let begun = Instant::now();
+        let started = Instant::now();
         tokio::pin!(sending);
-        let mut look_at = Instant::now() + PROBE_HEAD;
+        let mut check_at = Instant::now() + PROBE_DELAY;
         loop {
-            let left = Duration::from_millis(self.request.time_remaining(now_millis()));
-            let end = Instant::now() + left;
-            let looked = async {
-                sleep_until(look_at.min(end)).await;
-                self.look(begun.elapsed()).await
+            let remaining = Duration::from_millis(self.request.time_remaining(now_millis()));
+            let deadline = Instant::now() + remaining;
+            let check = async {
+                sleep_until(check_at.min(deadline)).await;
+                self.check(started.elapsed()).await
             };
             tokio::select! {
                 sent = sending.as_mut() => {
                     return sent.map_err(HeadError::Send);
                 }
-                left = looked => left?,
+                checked = check => checked?,
             }
-            look_at = Instant::now() + LOOK_EVERY;
+            check_at = Instant::now() + CHECK_INTERVAL;
         }
     }
 
-    /// Whether another send is possible.
-    fn has_another(&self) -> bool {
-        let within = self.earlier_sends + 1 < self.permit.route.max_attempts;
-        self.is_repeatable() && within && self.relay.has_repeat(&self.permit.service, now_millis())
+    /// Returns whether the request can be sent again.
+    fn can_retry(&self) -> bool {
+        let has_attempts = self.earlier_sends + 1 < self.permit.route.max_attempts;
+        self.is_repeatable()
+            && has_attempts
+            && self.relay.has_repeat(&self.permit.service, now_millis())
     }
 
     fn is_repeatable(&self) -> bool {
         self.permit.route.is_repeatable()
     }
 
-    /// Looks at the path of a request that has waited for a while.
-    async fn look(&self, waited: Duration) -> Result<(), HeadError> {
+    /// Checks whether a request that has waited for `waited` is to leave its path, and returns the reason
+    /// as an error if so.
+    async fn check(&self, waited: Duration) -> Result<(), HeadError> {
         if self.request.time_remaining(now_millis()) == 0 {
             return Err(HeadError::DeadlinePassed);
         }
-        self.look_at_parts()?;
-        self.leave_mute(waited)?;
-        if waited < QUIET_HEAD {
-            probe_replicas(self.relay, self.path.iter().map(|part| part.address));
+        self.check_path()?;
+        self.check_stall(waited)?;
+        if waited < REPORT_DELAY {
+            probe_replicas(self.relay, self.path.iter().map(|stage| stage.address));
             return Ok(());
         }
         let first = self.path[0].address;
@@ -157,46 +163,46 @@
                 return Err(HeadError::Stalled(detail));
             }
         }
-        let late = reroute_after(self.permit.route.objective);
-        match waited.as_millis() as Millis > late && self.has_another() {
-            true => Err(HeadError::Stalled("no answer for long".to_owned())),
+        let reroute_after = reroute_after(self.permit.route.objective);
+        match waited.as_millis() as Millis > reroute_after && self.can_retry() {
+            true => Err(HeadError::Stalled("no response for too long".to_owned())),
             false => Ok(()),
         }
     }
 
-    /// Leaves a first replica that begins no answers, and tells others of it. What another relay found ends the wait
-    /// as well, where another try is possible.
-    fn leave_mute(&self, waited: Duration) -> Result<(), HeadError> {
+    /// Checks whether the first replica is stalled, and notifies other relays if this relay is the first
+    /// to find it. A stall that another relay found ends the wait as well, if a retry is possible.
+    fn check_stall(&self, waited: Duration) -> Result<(), HeadError> {
         let now = now_millis();
         let instance = &self.path[0].instance;
-        let silent_after = {
+        let threshold = {
             let beliefs = self.relay.beliefs.borrow();
             beliefs.heads.stall_threshold(self.permit.route.objective)
         };
-        let found = self.relay.beliefs.borrow_mut().heads.detect_stall(instance, silent_after, now);
-        if let Some(for_ms) = found {
-            tracing::warn!(event = "mute", replica = %instance, silent_after, for_ms);
+        let detected = self.relay.beliefs.borrow_mut().heads.detect_stall(instance, threshold, now);
+        if let Some(for_ms) = detected {
+            tracing::warn!(event = "mute", replica = %instance, silent_after = threshold, for_ms);
             tell_state(self.relay, TellReach::All);
         }
-        let is_mute = self.relay.beliefs.borrow().heads.is_stalled(instance, now);
-        let has_waited = waited.as_millis() as Millis >= silent_after;
-        match is_mute && has_waited && self.has_another() {
-            true => Err(HeadError::Stalled("begins no answers".to_owned())),
+        let is_stalled = self.relay.beliefs.borrow().heads.is_stalled(instance, now);
+        let has_waited = waited.as_millis() as Millis >= threshold;
+        match is_stalled && has_waited && self.can_retry() {
+            true => Err(HeadError::Stalled("starts no responses".to_owned())),
             false => Ok(()),
         }
     }
 
-    /// Leaves a path with a lost replica. A request without another send leaves only on this relay's own
-    /// evidence: what another one heard may be a fault of its link.
-    fn look_at_parts(&self) -> Result<(), HeadError> {
+    /// Checks whether a replica of the path is lost. A request without a retry left leaves the path only
+    /// on evidence of this relay, since what another relay observed may be a fault of its link.
+    fn check_path(&self) -> Result<(), HeadError> {
         let now = now_millis();
-        let is_lost = |part: &&PathStage| self.relay.part_state(part) == PartState::Lost;
+        let is_lost = |stage: &&PathStage| self.relay.part_state(stage) == PartState::Lost;
         let Some(lost) = self.path.iter().find(is_lost) else { return Ok(()) };
         let beliefs = self.relay.beliefs.borrow();
         let is_listed = beliefs.fleet.view.get_current(&lost.instance).is_some();
-        let own = !is_listed || beliefs.suspects.is_local(&lost.instance, now);
+        let is_own_evidence = !is_listed || beliefs.suspects.is_local(&lost.instance, now);
         drop(beliefs);
-        if self.has_another() || (own && self.is_repeatable()) {
+        if self.can_retry() || (is_own_evidence && self.is_repeatable()) {
             let detail = format!("a replica of the path is lost ({})", lost.instance);
             return Err(HeadError::Stalled(detail));
         }
--- a/crates/relay/src/run.rs
+++ b/crates/relay/src/run.rs
@@ -1,4 +1,4 @@
-//! A relay's life: sockets, tasks, signals.
+//! Startup of a relay: sockets, tasks and signals.
 
 use std::{
     cell::{Cell, RefCell},
@@ -45,73 +45,73 @@
     watch::{follow_config, follow_replicas},
 };
 
-/// Why a relay could not start.
+/// The reason why a relay could not start.
 #[derive(Debug, Display, Error)]
 pub enum RunError {
-    /// An address is not to be had.
+    /// An address cannot be bound.
     #[display("cannot listen on {address}: {source}")]
     Listen {
-        /// The address.
+        /// The address from the settings.
         address: SocketAddr,
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// Metrics cannot be set up.
+    /// The metrics cannot be created.
     #[display("{source}")]
     Metrics {
-        /// What the library said.
+        /// The error of the metrics library.
         source: MetricsError,
     },
-    /// Signals cannot be received.
+    /// The handler for SIGHUP cannot be installed.
     #[display("cannot receive signals: {source}")]
     Signals {
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
 }
 
-/// Sockets of a relay, bound.
+/// Bound sockets of a relay.
 #[derive(Debug)]
 pub struct RelaySockets {
-    /// For callers.
+    /// Requests of callers.
     pub callers: TcpListener,
-    /// For questions for readiness.
+    /// Readiness checks.
     pub readiness: TcpListener,
-    /// For metrics.
+    /// Reads of the metrics.
     pub metrics: TcpListener,
-    /// For messages of other relays.
+    /// Messages of other relays.
     pub peers: UdpSocket,
-    /// For questions of neighbours, at the same port.
-    pub neighbours: TcpListener,
+    /// Snapshot requests of other relays, on the same port as `peers`.
+    pub snapshots: TcpListener,
 }
 
 impl RelaySockets {
-    /// Binds the addresses of the settings.
+    /// Binds the addresses from the settings.
     ///
     /// # Errors
     ///
-    /// Fails where one is not to be had.
+    /// Fails if an address cannot be bound.
     pub async fn bind(settings: &RelaySettings) -> Result<Self, RunError> {
-        let (peers, neighbours) = bind_peers(settings.peer_listen).await?;
+        let (peers, snapshots) = bind_peers(settings.peer_listen).await?;
         Ok(Self {
             callers: listen(settings.listen).await?,
             readiness: listen(settings.ready_listen).await?,
             metrics: listen(settings.metrics_listen).await?,
             peers,
-            neighbours,
+            snapshots,
         })
     }
 }
 
-/// Time between two sweeps of idle connections.
-const SWEEP_EVERY: Duration = Duration::from_millis(1_000);
+/// Interval at which expired idle connections are closed.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Runs a relay until a planned stop ends; must be called within a `LocalSet`. The settings file, where
-/// there is one, is read again when it changes or SIGHUP comes.
+/// Runs a relay until its shutdown is complete. Must be called within a `LocalSet`. If `file` is the
+/// settings file, it is reloaded when it changes or SIGHUP arrives.
 ///
 /// # Errors
 ///
-/// Fails where signals or metrics are not to be had.
+/// Fails if the handler for SIGHUP or the metrics cannot be set up.
 pub async fn run_relay(
     settings: RelaySettings,
     sockets: RelaySockets,
@@ -133,7 +133,7 @@
     spawn_local(follow_config(relay.clone()));
     spawn_local(follow_replicas(relay.clone()));
     spawn_local(talk(relay.clone()));
-    spawn_local(serve_snapshots(relay.clone(), sockets.neighbours));
+    spawn_local(serve_snapshots(relay.clone(), sockets.snapshots));
     spawn_local(follow_quarantine(relay.clone()));
     spawn_local(store_quarantine(relay.clone()));
     spawn_local(write_after_copies(relay.clone()));
@@ -142,7 +142,7 @@
     spawn_local(survey_engines(relay.clone()));
     spawn_local(serve_readiness(relay.clone(), sockets.readiness));
     spawn_local(serve_metrics(relay.clone(), sockets.metrics));
-    spawn_local(sweep(relay.clone()));
+    spawn_local(sweep_connections(relay.clone()));
     if let Some(file) = file {
         spawn_local(follow_settings(relay.clone(), file, hangup));
     }
@@ -161,21 +161,23 @@
     Ok(())
 }
 
-/// Tries to find a port that is free for datagrams and connections alike, where the settings name none.
-const PORT_TRIES: usize = 16;
+/// Maximum number of attempts to find a port that is free for both UDP and TCP if the settings leave
+/// the choice of the port to the system.
+const MAX_PORT_ATTEMPTS: usize = 16;
 
-/// Binds one port for datagrams and for connections.
+/// Binds the same port for UDP and TCP.
 async fn bind_peers(address: SocketAddr) -> Result<(UdpSocket, TcpListener), RunError> {
-    let mut tries = 0;
+    let mut attempts = 0;
     loop {
-        tries += 1;
-        let datagrams = UdpSocket::bind(address).await;
-        let datagrams = datagrams.map_err(|source| RunError::Listen { address, source })?;
-        let bound =
-            datagrams.local_addr().map_err(|source| RunError::Listen { address, source })?;
+        attempts += 1;
+        let udp = UdpSocket::bind(address).await;
+        let udp = udp.map_err(|source| RunError::Listen { address, source })?;
+        let bound = udp.local_addr().map_err(|source| RunError::Listen { address, source })?;
         match listen(bound).await {
-            Ok(connections) => return Ok((datagrams, connections)),
-            Err(error) if address.port() != 0 || tries == PORT_TRIES => return Err(error),
+            Ok(tcp) => return Ok((udp, tcp)),
+            Err(error) if address.port() != 0 || attempts == MAX_PORT_ATTEMPTS => {
+                return Err(error);
+            }
             Err(_) => {}
         }
     }
@@ -187,8 +189,8 @@
 
 fn new_relay(settings: RelaySettings, peer_socket: UdpSocket, metrics: RelayMetrics) -> Relay {
     let calls = Rc::default();
-    let patience = Duration::from_millis(STORE_TIMEOUT);
-    let store = CountedStore::new(&settings.platform.to_string(), patience, &calls);
+    let timeout = Duration::from_millis(STORE_TIMEOUT);
+    let store = CountedStore::new(&settings.platform.to_string(), timeout, &calls);
     let seed = hash_bytes(epoch_micros(), settings.name.as_bytes());
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     Relay {
@@ -219,20 +221,21 @@
     }
 }
 
-async fn sweep(relay: Rc<Relay>) {
-    let mut rounds: u32 = 0;
+/// Closes expired idle connections, and logs the counters now and then. Never returns.
+async fn sweep_connections(relay: Rc<Relay>) {
+    let mut sweeps: u32 = 0;
     loop {
-        sleep(SWEEP_EVERY).await;
+        sleep(SWEEP_INTERVAL).await;
         relay.pool.close_expired();
-        rounds += 1;
-        if rounds.is_multiple_of(FIGURES_ONE_IN) {
+        sweeps += 1;
+        if sweeps.is_multiple_of(SWEEPS_PER_FIGURES) {
             log_figures(&relay);
         }
     }
 }
 
-/// Of the sweeps, one in so many writes a line of figures.
-const FIGURES_ONE_IN: u32 = 10;
+/// Number of sweeps after which the counters are logged.
+const SWEEPS_PER_FIGURES: u32 = 10;
 
 fn log_figures(relay: &Relay) {
     let Counts {
--- a/crates/relay/src/serve.rs
+++ b/crates/relay/src/serve.rs
@@ -1,4 +1,4 @@
-//! Serving callers and readiness.
+//! HTTP servers for callers, readiness checks and metrics.
 
 use std::{convert::Infallible, rc::Rc, time::Duration};
 
@@ -20,24 +20,24 @@
     state::Relay,
 };
 
-/// Time that a kept connection may rest where the configuration is not known yet.
-const DEFAULT_IDLE: Duration = Duration::from_secs(15);
+/// Idle timeout of a connection while the configuration is unknown.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Bytes of headers where the configuration is not known yet.
-const DEFAULT_HEADER_BYTES: usize = 16_384;
+/// Maximum size of the headers, in bytes, while the configuration is unknown.
+const DEFAULT_MAX_HEADER_BYTES: usize = 16_384;
 
-/// Time that a stopping relay goes on at least: the balancer asks for readiness once a second, and
-/// takes a VM out after two misses.
-const LEAST_STOP: Duration = Duration::from_millis(3_000);
+/// Minimum duration of a shutdown: the load balancer checks readiness once a second and removes a VM
+/// after two failed checks.
+const MIN_SHUTDOWN_TIME: Duration = Duration::from_millis(3_000);
 
-/// Serves callers until the relay stops.
+/// Serves callers until the shutdown is complete.
 pub async fn serve_callers(relay: Rc<Relay>, listener: TcpListener) {
-    let stopped = stopped(&relay);
-    tokio::pin!(stopped);
+    let shutdown = wait_until_stopped(&relay);
+    tokio::pin!(shutdown);
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            () = stopped.as_mut() => return,
+            () = shutdown.as_mut() => return,
         };
         match accepted {
             Ok((stream, _)) => drop(spawn_local(serve_connection(relay.clone(), stream))),
@@ -49,36 +49,38 @@
     }
 }
 
-/// Waits for the end of a planned stop: nothing is in flight and callers had time to leave, or the time
-/// is nearly up.
-async fn stopped(relay: &Relay) {
+/// Waits until a shutdown is complete: no request is in flight and callers had time to move to other
+/// relays, or the deadline has passed.
+async fn wait_until_stopped(relay: &Relay) {
     relay.stop.wait_until_stopping().await;
-    let left = relay.stop.deadline().saturating_sub(now_millis());
-    sleep(LEAST_STOP.min(Duration::from_millis(left))).await;
-    const STEP: Duration = Duration::from_millis(50);
+    let remaining = relay.stop.deadline().saturating_sub(now_millis());
+    sleep(MIN_SHUTDOWN_TIME.min(Duration::from_millis(remaining))).await;
+    const POLL_INTERVAL: Duration = Duration::from_millis(50);
     while relay.stop.in_flight() > 0 && now_millis() < relay.stop.deadline() {
-        sleep(STEP).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
 async fn serve_connection(relay: Rc<Relay>, stream: TcpStream) {
-    let _without_delay = stream.set_nodelay(true);
+    let _nodelay = stream.set_nodelay(true);
     let limits = relay.config().and_then(|config| config.limits);
-    let idle = limits.map_or(DEFAULT_IDLE, |limits| Duration::from_millis(limits.idle_timeout));
-    let header_bytes = limits.map_or(DEFAULT_HEADER_BYTES, |limits| limits.max_header_bytes);
+    let idle_timeout =
+        limits.map_or(DEFAULT_IDLE_TIMEOUT, |limits| Duration::from_millis(limits.idle_timeout));
+    let max_header_bytes =
+        limits.map_or(DEFAULT_MAX_HEADER_BYTES, |limits| limits.max_header_bytes);
     let service = service_fn(|request: Request<Incoming>| {
         let relay = relay.clone();
         async move { Ok::<RelayResponse, Infallible>(handle(relay, request).await) }
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(idle)
-        .max_buf_size(header_bytes.max(8_192))
+        .header_read_timeout(idle_timeout)
+        .max_buf_size(max_header_bytes.max(8_192))
         .serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
     let ended = tokio::select! {
         ended = connection.as_mut() => Some(ended),
-        () = idle_closes(&relay) => None,
+        () = wait_until_idle_close(&relay) => None,
     };
     let ended = match ended {
         Some(ended) => ended,
@@ -92,44 +94,44 @@
     }
 }
 
-/// Waits until a stopping relay closes its idle connections.
-async fn idle_closes(relay: &Relay) {
+/// Waits for the time in a shutdown at which idle connections are closed.
+async fn wait_until_idle_close(relay: &Relay) {
     relay.stop.wait_until_stopping().await;
     sleep(Duration::from_millis(IDLE_CLOSE_DELAY)).await;
 }
 
-/// Answers questions for readiness until the process ends.
+/// Serves the readiness endpoint until the process ends.
 pub async fn serve_readiness(relay: Rc<Relay>, listener: TcpListener) {
-    serve_simple(listener, move || readiness(is_ready(&relay))).await;
+    serve_each(listener, move || readiness_response(is_ready(&relay))).await;
 }
 
-/// Serves metrics until the process ends.
+/// Serves the metrics endpoint until the process ends.
 pub async fn serve_metrics(relay: Rc<Relay>, listener: TcpListener) {
-    serve_simple(listener, move || match relay.metrics.render(&relay) {
+    serve_each(listener, move || match relay.metrics.render(&relay) {
         Ok(text) => Response::new(full_body(Bytes::from(text))),
         Err(error) => {
             tracing::error!(event = "metrics-unreadable", %error);
-            let mut answer = Response::new(full_body(Bytes::new()));
-            *answer.status_mut() = StatusCode::INTERNAL_SERVER_ERROR;
-            answer
+            let mut response = Response::new(full_body(Bytes::new()));
+            *response.status_mut() = StatusCode::INTERNAL_SERVER_ERROR;
+            response
         }
     })
     .await;
 }
 
-/// Gives every request the same answer, made anew for each.
-async fn serve_simple(listener: TcpListener, answer: impl Fn() -> RelayResponse + 'static) {
-    let answer = Rc::new(answer);
+/// Responds to every request on `listener` with the result of `respond`.
+async fn serve_each(listener: TcpListener, respond: impl Fn() -> RelayResponse + 'static) {
+    let respond = Rc::new(respond);
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             sleep(Duration::from_millis(10)).await;
             continue;
         };
-        let answer = answer.clone();
+        let respond = respond.clone();
         spawn_local(async move {
             let service = service_fn(|_: Request<Incoming>| {
-                let answer = answer();
-                async move { Ok::<RelayResponse, Infallible>(answer) }
+                let response = respond();
+                async move { Ok::<RelayResponse, Infallible>(response) }
             });
             let _ended =
                 http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
@@ -137,17 +139,18 @@
     }
 }
 
-fn readiness(ready: bool) -> RelayResponse {
-    let mut answer = Response::new(full_body(Bytes::new()));
-    if !ready {
-        *answer.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
+fn readiness_response(is_ready: bool) -> RelayResponse {
+    let mut response = Response::new(full_body(Bytes::new()));
+    if !is_ready {
+        *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
     }
-    answer
+    response
 }
 
-/// A relay is ready while it can let requests in: it knows the configuration and the replicas, and is
-/// not stopping. One that lost the store stays ready as long as keys may be let in, unless others still
-/// have the store: the balancer needs two seconds to move new callers to them.
+/// Returns whether the relay can admit requests: it knows the configuration and the replicas, and is
+/// not shutting down. A relay without contact to the store stays ready for as long as it may admit
+/// keys, unless other relays still have contact: the load balancer needs two seconds to move new
+/// callers to them.
 pub fn is_ready(relay: &Relay) -> bool {
     let now = now_millis();
     let aside = relay.steps_aside(now);
@@ -156,7 +159,7 @@
         return false;
     }
     let beliefs = relay.beliefs.borrow();
-    let knows = beliefs.config.get().is_some() && !beliefs.fleet.view.is_empty();
-    let bound = relay.bounds.borrow().revoke();
-    knows && !relay.stop.is_stopping() && beliefs.config_lease.is_valid(bound, now)
+    let has_state = beliefs.config.get().is_some() && !beliefs.fleet.view.is_empty();
+    let max_age = relay.bounds.borrow().revoke();
+    has_state && !relay.stop.is_stopping() && beliefs.config_lease.is_valid(max_age, now)
 }
--- a/crates/relay/src/settings.rs
+++ b/crates/relay/src/settings.rs
@@ -6,7 +6,7 @@
 use switchfold_kernel::settings::{CheckedSettings, FieldError, FieldKind, FieldRule};
 use switchfold_router::Millis;
 
-/// Settings of a relay, as in its JSON file.
+/// Settings of a relay, as read from its JSON file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RelaySettings {
@@ -16,124 +16,135 @@
     pub data_centre: String,
     /// Region of the VM.
     pub region: String,
-    /// Where callers connect.
+    /// Address on which requests of callers are served.
     pub listen: SocketAddr,
-    /// Where readiness is asked.
+    /// Address of the readiness endpoint.
     pub ready_listen: SocketAddr,
-    /// Where other relays send their figures, by UDP.
+    /// Address on which this relay exchanges state with other relays: messages by UDP, snapshots of
+    /// the store by TCP.
     pub peer_listen: SocketAddr,
-    /// Where metrics are served.
+    /// Address on which metrics are served.
     pub metrics_listen: SocketAddr,
     /// Address of the platform's object store.
     pub platform: SocketAddr,
-    /// Whether the whole system starts for the first time: relays then let one of each data centre read the
-    /// store first.
+    /// Whether the whole system starts for the first time. The relays of a data centre then let one
+    /// of them read the store first.
     #[serde(default)]
     pub first_start: bool,
-    /// Part of a core that the process has.
+    /// Share of a processor core that the process gets.
     #[serde(default)]
     pub processor_share: Option<f64>,
-    /// Bounds that the platform sets.
+    /// Bounds set by the platform.
     pub bounds: BoundSettings,
 }
 
 impl RelaySettings {
-    /// These settings with the name by which relays know each other. It begins with the class of the VM's processor, each
-    /// with half of the one before: what the first relays by name do for the others then falls to the strongest VMs.
+    /// Returns these settings with the name that the relay uses towards other relays. It begins with
+    /// the class of the VM's processor share; each class has half the share of the one before. Work
+    /// that falls to the first relays by name thereby goes to the strongest VMs.
     pub fn with_ranked_name(self) -> Self {
         let Some(share) = self.processor_share else { return self };
-        let class = (1.0 / share.max(f64::MIN_POSITIVE)).log2().ceil().clamp(0.0, WEAKEST_CLASS);
+        let class = (1.0 / share.max(f64::MIN_POSITIVE)).log2().ceil().clamp(0.0, MAX_CLASS);
         Self { name: format!("p{class}-{}", self.name), ..self }
     }
 }
 
-/// The last class of processors: a five-hundredth of a core.
-const WEAKEST_CLASS: f64 = 9.0;
+/// The weakest processor class: about a five-hundredth of a core, or less.
+const MAX_CLASS: f64 = 9.0;
 
-/// Bounds that the platform sets, with their units in the names. All of them are amounts and may have
-/// fractions: the platform sets some of them in proportion to a deployment's size.
+/// Bounds set by the platform, with their units in the names. All of them may have fractions, since
+/// the platform computes some of them in proportion to the size of a deployment.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct BoundSettings {
-    /// Time from a key's removal to the last request that may run with it.
+    /// Time after the removal of a key within which requests may still run with it.
     pub revoke_ms: f64,
-    /// Time without trouble after which a relay counts as in touch.
-    #[serde(default = "least_contact")]
+    /// Time without failures after which a relay counts as being in contact.
+    #[serde(default = "min_contact")]
     pub contact_ms: f64,
-    /// Time for which a replica serves on once it says that it leaves.
-    #[serde(default = "least_old_state")]
+    /// Time for which a replica continues to serve after it announces that it is leaving.
+    #[serde(default = "min_state_age")]
     pub drain_ms: f64,
-    /// Time after which a configuration must be in force.
-    #[serde(default = "least_old_state")]
+    /// Time within which a configuration must take effect.
+    #[serde(default = "min_state_age")]
     pub config_apply_ms: f64,
     /// Time from SIGTERM to SIGKILL.
     pub grace_s: f64,
-    /// Repeats allowed for each request.
+    /// Retries allowed per request.
     pub retry_ratio: f64,
-    /// Window of the repeats.
+    /// Time window over which retries are counted.
     pub retry_window_s: f64,
-    /// Repeats allowed beside the ratio, over all entries.
+    /// Retries allowed on top of the ratio, over all relays.
     pub retry_allowance: f64,
 }
 
-/// Contact time where the platform names none, in milliseconds: the least of those seen.
-fn least_contact() -> f64 {
+/// Default contact time, in milliseconds: the smallest that the platform has set so far.
+fn min_contact() -> f64 {
     3_000.0
 }
 
-/// Bounds on old state where the platform names none, in milliseconds: the least of those seen.
-fn least_old_state() -> f64 {
+/// Default bound on the age of state, in milliseconds: the smallest that the platform has set so far.
+fn min_state_age() -> f64 {
     2_000.0
 }
 
 impl BoundSettings {
-    /// Time from a key's removal to the last request that may run with it; rounded to the strict side, as
-    /// the others are.
+    /// Returns the time after the removal of a key within which requests may still run with it. Like
+    /// the other bounds, it is rounded to the stricter side.
     pub fn revoke(&self) -> Millis {
         self.revoke_ms.floor() as Millis
     }
 
-    /// Time without trouble after which a relay counts as in touch.
+    /// Returns the time without failures after which a relay counts as being in contact.
     pub fn contact(&self) -> Millis {
         self.contact_ms.floor() as Millis
     }
 
-    /// Time after which no state of the store may be acted on that is older.
+    /// Returns the maximum age of state of the store that may be acted on.
     pub fn max_state_age(&self) -> Millis {
         self.drain_ms.min(self.config_apply_ms).floor() as Millis
     }
 
-    /// Time from SIGTERM to SIGKILL.
+    /// Returns the time from SIGTERM to SIGKILL.
     pub fn grace(&self) -> Millis {
         (self.grace_s * 1_000.0).floor() as Millis
     }
 
-    /// Window of the repeats.
+    /// Returns the time window over which retries are counted.
     pub fn retry_window(&self) -> Millis {
         (self.retry_window_s * 1_000.0).ceil() as Millis
     }
 }
 
-/// Shortest window of repeats in seconds: below it, one bucket of the budget is longer than the window.
-const LEAST_WINDOW_S: f64 = 0.5;
+/// Minimum retry window, in seconds. One bucket of the retry budget would be
+/// longer than a shorter window.
+const MIN_RETRY_WINDOW_S: f64 = 0.5;
 
 const BOUND_RULES: &[FieldRule] = &[
-    rule("revoke_ms", FieldKind::Decimal(0.0, 3_600_000.0), "time until a removed key is refused"),
-    optional("contact_ms", FieldKind::Decimal(0.0, 3_600_000.0), "time until a VM is in touch"),
+    rule("revoke_ms", FieldKind::Decimal(0.0, 3_600_000.0), "time until a removed key is rejected"),
+    optional(
+        "contact_ms",
+        FieldKind::Decimal(0.0, 3_600_000.0),
+        "time without failures until a VM is in contact",
+    ),
     optional(
         "drain_ms",
         FieldKind::Decimal(0.0, 3_600_000.0),
-        "time that a leaving replica serves",
+        "time for which a leaving replica serves",
     ),
     optional(
         "config_apply_ms",
         FieldKind::Decimal(0.0, 3_600_000.0),
-        "time until a change is in force",
+        "time until a change takes effect",
     ),
     rule("grace_s", FieldKind::Decimal(0.0, 3_600.0), "time from SIGTERM to SIGKILL"),
-    rule("retry_ratio", FieldKind::Decimal(0.0, 10.0), "repeats for each request"),
-    rule("retry_window_s", FieldKind::Decimal(LEAST_WINDOW_S, 3_600.0), "window of the repeats"),
-    rule("retry_allowance", FieldKind::Decimal(0.0, 1_000_000.0), "repeats beside the ratio"),
+    rule("retry_ratio", FieldKind::Decimal(0.0, 10.0), "retries per request"),
+    rule(
+        "retry_window_s",
+        FieldKind::Decimal(MIN_RETRY_WINDOW_S, 3_600.0),
+        "time window of the retries",
+    ),
+    rule("retry_allowance", FieldKind::Decimal(0.0, 1_000_000.0), "retries on top of the ratio"),
 ];
 
 const fn rule(name: &'static str, kind: FieldKind, help: &'static str) -> FieldRule {
@@ -149,18 +160,18 @@
         rule("name", FieldKind::Text, "name of the VM"),
         rule("data_centre", FieldKind::Text, "data centre of the VM"),
         rule("region", FieldKind::Text, "region of the VM"),
-        rule("listen", FieldKind::Address, "where callers connect"),
-        rule("ready_listen", FieldKind::Address, "where readiness is asked"),
-        rule("peer_listen", FieldKind::Address, "where other relays send their figures"),
-        rule("metrics_listen", FieldKind::Address, "where metrics are served"),
-        rule("platform", FieldKind::Address, "the platform's object store"),
-        optional("first_start", FieldKind::Bool, "whether the whole system starts"),
+        rule("listen", FieldKind::Address, "address for callers"),
+        rule("ready_listen", FieldKind::Address, "address of the readiness endpoint"),
+        rule("peer_listen", FieldKind::Address, "address for messages of other relays"),
+        rule("metrics_listen", FieldKind::Address, "address of the metrics endpoint"),
+        rule("platform", FieldKind::Address, "address of the platform's object store"),
         optional(
-            "processor_share",
-            FieldKind::Decimal(0.0, 1_024.0),
-            "part of a core that the process has",
+            "first_start",
+            FieldKind::Bool,
+            "whether the whole system starts for the first time",
         ),
-        rule("bounds", FieldKind::Object(BOUND_RULES), "bounds that the platform sets"),
+        optional("processor_share", FieldKind::Decimal(0.0, 1_024.0), "share of a processor core"),
+        rule("bounds", FieldKind::Object(BOUND_RULES), "bounds set by the platform"),
     ];
 
     fn cross_check(&self) -> Vec<FieldError> {
@@ -170,7 +181,7 @@
         vec![FieldError {
             path: "ready_listen".to_owned(),
             problem: "same address as listen".to_owned(),
-            expected: "an address of its own".to_owned(),
+            expected: "a different address".to_owned(),
         }]
     }
 }
--- a/crates/relay/src/stream.rs
+++ b/crates/relay/src/stream.rs
@@ -240,7 +240,7 @@
             return Some(OpenOutcome::Failed(AttemptEnd::Broken, "time is up".to_owned()));
         }
     };
-    head.answered(sent.0.status() == StatusCode::OK);
+    head.record_response(sent.0.status() == StatusCode::OK);
     Some(read_head(relay, request, tried, first, sent, SentRun { path, room, run, begun }).await)
 }
 
--- a/crates/relay/tests/logs.rs
+++ b/crates/relay/tests/logs.rs
@@ -1,4 +1,4 @@
-//! Logs: bounded in any second, and never in the way.
+//! Logging is limited per second and never blocks.
 
 use std::{
     io::{self, Write},
@@ -6,33 +6,33 @@
 };
 
 use proptest::prelude::*;
-use switchfold_relay::logs::{LineBudget, start_to};
+use switchfold_relay::logs::{LineLimit, start_to};
 use tracing::level_filters::LevelFilter;
 
 proptest! {
-    /// However lines come, no second has more than its share, and all others are counted.
+    /// At most the limit is written in each second, and all other lines are counted as dropped.
     #[test]
-    fn no_second_has_more_than_its_share(waits in prop::collection::vec(0u64..400, 0..300)) {
-        let budget = LineBudget::new(5);
+    fn lines_per_second_are_limited(waits in prop::collection::vec(0u64..400, 0..300)) {
+        let limit = LineLimit::new(5);
         let mut now = 0;
         let mut written: Vec<u64> = Vec::new();
         for wait in &waits {
             now += wait;
-            if budget.take(now) {
+            if limit.admit(now) {
                 written.push(now / 1_000);
             }
         }
         for second in &written {
             prop_assert!(written.iter().filter(|other| *other == second).count() <= 5);
         }
-        prop_assert_eq!(written.len() as u64 + budget.left_out(), waits.len() as u64);
+        prop_assert_eq!(written.len() as u64 + limit.dropped(), waits.len() as u64);
     }
 }
 
-/// An output that nobody reads.
-struct StuckOutput;
+/// An output that nothing reads: writes block.
+struct BlockedOutput;
 
-impl Write for StuckOutput {
+impl Write for BlockedOutput {
     fn write(&mut self, _: &[u8]) -> io::Result<usize> {
         loop {
             std::thread::sleep(Duration::from_secs(3_600));
@@ -44,14 +44,14 @@
     }
 }
 
-/// The test ends only if no line waits for the output.
+/// The test returns only if no log call blocks on the output.
 #[test]
-fn a_full_pipe_holds_nobody_up() {
-    let guard = start_to(LevelFilter::INFO, StuckOutput);
+fn a_blocked_output_does_not_block_the_caller() {
+    let guard = start_to(LevelFilter::INFO, BlockedOutput);
     for number in 0..20_000 {
         tracing::info!(event = "answered", number);
         tracing::warn!(event = "refused", number);
     }
-    // Dropping the guard would wait a while for the writer.
+    // Dropping the guard would wait for the blocked writer.
     std::mem::forget(guard);
 }
--- a/crates/relay/tests/probes.rs
+++ b/crates/relay/tests/probes.rs
@@ -3,13 +3,15 @@
 use std::{future::pending, time::Duration};
 
 use futures_util::future::join_all;
-use switchfold_relay::probes::{PROBE_TIME, ProbeOutcome, probe_with_retry, silence_is_conclusive};
+use switchfold_relay::probes::{
+    PROBE_TIMEOUT, ProbeOutcome, probe_with_retry, silence_is_conclusive,
+};
 use tokio::time::{advance, sleep};
 
 use ProbeOutcome::{Reached, Refused, Silent, Unclear};
 
 #[test]
-fn silence_counts_where_few_are_without_an_answer() {
+fn silence_is_conclusive_if_few_are_silent() {
     let refused = || Refused("reset".to_owned());
     let rows = [
         (vec![Silent], true),
@@ -22,32 +24,32 @@
         (vec![Silent, Unclear, Unclear, Reached, Reached, Reached, Reached, Reached], false),
         (vec![refused(), refused(), refused(), Silent], true),
     ];
-    for (ends, counts) in rows {
-        assert_eq!(silence_is_conclusive(&ends), counts, "{ends:?}");
+    for (outcomes, is_conclusive) in rows {
+        assert_eq!(silence_is_conclusive(&outcomes), is_conclusive, "{outcomes:?}");
     }
 }
 
-/// A replica that never answers; the first question fails at once where its kept connection is dead, so
-/// that its second one begins earlier than those of the others.
-async fn probe_silent(kept_is_dead: bool) -> ProbeOutcome {
-    let ask = async |fresh: bool| match kept_is_dead && !fresh {
+/// Probes a replica that never responds. If its pooled connection is dead, the first request fails at
+/// once, so the second one starts earlier than those of the other replicas.
+async fn probe_silent(pooled_is_dead: bool) -> ProbeOutcome {
+    let send = async |fresh: bool| match pooled_is_dead && !fresh {
         true => Err("reset"),
         false => pending().await,
     };
-    probe_with_retry(ask).await
+    probe_with_retry(send).await
 }
 
-/// A relay that stands still while the probes of a path are out, so that some end unclear and one does
-/// not: that one is not taken for lost either.
+/// If the relay is paused while the replicas of a path are probed, some probes end unclear and one
+/// ends silent. That one must not be taken for lost either.
 #[tokio::test(start_paused = true)]
-async fn a_late_relay_takes_no_replica_for_lost() {
+async fn a_paused_relay_takes_no_replica_for_lost() {
     let probing = join_all([true, true, true, false].map(probe_silent));
-    let standing_still = async {
-        // The questions are out; the process then stands still until 25 ms after they should have ended.
-        sleep(PROBE_TIME - Duration::from_millis(5)).await;
+    let pause = async {
+        // The requests are in flight; the process then resumes 25 ms after their timeout.
+        sleep(PROBE_TIMEOUT - Duration::from_millis(5)).await;
         advance(Duration::from_millis(30)).await;
     };
-    let (ends, ()) = tokio::join!(probing, standing_still);
-    assert_eq!(ends, [Unclear, Unclear, Unclear, Silent]);
-    assert!(!silence_is_conclusive(&ends));
+    let (outcomes, ()) = tokio::join!(probing, pause);
+    assert_eq!(outcomes, [Unclear, Unclear, Unclear, Silent]);
+    assert!(!silence_is_conclusive(&outcomes));
 }
