--- a/crates/relay/src/engines.rs
+++ b/crates/relay/src/engines.rs
@@ -30,7 +30,7 @@
     notices::{ReplicaResponse, apply_notices_at},
     pool::SendError,
     probes::{ProbeOutcome, probe_with_retry, silence_is_conclusive},
-    replicas::take_report_start,
+    replicas::accept_report_start,
     state::Relay,
 };
 
@@ -146,7 +146,7 @@
         return None;
     }
     match decode_report(&body) {
-        Ok(report) => take_report_start(relay, address, report.started_at).then_some(report),
+        Ok(report) => accept_report_start(relay, address, report.started_at).then_some(report),
         Err(error) => {
             tracing::warn!(event = "report-unreadable", %address, %error);
             None
@@ -187,7 +187,7 @@
 pub fn probe_replicas(relay: &Rc<Relay>, addresses: impl Iterator<Item = SocketAddr>) {
     let now = now_millis();
     relay.reports.last_probe.set(Some(now));
-    let peers_nearby = relay.beliefs.borrow().peers.known_count_in(&relay.settings.data_centre);
+    let peers_nearby = relay.state.borrow().peers.known_count_in(&relay.settings.data_centre);
     let interval = PROBE_INTERVAL * (1 + peers_nearby as Millis);
     let due: Vec<SocketAddr> =
         addresses.filter(|address| relay.reports.begin_probe(*address, interval, now)).collect();
@@ -212,13 +212,8 @@
         ProbeOutcome::Silent if silence_counts => Some("no response to a probe"),
         ProbeOutcome::Silent | ProbeOutcome::Unclear => None,
     };
-    let instance = relay
-        .beliefs
-        .borrow()
-        .fleet
-        .view
-        .at_address(address)
-        .map(|replica| replica.instance.clone());
+    let instance =
+        relay.state.borrow().fleet.view.at_address(address).map(|replica| replica.instance.clone());
     let replica = instance.as_ref().map(ReplicaInstance::to_string);
     tracing::info!(event = "probe-failed", %address, replica, end = ?outcome, silence_counts);
     if let (Some(instance), Some(why)) = (instance, loss) {
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -13,24 +13,25 @@
 //! | [`stream`], [`response_head`], [`forward`], [`paths`] | requests to engines: opening, forwarding, paths |
 //! | [`run_tracker`] | runs of requests at replicas, and evidence from lost runs |
 //! | [`pool`], [`engines`], [`probes`] | connections, calls and probes to replicas |
-//! | [`watch`], [`replicas`], [`peers`], [`news`], [`snapshot`] | state from the store and from other relays |
-//! | [`copies`] | writes that the store lost when it was restored from a backup |
+//! | [`watch`], [`replicas`], [`peers`], [`gossip`], [`messages`], [`snapshot`] | state from the store and from other relays |
+//! | [`restore`] | writes that the store lost when it was restored from a backup |
 //! | [`notices`] | what replicas report of themselves in response headers |
 //! | [`limits`] | grants for replicas with a rate limit |
 //! | [`quarantine`] | requests that crash the replicas that run them |
-//! | [`survey`] | which engines are slow |
+//! | [`engine_poll`] | which engines are slow |
 //! | [`placer`] | orders to engines to load layers |
 //! | [`shutdown`], [`run`], [`reload`], [`settings`], [`logs`], [`counts`], [`metrics`] | the process |
 
 pub mod admit;
-pub mod copies;
 pub mod counts;
+pub mod engine_poll;
 pub mod engines;
 pub mod forward;
+pub mod gossip;
 pub mod limits;
 pub mod logs;
+pub mod messages;
 pub mod metrics;
-pub mod news;
 pub mod notices;
 pub mod paths;
 pub mod peers;
@@ -45,6 +46,7 @@
 pub mod request;
 pub mod response_head;
 pub mod responses;
+pub mod restore;
 pub mod run;
 pub mod run_tracker;
 pub mod serve;
@@ -54,6 +56,4 @@
 pub mod state;
 pub mod store_calls;
 pub mod stream;
-pub mod survey;
-pub mod tell;
 pub mod watch;
--- a/crates/relay/src/notices.rs
+++ b/crates/relay/src/notices.rs
@@ -20,7 +20,7 @@
     limits::update_limit,
     replicas::apply_draining,
     responses::Refusal,
-    state::{Beliefs, Relay},
+    state::{Relay, RelayState},
 };
 
 /// The parts of a response that tell something of the replica that sent it.
@@ -41,7 +41,7 @@
 pub fn apply_notices(relay: &Relay, instance: &ReplicaInstance, response: ReplicaResponse<'_>) {
     let ReplicaResponse { status, headers, .. } = response;
     if status != StatusCode::SERVICE_UNAVAILABLE && !headers.not_executed {
-        relay.beliefs.borrow_mut().backoffs.record_success(instance, now_millis());
+        relay.state.borrow_mut().backoffs.record_success(instance, now_millis());
     }
     apply_headers(relay, instance, response);
     // With this status, another replica may respond at the address of one that is gone.
@@ -55,13 +55,8 @@
 /// Applies the notices in the response of an engine's control interface to the replica that is listed
 /// at this address.
 pub fn apply_notices_at(relay: &Relay, address: SocketAddr, response: ReplicaResponse<'_>) {
-    let instance = relay
-        .beliefs
-        .borrow()
-        .fleet
-        .view
-        .at_address(address)
-        .map(|replica| replica.instance.clone());
+    let instance =
+        relay.state.borrow().fleet.view.at_address(address).map(|replica| replica.instance.clone());
     if let Some(instance) = instance {
         apply_headers(relay, &instance, response);
     }
@@ -94,7 +89,7 @@
     match &headers.retry_after {
         Some(RetryAfter::Millis(asked)) => {
             count(&relay.counts.backoffs_asked);
-            relay.beliefs.borrow_mut().backoffs.record(instance, *asked, now_millis());
+            relay.state.borrow_mut().backoffs.record(instance, *asked, now_millis());
             tracing::info!(event = "backoff-asked", replica = %instance, asked);
         }
         Some(RetryAfter::Unreadable(value)) => {
@@ -138,13 +133,13 @@
     }
 
     fn decide(&self, now: Millis) -> Result<(), Millis> {
-        let mut beliefs = self.relay.beliefs.borrow_mut();
-        let is_trial = beliefs.backoffs.begin_send(self.instance, self.is_trial.get(), now)?;
+        let mut state = self.relay.state.borrow_mut();
+        let is_trial = state.backoffs.begin_send(self.instance, self.is_trial.get(), now)?;
         self.is_trial.set(is_trial);
-        let is_limited = beliefs.limits.limit(self.instance.id()).is_some();
+        let is_limited = state.limits.limit(self.instance.id()).is_some();
         // The gate is passed again after a new connection was opened; the grant is spent only once.
         if is_limited && !self.has_passed.get() {
-            let grant = beliefs.grants.spend(self.instance.id(), self.rank, now)?;
+            let grant = state.grants.spend(self.instance.id(), self.rank, now)?;
             self.grant.set(Some(grant));
             count(&self.relay.counts.grants_spent);
         }
@@ -155,7 +150,7 @@
     /// Records that no byte of the request was sent. Its grant becomes available to another request.
     pub fn record_unsent(&self) {
         if let Some(expiry) = self.grant.take() {
-            self.relay.beliefs.borrow_mut().grants.give_back(self.instance.id(), expiry);
+            self.relay.state.borrow_mut().grants.give_back(self.instance.id(), expiry);
         }
     }
 }
@@ -170,17 +165,17 @@
     can_start: impl Fn(&ReplicaEntry) -> bool,
     otherwise: Refusal,
 ) -> Refusal {
-    let Some(wait) = min_send_wait(&relay.beliefs.borrow(), service, rank, &can_start) else {
+    let Some(wait) = min_send_wait(&relay.state.borrow(), service, rank, &can_start) else {
         return otherwise;
     };
     let now = now_millis();
-    let per_second = limited_rate(&relay.beliefs.borrow(), service, &can_start, now);
+    let per_second = limited_rate(&relay.state.borrow(), service, &can_start, now);
     if per_second == 0.0 {
-        return Refusal::Throttled(wait + relay.draw(RETRY_SPREAD));
+        return Refusal::Throttled(wait + relay.random_delay(RETRY_SPREAD));
     }
     let draw = relay.random.borrow_mut().random();
-    let mut beliefs = relay.beliefs.borrow_mut();
-    let schedule = beliefs.return_slots.entry(service.to_owned()).or_default();
+    let mut state = relay.state.borrow_mut();
+    let schedule = state.retry_schedules.entry(service.to_owned()).or_default();
     Refusal::Throttled(schedule.next_delay(wait, per_second, draw, now))
 }
 
@@ -191,22 +186,22 @@
 /// Returns the number of requests per second that this relay can expect to start at rate-limited
 /// replicas, or 0 if it knows none.
 fn limited_rate(
-    beliefs: &Beliefs,
+    state: &RelayState,
     service: &str,
     can_start: impl Fn(&ReplicaEntry) -> bool,
     now: Millis,
 ) -> f64 {
     let limited = |replica: &&ReplicaEntry| {
-        can_start(replica) && beliefs.limits.limit(replica.instance.id()).is_some()
+        can_start(replica) && state.limits.limit(replica.instance.id()).is_some()
     };
-    let replicas = beliefs.fleet.view.of_service(service).filter(limited);
-    replicas.filter_map(|replica| beliefs.grants.share(replica.instance.id(), now)).sum()
+    let replicas = state.fleet.view.of_service(service).filter(limited);
+    replicas.filter_map(|replica| state.grants.share(replica.instance.id(), now)).sum()
 }
 
 /// Returns the time in milliseconds until a request with this priority rank may be sent to the first
 /// of the replicas that can start it. Returns `None` if one is available now, or if there is none.
 pub fn min_send_wait(
-    beliefs: &Beliefs,
+    state: &RelayState,
     service: &str,
     rank: u8,
     can_start: impl Fn(&ReplicaEntry) -> bool,
@@ -214,11 +209,11 @@
     let now = now_millis();
     let is_usable = |replica: &&ReplicaEntry| {
         replica.is_ready()
-            && !beliefs.suspects.is_suspect(&replica.instance, now)
+            && !state.suspects.is_suspect(&replica.instance, now)
             && can_start(replica)
     };
-    let replicas = beliefs.fleet.view.of_service(service).filter(is_usable);
-    let mut waits = replicas.map(|replica| beliefs.send_wait(&replica.instance, rank, now));
+    let replicas = state.fleet.view.of_service(service).filter(is_usable);
+    let mut waits = replicas.map(|replica| state.send_wait(&replica.instance, rank, now));
     let first = waits.next()??;
     waits.try_fold(first, |shortest, wait| Some(shortest.min(wait?)))
 }
--- a/crates/relay/src/placer.rs
+++ b/crates/relay/src/placer.rs
@@ -162,10 +162,10 @@
     fn plan_share(&mut self, relay: &Relay, now: Millis) -> Option<PlanShare> {
         let config = relay.config()?;
         let fresh = relay.is_fleet_fresh(now);
-        let beliefs = relay.beliefs.borrow();
-        let rank = beliefs.peers.rank(&relay.settings.name, fresh, now)?;
-        let groups = self.groups.update(&config, &beliefs.fleet.view);
-        let planners = planner_count(groups, beliefs.peers.live_speaker_count(now) + 1);
+        let state = relay.state.borrow();
+        let rank = state.peers.rank(&relay.settings.name, fresh, now)?;
+        let groups = self.groups.update(&config, &state.fleet.view);
+        let planners = planner_count(groups, state.peers.live_speaker_count(now) + 1);
         (rank < planners).then_some(PlanShare { rank, planners })
     }
 
@@ -186,14 +186,14 @@
                 order.until = order.until.min(now + REJECTED_PAUSE);
             }
         }
-        let beliefs = relay.beliefs.borrow();
-        let count = beliefs.fleet.view.len() as u64;
+        let state = relay.state.borrow();
+        let count = state.fleet.view.len() as u64;
         if count != self.replica_count {
             self.replica_count = count;
             self.fleet_changed = now;
         }
         self.pending.retain(|instance, order| {
-            let Some(replica) = beliefs.fleet.view.get_current(instance) else { return false };
+            let Some(replica) = state.fleet.view.get_current(instance) else { return false };
             let is_done = replica.layers == Some(order.range);
             !is_done && now < order.until
         });
@@ -232,7 +232,7 @@
                 ReportState::Received(report) => report.layers.is_some(),
             };
             if holds {
-                relay.beliefs.borrow_mut().quarantine.record_alive(&replica.instance);
+                relay.state.borrow_mut().quarantine.record_alive(&replica.instance);
             }
             let report = SuspectReport { requested_at: now, holds };
             let known = self.suspects.insert(replica.instance.clone(), report);
@@ -243,14 +243,14 @@
                 relay.suspect(&replica.instance, "holds no layers or does not respond");
             }
         }
-        let beliefs = relay.beliefs.borrow();
-        self.suspects.retain(|instance, _| beliefs.fleet.view.get_current(instance).is_some());
+        let state = relay.state.borrow();
+        self.suspects.retain(|instance, _| state.fleet.view.get_current(instance).is_some());
     }
 
     /// Returns the replicas whose reports are to be fetched now.
     fn due_checks(&self, relay: &Relay, now: Millis) -> Vec<ReplicaEntry> {
-        let beliefs = relay.beliefs.borrow();
-        let suspects = beliefs.suspects.current(now).map(|(instance, _)| instance);
+        let state = relay.state.borrow();
+        let suspects = state.suspects.current(now).map(|(instance, _)| instance);
         let lost = self.suspects.iter().filter(|(_, report)| !report.holds);
         let instances: BTreeSet<&ReplicaInstance> =
             suspects.chain(lost.map(|(instance, _)| instance)).collect();
@@ -261,7 +261,7 @@
             is_due && replica.layers.is_some() && !self.pending.contains_key(&replica.instance)
         };
         let replicas =
-            instances.into_iter().filter_map(|instance| beliefs.fleet.view.get_current(instance));
+            instances.into_iter().filter_map(|instance| state.fleet.view.get_current(instance));
         replicas.filter(is_due).cloned().collect()
     }
 
@@ -353,19 +353,19 @@
 
     /// Returns the replicas of a service that may hold layers, by group.
     fn groups(&self, relay: &Relay, service: &str, engine: &EngineSpec, now: Millis) -> PlanGroups {
-        let beliefs = relay.beliefs.borrow();
+        let state = relay.state.borrow();
         let mut holders: BTreeMap<&str, Vec<LayerHolder>> = BTreeMap::new();
         let is_included = |replica: &&ReplicaEntry| match replica.state {
             EntryState::Ready => true,
             EntryState::Draining => false,
             EntryState::Overwritten => {
-                let age = beliefs.fleet.view.age(replica.instance.id(), now);
+                let age = state.fleet.view.age(replica.instance.id(), now);
                 age.is_some_and(|age| age < OVERWRITTEN_RETENTION)
             }
         };
-        for replica in beliefs.fleet.view.of_service(service).filter(is_included) {
+        for replica in state.fleet.view.of_service(service).filter(is_included) {
             let is_suspect =
-                !replica.is_ready() || beliefs.suspects.is_suspect(&replica.instance, now);
+                !replica.is_ready() || state.suspects.is_suspect(&replica.instance, now);
             let is_lost = self.is_lost(&replica.instance);
             let Some(holder) = self.holder(replica, engine, is_suspect, is_lost) else { continue };
             holders.entry(&replica.data_centre).or_default().push(holder);
@@ -404,7 +404,7 @@
         order: PlacementOrder,
         now: Millis,
     ) {
-        let replica = relay.beliefs.borrow().fleet.view.get_current(&order.instance).cloned();
+        let replica = relay.state.borrow().fleet.view.get_current(&order.instance).cloned();
         let Some(replica) = replica else { return };
         let load_time =
             u64::from(order.range.len()) * engine.load_time / u64::from(engine.layers.max(1));
@@ -455,7 +455,7 @@
 
 /// Returns whether no request has arrived yet, neither at this relay nor, as far as it knows, at others.
 fn is_unused(relay: &Relay) -> bool {
-    relay.counts.requests.get() == 0 && relay.beliefs.borrow().room.is_idle()
+    relay.counts.requests.get() == 0 && relay.state.borrow().memory_reservations.is_idle()
 }
 
 /// Logs the plan for a group with its layout score before and after the orders.
@@ -481,7 +481,7 @@
         tracing::warn!(event = "order-unsent", replica = %replica.instance, from, to, why = "no report");
         return false;
     };
-    if relay.beliefs.borrow().fleet.view.get_current(&replica.instance).is_none() {
+    if relay.state.borrow().fleet.view.get_current(&replica.instance).is_none() {
         // The order was planned for the layers that the earlier instance held.
         tracing::info!(event = "order-unsent", replica = %replica.instance, from, to, why = "restarted");
         return false;
--- a/crates/relay/src/response_head.rs
+++ b/crates/relay/src/response_head.rs
@@ -16,11 +16,11 @@
 use crate::{
     admit::Permit,
     engines::probe_replicas,
+    gossip::{SendScope, send_state},
     pool::{ActiveConnection, SendError},
     request::CallerRequest,
-    state::{PartState, Relay},
+    state::{Relay, StageState},
     stream::{find_stalled_replica, suspect_at},
-    tell::{TellReach, tell_state},
 };
 
 /// Time without a response head after which the replicas of the path are probed: twice the usual time
@@ -52,7 +52,7 @@
     /// Records that a request is being sent to a replica.
     pub fn new(relay: &Rc<Relay>, instance: &ReplicaInstance) -> Self {
         let sent_at = now_millis();
-        relay.beliefs.borrow_mut().heads.record_sent(instance, sent_at);
+        relay.state.borrow_mut().stalls.record_sent(instance, sent_at);
         Self { relay: relay.clone(), instance: instance.clone(), sent_at, has_response: false }
     }
 
@@ -61,7 +61,7 @@
         self.has_response = true;
         let now = now_millis();
         let took = starts_stream.then_some(now - self.sent_at);
-        if self.relay.beliefs.borrow_mut().heads.record_response(&self.instance, took, now) {
+        if self.relay.state.borrow_mut().stalls.record_response(&self.instance, took, now) {
             tracing::info!(event = "mute-ended", replica = %self.instance, took);
         }
     }
@@ -70,7 +70,7 @@
 impl Drop for PendingHead {
     fn drop(&mut self) {
         if !self.has_response {
-            self.relay.beliefs.borrow_mut().heads.record_abandoned(&self.instance);
+            self.relay.state.borrow_mut().stalls.record_abandoned(&self.instance);
         }
     }
 }
@@ -136,7 +136,7 @@
         let has_attempts = self.earlier_sends + 1 < self.permit.route.max_attempts;
         self.is_repeatable()
             && has_attempts
-            && self.relay.has_repeat(&self.permit.service, now_millis())
+            && self.relay.can_retry_service(&self.permit.service, now_millis())
     }
 
     fn is_repeatable(&self) -> bool {
@@ -176,15 +176,15 @@
         let now = now_millis();
         let instance = &self.path[0].instance;
         let threshold = {
-            let beliefs = self.relay.beliefs.borrow();
-            beliefs.heads.stall_threshold(self.permit.route.objective)
+            let state = self.relay.state.borrow();
+            state.stalls.stall_threshold(self.permit.route.objective)
         };
-        let detected = self.relay.beliefs.borrow_mut().heads.detect_stall(instance, threshold, now);
+        let detected = self.relay.state.borrow_mut().stalls.detect_stall(instance, threshold, now);
         if let Some(for_ms) = detected {
             tracing::warn!(event = "mute", replica = %instance, silent_after = threshold, for_ms);
-            tell_state(self.relay, TellReach::All);
+            send_state(self.relay, SendScope::All);
         }
-        let is_stalled = self.relay.beliefs.borrow().heads.is_stalled(instance, now);
+        let is_stalled = self.relay.state.borrow().stalls.is_stalled(instance, now);
         let has_waited = waited.as_millis() as Millis >= threshold;
         match is_stalled && has_waited && self.can_retry() {
             true => Err(HeadError::Stalled("starts no responses".to_owned())),
@@ -196,12 +196,12 @@
     /// on evidence of this relay, since what another relay observed may be a fault of its link.
     fn check_path(&self) -> Result<(), HeadError> {
         let now = now_millis();
-        let is_lost = |stage: &&PathStage| self.relay.part_state(stage) == PartState::Lost;
+        let is_lost = |stage: &&PathStage| self.relay.stage_state(stage) == StageState::Lost;
         let Some(lost) = self.path.iter().find(is_lost) else { return Ok(()) };
-        let beliefs = self.relay.beliefs.borrow();
-        let is_listed = beliefs.fleet.view.get_current(&lost.instance).is_some();
-        let is_own_evidence = !is_listed || beliefs.suspects.is_local(&lost.instance, now);
-        drop(beliefs);
+        let state = self.relay.state.borrow();
+        let is_listed = state.fleet.view.get_current(&lost.instance).is_some();
+        let is_own_evidence = !is_listed || state.suspects.is_local(&lost.instance, now);
+        drop(state);
         if self.can_retry() || (is_own_evidence && self.is_repeatable()) {
             let detail = format!("a replica of the path is lost ({})", lost.instance);
             return Err(HeadError::Stalled(detail));
--- a/crates/relay/src/serve.rs
+++ b/crates/relay/src/serve.rs
@@ -52,11 +52,11 @@
 /// Waits until a shutdown is complete: no request is in flight and callers had time to move to other
 /// relays, or the deadline has passed.
 async fn wait_until_stopped(relay: &Relay) {
-    relay.stop.wait_until_stopping().await;
-    let remaining = relay.stop.deadline().saturating_sub(now_millis());
+    relay.shutdown.wait_until_stopping().await;
+    let remaining = relay.shutdown.deadline().saturating_sub(now_millis());
     sleep(MIN_SHUTDOWN_TIME.min(Duration::from_millis(remaining))).await;
     const POLL_INTERVAL: Duration = Duration::from_millis(50);
-    while relay.stop.in_flight() > 0 && now_millis() < relay.stop.deadline() {
+    while relay.shutdown.in_flight() > 0 && now_millis() < relay.shutdown.deadline() {
         sleep(POLL_INTERVAL).await;
     }
 }
@@ -96,7 +96,7 @@
 
 /// Waits for the time in a shutdown at which idle connections are closed.
 async fn wait_until_idle_close(relay: &Relay) {
-    relay.stop.wait_until_stopping().await;
+    relay.shutdown.wait_until_stopping().await;
     sleep(Duration::from_millis(IDLE_CLOSE_DELAY)).await;
 }
 
@@ -153,13 +153,13 @@
 /// callers to them.
 pub fn is_ready(relay: &Relay) -> bool {
     let now = now_millis();
-    let aside = relay.steps_aside(now);
-    relay.note_aside(aside, now);
+    let aside = relay.should_redirect_callers(now);
+    relay.record_redirecting(aside, now);
     if aside {
         return false;
     }
-    let beliefs = relay.beliefs.borrow();
-    let has_state = beliefs.config.get().is_some() && !beliefs.fleet.view.is_empty();
+    let state = relay.state.borrow();
+    let has_state = state.config.get().is_some() && !state.fleet.view.is_empty();
     let max_age = relay.bounds.borrow().revoke();
-    has_state && !relay.stop.is_stopping() && beliefs.config_lease.is_valid(max_age, now)
+    has_state && !relay.shutdown.is_stopping() && state.config_lease.is_valid(max_age, now)
 }
