--- a/crates/entry/src/bin/switchfold-entry.rs
+++ b/crates/entry/src/bin/switchfold-entry.rs
@@ -1,4 +1,4 @@
-//! The entry as a program.
+//! Command line of the entry.
 
 use std::{path::PathBuf, process::ExitCode};
 
@@ -15,7 +15,7 @@
 
 /// Entry between callers, operators and agents.
 ///
-/// Exit codes: 0 stopped in order; 2 wrong settings; 3 an address is not to be had.
+/// Exit codes: 0 shut down as requested; 2 invalid settings; 3 an address is unavailable.
 #[derive(Debug, Parser)]
 #[command(
     version,
@@ -28,7 +28,7 @@
     /// Level of the log: off, error, warn, info, debug, trace.
     #[arg(long, default_value = "info")]
     log_level: LevelFilter,
-    /// Check the settings, print every fault, and stop.
+    /// Check the settings, print every error, and exit.
     #[arg(long)]
     check: bool,
 }
--- a/crates/entry/src/claims.rs
+++ b/crates/entry/src/claims.rs
@@ -1,9 +1,10 @@
-//! Claims of keys that callers send again.
+//! Claims on idempotency keys, so that a repeated request runs at most once.
 //!
-//! The keys of some milliseconds are claimed together, in one conditional write for each shard: while
-//! a write is under way the next group gathers, so the store's writes do not grow with the requests.
-//! Each shard has a home entry, to which the others send their claims; the home only saves conflicts,
-//! the conditional write is what makes claims safe. See [`switchfold_core::claim`].
+//! Claims that arrive within a few milliseconds are batched into one conditional write per shard. The
+//! next batch collects while a write is in progress, so the rate of writes at the store does not grow
+//! with the rate of requests. Each shard has an owner among the entries, chosen by rendezvous hashing,
+//! to which the other entries send their claims. The owner only avoids write conflicts; safety comes
+//! from the conditional write alone. See [`switchfold_core::claim`].
 
 use std::{collections::HashMap, time::Duration};
 
@@ -28,54 +29,55 @@
 /// Name of the service in the entry's registry.
 pub const CLAIMS: ServiceName = ServiceName("claims");
 
-/// How long the first claim of a group waits for others.
-const GROUP_WAIT: Duration = Duration::from_millis(5);
+/// Time for which the first claim of a batch waits for more.
+const BATCH_WINDOW: Duration = Duration::from_millis(5);
 
-/// Least time between two writes of one shard: bounds the writes a second at the store.
-const WRITE_EVERY: Duration = Duration::from_millis(125);
+/// Least time between the starts of two batches of a shard. Bounds the rate of writes at the store.
+const WRITE_INTERVAL: Duration = Duration::from_millis(125);
 
-/// Claims in one group.
-const MOST_IN_GROUP: usize = 1_000;
+/// Largest number of claims in one batch.
+const MAX_BATCH_SIZE: usize = 1_000;
 
-/// Wait after the store failed.
-const FAILURE_WAIT: Duration = Duration::from_millis(50);
+/// Pause after a failed call to the store, before the next attempt.
+const RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// Makes claims for this entry and, as the home of shards, for others.
+/// Acquires claims for this entry and, for the shards that it owns, for other entries.
 #[derive(Actor)]
 pub struct ClaimService {
     store: StoreClient,
     shards: HashMap<u64, mpsc::UnboundedSender<PendingClaim>>,
 }
 
-/// Asks for a claim at this entry.
+/// Acquires a claim.
 #[derive(Clone, Debug)]
 pub struct AcquireClaim {
-    /// The claim.
+    /// Key, request and entry of the claim.
     pub proposal: ClaimProposal,
-    /// How long to try.
+    /// Time after which the claim ends as [`ClaimState::Unavailable`].
     pub timeout: Duration,
 }
 
-/// How a claim ended.
+/// Result of an attempt to acquire a claim.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ClaimState {
-    /// The request holds it.
+    /// The request holds the claim.
     Granted,
-    /// Another one holds it.
+    /// Another request holds the claim.
     Held(ClaimHolder),
-    /// The store gave no answer in time.
+    /// The store did not respond in time. The claim may still be granted by a write whose response was
+    /// lost.
     Unavailable,
 }
 
 #[derive(Debug)]
 struct PendingClaim {
     proposal: ClaimProposal,
-    until: Instant,
-    answer: oneshot::Sender<ClaimState>,
+    deadline: Instant,
+    result: oneshot::Sender<ClaimState>,
 }
 
 impl ClaimService {
-    /// Makes the service of an entry.
+    /// Creates a service without any shards; each shard is loaded when its first claim arrives.
     pub fn new(store: StoreClient) -> Self {
         Self { store, shards: HashMap::new() }
     }
@@ -84,35 +86,35 @@
         let store = &self.store;
         self.shards.entry(number).or_insert_with(|| {
             let (sender, receiver) = mpsc::unbounded_channel();
-            let keeper = ShardKeeper {
+            let worker = ShardWorker {
                 number,
                 shard: ClaimShard::new(),
                 store: store.clone(),
                 loaded: false,
             };
-            tokio::spawn(keeper.run(receiver));
+            tokio::spawn(worker.run(receiver));
             sender
         })
     }
 }
 
-/// Puts a claim among those of its shard; the answer comes later.
+/// Queues a claim for its shard and returns the receiver of its result.
 struct EnqueueClaim(AcquireClaim);
 
 impl Handler<EnqueueClaim> for ClaimService {
     type Return = oneshot::Receiver<ClaimState>;
 
     async fn handle(&mut self, message: EnqueueClaim, _: &mut Context<Self>) -> Self::Return {
-        let (answer, receiver) = oneshot::channel();
+        let (result, receiver) = oneshot::channel();
         let AcquireClaim { proposal, timeout } = message.0;
         let number = proposal.key.shard();
-        let pending = PendingClaim { proposal, until: Instant::now() + timeout, answer };
-        let _keeper_lives_with_service = self.shard(number).send(pending);
+        let pending = PendingClaim { proposal, deadline: Instant::now() + timeout, result };
+        let _worker_lives_with_service = self.shard(number).send(pending);
         receiver
     }
 }
 
-/// Makes a claim at this entry.
+/// Acquires a claim at this entry, whether or not it owns the shard.
 pub async fn claim_locally(claims: &Address<ClaimService>, claim: AcquireClaim) -> ClaimState {
     match claims.send(EnqueueClaim(claim)).await {
         Ok(receiver) => receiver.await.unwrap_or(ClaimState::Unavailable),
@@ -120,9 +122,11 @@
     }
 }
 
-/// Makes a claim at the home of its shard, or here where the home is this entry or out of reach.
+/// Acquires a claim at the owner of its shard, or at this entry if it is the owner or the owner cannot
+/// be reached.
 ///
-/// Both ways are safe: a claim made here and one made at the home meet in the conditional write.
+/// Both are safe: of concurrent claims at this entry and at the owner, the conditional write lets only
+/// one succeed.
 pub async fn claim_at_owner(
     directory: &PeerDirectory,
     own_name: &str,
@@ -132,26 +136,26 @@
     let others = directory.others();
     let names = others.iter().map(|peer| peer.name.as_str()).chain([own_name]);
     let shard = format!("claims-{}", claim.proposal.key.shard());
-    let home = rendezvous_owner(&shard, names).unwrap_or(own_name);
-    let Some(peer) = others.iter().find(|peer| peer.name == home) else {
+    let owner = rendezvous_owner(&shard, names).unwrap_or(own_name);
+    let Some(peer) = others.iter().find(|peer| peer.name == owner) else {
         return claim_locally(claims, claim).await;
     };
-    let request = claim_request(&claim);
-    let answered = async {
+    let request = claim_to_message(&claim);
+    let response = async {
         let mut client = directory.client(&peer.address).await?;
         client.claim(request).await.ok().map(|answer| answer.into_inner())
     };
-    match timeout(claim.timeout, answered).await {
-        Ok(Some(answer)) => claim_state(answer),
+    match timeout(claim.timeout, response).await {
+        Ok(Some(answer)) => state_from_message(answer),
         Ok(None) => {
-            directory.forget(&peer.address);
+            directory.drop_channel(&peer.address);
             claim_locally(claims, claim).await
         }
         Err(_) => ClaimState::Unavailable,
     }
 }
 
-fn claim_request(claim: &AcquireClaim) -> ClaimRequest {
+fn claim_to_message(claim: &AcquireClaim) -> ClaimRequest {
     let replaces = claim.proposal.replaces;
     let (high, low) = claim.proposal.key.halves();
     ClaimRequest {
@@ -167,7 +171,7 @@
     }
 }
 
-fn claim_state(answer: ClaimAnswer) -> ClaimState {
+fn state_from_message(answer: ClaimAnswer) -> ClaimState {
     if answer.granted {
         return ClaimState::Granted;
     }
@@ -198,7 +202,7 @@
 
 impl From<ClaimState> for ClaimAnswer {
     fn from(state: ClaimState) -> Self {
-        let mut answer = Self {
+        let mut message = Self {
             granted: false,
             incarnation: 0,
             counter: 0,
@@ -206,55 +210,55 @@
             entry: String::new(),
         };
         match state {
-            ClaimState::Granted => answer.granted = true,
-            ClaimState::Unavailable => answer.unavailable = true,
+            ClaimState::Granted => message.granted = true,
+            ClaimState::Unavailable => message.unavailable = true,
             ClaimState::Held(holder) => {
-                answer.incarnation = holder.request.incarnation;
-                answer.counter = holder.request.counter;
-                answer.entry = holder.entry;
+                message.incarnation = holder.request.incarnation;
+                message.counter = holder.request.counter;
+                message.entry = holder.entry;
             }
         }
-        answer
+        message
     }
 }
 
-/// Does the claims of one shard, a group at a time.
-struct ShardKeeper {
+/// Processes the claims of one shard, one batch at a time.
+struct ShardWorker {
     number: u64,
     shard: ClaimShard,
     store: StoreClient,
     loaded: bool,
 }
 
-impl ShardKeeper {
+impl ShardWorker {
     async fn run(mut self, mut queue: mpsc::UnboundedReceiver<PendingClaim>) {
         while let Some(first) = queue.recv().await {
-            sleep(GROUP_WAIT).await;
-            let mut group = vec![first];
-            while group.len() < MOST_IN_GROUP {
+            sleep(BATCH_WINDOW).await;
+            let mut batch = vec![first];
+            while batch.len() < MAX_BATCH_SIZE {
                 match queue.try_recv() {
-                    Ok(pending) => group.push(pending),
+                    Ok(pending) => batch.push(pending),
                     Err(_) => break,
                 }
             }
             let started = Instant::now();
-            self.settle(group).await;
-            tokio::time::sleep_until(started + WRITE_EVERY).await;
+            self.process_batch(batch).await;
+            tokio::time::sleep_until(started + WRITE_INTERVAL).await;
         }
     }
 
-    /// Tries until every claim of the group is answered.
-    async fn settle(&mut self, mut group: Vec<PendingClaim>) {
-        while !group.is_empty() {
-            if let Err(error) = self.try_once(&group).await {
+    /// Retries deadline every claim of the batch has its result or has expired.
+    async fn process_batch(&mut self, mut batch: Vec<PendingClaim>) {
+        while !batch.is_empty() {
+            if let Err(error) = self.write_batch(&batch).await {
                 log::debug!("claims={} error={error:?}", self.number);
-                // Whatever happened, the store knows: read before the next try.
+                // The write may have taken effect all the same: reload before the next attempt.
                 self.loaded = false;
-                group = give_up_late(group);
-                sleep(FAILURE_WAIT).await;
+                batch = expire_claims(batch);
+                sleep(RETRY_PAUSE).await;
                 continue;
             }
-            for pending in std::mem::take(&mut group) {
+            for pending in std::mem::take(&mut batch) {
                 let state = match self.shard.holder(pending.proposal.key) {
                     Some(holder) if holder.request == pending.proposal.request => {
                         ClaimState::Granted
@@ -262,17 +266,17 @@
                     Some(holder) => ClaimState::Held(holder),
                     None => ClaimState::Unavailable,
                 };
-                let _asker_may_have_gone = pending.answer.send(state);
+                let _caller_may_have_gone = pending.result.send(state);
             }
         }
     }
 
-    async fn try_once(&mut self, group: &[PendingClaim]) -> Result<(), StoreError> {
+    async fn write_batch(&mut self, batch: &[PendingClaim]) -> Result<(), StoreError> {
         if !self.loaded {
             self.load().await?;
         }
         let proposals: Vec<ClaimProposal> =
-            group.iter().map(|pending| pending.proposal.clone()).collect();
+            batch.iter().map(|pending| pending.proposal.clone()).collect();
         let Some(write) = self.shard.plan(&proposals, epoch_millis()) else {
             return Ok(());
         };
@@ -287,7 +291,7 @@
         Ok(())
     }
 
-    /// Reads the last known segment again, and those that follow.
+    /// Reads the last known segment again, and all segments after it.
     async fn load(&mut self) -> Result<(), StoreError> {
         loop {
             let key = self.segment_key(self.shard.segment_number());
@@ -309,13 +313,13 @@
     }
 }
 
-/// Answers those whose time is up, and keeps the others.
-fn give_up_late(group: Vec<PendingClaim>) -> Vec<PendingClaim> {
+/// Ends the claims whose deadline has passed as unavailable, and returns the others.
+fn expire_claims(batch: Vec<PendingClaim>) -> Vec<PendingClaim> {
     let now = Instant::now();
-    let (waiting, late): (Vec<_>, Vec<_>) =
-        group.into_iter().partition(|pending| pending.until > now);
-    for pending in late {
-        let _asker_may_have_gone = pending.answer.send(ClaimState::Unavailable);
+    let (waiting, expired): (Vec<_>, Vec<_>) =
+        batch.into_iter().partition(|pending| pending.deadline > now);
+    for pending in expired {
+        let _caller_may_have_gone = pending.result.send(ClaimState::Unavailable);
     }
     waiting
 }
--- a/crates/entry/src/commands.rs
+++ b/crates/entry/src/commands.rs
@@ -1,8 +1,9 @@
-//! What operators' statements do.
+//! Execution of operators' statements.
 //!
-//! A change reads the object from the store, alters it, and writes it conditionally under the id of
-//! the command. A racing change makes the write fail, and the operator sees the value that won; an
-//! answer that was lost is settled by reading the command's id back.
+//! A change reads the object from the store, modifies it, and writes it back conditionally, with the
+//! id of the command inside. A concurrent change makes the write fail with a conflict that shows the
+//! current value. If the store's response is lost, the object is read back: it holds the command's id
+//! if the write took effect.
 
 mod change;
 mod tables;
@@ -24,98 +25,101 @@
 
 pub use tables::ResultTable;
 
-/// How long a change tries to reach the store.
-const CHANGE_PATIENCE: Duration = Duration::from_secs(5);
+/// Time within which a change must be written or read back.
+const CHANGE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What commands need of an entry.
+/// Services and data of an entry that statements use.
 #[derive(Clone)]
 pub struct CommandContext {
     /// Name of this entry.
     pub process: String,
-    /// The platform.
+    /// Client of the platform's store.
     pub store: StoreClient,
-    /// What is in force.
+    /// Current configuration.
     pub view: watch::Receiver<Arc<ConfigView>>,
-    /// The objects in force.
+    /// Service that holds the versioned objects.
     pub config: Address<ConfigService>,
-    /// Requests and replicas.
+    /// Service that holds the requests and replicas.
     pub dispatch: Address<DispatchService>,
-    /// Other entries.
+    /// Addresses of the other entries.
     pub directory: PeerDirectory,
 }
 
-/// What a statement gave.
+/// Result of a statement, as sent to the operator.
 #[derive(Clone, Debug, Serialize)]
 #[serde(rename_all = "kebab-case", tag = "result")]
 pub enum CommandOutput {
-    /// A table.
+    /// Rows of a `show` statement.
     Table(ResultTable),
-    /// A change that was accepted.
+    /// The change was written to the store.
     Accepted {
         /// Kind of the object.
         kind: String,
         /// Name of the object.
         name: String,
-        /// Its new version.
+        /// Version that the change created.
         version: u64,
         /// Id of the command.
         command: String,
     },
 }
 
-/// Why a statement did nothing, or may have done something.
+/// Error of a statement.
 #[derive(Clone, Debug, Display, Error)]
 pub enum CommandError {
-    /// It is not understood.
+    /// The statement could not be parsed.
     #[display("{source}")]
     InvalidStatement {
-        /// Where and why.
+        /// Position and cause.
         source: LangError,
     },
-    /// There is no such object.
-    #[display("no {kind} {name:?}; it is created by: create {kind} {{…}}")]
+    /// The object does not exist.
+    #[display("no {kind} {name:?}; create it with: create {kind} {{…}}")]
     NotFound {
         /// Kind of the object.
         kind: &'static str,
         /// Name of the object.
         name: String,
     },
-    /// What it says makes no sense for the object.
+    /// The change or query does not apply to the object.
     #[display("{detail}")]
     InvalidChange {
-        /// What is wrong, and what is expected.
+        /// What is wrong, and what was expected.
         detail: String,
     },
-    /// Another change came first.
-    #[display("conflict: {kind} {name:?} is at version {version} now: {current}")]
+    /// The object has another version than expected, or exists already.
+    #[display("conflict: {kind} {name:?} is now at version {version}: {current}")]
     Conflict {
         /// Kind of the object.
         kind: String,
         /// Name of the object.
         name: String,
-        /// Its version now.
+        /// Current version.
         version: u64,
-        /// Its value now.
+        /// Current value.
         current: String,
     },
-    /// The store cannot be reached; nothing was changed.
+    /// The store could not be used; nothing was changed.
     #[display("nothing was changed: {source}")]
     Store {
-        /// What happened.
+        /// Error of the store.
         source: StoreError,
     },
-    /// The store's answer was lost and could not be read back in time.
-    #[display("it is not known whether the change was accepted: {source}; show config tells")]
+    /// The store's response was lost, and the object could not be read back in time.
+    #[display(
+        "it is not known whether the change was accepted: {source}; check the version with show config"
+    )]
     OutcomeUnknown {
-        /// What happened.
+        /// Error of the store.
         source: StoreError,
     },
-    /// The entry is stopping.
-    #[display("this entry is stopping; ask another one")]
+    /// The entry is shutting down.
+    #[display("this entry is stopping; use another one")]
     Stopping,
 }
 
-/// Runs a statement; `command` is an id that no other command has.
+/// Parses and runs a statement. `command` must be unique among all commands: a change that is written
+/// is recognised by it.
 ///
 /// # Errors
 ///
@@ -131,12 +135,12 @@
         change => {
             let accepted =
                 change::run_change(context, change, statement.expected_version, command).await?;
-            Ok(accepted_answer(&accepted.key, accepted.version, command))
+            Ok(accepted_output(&accepted.key, accepted.version, command))
         }
     }
 }
 
-fn accepted_answer(key: &ObjectKey, version: u64, command: &str) -> CommandOutput {
+fn accepted_output(key: &ObjectKey, version: u64, command: &str) -> CommandOutput {
     CommandOutput::Accepted {
         kind: key.kind.clone(),
         name: key.name.clone(),
--- a/crates/entry/src/commands/change.rs
+++ b/crates/entry/src/commands/change.rs
@@ -1,4 +1,4 @@
-//! Statements that change an object.
+//! Statements that change an object at the store.
 
 use std::sync::Arc;
 
@@ -13,7 +13,7 @@
 use switchfold_lang::{ClassSetting, Command, EventSetting, OrganisationSetting, TargetState};
 use switchfold_store::{StoreError, StoredObject};
 
-use super::{CHANGE_PATIENCE, CommandContext, CommandError};
+use super::{CHANGE_TIMEOUT, CommandContext, CommandError};
 use crate::config::{Merge, MergeOrigin, NamedCopy};
 
 /// A change that was accepted.
@@ -22,16 +22,18 @@
     pub(super) version: u64,
 }
 
-/// An object as read, with what it is to become.
+/// An object as read from the store, with the value to write. An empty value deletes the object.
 struct PlannedChange {
     key: ObjectKey,
     stored: StoredObject,
     value: Vec<u8>,
 }
 
-/// Longest name of an event, organisation or VM.
-const MOST_NAME: usize = 200;
+/// Longest name of an event, organisation or VM, in bytes.
+const MAX_NAME_BYTES: usize = 200;
 
+/// Applies a change and returns the new version. Fails with a conflict if `expected` is given and is
+/// not the current version.
 pub(super) async fn run_change(
     context: &CommandContext,
     change: Command,
@@ -54,14 +56,14 @@
 ) -> Result<PlannedChange, CommandError> {
     match change {
         Command::Event { event, state } => {
-            change_event(context, &event, command, |config| {
+            modify_event(context, &event, command, |config| {
                 config.state = event_state(state);
                 Ok(())
             })
             .await
         }
         Command::SetEvent { event, setting } => {
-            change_event(context, &event, command, |config| {
+            modify_event(context, &event, command, |config| {
                 match setting {
                     EventSetting::StartMs(start) => config.start_ms = start,
                     EventSetting::ExpectedPerS(rate) => config.expected_per_s = rate,
@@ -71,11 +73,11 @@
             .await
         }
         Command::SetClass { event, class, setting } => {
-            change_event(context, &event, command, |config| set_class(config, &class, setting))
+            modify_event(context, &event, command, |config| set_class(config, &class, setting))
                 .await
         }
         Command::SetOrganisation { organisation, setting } => {
-            change_organisation(context, &organisation, command, |config| match setting {
+            modify_organisation(context, &organisation, command, |config| match setting {
                 OrganisationSetting::Weight(weight) => config.weight = weight,
                 OrganisationSetting::LimitPerS(limit) => config.limit_per_s = limit,
             })
@@ -89,7 +91,7 @@
         }
         Command::Drain { vm, draining } => drain(context, vm, draining, command).await,
         Command::Show(_) => {
-            Err(CommandError::InvalidChange { detail: "show changes nothing".to_owned() })
+            Err(CommandError::InvalidChange { detail: "show does not change an object".to_owned() })
         }
     }
 }
@@ -133,11 +135,11 @@
     PlannedChange { key, stored, value: render_object(value) }
 }
 
-async fn change_event(
+async fn modify_event(
     context: &CommandContext,
     event: &str,
     command: &str,
-    alter: impl FnOnce(&mut EventConfig) -> Result<(), CommandError>,
+    modify: impl FnOnce(&mut EventConfig) -> Result<(), CommandError>,
 ) -> Result<PlannedChange, CommandError> {
     check_name("event", event)?;
     let key = event_key(event);
@@ -145,7 +147,7 @@
     let missing = || CommandError::NotFound { kind: "event", name: event.to_owned() };
     let value = stored.value.as_deref().ok_or_else(missing)?;
     let mut config: EventConfig = parse(&key, value)?;
-    alter(&mut config)?;
+    modify(&mut config)?;
     config.command = command.to_owned();
     Ok(plan(key, stored, &config))
 }
@@ -164,16 +166,16 @@
     Ok((key, stored, shard))
 }
 
-async fn change_organisation(
+async fn modify_organisation(
     context: &CommandContext,
     organisation: &str,
     command: &str,
-    alter: impl FnOnce(&mut OrganisationConfig),
+    modify: impl FnOnce(&mut OrganisationConfig),
 ) -> Result<PlannedChange, CommandError> {
     let (key, stored, mut shard) = read_shard(context, organisation).await?;
     let config = shard.organisations.iter_mut().find(|config| config.name == organisation);
     let missing = || CommandError::NotFound { kind: "organisation", name: organisation.to_owned() };
-    alter(config.ok_or_else(missing)?);
+    modify(config.ok_or_else(missing)?);
     command.clone_into(&mut shard.command);
     Ok(plan(key, stored, &shard))
 }
@@ -206,7 +208,7 @@
 ) -> Result<PlannedChange, CommandError> {
     let config: OrganisationConfig = parse_json("organisation", json)?;
     let (key, stored, mut shard) = read_shard(context, &config.name).await?;
-    if shard.organisations.iter().any(|known| known.name == config.name) {
+    if shard.organisations.iter().any(|existing| existing.name == config.name) {
         return Err(conflict(&key, &stored));
     }
     shard.organisations.push(config);
@@ -229,7 +231,6 @@
     Ok(plan(key, stored, &shard))
 }
 
-/// An empty value stands for a tombstone.
 async fn delete_event(
     context: &CommandContext,
     event: &str,
@@ -255,7 +256,7 @@
     if !draining {
         if stored.value.is_none() {
             return Err(CommandError::InvalidChange {
-                detail: format!("vm {vm:?} does not drain by a command"),
+                detail: format!("vm {vm:?} is not being drained by a command"),
             });
         }
         return Ok(PlannedChange { key, stored, value: Vec::new() });
@@ -264,13 +265,14 @@
     Ok(plan(key, stored, &order))
 }
 
-/// Names become part of a path at the store.
+/// Checks that a name can be part of a path at the store.
 fn check_name(kind: &'static str, name: &str) -> Result<(), CommandError> {
     let allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.:".contains(&byte);
-    if !name.is_empty() && name.len() <= MOST_NAME && name.bytes().all(allowed) {
+    if !name.is_empty() && name.len() <= MAX_NAME_BYTES && name.bytes().all(allowed) {
         return Ok(());
     }
-    let detail = format!("{kind} {name:?}: expected 1 to {MOST_NAME} letters, digits, or - _ . :");
+    let detail =
+        format!("{kind} {name:?}: expected 1 to {MAX_NAME_BYTES} letters, digits, or - _ . :");
     Err(CommandError::InvalidChange { detail })
 }
 
@@ -304,7 +306,7 @@
     } else {
         let marker = format!("\"command\":\"{command}\"");
         let is_own = |contents: &[u8]| String::from_utf8_lossy(contents).contains(&marker);
-        context.store.write_confirmed(&key, stored.version, &value, CHANGE_PATIENCE, is_own).await
+        context.store.write_confirmed(&key, stored.version, &value, CHANGE_TIMEOUT, is_own).await
     };
     let version = match written {
         Ok(version) => version,
@@ -313,7 +315,7 @@
             return Err(conflict(&key, &current));
         }
         Err(source @ StoreError::OutcomeUnknown { .. }) if is_delete => {
-            settle_delete(context, &key, &stored, source).await?
+            confirm_delete(context, &key, &stored, source).await?
         }
         Err(source @ StoreError::OutcomeUnknown { .. }) => {
             return Err(CommandError::OutcomeUnknown { source });
@@ -333,8 +335,9 @@
     Ok(AcceptedChange { key, version })
 }
 
-/// A deletion carries no command's id: the object being gone is what was asked for.
-async fn settle_delete(
+/// Decides whether a deletion took effect whose response was lost. A deleted object holds no command
+/// id, so the deletion counts as accepted if the object no longer exists.
+async fn confirm_delete(
     context: &CommandContext,
     key: &ObjectKey,
     stored: &StoredObject,
--- a/crates/entry/src/commands/tables.rs
+++ b/crates/entry/src/commands/tables.rs
@@ -1,4 +1,4 @@
-//! Statements that show a table.
+//! Statements that show a table of the current state.
 
 use std::collections::BTreeMap;
 
@@ -14,12 +14,12 @@
     service::{NamedReplica, ReadCounts, ReadQueueDepths, ReadReplicas},
 };
 
-/// A table of texts.
+/// Table of strings, as sent to the operator.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ResultTable {
     /// Names of the columns.
     pub columns: Vec<String>,
-    /// Rows, each with a text for each column.
+    /// Rows, with one string for each column.
     pub rows: Vec<Vec<String>>,
 }
 
@@ -51,7 +51,8 @@
     select(table, query)
 }
 
-/// Applies the conditions, then counts by a field.
+/// Filters the rows by the query's conditions. With `group_by`, returns the number of rows for each
+/// value of that field, or the sum of the column `waiting` or `count` if the table has one.
 fn select(mut table: ResultTable, query: &Query) -> Result<ResultTable, CommandError> {
     for condition in &query.conditions {
         let column = column(&table, &condition.field)?;
@@ -61,10 +62,10 @@
         return Ok(table);
     };
     let column = column(&table, field)?;
-    let counted = table.columns.iter().position(|name| name == "waiting" || name == "count");
+    let count_column = table.columns.iter().position(|name| name == "waiting" || name == "count");
     let mut groups: BTreeMap<String, u64> = BTreeMap::new();
     for row in &table.rows {
-        let weight = counted.and_then(|counted| row[counted].parse().ok()).unwrap_or(1);
+        let weight = count_column.and_then(|index| row[index].parse().ok()).unwrap_or(1);
         *groups.entry(row[column].clone()).or_default() += weight;
     }
     let mut grouped = ResultTable::new(&[field, "count"]);
@@ -242,24 +243,26 @@
 }
 
 async fn config(context: &CommandContext) -> Result<ResultTable, CommandError> {
-    let reading = context.config.send(ReadConfig).await.map_err(|_| CommandError::Stopping)?;
+    let config = context.config.send(ReadConfig).await.map_err(|_| CommandError::Stopping)?;
     let mut table = ResultTable::new(&["kind", "name", "version", "deleted"]);
-    for row in reading.rows {
+    for row in config.rows {
         table.push([row.key.kind, row.key.name, row.version.to_string(), row.deleted.to_string()]);
     }
     Ok(table)
 }
 
+/// Lists the entries whose versions differed from those of this entry at the last exchange, or that
+/// have not exchanged yet.
 async fn laggards(context: &CommandContext) -> Result<ResultTable, CommandError> {
-    let readings = context.config.send(ReadPeers).await.map_err(|_| CommandError::Stopping)?;
+    let statuses = context.config.send(ReadPeers).await.map_err(|_| CommandError::Stopping)?;
     let now = switchfold_kernel::clock::now_millis();
     let mut table = ResultTable::new(&["entry", "same_versions", "heard_ms_ago"]);
     for vm in context.directory.others() {
-        let reading = readings.iter().find(|reading| reading.peer == vm.name);
-        match reading {
-            Some(reading) if reading.same => {}
-            Some(reading) => {
-                let ago = now.saturating_sub(reading.at);
+        let status = statuses.iter().find(|status| status.peer == vm.name);
+        match status {
+            Some(status) if status.same => {}
+            Some(status) => {
+                let ago = now.saturating_sub(status.at);
                 table.push([vm.name, "false".to_owned(), ago.to_string()]);
             }
             None => table.push([vm.name, "not heard".to_owned(), String::new()]),
--- a/crates/entry/src/config/gossip.rs
+++ b/crates/entry/src/config/gossip.rs
@@ -1,4 +1,4 @@
-//! Pushing changes along a tree, and exchanging digests with one other entry a second.
+//! Pushes of changes along a tree of entries, and periodic digest exchange with a random entry.
 
 use std::{
     collections::HashMap,
@@ -28,16 +28,16 @@
 /// Children of each entry in a push tree.
 const FAN_OUT: usize = 4;
 
-/// How often each entry compares digests with another one.
-const EXCHANGE_EVERY: Duration = Duration::from_secs(1);
+/// Time between digest exchanges of an entry.
+const EXCHANGE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long to wait for another entry.
-const PEER_PATIENCE: Duration = Duration::from_secs(2);
+/// Time after which a push to another entry, or an exchange with it, fails.
+const PEER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Largest message between entries: a full copy of the configuration.
+/// Largest message between entries, in bytes. A message may hold the whole configuration.
 const MAX_MESSAGE_BYTES: usize = 32 << 20;
 
-/// The other entries, and open channels to them.
+/// Addresses of the other entries, with a cache of open channels to them. Clones share the cache.
 #[derive(Clone, Debug)]
 pub struct PeerDirectory {
     process: String,
@@ -47,17 +47,18 @@
     channels: Arc<Mutex<HashMap<String, PeerChannel>>>,
 }
 
-/// An entry that can be called.
+/// Name and address of another entry.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct PeerAddress {
-    /// Name, or its address where the name is not known yet.
+    /// Name of the entry, or its address while the list of VMs is not known.
     pub name: String,
-    /// Address for other entries.
+    /// Address on which the entry serves other entries.
     pub address: String,
 }
 
 impl PeerDirectory {
-    /// Makes a directory from the settings and the list of VMs.
+    /// Creates a directory for the entry `process`. `seeds` are the addresses used until `view` holds the
+    /// list of VMs.
     pub fn new(
         process: &str,
         token: &str,
@@ -73,7 +74,7 @@
         }
     }
 
-    /// All other entries: those on the list, or the settings' where the list is not known.
+    /// Returns all other entries: those on the list of VMs, or the seeds if it names none.
     pub fn others(&self) -> Vec<PeerAddress> {
         let view = self.view.borrow();
         let listed =
@@ -90,17 +91,17 @@
         others
     }
 
-    /// Address of an entry by name.
+    /// Returns another entry by name, or `None` if it is not known.
     pub fn address_of(&self, name: &str) -> Option<PeerAddress> {
         self.others().into_iter().find(|peer| peer.name == name)
     }
 
-    /// A client for an entry, over a kept channel.
+    /// Returns a client for an entry that uses the cached channel, or opens a channel if there is none.
     ///
-    /// Returns nothing where it cannot be reached.
+    /// Returns `None` if the entry cannot be reached.
     pub async fn client(&self, address: &str) -> Option<PeerClient<PeerChannel>> {
-        let kept = self.lock().get(address).cloned();
-        let channel = match kept {
+        let cached = self.lock().get(address).cloned();
+        let channel = match cached {
             Some(channel) => channel,
             None => {
                 let channel = peer_channel(address, &self.token).await.ok()?;
@@ -116,8 +117,8 @@
         )
     }
 
-    /// Forgets the channel to an entry, after a failure.
-    pub fn forget(&self, address: &str) {
+    /// Drops the cached channel to an entry, so that the next call after a failure reconnects.
+    pub fn drop_channel(&self, address: &str) {
         self.lock().remove(address);
     }
 
@@ -125,6 +126,7 @@
         self.channels.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
+    /// Returns this entry's children in the push tree rooted at the entry `root`.
     fn children(&self, root: &str) -> Vec<PeerAddress> {
         let others = self.others();
         let mut names: Vec<&str> = others.iter().map(|peer| peer.name.as_str()).collect();
@@ -134,53 +136,56 @@
     }
 }
 
-/// Pushes changes to this entry's children in the tree of each push.
+/// Sends each change to this entry's children in the tree of the push.
 pub async fn push_changes(
     directory: PeerDirectory,
     mut pushes: mpsc::UnboundedReceiver<PendingPush>,
 ) {
-    while let Some(order) = pushes.recv().await {
-        for child in directory.children(&order.root) {
+    while let Some(pending) = pushes.recv().await {
+        for child in directory.children(&pending.root) {
             let directory = directory.clone();
-            let push =
-                ObjectPush { sender: order.root.clone(), objects: order.objects.clone(), hops: 0 };
+            let push = ObjectPush {
+                sender: pending.root.clone(),
+                objects: pending.objects.clone(),
+                hops: 0,
+            };
             tokio::spawn(async move { push_to(&directory, &child, push).await });
         }
     }
 }
 
-/// A push that fails is made good by the next exchange.
+/// Sends one push. A failure is not retried, since the next exchange repairs it.
 async fn push_to(directory: &PeerDirectory, child: &PeerAddress, push: ObjectPush) {
     let pushed = async {
         let mut client = directory.client(&child.address).await?;
         client.push(push).await.ok()
     };
-    if !matches!(timeout(PEER_PATIENCE, pushed).await, Ok(Some(_))) {
-        directory.forget(&child.address);
+    if !matches!(timeout(PEER_TIMEOUT, pushed).await, Ok(Some(_))) {
+        directory.drop_channel(&child.address);
     }
 }
 
-/// Compares versions with a random entry each second, and repairs both sides.
+/// Exchanges digests with a random entry each second and updates both sides.
 pub async fn exchange_digests(
     directory: PeerDirectory,
     config: Address<ConfigService>,
-    mut random: impl Rng + Send,
+    mut rng: impl Rng + Send,
 ) {
-    let mut ticks = interval(EXCHANGE_EVERY);
+    let mut ticks = interval(EXCHANGE_INTERVAL);
     loop {
         ticks.tick().await;
         let others = directory.others();
         if others.is_empty() {
             continue;
         }
-        let peer = others[random.random_range(0..others.len())].clone();
-        if timeout(PEER_PATIENCE, exchange(&directory, &peer, &config))
+        let peer = others[rng.random_range(0..others.len())].clone();
+        if timeout(PEER_TIMEOUT, exchange(&directory, &peer, &config))
             .await
             .ok()
             .flatten()
             .is_none()
         {
-            directory.forget(&peer.address);
+            directory.drop_channel(&peer.address);
         }
         if !config.is_connected() {
             return;
@@ -188,7 +193,8 @@
     }
 }
 
-/// Compares hashes; where they differ, takes what is newer there and gives what is newer here.
+/// Compares hashes of all versions. If they differ, merges the objects that are newer at the peer, and
+/// pushes those that are newer here.
 async fn exchange(
     directory: &PeerDirectory,
     peer: &PeerAddress,
@@ -197,18 +203,18 @@
     let mut client = directory.client(&peer.address).await?;
     let digest = config.send(BuildDigest).await.ok()?;
     let hash = digest.hash;
-    let answer = client.exchange(digest).await.ok()?.into_inner();
-    if answer.same {
+    let response = client.exchange(digest).await.ok()?.into_inner();
+    if response.same {
         config.send(RecordPeerHash { peer: peer.name.clone(), hash }).await.ok()?;
         return Some(());
     }
     let full = config.send(BuildFullDigest).await.ok()?;
-    let answer = client.exchange(full).await.ok()?.into_inner();
-    let copies = answer.newer.into_iter().map(copy_from_message).collect();
+    let response = client.exchange(full).await.ok()?.into_inner();
+    let copies = response.newer.into_iter().map(copy_from_message).collect();
     config.send(Merge { copies, origin: MergeOrigin::Exchanged }).await.ok()?;
-    let newer = config.send(CollectNewer(answer.versions)).await.ok()?;
+    let newer = config.send(CollectNewer(response.versions)).await.ok()?;
     if !newer.is_empty() {
-        // Rooted at the other entry: it has no parent to push to, and this one no child.
+        // The empty sender marks the push as part of an exchange: the peer does not push it on.
         let push = ObjectPush { sender: String::new(), objects: newer, hops: 0 };
         client.push(push).await.ok()?;
     }
--- a/crates/entry/src/config/peer_server.rs
+++ b/crates/entry/src/config/peer_server.rs
@@ -1,4 +1,4 @@
-//! The server for other entries.
+//! gRPC server for other entries.
 
 use switchfold_core::id::RequestId;
 use switchfold_link::check_token;
@@ -15,7 +15,7 @@
     service::{DispatchService, ReadOutcome},
 };
 
-/// Answers other entries.
+/// Serves pushes, digest exchanges, claims and outcome queries of other entries.
 pub struct PeerServer {
     token: String,
     config: Address<ConfigService>,
@@ -24,7 +24,7 @@
 }
 
 impl PeerServer {
-    /// Makes a server over the services of this entry.
+    /// Creates a server on the services of this entry. Callers must present `token`.
     pub fn new(
         token: &str,
         config: Address<ConfigService>,
@@ -55,8 +55,8 @@
 
     async fn exchange(&self, request: Request<Digest>) -> Result<Response<DigestAnswer>, Status> {
         check_token(request.metadata(), &self.token)?;
-        let answer = self.config.send(CompareDigest(request.into_inner())).await;
-        answer.map(Response::new).map_err(stopping)
+        let response = self.config.send(CompareDigest(request.into_inner())).await;
+        response.map(Response::new).map_err(stopping)
     }
 
     async fn claim(&self, request: Request<ClaimRequest>) -> Result<Response<ClaimAnswer>, Status> {
@@ -70,8 +70,8 @@
         request: Request<OutcomeRequest>,
     ) -> Result<Response<OutcomeAnswer>, Status> {
         check_token(request.metadata(), &self.token)?;
-        let asked = request.into_inner();
-        let id = RequestId { incarnation: asked.incarnation, counter: asked.counter };
+        let query = request.into_inner();
+        let id = RequestId { incarnation: query.incarnation, counter: query.counter };
         let outcome = self.dispatch.send(ReadOutcome(id)).await.map_err(stopping)?;
         Ok(Response::new(match outcome {
             None => OutcomeAnswer { known: false, outcome: String::new(), reason: String::new() },
--- a/crates/entry/src/config/service.rs
+++ b/crates/entry/src/config/service.rs
@@ -1,4 +1,4 @@
-//! The service that holds the objects in force.
+//! Service that holds the versioned configuration objects.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -16,16 +16,16 @@
 /// Name of the service in the entry's registry.
 pub const CONFIG: ServiceName = ServiceName("config");
 
-/// Copies that are to be pushed on.
+/// Objects to push to the other entries.
 #[derive(Clone, Debug)]
 pub struct PendingPush {
-    /// Entry from which the push started; the tree is rooted there.
+    /// Entry from which the push started, which is the root of the push tree.
     pub root: String,
-    /// The copies.
+    /// Objects that were merged as new.
     pub objects: Vec<peer::ObjectCopy>,
 }
 
-/// Holds the objects in force.
+/// Holds the current version of each object, and publishes a [`ConfigView`] of all after each change.
 #[derive(Actor)]
 pub struct ConfigService {
     process: String,
@@ -36,93 +36,94 @@
     last_contact: watch::Sender<Millis>,
 }
 
-/// Where copies came from.
+/// Source of merged objects, which determines whether they are pushed on.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum MergeOrigin {
-    /// The store, or a write of this entry: to be pushed to all.
+    /// The store, or a write of this entry: pushed to all entries.
     Local,
-    /// A push that started at this entry: to be pushed on along its tree.
+    /// A push that started at the entry `root`: pushed on along its tree.
     Pushed {
-        /// Where it started.
+        /// Entry at which the push started.
         root: String,
     },
-    /// An exchange with one entry: the other entries do their own.
+    /// A digest exchange: not pushed on, since the other entries exchange digests themselves.
     Exchanged,
 }
 
-/// Takes copies.
+/// Merges objects by version. Returns the number of objects that were new or newer.
 #[derive(Debug)]
 pub struct Merge {
-    /// The copies.
+    /// Objects to merge.
     pub copies: Vec<NamedCopy>,
-    /// Where they came from.
+    /// Source of the objects.
     pub origin: MergeOrigin,
 }
 
-/// A copy with its name.
+/// A version of an object, with the object's key.
 #[derive(Clone, Debug)]
 pub struct NamedCopy {
-    /// Name of the object.
+    /// Kind and name of the object.
     pub key: ObjectKey,
-    /// The copy.
+    /// Version and value.
     pub copy: ObjectCopy,
 }
 
-/// Makes a digest to send to another entry.
+/// Builds a digest of all versions, to start an exchange with another entry.
 pub struct BuildDigest;
 
-/// Answers the digest of another entry.
+/// Compares the digest of another entry and builds the response to it.
 #[derive(Debug)]
 pub struct CompareDigest(pub Digest);
 
-/// Notes what another entry said of its versions.
+/// Records the hash of versions that another entry reported.
 #[derive(Debug)]
 pub struct RecordPeerHash {
-    /// The other entry.
+    /// Name of the other entry.
     pub peer: String,
-    /// Hash of all its versions.
+    /// Hash over all its versions.
     pub hash: u64,
 }
 
-/// Asks for the objects in force.
+/// Returns the versions of all objects.
 pub struct ReadConfig;
 
-/// Asks what other entries last said.
+/// Returns the result of the last exchange with each other entry.
 pub struct ReadPeers;
 
-/// What another entry last said.
+/// Result of the last exchange with another entry.
 #[derive(Clone, Debug)]
 pub struct PeerSyncStatus {
-    /// The other entry.
+    /// Name of the other entry.
     pub peer: String,
-    /// Whether its versions were those of this entry.
+    /// Whether its versions equalled those of this entry.
     pub same: bool,
-    /// When.
+    /// Time of the exchange, in milliseconds of the process's clock.
     pub at: Millis,
 }
 
-/// One object in force.
+/// Current version of one object.
 #[derive(Clone, Debug)]
 pub struct ConfigVersion {
-    /// Name of the object.
+    /// Kind and name of the object.
     pub key: ObjectKey,
-    /// Version in force.
+    /// Current version.
     pub version: u64,
-    /// It is deleted.
+    /// Whether this version is a deletion.
     pub deleted: bool,
 }
 
-/// The objects in force.
+/// Versions of all objects.
 #[derive(Clone, Debug)]
 pub struct ConfigVersions {
-    /// All of them.
+    /// One row for each object, deleted ones included.
     pub rows: Vec<ConfigVersion>,
-    /// Hash of all versions.
+    /// Hash over all versions; equal at entries with the same configuration.
     pub hash: u64,
 }
 
 impl ConfigService {
-    /// Makes the service of an entry that knows nothing yet.
+    /// Creates a service without objects. `last_contact` is set to the time of each message from the
+    /// store or another entry.
     pub fn new(
         process: &str,
         view: watch::Sender<Arc<ConfigView>>,
@@ -151,7 +152,7 @@
     }
 }
 
-/// A copy as a message.
+/// Encodes an object as a message.
 pub(super) fn copy_to_message(key: &ObjectKey, copy: &ObjectCopy) -> peer::ObjectCopy {
     peer::ObjectCopy {
         kind: key.kind.clone(),
@@ -162,7 +163,7 @@
     }
 }
 
-/// A copy from a message.
+/// Decodes an object from a message.
 pub(super) fn copy_from_message(message: peer::ObjectCopy) -> NamedCopy {
     let value = (!message.deleted).then(|| Arc::from(&message.value[..]));
     NamedCopy {
@@ -176,28 +177,28 @@
 
     async fn handle(&mut self, message: Merge, _: &mut Context<Self>) -> usize {
         self.last_contact.send_replace(now_millis());
-        let mut taken = Vec::new();
+        let mut changed = Vec::new();
         for named in message.copies {
             if self.objects.merge(&named.key, named.copy.clone()) {
-                taken.push(copy_to_message(&named.key, &named.copy));
+                changed.push(copy_to_message(&named.key, &named.copy));
             }
         }
-        if taken.is_empty() {
+        if changed.is_empty() {
             return 0;
         }
         let view = ConfigView::new(&self.objects);
-        for fault in &view.faults {
-            log::warn!("object=unreadable error={fault:?}");
+        for error in &view.errors {
+            log::warn!("object=unreadable error={error:?}");
         }
         self.view.send_replace(Arc::new(view));
-        let count = taken.len();
+        let count = changed.len();
         let root = match message.origin {
             MergeOrigin::Local => Some(self.process.clone()),
             MergeOrigin::Pushed { root } => Some(root),
             MergeOrigin::Exchanged => None,
         };
         if let Some(root) = root {
-            let _pusher_may_have_stopped = self.pushes.send(PendingPush { root, objects: taken });
+            let _pusher_may_have_stopped = self.pushes.send(PendingPush { root, objects: changed });
         }
         count
     }
@@ -216,7 +217,7 @@
     }
 }
 
-/// Makes a digest with all versions in it.
+/// Builds a digest that lists the version of each object.
 pub(super) struct BuildFullDigest;
 
 impl Handler<BuildFullDigest> for ConfigService {
@@ -232,7 +233,7 @@
     }
 }
 
-/// Copies that another entry lacks, given its versions.
+/// Collects the objects of which another entry has an older version or none, given its versions.
 pub(super) struct CollectNewer(pub(super) Vec<peer::ObjectVersion>);
 
 impl Handler<CollectNewer> for ConfigService {
--- a/crates/entry/src/config/view.rs
+++ b/crates/entry/src/config/view.rs
@@ -1,4 +1,4 @@
-//! The objects in force, read once for all requests.
+//! Current configuration in parsed form, shared by all requests.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -12,50 +12,50 @@
 };
 use switchfold_store::VmList;
 
-/// Kind under which the platform's list of VMs travels between entries.
+/// Kind of the object that holds the platform's list of VMs between entries.
 pub const VM_LIST_KIND: &str = "vm-list";
 
-/// A placement plan, as stored.
+/// A placement plan, as written to the store.
 #[derive(Clone, Debug, serde::Deserialize, serde::Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct StoredPlan {
-    /// Model that is placed.
+    /// Model that the plan places.
     pub model: String,
-    /// What each VM holds.
+    /// Layers that each VM holds.
     pub plan: PlacementPlan,
-    /// Command that wrote this version.
+    /// Id of the command that wrote this version.
     #[serde(default)]
     pub command: String,
 }
 
-/// A plan with its version.
+/// A stored plan with its version.
 #[derive(Clone, Debug)]
 pub struct VersionedPlan {
-    /// Version, which fences its orders.
+    /// Version of the object. An agent ignores assignments of an older plan version.
     pub version: u64,
     /// The plan.
     pub stored: StoredPlan,
 }
 
-/// What is in force, in a form to look things up in.
+/// Current configuration, indexed for lookups.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigView {
     /// Events by name.
     pub events: BTreeMap<String, EventConfig>,
-    /// Organisations by the SHA-256 of their token.
+    /// Organisations by the SHA-256 of their token, in lowercase hexadecimal digits.
     pub organisations: HashMap<String, OrganisationConfig>,
-    /// VMs that operators drain.
+    /// Names or addresses of VMs that operators drain.
     pub draining: BTreeSet<String>,
-    /// Plans, one for each data centre that has one.
+    /// Placement plans, one for each data centre that has one.
     pub plans: Vec<VersionedPlan>,
     /// The platform's list of VMs.
     pub vms: VmList,
-    /// Objects that could not be read: they are left out, and listed for operators.
-    pub faults: Vec<String>,
+    /// Errors of the objects that could not be parsed and were left out; logged by the service.
+    pub errors: Vec<String>,
 }
 
 impl ConfigView {
-    /// Reads all objects. One that cannot be read is left out and named in `faults`.
+    /// Parses all objects. An object that cannot be parsed is left out, with its error in `errors`.
     pub fn new(objects: &VersionedObjects) -> Self {
         let mut view = Self::default();
         view.read_events(objects);
@@ -63,7 +63,7 @@
         for (key, value) in objects.of_kind(DRAIN_KIND) {
             match parse_object::<DrainOrder>(key, value) {
                 Ok(order) => drop(view.draining.insert(order.vm)),
-                Err(error) => view.faults.push(error.to_string()),
+                Err(error) => view.errors.push(error.to_string()),
             }
         }
         for (key, value) in objects.of_kind(PLAN_KIND) {
@@ -71,13 +71,13 @@
                 Ok(stored) => {
                     view.plans.push(VersionedPlan { version: objects.version(key), stored })
                 }
-                Err(error) => view.faults.push(error.to_string()),
+                Err(error) => view.errors.push(error.to_string()),
             }
         }
         for (key, value) in objects.of_kind(VM_LIST_KIND) {
             match parse_object::<VmList>(key, value) {
                 Ok(vms) => view.vms = vms,
-                Err(error) => view.faults.push(error.to_string()),
+                Err(error) => view.errors.push(error.to_string()),
             }
         }
         view
@@ -87,7 +87,7 @@
         for (key, value) in objects.of_kind(EVENT_KIND) {
             match parse_object::<EventConfig>(key, value) {
                 Ok(event) => drop(self.events.insert(event.name.clone(), event)),
-                Err(error) => self.faults.push(error.to_string()),
+                Err(error) => self.errors.push(error.to_string()),
             }
         }
     }
@@ -96,12 +96,12 @@
         for (key, value) in objects.of_kind(ORGANISATION_KIND) {
             match parse_object::<OrganisationShard>(key, value) {
                 Ok(shard) => {
-                    let known = shard.organisations.into_iter();
-                    let known =
-                        known.map(|config| (config.token_sha256.to_ascii_lowercase(), config));
-                    self.organisations.extend(known);
+                    let configs = shard.organisations.into_iter();
+                    let by_token =
+                        configs.map(|config| (config.token_sha256.to_ascii_lowercase(), config));
+                    self.organisations.extend(by_token);
                 }
-                Err(error) => self.faults.push(error.to_string()),
+                Err(error) => self.errors.push(error.to_string()),
             }
         }
     }
--- a/crates/entry/src/config/watch.rs
+++ b/crates/entry/src/config/watch.rs
@@ -1,4 +1,4 @@
-//! Watching the store, by two entries of each data centre.
+//! Watch of the store, held by two entries of each data centre.
 
 use std::{sync::Arc, time::Duration};
 
@@ -20,39 +20,41 @@
     view::{ConfigView, VM_LIST_KIND},
 };
 
-/// Kinds that every entry holds.
+/// Kinds of objects that are distributed to every entry.
 const WATCHED_KINDS: [&str; 4] = [EVENT_KIND, ORGANISATION_KIND, DRAIN_KIND, PLAN_KIND];
 
-/// Entries of a data centre that watch the store.
+/// Number of entries of a data centre that watch the store.
 const WATCHERS: usize = 2;
 
-/// Longest wait of one watch.
-const WATCH_WAIT: Duration = Duration::from_secs(10);
+/// Time after which a watch call returns without changes.
+const WATCH_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How often the list of VMs is read.
-const LIST_EVERY: Duration = Duration::from_secs(1);
+/// Time between reads of the list of VMs.
+const VM_LIST_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How often an entry that does not watch looks whether it should.
-const DUTY_EVERY: Duration = Duration::from_millis(500);
+/// Time after which an entry that is not a watcher checks again whether it is.
+const SELECTION_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Who this entry is among those that could watch.
+/// Decides by the list of VMs whether this entry watches the store.
 #[derive(Clone, Debug)]
 pub struct WatcherSelection {
     /// Name of the entry.
     pub process: String,
-    /// Its data centre.
+    /// Data centre of the entry.
     pub data_centre: String,
-    /// What is in force.
+    /// Current configuration, which holds the list of VMs.
     pub view: watch::Receiver<Arc<ConfigView>>,
 }
 
 impl WatcherSelection {
-    /// Tells whether this entry is one of its data centre's watchers; so is one that knows no list.
+    /// Returns whether this entry is one of its data centre's watchers. An entry that is not on the list
+    /// of VMs counts as a watcher, since the list may not be known yet.
     fn is_watcher(&self) -> bool {
         let view = self.view.borrow();
-        let here = view.vms.vms.iter();
-        let here = here.filter(|vm| vm.role == VmRole::Entry && vm.data_centre == self.data_centre);
-        let names: Vec<&str> = here.map(|vm| vm.name.as_str()).collect();
+        let vms = view.vms.vms.iter();
+        let entries =
+            vms.filter(|vm| vm.role == VmRole::Entry && vm.data_centre == self.data_centre);
+        let names: Vec<&str> = entries.map(|vm| vm.name.as_str()).collect();
         if !names.contains(&self.process.as_str()) {
             return true;
         }
@@ -60,26 +62,26 @@
     }
 }
 
-/// Watches the configuration while it is this entry's duty. The first reading is every entry's duty,
-/// unless others told it of the list of VMs before.
+/// Watches the configuration kinds while this entry is a watcher. At startup every entry reads them
+/// once, unless it has received the list of VMs from another entry before.
 pub async fn watch_config(
     store: StoreClient,
-    duty: WatcherSelection,
+    selection: WatcherSelection,
     config: Address<ConfigService>,
 ) {
-    let seed = hash_bytes(1, duty.process.as_bytes());
+    let seed = hash_bytes(1, selection.process.as_bytes());
     let mut backoff = Backoff::new(ChaCha8Rng::seed_from_u64(seed));
     let mut revision = None;
     while config.is_connected() {
-        if !duty.is_watcher() {
-            // What changed meanwhile comes from the others; a later watch starts anew.
+        if !selection.is_watcher() {
+            // Changes now arrive from other entries. A later watch starts with a full read.
             revision = None;
-            sleep(DUTY_EVERY).await;
+            sleep(SELECTION_INTERVAL).await;
             continue;
         }
         let batch = match revision {
             None => list_all(&store).await,
-            Some(after) => store.watch(&WATCHED_KINDS, after, WATCH_WAIT).await,
+            Some(after) => store.watch(&WATCHED_KINDS, after, WATCH_TIMEOUT).await,
         };
         match batch {
             Ok(batch) => {
@@ -100,25 +102,26 @@
     }
 }
 
-/// Reads all kinds. The smallest revision counts, so that no change between the reads is missed.
+/// Reads all kinds. Returns the smallest revision of the reads, so that a watch from it misses no
+/// change between them.
 async fn list_all(store: &StoreClient) -> Result<ChangeBatch, StoreError> {
-    let mut whole = ChangeBatch { revision: u64::MAX, changes: Vec::new() };
+    let mut combined = ChangeBatch { revision: u64::MAX, changes: Vec::new() };
     for kind in WATCHED_KINDS {
         let batch = store.list(kind).await?;
-        whole.revision = whole.revision.min(batch.revision);
-        whole.changes.extend(batch.changes);
+        combined.revision = combined.revision.min(batch.revision);
+        combined.changes.extend(batch.changes);
     }
-    Ok(whole)
+    Ok(combined)
 }
 
-/// Reads the list of VMs every second while it is this entry's duty.
+/// Reads the list of VMs every second while this entry is a watcher.
 pub async fn poll_vm_list(
     store: StoreClient,
-    duty: WatcherSelection,
+    selection: WatcherSelection,
     config: Address<ConfigService>,
 ) {
     while config.is_connected() {
-        if duty.is_watcher()
+        if selection.is_watcher()
             && let Ok(list) = store.list_vms().await
             && let Ok(value) = serde_json::to_vec(&list)
         {
@@ -128,7 +131,7 @@
             let _config_may_have_stopped =
                 config.send(Merge { copies, origin: MergeOrigin::Local }).await;
         }
-        sleep(LIST_EVERY).await;
+        sleep(VM_LIST_INTERVAL).await;
     }
 }
 
--- a/crates/entry/src/error.rs
+++ b/crates/entry/src/error.rs
@@ -1,33 +1,33 @@
-//! What stops an entry.
+//! Errors that keep an entry from running.
 
 use derive_more::{Display, Error};
 use switchfold_kernel::{listen::ListenError, metrics::MetricsError, registry::RegistryError};
 
-/// Why an entry could not run.
+/// Error that stops an entry at startup or while it runs.
 #[derive(Debug, Display, Error)]
 pub enum EntryError {
     /// The server for other entries failed.
     #[display("server: {source}")]
     Server {
-        /// What the transport said.
+        /// Error of the gRPC transport.
         source: tonic::transport::Error,
     },
     /// A service could not be registered.
     #[display("{source}")]
     Registry {
-        /// Why.
+        /// Error of the registry.
         source: RegistryError,
     },
     /// Metrics could not be set up.
     #[display("{source}")]
     Metrics {
-        /// Why.
+        /// Error of the exporter.
         source: MetricsError,
     },
-    /// The process cannot listen.
+    /// A listening socket could not be opened.
     #[display("{source}")]
     Listen {
-        /// Where and why.
+        /// Address and cause.
         source: ListenError,
     },
 }
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,20 +1,22 @@
-//! The entry: between callers, operators and agents.
+//! The entry: the process between callers, operators and agents.
 //!
-//! | module | what it does |
+//! | module | contents |
 //! |---|---|
-//! | [`dispatch`] | the state machine for requests: queues, paths, recovery, outcomes |
-//! | [`service`] | the actor around it, and the links to agents |
-//! | [`config`] | what is in force: watched, pushed and exchanged between entries |
-//! | [`claims`] | keys that callers send again run at most once |
-//! | [`web`] | HTTP for callers and operators |
-//! | [`commands`] | what operators' statements do |
+//! | [`dispatch`] | state machine for requests: queues, paths, recovery, outcomes |
+//! | [`service`] | actor that runs the state machine and holds the links to agents |
+//! | [`config`] | current configuration: watched at the store, exchanged between entries |
+//! | [`claims`] | idempotency keys, so that a repeated request runs at most once |
+//! | [`web`] | HTTP API for callers and operators |
+//! | [`commands`] | execution of operators' statements |
+//! | [`metrics`] | histograms and counters |
+//! | [`settings`] | settings file of an entry |
 //!
 //! # Guarantees
 //!
-//! - `not-run` is said only of a request that provably never ran.
-//! - A caller gets the tokens of its own request, each once, in order.
-//! - A process never goes back to an older version of any object.
-//! - A planned stop finishes what is in flight.
+//! - The outcome `not-run` is reported only for a request that provably never ran.
+//! - A caller receives the tokens of its own request only, each exactly once and in order.
+//! - A process never replaces an object by an older version of it.
+//! - A planned shutdown waits for the requests in flight.
 
 pub mod claims;
 pub mod commands;
--- a/crates/entry/src/links.rs
+++ b/crates/entry/src/links.rs
@@ -1,4 +1,4 @@
-//! Kept links to agents.
+//! Links to agents, which reconnect after a failure.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 
 use crate::service::{AgentFrame, DispatchService, LinkClosed, LinkOpened};
 
-/// Who this entry is, toward agents.
+/// Identity that this entry presents to agents when it opens a link.
 #[derive(Clone, Debug)]
 pub(crate) struct LinkIdentity {
     pub(crate) process: String,
@@ -21,14 +21,15 @@
     pub(crate) token: String,
 }
 
-/// One connection to an agent. Frames that were read from an earlier one are not of the present one.
+/// Identifies one connection to an agent, so that late frames of an earlier connection can be told
+/// apart from those of the current one.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) struct LinkId {
-    keeper: u64,
+    link_number: u64,
     connection: u64,
 }
 
-/// Keeps one link; dropping it ends the link.
+/// Task that holds a link to one agent open and reconnects with backoff. Dropping it closes the link.
 #[derive(Debug)]
 pub(crate) struct AgentLink {
     pub(crate) address: String,
@@ -42,22 +43,24 @@
 }
 
 impl AgentLink {
-    /// Starts to keep a link to an agent.
+    /// Spawns the task for the agent `process` at `address`. `link_number` differs between all links that
+    /// this entry has started.
     pub(crate) fn start(
         identity: LinkIdentity,
-        keeper: u64,
+        link_number: u64,
         process: String,
         address: String,
         dispatch: WeakAddress<DispatchService>,
     ) -> Self {
-        let task = tokio::spawn(keep(identity, keeper, process, address.clone(), dispatch));
+        let task =
+            tokio::spawn(maintain_link(identity, link_number, process, address.clone(), dispatch));
         Self { address, task }
     }
 }
 
-async fn keep(
+async fn maintain_link(
     identity: LinkIdentity,
-    keeper: u64,
+    link_number: u64,
     process: String,
     address: String,
     dispatch: WeakAddress<DispatchService>,
@@ -65,7 +68,7 @@
     let seed = hash_bytes(identity.incarnation, process.as_bytes());
     let mut backoff = Backoff::new(ChaCha8Rng::seed_from_u64(seed));
     for connection in 0.. {
-        let id = LinkId { keeper, connection };
+        let id = LinkId { link_number, connection };
         if run_link(&identity, id, &process, &address, &dispatch).await {
             backoff.reset();
         }
@@ -76,7 +79,7 @@
     }
 }
 
-/// Opens the link and reads it to its end; tells whether it was ever open.
+/// Opens the link and forwards its frames until it ends. Returns whether the link was ever open.
 async fn run_link(
     identity: &LinkIdentity,
     id: LinkId,
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Histograms and counters of an entry, by organisation and class.
+//! Histograms and counters of an entry, labelled by organisation and class.
 
 use std::sync::{Mutex, PoisonError};
 
@@ -10,22 +10,22 @@
 
 use crate::dispatch::{Observation, ObservationKind};
 
-/// Organisations that keep a name of their own.
-const NAMED_ORGANISATIONS: usize = 50;
+/// Largest number of organisations that get a label value of their own.
+const MAX_ORGANISATION_LABELS: usize = 50;
 
-/// Classes that keep a name of their own.
-const NAMED_CLASSES: usize = 20;
+/// Largest number of classes that get a label value of their own.
+const MAX_CLASS_LABELS: usize = 20;
 
-/// Requests after which a name is kept.
-const PROMOTE_AFTER: u64 = 3;
+/// Requests of an organisation after which it gets a label value of its own.
+const LABEL_THRESHOLD: u64 = 3;
 
-/// Bounds of the histograms, in milliseconds.
-const BOUNDS: &[f64] = &[
+/// Upper bounds of the histogram buckets, in milliseconds.
+const BUCKET_BOUNDS_MS: &[f64] = &[
     1.0, 2.0, 5.0, 10.0, 15.0, 20.0, 25.0, 31.0, 40.0, 60.0, 100.0, 200.0, 400.0, 700.0, 1_000.0,
     2_000.0, 5_000.0, 10_000.0, 30_000.0,
 ];
 
-/// Metrics of an entry.
+/// Instruments of an entry and the hub that exports them.
 #[derive(Debug)]
 pub struct EntryMetrics {
     hub: MetricsHub,
@@ -39,17 +39,17 @@
 }
 
 impl EntryMetrics {
-    /// Sets up the metrics.
+    /// Creates all instruments.
     ///
     /// # Errors
     ///
-    /// Fails where the exporter cannot be made.
+    /// Returns an error if the exporter cannot be created.
     pub fn new() -> Result<Self, MetricsError> {
         let hub = MetricsHub::new()?;
         let meter = hub.meter();
         let histogram = |name: &'static str, help: &'static str| {
             let builder = meter.f64_histogram(name).with_description(help).with_unit("ms");
-            builder.with_boundaries(BOUNDS.to_vec()).build()
+            builder.with_boundaries(BUCKET_BOUNDS_MS.to_vec()).build()
         };
         Ok(Self {
             queue_wait: histogram("switchfold_queue_wait", "From arrival to the first dispatch"),
@@ -60,13 +60,13 @@
                 .u64_counter("switchfold_outcomes")
                 .with_description("Ended requests by outcome and reason")
                 .build(),
-            organisations: Mutex::new(LabelBudget::new(NAMED_ORGANISATIONS, PROMOTE_AFTER)),
-            classes: Mutex::new(LabelBudget::new(NAMED_CLASSES, 1)),
+            organisations: Mutex::new(LabelBudget::new(MAX_ORGANISATION_LABELS, LABEL_THRESHOLD)),
+            classes: Mutex::new(LabelBudget::new(MAX_CLASS_LABELS, 1)),
             hub,
         })
     }
 
-    /// Takes a measurement.
+    /// Records an observation of the dispatch.
     pub fn observe(&self, observation: &Observation) {
         let organisation = label(&self.organisations, &observation.organisation);
         let class = label(&self.classes, &observation.class);
@@ -87,11 +87,11 @@
         }
     }
 
-    /// All metrics as Prometheus text.
+    /// Returns all metrics in the Prometheus text format.
     ///
     /// # Errors
     ///
-    /// Fails where a metric has no text form.
+    /// Returns an error if a metric cannot be encoded as text.
     pub fn render(&self) -> Result<Vec<u8>, MetricsError> {
         self.hub.render()
     }
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -1,4 +1,4 @@
-//! Starting and stopping an entry.
+//! Startup and shutdown of an entry.
 
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
@@ -40,36 +40,37 @@
     web::{RateLimits, WebContext},
 };
 
-/// How long the store's client waits for an answer.
+/// Time after which a call to the store fails.
 const STORE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Time between looks at deadlines and stalls.
-const TICK: Duration = Duration::from_millis(50);
+/// Time between checks of deadlines and stalls.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Largest message between entries: a full copy of the configuration.
+/// Largest message between entries, in bytes. A message may hold the whole configuration.
 const MAX_MESSAGE_BYTES: usize = 32 << 20;
 
-/// Sockets of an entry, bound before it starts.
+/// Listening sockets of an entry, bound before it starts.
 #[derive(Debug)]
 pub struct EntrySockets {
-    /// For callers and operators.
+    /// Socket for callers and operators.
     pub web: TcpListener,
-    /// For other entries.
+    /// Socket for other entries.
     pub peer: TcpListener,
 }
 
-/// The services of one entry.
+/// Addresses of the services of one entry.
 struct EntryServices {
     dispatch: Address<DispatchService>,
     config: Address<ConfigService>,
     claims: Address<ClaimService>,
 }
 
-/// Runs an entry until the signal is raised and what is in flight has finished.
+/// Runs an entry until `shutdown` is raised and all requests in flight have finished.
 ///
 /// # Errors
 ///
-/// Fails where a server or the metrics cannot be set up.
+/// Returns an error if a service, a server or the metrics cannot be set up, or the server for other
+/// entries fails.
 pub async fn run_entry(
     settings: EntrySettings,
     sockets: EntrySockets,
@@ -101,21 +102,21 @@
         settings.peers.clone(),
         view.clone(),
     );
-    let duty = WatcherSelection {
+    let selection = WatcherSelection {
         process: settings.name.clone(),
         data_centre: settings.data_centre.clone(),
         view: view.clone(),
     };
-    let random = ChaCha8Rng::seed_from_u64(dispatch_seed(&settings.name, epoch_micros()));
+    let rng = ChaCha8Rng::seed_from_u64(dispatch_seed(&settings.name, epoch_micros()));
     let mut tasks = JoinSet::new();
-    tasks.spawn(watch_config(store.clone(), duty.clone(), services.config.clone()));
-    tasks.spawn(poll_vm_list(store.clone(), duty, services.config.clone()));
+    tasks.spawn(watch_config(store.clone(), selection.clone(), services.config.clone()));
+    tasks.spawn(poll_vm_list(store.clone(), selection, services.config.clone()));
     tasks.spawn(push_changes(directory.clone(), pushes));
-    tasks.spawn(exchange_digests(directory.clone(), services.config.clone(), random));
+    tasks.spawn(exchange_digests(directory.clone(), services.config.clone(), rng));
     tasks.spawn(follow_membership(view.clone(), services.dispatch.clone()));
     tasks.spawn(tick(services.dispatch.clone()));
 
-    let work = ShutdownSignal::new();
+    let in_flight = ShutdownSignal::new();
     let commands = CommandContext {
         process: settings.name.clone(),
         store,
@@ -134,11 +135,11 @@
         metrics,
         limits: Arc::new(RateLimits::default()),
         shutdown: shutdown.clone(),
-        work: work.clone(),
+        in_flight: in_flight.clone(),
         last_contact,
     };
     let limits = HttpLimits { max_connections: settings.connections, ..HttpLimits::default() };
-    let handler = move |request| context.clone().answer(request);
+    let handler = move |request| context.clone().respond(request);
     let web = tokio::spawn(serve(sockets.web, limits, shutdown.clone(), handler));
 
     let peers = PeerServer::new(
@@ -155,7 +156,7 @@
         served = server.serve_with_incoming(bind_incoming(sockets.peer)) => {
             served.map_err(|source| EntryError::Server { source })
         }
-        () = finish(&shutdown, &work, web) => Ok(()),
+        () = wait_for_shutdown(&shutdown, &in_flight, web) => Ok(()),
     }
 }
 
@@ -189,7 +190,7 @@
 }
 
 async fn tick(dispatch: Address<DispatchService>) {
-    let mut ticks = tokio::time::interval(TICK);
+    let mut ticks = tokio::time::interval(TICK_INTERVAL);
     loop {
         ticks.tick().await;
         if dispatch.send(DispatchTick).await.is_err() {
@@ -198,17 +199,17 @@
     }
 }
 
-/// Hands the list of VMs, the drains and the plans to the dispatch whenever they change.
+/// Sends the list of VMs, the drained VMs and the plans to the dispatch service whenever they change.
 async fn follow_membership(
     mut view: watch::Receiver<Arc<ConfigView>>,
     dispatch: Address<DispatchService>,
 ) {
     loop {
-        let now: Arc<ConfigView> = view.borrow_and_update().clone();
+        let current: Arc<ConfigView> = view.borrow_and_update().clone();
         let membership = SetMembership {
-            vms: now.vms.vms.clone(),
-            draining: now.draining.iter().cloned().collect::<BTreeSet<String>>(),
-            plan: planned(&now),
+            vms: current.vms.vms.clone(),
+            draining: current.draining.iter().cloned().collect::<BTreeSet<String>>(),
+            plan: planned_assignments(&current),
         };
         if dispatch.send(membership).await.is_err() || view.changed().await.is_err() {
             return;
@@ -216,27 +217,32 @@
     }
 }
 
-fn planned(view: &ConfigView) -> Vec<PlannedAssignment> {
+/// Returns the assignments of all plans, one for each VM of a plan.
+fn planned_assignments(view: &ConfigView) -> Vec<PlannedAssignment> {
     let plans = view.plans.iter();
     let entries =
         plans.flat_map(|plan| plan.stored.plan.entries.iter().map(move |entry| (plan, entry)));
-    let orders = entries.map(|(plan, entry)| PlannedAssignment {
+    let assignments = entries.map(|(plan, entry)| PlannedAssignment {
         vm: entry.vm.clone(),
-        order: Assignment {
+        assignment: Assignment {
             plan_version: plan.version,
             model: plan.stored.model.clone(),
             first_layer: entry.layers.first(),
             end_layer: entry.layers.end(),
         },
     });
-    orders.collect()
+    assignments.collect()
 }
 
-/// Waits for the signal, then until every request in flight has its answer.
-async fn finish(shutdown: &ShutdownSignal, work: &ShutdownSignal, web: JoinHandle<()>) {
+/// Waits for the signal, then until every request in flight has its response.
+async fn wait_for_shutdown(
+    shutdown: &ShutdownSignal,
+    in_flight: &ShutdownSignal,
+    web: JoinHandle<()>,
+) {
     shutdown.raised().await;
-    log::info!("state=stopping in_flight={}", work.pending());
-    work.drained().await;
-    // The server ends once the last answer has been sent.
+    log::info!("state=stopping in_flight={}", in_flight.pending());
+    in_flight.drained().await;
+    // The server ends once the last response has been sent.
     let _server_has_ended = web.await;
 }
--- a/crates/entry/src/service.rs
+++ b/crates/entry/src/service.rs
@@ -1,7 +1,8 @@
-//! The actor around the dispatch state machine.
+//! Actor that runs the dispatch state machine.
 //!
-//! It keeps the links to agents and the ways back to callers, turns what arrives into calls of
-//! [`DispatchState`], and carries out the actions that come back. It decides nothing.
+//! It owns the links to agents and the channels to callers, passes incoming messages to
+//! [`DispatchState`], and executes the actions that it returns. All decisions on requests are made by
+//! the state machine.
 
 use std::{
     collections::{BTreeSet, HashMap, VecDeque},
@@ -29,75 +30,76 @@
 /// Name of the service in the entry's registry.
 pub const DISPATCH: ServiceName = ServiceName("dispatch");
 
-/// Events of one request on their way to its caller.
+/// Channel for the events of one request to its caller.
 pub type CallerSink = mpsc::UnboundedSender<CallerEvent>;
 
-/// The dispatch of an entry as a service.
+/// Dispatch of an entry as an actor.
 #[derive(Actor)]
 pub struct DispatchService {
     state: DispatchState,
     identity: LinkIdentity,
     agent_links: usize,
     links: HashMap<String, OpenLink>,
-    keepers_started: u64,
-    keepers: HashMap<String, AgentLink>,
+    links_started: u64,
+    link_tasks: HashMap<String, AgentLink>,
     callers: HashMap<RequestId, Caller>,
     vms: Vec<VmEntry>,
     draining: BTreeSet<String>,
     plan: Vec<PlannedAssignment>,
     metrics: Arc<EntryMetrics>,
-    me: Option<WeakAddress<DispatchService>>,
+    own_handle: Option<WeakAddress<DispatchService>>,
 }
 
-/// The connection to an agent that is in use.
+/// The current connection to an agent.
 struct OpenLink {
     id: LinkId,
     address: String,
     sender: LinkSender,
 }
 
+/// Caller of a request that has not ended.
 struct Caller {
     sink: CallerSink,
-    _work: WorkGuard,
+    _work_guard: WorkGuard,
 }
 
-/// What the plan gives to one VM.
+/// Assignment of one VM by the placement plan.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct PlannedAssignment {
     /// Name of the VM.
     pub vm: String,
-    /// The order for its engine.
-    pub order: link::Assignment,
+    /// Layers that its engine shall load.
+    pub assignment: link::Assignment,
 }
 
-/// Tells the service its own address.
+/// Gives the service its own address, which it passes to the tasks of its links.
 pub(crate) struct SetAddress(pub(crate) WeakAddress<DispatchService>);
 
-/// Issues an identifier.
+/// Issues the id of a new request.
 pub struct IssueId;
 
-/// A request of a caller.
+/// Submits a request of a caller.
 pub struct Submit {
-    /// The request.
+    /// Target, deadline and contents of the request.
     pub submission: Submission,
-    /// Where its events go.
+    /// Receives the events of the request.
     pub sink: CallerSink,
-    /// Held until it is over.
+    /// Held until the request has ended, so that a planned shutdown waits for it.
     pub work: WorkGuard,
 }
 
-/// Notes that a request was refused before it was submitted, so that its outcome can be asked for.
+/// Records that a request was rejected before it was submitted, so that its outcome can be queried.
 pub struct RecordNotRun {
-    /// The request.
+    /// Id of the request.
     pub request: RequestId,
-    /// Why it did not run.
+    /// Reason for which it did not run.
     pub reason: NotRunReason,
 }
 
-/// The caller of a request has gone.
+/// Cancels a request whose caller has disconnected.
 pub struct Cancel(pub RequestId);
 
-/// A link to an agent is open.
+/// Reports that a link to an agent has opened.
 pub(crate) struct LinkOpened {
     pub(crate) id: LinkId,
     pub(crate) process: String,
@@ -105,50 +107,50 @@
     pub(crate) sender: LinkSender,
 }
 
-/// A link to an agent ended.
+/// Reports that a link to an agent has closed.
 pub(crate) struct LinkClosed {
     pub(crate) id: LinkId,
     pub(crate) process: String,
 }
 
-/// A frame of an agent.
+/// Delivers a frame from an agent.
 pub(crate) struct AgentFrame {
     pub(crate) id: LinkId,
     pub(crate) process: String,
     pub(crate) frame: Frame,
 }
 
-/// The list of VMs, the VMs that operators drain, and the plan.
+/// Sets the list of VMs, the VMs that operators drain, and the plan.
 pub struct SetMembership {
     /// All VMs.
     pub vms: Vec<VmEntry>,
     /// Names or addresses of VMs that operators drain.
     pub draining: BTreeSet<String>,
-    /// What the plan gives to each VM.
+    /// Assignments of the placement plans.
     pub plan: Vec<PlannedAssignment>,
 }
 
-/// Time for deadlines and stalls.
+/// Triggers the periodic check of deadlines and stalls.
 pub(crate) struct DispatchTick;
 
-/// Asks where a request stands.
+/// Returns the outcome of a request, or `None` if this entry does not know the request.
 pub struct ReadOutcome(pub RequestId);
 
-/// Asks what waits.
+/// Returns the number of waiting requests by target and organisation.
 pub struct ReadQueueDepths;
 
-/// Asks for the counters.
+/// Returns the counters of the dispatch.
 pub struct ReadCounts;
 
-/// Asks for the replicas.
+/// Returns all replicas.
 pub struct ReadReplicas;
 
-/// One replica in the answer to [`ReadReplicas`].
+/// One replica, as returned by [`ReadReplicas`].
 #[derive(Clone, Debug)]
 pub struct NamedReplica {
     /// Name of its process.
     pub name: String,
-    /// What is known of it.
+    /// State of the replica as last reported to this entry.
     pub view: ReplicaView,
 }
 
@@ -164,29 +166,31 @@
             identity,
             agent_links,
             links: HashMap::new(),
-            keepers_started: 0,
-            keepers: HashMap::new(),
+            links_started: 0,
+            link_tasks: HashMap::new(),
             callers: HashMap::new(),
             vms: Vec::new(),
             draining: BTreeSet::new(),
             plan: Vec::new(),
             metrics,
-            me: None,
+            own_handle: None,
         }
     }
 
-    fn carry_out(&mut self, actions: Vec<DispatchAction>) {
-        let mut waiting = VecDeque::from(actions);
-        while let Some(action) = waiting.pop_front() {
+    /// Executes actions of the state machine, and those that follow from failed sends.
+    fn execute(&mut self, actions: Vec<DispatchAction>) {
+        let mut pending = VecDeque::from(actions);
+        while let Some(action) = pending.pop_front() {
             match action {
                 DispatchAction::Send { process, body } => {
                     if !self.send(&process, body) {
-                        // What cannot be sent is lost: the state must know, or it waits for ever.
-                        waiting.extend(self.state.on_link_lost(now_millis(), &process));
+                        // The state machine must learn that the message was not sent, or it would wait for the
+                        // reply without end.
+                        pending.extend(self.state.on_link_lost(now_millis(), &process));
                     }
                 }
-                DispatchAction::Notify { request, event } => self.tell(request, event),
-                DispatchAction::ResetLink { process } => self.reset(&process),
+                DispatchAction::Notify { request, event } => self.notify_caller(request, event),
+                DispatchAction::ResetLink { process } => self.reset_link(&process),
                 DispatchAction::Observe(observation) => self.metrics.observe(&observation),
             }
         }
@@ -196,12 +200,14 @@
         self.links.get(process).is_some_and(|link| link.sender.send(body))
     }
 
+    /// Returns whether `id` is the current connection to an agent.
     fn is_current(&self, process: &str, id: LinkId) -> bool {
         self.links.get(process).is_some_and(|link| link.id == id)
     }
 
-    /// A caller that has gone cancels its request by itself.
-    fn tell(&mut self, request: RequestId, event: CallerEvent) {
+    /// Sends an event to the caller of a request. A failed send is ignored, since a caller that
+    /// disconnects cancels its request.
+    fn notify_caller(&mut self, request: RequestId, event: CallerEvent) {
         let is_last = !matches!(event, CallerEvent::Tokens(_) | CallerEvent::Response { .. });
         if let Some(caller) = self.callers.get(&request) {
             let _gone_callers_cancel = caller.sink.send(event);
@@ -211,68 +217,74 @@
         }
     }
 
-    fn reset(&mut self, process: &str) {
+    /// Closes the link to an agent and opens a new one.
+    fn reset_link(&mut self, process: &str) {
         self.links.remove(process);
-        if let Some(keeper) = self.keepers.remove(process) {
+        if let Some(agent_link) = self.link_tasks.remove(process) {
             log::warn!("agent={process} state=lost");
-            let address = keeper.address.clone();
-            drop(keeper);
-            self.keep(process.to_owned(), address);
+            let address = agent_link.address.clone();
+            drop(agent_link);
+            self.open_link(process.to_owned(), address);
         }
     }
 
-    fn keep(&mut self, process: String, address: String) {
-        let Some(me) = self.me.clone() else {
+    fn open_link(&mut self, process: String, address: String) {
+        let Some(own_handle) = self.own_handle.clone() else {
             return;
         };
-        self.keepers_started += 1;
+        self.links_started += 1;
         let identity = self.identity.clone();
-        let keeper = AgentLink::start(identity, self.keepers_started, process.clone(), address, me);
-        self.keepers.insert(process, keeper);
+        let agent_link =
+            AgentLink::start(identity, self.links_started, process.clone(), address, own_handle);
+        self.link_tasks.insert(process, agent_link);
     }
 
-    fn follow_list(&mut self) {
-        let agents = self.chosen_agents();
-        let gone: Vec<String> =
-            self.keepers.keys().filter(|name| !agents.contains_key(*name)).cloned().collect();
-        for process in gone {
-            self.keepers.remove(&process);
+    /// Opens links to the selected agents that have none, and closes the links to all others.
+    fn reconcile_links(&mut self) {
+        let agents = self.selected_agents();
+        let removed: Vec<String> =
+            self.link_tasks.keys().filter(|name| !agents.contains_key(*name)).cloned().collect();
+        for process in removed {
+            self.link_tasks.remove(&process);
             self.links.remove(&process);
             let actions = self.state.on_link_lost(now_millis(), &process);
-            self.carry_out(actions);
-            self.keepers.remove(&process);
+            self.execute(actions);
+            self.link_tasks.remove(&process);
             self.state.remove_replica(&process);
         }
         for (process, address) in agents {
-            if self.keepers.get(&process).is_none_or(|keeper| keeper.address != address) {
-                self.keepers.remove(&process);
-                self.keep(process, address);
+            if self.link_tasks.get(&process).is_none_or(|agent_link| agent_link.address != address)
+            {
+                self.link_tasks.remove(&process);
+                self.open_link(process, address);
             }
         }
     }
 
-    /// Agents that this entry links with. A VM that is off the list keeps its link while it is open:
-    /// the list lags, and the link itself is the better sign.
-    fn chosen_agents(&self) -> HashMap<String, String> {
+    /// Returns the name and address of each agent that this entry holds a link to. An open link is kept
+    /// even if its VM is no longer on the list: the list lags behind, and an open link shows that the
+    /// agent is alive.
+    fn selected_agents(&self) -> HashMap<String, String> {
         let endpoints = self.vms.iter().filter(|vm| vm.role == VmRole::Endpoint);
         let mut agents: HashMap<String, String> =
             endpoints.map(|vm| (vm.name.clone(), vm.address.clone())).collect();
         if self.agent_links > 0 && agents.len() > self.agent_links {
             let names: Vec<&str> = agents.keys().map(String::as_str).collect();
-            let chosen = balanced_subset(self.place_among_entries(), &names, self.agent_links);
+            let chosen = balanced_subset(self.index_among_entries(), &names, self.agent_links);
             let chosen: BTreeSet<String> = chosen.into_iter().map(str::to_owned).collect();
             agents.retain(|name, _| chosen.contains(name));
         }
-        for (process, keeper) in &self.keepers {
+        for (process, agent_link) in &self.link_tasks {
             if self.links.contains_key(process) {
-                agents.entry(process.clone()).or_insert_with(|| keeper.address.clone());
+                agents.entry(process.clone()).or_insert_with(|| agent_link.address.clone());
             }
         }
         agents
     }
 
-    /// Place of this entry in the sorted list of entries; deals the agents evenly among them.
-    fn place_among_entries(&self) -> usize {
+    /// Returns the index of this entry among the entries sorted by name, by which agents are distributed
+    /// evenly over the entries.
+    fn index_among_entries(&self) -> usize {
         let entries = self.vms.iter().filter(|vm| vm.role == VmRole::Entry);
         entries.filter(|vm| vm.name < self.identity.process).count()
     }
@@ -284,17 +296,17 @@
             || self.vms.iter().any(is_leaving)
     }
 
-    /// Tells an agent what operators, the list and the plan say of its VM.
-    fn brief(&mut self, process: &str) {
-        let Some(keeper) = self.keepers.get(process) else {
+    /// Sends an agent the drain state and the assignment of its VM.
+    fn send_vm_state(&mut self, process: &str) {
+        let Some(agent_link) = self.link_tasks.get(process) else {
             return;
         };
-        let draining = self.is_drained(process, &keeper.address);
-        // A link that takes nothing any more is about to be reported as closed by its reader.
+        let draining = self.is_drained(process, &agent_link.address);
+        // A failed send needs no handling: the task that reads the link is about to report it closed.
         self.send(process, Body::Drain(link::Drain { draining }));
-        let order = self.plan.iter().find(|planned| planned.vm == process);
-        if let Some(order) = order.map(|planned| planned.order.clone()) {
-            self.send(process, Body::Assignment(order));
+        let planned = self.plan.iter().find(|planned| planned.vm == process);
+        if let Some(assignment) = planned.map(|planned| planned.assignment.clone()) {
+            self.send(process, Body::Assignment(assignment));
         }
     }
 }
@@ -303,7 +315,7 @@
     type Return = ();
 
     async fn handle(&mut self, message: SetAddress, _: &mut Context<Self>) {
-        self.me = Some(message.0);
+        self.own_handle = Some(message.0);
     }
 }
 
@@ -319,10 +331,10 @@
     type Return = ();
 
     async fn handle(&mut self, message: Submit, _: &mut Context<Self>) {
-        let caller = Caller { sink: message.sink, _work: message.work };
+        let caller = Caller { sink: message.sink, _work_guard: message.work };
         self.callers.insert(message.submission.id, caller);
         let actions = self.state.submit(now_millis(), message.submission);
-        self.carry_out(actions);
+        self.execute(actions);
     }
 }
 
@@ -339,7 +351,7 @@
 
     async fn handle(&mut self, message: Cancel, _: &mut Context<Self>) {
         let actions = self.state.cancel(now_millis(), message.0);
-        self.carry_out(actions);
+        self.execute(actions);
     }
 }
 
@@ -350,7 +362,7 @@
         log::info!("agent={} address={} state=linked", message.process, message.address);
         let link = OpenLink { id: message.id, address: message.address, sender: message.sender };
         self.links.insert(message.process.clone(), link);
-        self.brief(&message.process);
+        self.send_vm_state(&message.process);
     }
 }
 
@@ -363,8 +375,8 @@
         }
         self.links.remove(&message.process);
         let actions = self.state.on_link_lost(now_millis(), &message.process);
-        self.carry_out(actions);
-        self.follow_list();
+        self.execute(actions);
+        self.reconcile_links();
     }
 }
 
@@ -372,7 +384,7 @@
     type Return = ();
 
     async fn handle(&mut self, message: AgentFrame, _: &mut Context<Self>) {
-        // A frame of an earlier connection would make a lost agent look alive.
+        // Frames of an earlier connection are dropped: they would make a lost agent look alive.
         let current = self.links.get(&message.process).filter(|link| link.id == message.id);
         let Some(address) = current.map(|link| link.address.clone()) else {
             return;
@@ -380,7 +392,7 @@
         let now = now_millis();
         for body in message.frame.messages.into_iter().filter_map(|message| message.body) {
             let actions = self.state.on_message(now, &message.process, &address, body);
-            self.carry_out(actions);
+            self.execute(actions);
         }
     }
 }
@@ -392,10 +404,10 @@
         self.vms = message.vms;
         self.draining = message.draining;
         self.plan = message.plan;
-        self.follow_list();
+        self.reconcile_links();
         let linked: Vec<String> = self.links.keys().cloned().collect();
         for process in linked {
-            self.brief(&process);
+            self.send_vm_state(&process);
         }
     }
 }
@@ -405,7 +417,7 @@
 
     async fn handle(&mut self, _: DispatchTick, _: &mut Context<Self>) {
         let actions = self.state.tick(now_millis());
-        self.carry_out(actions);
+        self.execute(actions);
     }
 }
 
@@ -444,7 +456,7 @@
     }
 }
 
-/// Seed of an entry's choices: differs between entries and their restarts.
+/// Returns the seed of an entry's random choices, which differs between entries and restarts.
 pub(crate) fn dispatch_seed(process: &str, incarnation: u64) -> u64 {
     hash_bytes(incarnation, process.as_bytes())
 }
--- a/crates/entry/src/web/access.rs
+++ b/crates/entry/src/web/access.rs
@@ -1,4 +1,4 @@
-//! Who asks, for which event and class.
+//! Authentication of callers and operators, and lookup of the event and class of a request.
 
 use std::sync::Arc;
 
@@ -8,28 +8,30 @@
 use switchfold_core::config::{ClassConfig, EventConfig, EventState, OrganisationConfig};
 use switchfold_kernel::http::{HttpResponse, set_header};
 
-use super::{WebContext, responses::refusal};
+use super::{WebContext, responses::rejection};
 use crate::config::ConfigView;
 
-const EVENT: &str = "switchfold-event";
-const CLASS: &str = "switchfold-class";
+/// Header that names the event of a request.
+const EVENT_HEADER: &str = "switchfold-event";
+/// Header that names the class of a request.
+const CLASS_HEADER: &str = "switchfold-class";
 
-/// Seconds after which to ask again for an event that does not take requests.
-const EVENT_RETRY: &str = "5";
+/// `Retry-After` in seconds for an event that is not open.
+const EVENT_RETRY_AFTER: &str = "5";
 
-/// A caller with its rights.
+/// Organisation and class of an authorised request.
 pub(super) struct CallerAccess {
     pub(super) organisation: OrganisationConfig,
     pub(super) class: ClassConfig,
 }
 
-/// Hash of a token as hexadecimal digits.
+/// Returns the SHA-256 of a token in lowercase hexadecimal digits.
 pub(crate) fn token_hash(token: &str) -> String {
     let digest = Sha256::digest(token.as_bytes());
     digest.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn bearer(headers: &HeaderMap) -> Option<&str> {
+fn bearer_token(headers: &HeaderMap) -> Option<&str> {
     let value = headers.get(header::AUTHORIZATION)?.to_str().ok()?;
     value.strip_prefix("Bearer ").map(str::trim)
 }
@@ -38,93 +40,96 @@
     headers.get(name)?.to_str().ok()
 }
 
-/// Checks the operators' token.
+/// Checks the operators' bearer token. The error is the response to send.
 pub(super) fn check_operator(
     context: &WebContext,
     headers: &HeaderMap,
 ) -> Result<(), Box<HttpResponse>> {
-    let hash = token_hash(bearer(headers).unwrap_or_default());
+    let hash = token_hash(bearer_token(headers).unwrap_or_default());
     let expected = context.settings.operator_token_sha256.to_ascii_lowercase();
     if bool::from(hash.as_bytes().ct_eq(expected.as_bytes())) {
         return Ok(());
     }
     let message = "the operators' bearer token is missing or wrong";
-    Err(Box::new(refusal(StatusCode::UNAUTHORIZED, "wrong-token", message)))
+    Err(Box::new(rejection(StatusCode::UNAUTHORIZED, "wrong-token", message)))
 }
 
-/// Finds the organisation of a token.
-pub(super) fn organisation(
+/// Finds the organisation of the bearer token. The error is the response to send.
+pub(super) fn find_organisation(
     context: &WebContext,
     headers: &HeaderMap,
 ) -> Result<OrganisationConfig, Box<HttpResponse>> {
     let view: Arc<ConfigView> = context.view.borrow().clone();
-    let hash = token_hash(bearer(headers).unwrap_or_default());
-    // The lookup is by the hash, which tells nothing of a token that is nearly right; the comparison
-    // that decides is in constant time all the same.
+    let hash = token_hash(bearer_token(headers).unwrap_or_default());
+    // The time of a lookup by hash reveals nothing about a similar token. The deciding comparison is in
+    // constant time nonetheless.
     let found = view.organisations.get(&hash);
-    let found = found.filter(|known| {
-        bool::from(known.token_sha256.to_ascii_lowercase().as_bytes().ct_eq(hash.as_bytes()))
+    let found = found.filter(|config| {
+        bool::from(config.token_sha256.to_ascii_lowercase().as_bytes().ct_eq(hash.as_bytes()))
     });
     found.cloned().ok_or_else(|| {
         let message = "the bearer token is missing, or belongs to no organisation";
-        Box::new(refusal(StatusCode::UNAUTHORIZED, "wrong-token", message))
+        Box::new(rejection(StatusCode::UNAUTHORIZED, "wrong-token", message))
     })
 }
 
-/// Checks a caller's token, event and class.
+/// Checks a caller's token, event and class, and that the event is open and uses `target`. The error is
+/// the response to send.
 pub(super) fn check_caller(
     context: &WebContext,
     headers: &HeaderMap,
     target: &str,
 ) -> Result<CallerAccess, Box<HttpResponse>> {
     if context.shutdown.is_raised() {
-        let mut answer =
-            refusal(StatusCode::SERVICE_UNAVAILABLE, "stopping", "this entry is stopping");
-        set_header(&mut answer, "retry-after", "1");
-        return Err(Box::new(answer));
+        let mut response =
+            rejection(StatusCode::SERVICE_UNAVAILABLE, "stopping", "this entry is stopping");
+        set_header(&mut response, "retry-after", "1");
+        return Err(Box::new(response));
     }
-    let organisation = organisation(context, headers)?;
+    let organisation = find_organisation(context, headers)?;
     let view = context.view.borrow().clone();
     let event = find_event(&view, headers)?;
     if !event.admits(&organisation.name) {
-        let message =
-            format!("organisation {:?} does not take part in {:?}", organisation.name, event.name);
-        return Err(Box::new(refusal(StatusCode::FORBIDDEN, "not-taking-part", &message)));
+        let message = format!(
+            "organisation {:?} does not take part in event {:?}",
+            organisation.name, event.name
+        );
+        return Err(Box::new(rejection(StatusCode::FORBIDDEN, "not-taking-part", &message)));
     }
     if !event.uses(target) {
         let message = format!("event {:?} does not use {target:?}", event.name);
-        return Err(Box::new(refusal(StatusCode::NOT_FOUND, "unknown-target", &message)));
+        return Err(Box::new(rejection(StatusCode::NOT_FOUND, "unknown-target", &message)));
     }
     let class = find_class(&event, headers)?;
     if event.state != EventState::Open {
         let message = format!("event {:?} is {}", event.name, event.state.as_str());
-        let mut answer = refusal(StatusCode::SERVICE_UNAVAILABLE, "event-not-open", &message);
-        set_header(&mut answer, "retry-after", EVENT_RETRY);
-        return Err(Box::new(answer));
+        let mut response = rejection(StatusCode::SERVICE_UNAVAILABLE, "event-not-open", &message);
+        set_header(&mut response, "retry-after", EVENT_RETRY_AFTER);
+        return Err(Box::new(response));
     }
     Ok(CallerAccess { organisation, class })
 }
 
 fn find_event(view: &ConfigView, headers: &HeaderMap) -> Result<EventConfig, Box<HttpResponse>> {
-    let Some(name) = header_text(headers, EVENT) else {
+    let Some(name) = header_text(headers, EVENT_HEADER) else {
         let message = "the Switchfold-Event header is missing; expected the name of an event";
-        return Err(Box::new(refusal(StatusCode::BAD_REQUEST, "missing-event", message)));
+        return Err(Box::new(rejection(StatusCode::BAD_REQUEST, "missing-event", message)));
     };
     view.events.get(name).cloned().ok_or_else(|| {
         let message = format!("no event {name:?}");
-        Box::new(refusal(StatusCode::NOT_FOUND, "unknown-event", &message))
+        Box::new(rejection(StatusCode::NOT_FOUND, "unknown-event", &message))
     })
 }
 
-/// Without a header, the class with the lowest priority.
+/// Finds the class that the header names, or without a header the class with the lowest priority.
 fn find_class(event: &EventConfig, headers: &HeaderMap) -> Result<ClassConfig, Box<HttpResponse>> {
     let names: Vec<&str> = event.classes.iter().map(|class| class.name.as_str()).collect();
-    let found = match header_text(headers, CLASS) {
+    let found = match header_text(headers, CLASS_HEADER) {
         Some(name) => event.class(name),
         None => event.classes.iter().min_by_key(|class| class.priority),
     };
     found.cloned().ok_or_else(|| {
         let message = format!("Switchfold-Class: expected one of {}", names.join(", "));
-        Box::new(refusal(StatusCode::BAD_REQUEST, "unknown-class", &message))
+        Box::new(rejection(StatusCode::BAD_REQUEST, "unknown-class", &message))
     })
 }
--- a/crates/entry/src/web/completions.rs
+++ b/crates/entry/src/web/completions.rs
@@ -1,4 +1,4 @@
-//! `POST /v1/completions`: tokens of a model, whole or as server-sent events.
+//! `POST /v1/completions`: completions, in one response or as server-sent events.
 
 use std::{sync::Arc, time::Duration};
 
@@ -20,20 +20,20 @@
     idempotency, responses,
 };
 use crate::{
-    dispatch::submission::{CallerEvent, Outcome, Submission, Work},
+    dispatch::submission::{CallerEvent, NotRunReason, Outcome, Submission, UnknownReason, Work},
     service::{Cancel, DispatchService, IssueId, Submit},
 };
 
-/// Frames of a streamed answer that may wait for a slow caller.
-const STREAM_FRAMES: usize = 64;
+/// Frames of a streamed response that are buffered for a slow caller.
+const STREAM_BUFFER_FRAMES: usize = 64;
 
-/// Tokens that an answer has where the caller does not say.
+/// Number of tokens to generate if the caller does not set `max_tokens`.
 const DEFAULT_MAX_TOKENS: u32 = 16;
 
 /// Longest prompt, in tokens.
-const MOST_PROMPT: usize = 100_000;
+const MAX_PROMPT_TOKENS: usize = 100_000;
 
-/// What a caller sends. Fields that other servers know and this one does not are passed over.
+/// JSON body of a request. Unknown fields, such as those of other servers with this API, are ignored.
 #[derive(Debug, Deserialize)]
 struct CompletionRequest {
     model: String,
@@ -44,7 +44,7 @@
     stream: bool,
 }
 
-/// A prompt: a text, whose bytes are its tokens, or tokens.
+/// A prompt, as text or as token ids. The tokens of a text are its bytes.
 #[derive(Debug, Deserialize)]
 #[serde(untagged)]
 enum Prompt {
@@ -61,9 +61,9 @@
     }
 }
 
-/// One piece of an answer.
+/// JSON body of a response, or of one event of a streamed response.
 #[derive(Debug, Serialize)]
-struct CompletionAnswer<'a> {
+struct CompletionBody<'a> {
     id: &'a str,
     object: &'static str,
     model: &'a str,
@@ -78,7 +78,7 @@
     finish_reason: Option<&'static str>,
 }
 
-/// Last event of a streamed answer.
+/// Last event of a streamed response.
 #[derive(Debug, Serialize)]
 struct OutcomeEvent<'a> {
     outcome: &'a str,
@@ -86,7 +86,7 @@
     tokens: u32,
 }
 
-/// The ways in which a request reaches the dispatch, and is taken back where its caller goes away.
+/// A submitted request. Dropping it before [`CallerRequest::mark_finished`] cancels the request.
 pub(super) struct CallerRequest {
     pub(super) id: RequestId,
     pub(super) events: mpsc::UnboundedReceiver<CallerEvent>,
@@ -94,13 +94,13 @@
 }
 
 impl CallerRequest {
-    /// The request is over: nothing is left to cancel.
-    pub(super) fn finished(&mut self) {
+    /// Marks the request as ended, so that dropping it does not cancel it.
+    pub(super) fn mark_finished(&mut self) {
         self.guard.dispatch = None;
     }
 }
 
-/// Cancels the request when dropped.
+/// Cancels the request when dropped, unless `dispatch` is `None`.
 struct CancelGuard {
     id: RequestId,
     dispatch: Option<xtra::Address<DispatchService>>,
@@ -117,87 +117,97 @@
     }
 }
 
-pub(super) async fn answer(context: &WebContext, request: Request<Incoming>) -> HttpResponse {
+pub(super) async fn respond(context: &WebContext, request: Request<Incoming>) -> HttpResponse {
     let (parts, body) = request.into_parts();
     let completion = match read_completion(context, body).await {
         Ok(completion) => completion,
-        Err(refused) => return *refused,
+        Err(rejection) => return *rejection,
     };
     let access = match check_caller(context, &parts.headers, &completion.model) {
         Ok(access) => access,
-        Err(refused) => return *refused,
+        Err(rejection) => return *rejection,
     };
     if !context.settings.models.iter().any(|model| model.name == completion.model) {
         let names: Vec<&str> =
             context.settings.models.iter().map(|model| model.name.as_str()).collect();
         let message =
             format!("no model {:?}, expected one of {}", completion.model, names.join(", "));
-        return responses::refusal(StatusCode::NOT_FOUND, "unknown-model", &message);
+        return responses::rejection(StatusCode::NOT_FOUND, "unknown-model", &message);
     }
     let (model, stream) = (completion.model.clone(), completion.stream);
     let max_tokens = completion.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS);
     let work = Work::Completion { prompt: completion.prompt.into_tokens(), max_tokens };
-    let caller = match start(context, &parts.headers, &access, &model, work).await {
+    let caller = match submit_request(context, &parts.headers, &access, &model, work).await {
         Ok(caller) => caller,
-        Err(refused) => return *refused,
+        Err(rejection) => return *rejection,
     };
-    if stream { streamed(caller, model).await } else { whole_answer(caller, &model).await }
+    if stream {
+        stream_response(caller, model).await
+    } else {
+        full_completion(caller, &model).await
+    }
 }
 
 async fn read_completion(
     context: &WebContext,
     body: Incoming,
 ) -> Result<CompletionRequest, Box<HttpResponse>> {
-    let refuse =
-        |status, reason, message: &str| Box::new(responses::refusal(status, reason, message));
+    let reject =
+        |status, reason, message: &str| Box::new(responses::rejection(status, reason, message));
     let body = read_body(body, context.settings.body_bytes).await.map_err(|error| match error {
         BodyError::TooLarge { .. } => {
-            refuse(StatusCode::PAYLOAD_TOO_LARGE, "body-too-large", &error.to_string())
+            reject(StatusCode::PAYLOAD_TOO_LARGE, "body-too-large", &error.to_string())
         }
         BodyError::Truncated => {
-            refuse(StatusCode::BAD_REQUEST, "body-truncated", &error.to_string())
+            reject(StatusCode::BAD_REQUEST, "body-truncated", &error.to_string())
         }
     })?;
     let completion: CompletionRequest = serde_json::from_slice(&body)
-        .map_err(|error| refuse(StatusCode::BAD_REQUEST, "malformed-body", &error.to_string()))?;
-    let most = context.settings.max_tokens;
-    if completion.max_tokens.is_some_and(|tokens| tokens == 0 || tokens > most) {
-        let message = format!("max_tokens: expected a whole number from 1 to {most}");
-        return Err(refuse(StatusCode::BAD_REQUEST, "malformed-body", &message));
+        .map_err(|error| reject(StatusCode::BAD_REQUEST, "malformed-body", &error.to_string()))?;
+    let max_tokens = context.settings.max_tokens;
+    if completion.max_tokens.is_some_and(|tokens| tokens == 0 || tokens > max_tokens) {
+        let message = format!("max_tokens: expected a whole number from 1 to {max_tokens}");
+        return Err(reject(StatusCode::BAD_REQUEST, "malformed-body", &message));
     }
     let len = match &completion.prompt {
         Prompt::Text(text) => text.len(),
         Prompt::Tokens(tokens) => tokens.len(),
     };
-    if len == 0 || len > MOST_PROMPT {
-        let message = format!("prompt: expected 1 to {MOST_PROMPT} tokens, found {len}");
-        return Err(refuse(StatusCode::BAD_REQUEST, "malformed-body", &message));
+    if len == 0 || len > MAX_PROMPT_TOKENS {
+        let message = format!("prompt: expected 1 to {MAX_PROMPT_TOKENS} tokens, found {len}");
+        return Err(reject(StatusCode::BAD_REQUEST, "malformed-body", &message));
     }
     Ok(completion)
 }
 
-/// Checks the organisation's rate, claims the key where there is one, and submits the request.
-pub(super) async fn start(
+/// Checks the organisation's rate limit, claims the idempotency key if there is one, and submits the
+/// request. The error is the response to send.
+pub(super) async fn submit_request(
     context: &WebContext,
     headers: &HeaderMap,
     access: &CallerAccess,
     target: &str,
     work: Work,
 ) -> Result<CallerRequest, Box<HttpResponse>> {
-    let key = idempotency::key_of(headers)?;
-    let stopping =
-        || Box::new(responses::refusal(StatusCode::SERVICE_UNAVAILABLE, "stopping", "stopping"));
+    let key = idempotency::idempotency_key(headers)?;
+    let stopping = || {
+        Box::new(responses::rejection(
+            StatusCode::SERVICE_UNAVAILABLE,
+            "stopping",
+            "this entry is stopping",
+        ))
+    };
     let id = context.dispatch.send(IssueId).await.map_err(|_| stopping())?;
     let now = now_millis();
     let entries = context.directory.others().len() + 1;
-    if let Err(wait) = context.limits.take(&access.organisation, entries, now) {
-        let reason = crate::dispatch::submission::NotRunReason::RateLimit;
+    if let Err(wait) = context.limits.try_take(&access.organisation, entries, now) {
+        let reason = NotRunReason::RateLimit;
         return Err(Box::new(responses::not_run(id, reason, wait)));
     }
     let deadline = now + access.class.deadline_ms;
     if let Some(key) = key {
-        let patience = Duration::from_millis(access.class.deadline_ms);
-        idempotency::claim(context, &access.organisation.name, key, id, patience).await?;
+        let timeout = Duration::from_millis(access.class.deadline_ms);
+        idempotency::claim(context, &access.organisation.name, key, id, timeout).await?;
     }
     let submission = Submission {
         id,
@@ -212,73 +222,70 @@
     };
     let (sink, events) = mpsc::unbounded_channel();
     let guard = CancelGuard { id, dispatch: Some(context.dispatch.clone()) };
-    let submit = Submit { submission, sink, work: context.work.guard() };
+    let submit = Submit { submission, sink, work: context.in_flight.guard() };
     context.dispatch.send(submit).await.map_err(|_| stopping())?;
     Ok(CallerRequest { id, events, guard })
 }
 
-async fn whole_answer(mut caller: CallerRequest, model: &str) -> HttpResponse {
+/// Collects all tokens into one response.
+async fn full_completion(mut caller: CallerRequest, model: &str) -> HttpResponse {
     let id = caller.id;
     let mut tokens = Vec::new();
     while let Some(event) = caller.events.recv().await {
         match event {
             CallerEvent::Tokens(more) => tokens.extend(more),
             CallerEvent::Done { .. } => {
-                caller.finished();
-                let text = id.to_string();
-                let body = completion_answer(&text, model, &tokens, Some("length"));
-                let mut answer = json_response(StatusCode::OK, &body);
-                responses::state(&mut answer, id, Outcome::Done);
-                return answer;
+                caller.mark_finished();
+                let id_text = id.to_string();
+                let body = completion_body(&id_text, model, &tokens, Some("length"));
+                let mut response = json_response(StatusCode::OK, &body);
+                responses::set_outcome(&mut response, id, Outcome::Done);
+                return response;
             }
-            last => return ended(caller, last),
+            last => return error_response(caller, last),
         }
     }
-    responses::unknown(id, crate::dispatch::submission::UnknownReason::EntryStopped)
+    responses::unknown(id, UnknownReason::EntryStopped)
 }
 
-/// Answer to a request that gave no result.
-pub(super) fn ended(mut caller: CallerRequest, event: CallerEvent) -> HttpResponse {
-    caller.finished();
+/// Returns the response to a request whose last event is not a result.
+pub(super) fn error_response(mut caller: CallerRequest, event: CallerEvent) -> HttpResponse {
+    caller.mark_finished();
     match event {
         CallerEvent::NotRun { reason, retry_after } => {
             responses::not_run(caller.id, reason, retry_after)
         }
         CallerEvent::Unknown { reason } => responses::unknown(caller.id, reason),
-        _ => {
-            responses::unknown(caller.id, crate::dispatch::submission::UnknownReason::EntryStopped)
-        }
+        _ => responses::unknown(caller.id, UnknownReason::EntryStopped),
     }
 }
 
-fn completion_answer<'a>(
+fn completion_body<'a>(
     id: &'a str,
     model: &'a str,
     tokens: &'a [u32],
     finish_reason: Option<&'static str>,
-) -> CompletionAnswer<'a> {
+) -> CompletionBody<'a> {
     let text: String = tokens.iter().map(|token| format!(" {token}")).collect();
     let choice = CompletionChoice { index: 0, text, token_ids: tokens, finish_reason };
-    CompletionAnswer { id, object: "text_completion", model, choices: [choice] }
+    CompletionBody { id, object: "text_completion", model, choices: [choice] }
 }
 
-/// Waits for the first event, so that a request that did not run gets a status of its own.
-async fn streamed(mut caller: CallerRequest, model: String) -> HttpResponse {
+/// Waits for the first event before the response begins, so that a request that did not run gets an
+/// error status.
+async fn stream_response(mut caller: CallerRequest, model: String) -> HttpResponse {
     let id = caller.id;
     let first = match caller.events.recv().await {
         Some(CallerEvent::Tokens(tokens)) => tokens,
-        Some(last) => return ended(caller, last),
+        Some(last) => return error_response(caller, last),
         None => {
-            return responses::unknown(
-                id,
-                crate::dispatch::submission::UnknownReason::EntryStopped,
-            );
+            return responses::unknown(id, UnknownReason::EntryStopped);
         }
     };
-    let (sender, body) = Channel::new(STREAM_FRAMES);
+    let (sender, body) = Channel::new(STREAM_BUFFER_FRAMES);
     tokio::spawn(stream_events(caller, model, first, sender));
-    let mut answer = Response::new(body.boxed());
-    let headers = answer.headers_mut();
+    let mut response = Response::new(body.boxed());
+    let headers = response.headers_mut();
     headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("text/event-stream"));
     headers.insert(header::CACHE_CONTROL, HeaderValue::from_static("no-store"));
     headers
@@ -286,12 +293,13 @@
     if let Ok(value) = HeaderValue::from_str(&id.to_string()) {
         headers.insert(HeaderName::from_static(responses::REQUEST), value);
     }
-    answer
+    response
 }
 
 type StreamSender = http_body_util::channel::Sender<Bytes>;
 
-/// Dropping the request on the way out cancels it, where it is not over.
+/// Sends the events of a request as server-sent events. If the caller disconnects, the function returns
+/// and drops `caller`, which cancels the request.
 async fn stream_events(
     mut caller: CallerRequest,
     model: String,
@@ -317,9 +325,9 @@
             CallerEvent::Unknown { reason } => Outcome::Unknown(reason),
             CallerEvent::Response { .. } => continue,
         };
-        caller.finished();
-        // A caller that has gone has what it wanted of the answer.
-        let _sent = send_end(&mut sender, outcome, count).await;
+        caller.mark_finished();
+        // Nothing is left to do if the caller has disconnected.
+        let _sent = send_outcome(&mut sender, outcome, count).await;
         return;
     }
 }
@@ -330,12 +338,13 @@
     model: &str,
     tokens: &[u32],
 ) -> Result<(), http_body_util::channel::SendError> {
-    let body = completion_answer(id, model, tokens, None);
+    let body = completion_body(id, model, tokens, None);
     let json = serde_json::to_string(&body).unwrap_or_default();
     sender.send_data(Bytes::from(format!("data: {json}\n\n"))).await
 }
 
-async fn send_end(
+/// Sends the outcome as the last event and as trailers.
+async fn send_outcome(
     sender: &mut StreamSender,
     outcome: Outcome,
     tokens: u32,
--- a/crates/entry/src/web/idempotency.rs
+++ b/crates/entry/src/web/idempotency.rs
@@ -1,4 +1,4 @@
-//! Requests that callers may send again under the same key.
+//! Idempotency keys: a request with a key runs at most once, however often it is sent.
 
 use std::time::Duration;
 
@@ -17,35 +17,37 @@
     service::{ReadOutcome, RecordNotRun},
 };
 
-const KEY: &str = "idempotency-key";
+/// Header that holds the idempotency key.
+const KEY_HEADER: &str = "idempotency-key";
 
 /// Longest key, in bytes.
-const MOST_KEY: usize = 200;
+const MAX_KEY_BYTES: usize = 200;
 
-/// Milliseconds after which to try again where the store gives no answer.
+/// Time in milliseconds after which the caller should retry if the store does not respond.
 const RETRY_AFTER_MS: u64 = 1_000;
 
-/// Tries to take over a key whose holder never ran.
-const MOST_TAKEOVERS: u32 = 3;
+/// Largest number of attempts to claim a key whose previous holders did not run.
+const MAX_CLAIM_ATTEMPTS: u32 = 3;
 
-/// What another entry said of a request.
+/// Outcome of the request that holds a key.
 struct HolderOutcome {
-    word: String,
+    name: String,
 }
 
-/// The caller's key, where there is one.
-pub(super) fn key_of(headers: &HeaderMap) -> Result<Option<&str>, Box<HttpResponse>> {
-    let Some(value) = headers.get(KEY) else {
+/// Returns the caller's key, or `None` without the header. The error is the response to send.
+pub(super) fn idempotency_key(headers: &HeaderMap) -> Result<Option<&str>, Box<HttpResponse>> {
+    let Some(value) = headers.get(KEY_HEADER) else {
         return Ok(None);
     };
-    let text = value.to_str().ok().filter(|text| !text.is_empty() && text.len() <= MOST_KEY);
+    let text = value.to_str().ok().filter(|text| !text.is_empty() && text.len() <= MAX_KEY_BYTES);
     text.map(Some).ok_or_else(|| {
-        let message = format!("Idempotency-Key: expected 1 to {MOST_KEY} visible ASCII characters");
-        Box::new(responses::refusal(StatusCode::BAD_REQUEST, "malformed-key", &message))
+        let message =
+            format!("Idempotency-Key: expected 1 to {MAX_KEY_BYTES} visible ASCII characters");
+        Box::new(responses::rejection(StatusCode::BAD_REQUEST, "malformed-key", &message))
     })
 }
 
-/// Claims a key for a request before it may run; the error is the answer to the caller.
+/// Claims a key for a request before it may run. The error is the response to send.
 pub(super) async fn claim(
     context: &WebContext,
     organisation: &str,
@@ -59,7 +61,7 @@
         entry: context.settings.name.clone(),
         replaces: None,
     };
-    for _ in 0..MOST_TAKEOVERS {
+    for _ in 0..MAX_CLAIM_ATTEMPTS {
         let claim = AcquireClaim { proposal: proposal.clone(), timeout };
         let state =
             claim_at_owner(&context.directory, &context.settings.name, &context.claims, claim)
@@ -71,18 +73,19 @@
             }
             ClaimState::Held(holder) => holder,
         };
-        let outcome = outcome_of(context, &holder).await;
-        if outcome.as_ref().is_none_or(|outcome| outcome.word != "not-run") {
-            return Err(Box::new(held_answer(id, &holder, outcome.as_ref())));
+        let outcome = holder_outcome(context, &holder).await;
+        if outcome.as_ref().is_none_or(|outcome| outcome.name != "not-run") {
+            return Err(Box::new(held_response(id, &holder, outcome.as_ref())));
         }
-        // Its holder never ran and never will: the key is free again.
+        // The holder did not run and never will, so its claim may be replaced.
         proposal.replaces = Some(holder.request);
     }
     Err(unavailable(context, id).await)
 }
 
-/// The claim may yet be made, by a write whose answer was lost: that its request did not run must be
-/// remembered, or the key would never be free again.
+/// Records that the request did not run, and returns the response. The claim may still have been
+/// granted by a write whose response was lost; without the record, the key could never be claimed
+/// again.
 async fn unavailable(context: &WebContext, id: RequestId) -> Box<HttpResponse> {
     let reason = NotRunReason::ClaimUnavailable;
     let _dispatch_may_have_stopped =
@@ -90,31 +93,35 @@
     Box::new(responses::not_run(id, reason, RETRY_AFTER_MS))
 }
 
-/// The request itself did not run, but the one that holds its key may have: the answer is about that.
-fn held_answer(
+/// Returns the response to a request that did not run because another request holds its key. It states
+/// the outcome of that other request.
+fn held_response(
     id: RequestId,
     holder: &ClaimHolder,
     outcome: Option<&HolderOutcome>,
 ) -> HttpResponse {
-    let is_done = outcome.is_some_and(|outcome| outcome.word == "done");
+    let is_done = outcome.is_some_and(|outcome| outcome.name == "done");
     let outcome =
         if is_done { Outcome::Done } else { Outcome::Unknown(UnknownReason::AlreadyClaimed) };
-    let message = format!("request {} holds this key; the outcome is that one's", holder.request);
-    let mut answer = responses::with_outcome(StatusCode::CONFLICT, id, outcome, &message);
-    set_header(&mut answer, "switchfold-original", &holder.request.to_string());
-    set_header(&mut answer, responses::REASON, "already-claimed");
-    answer
+    let message =
+        format!("request {} holds this key; the outcome is of that request", holder.request);
+    let mut response = responses::with_outcome(StatusCode::CONFLICT, id, outcome, &message);
+    set_header(&mut response, "switchfold-original", &holder.request.to_string());
+    set_header(&mut response, responses::REASON, "already-claimed");
+    response
 }
 
-async fn outcome_of(context: &WebContext, holder: &ClaimHolder) -> Option<HolderOutcome> {
+/// Queries the outcome of the holder at the entry that issued it. Returns `None` if the entry cannot be
+/// reached or does not know the request.
+async fn holder_outcome(context: &WebContext, holder: &ClaimHolder) -> Option<HolderOutcome> {
     if holder.entry == context.settings.name {
         let outcome = context.dispatch.send(ReadOutcome(holder.request)).await.ok()??;
-        return Some(HolderOutcome { word: outcome.as_str().to_owned() });
+        return Some(HolderOutcome { name: outcome.as_str().to_owned() });
     }
     let peer = context.directory.address_of(&holder.entry)?;
     let mut client = context.directory.client(&peer.address).await?;
     let request =
         OutcomeRequest { incarnation: holder.request.incarnation, counter: holder.request.counter };
-    let answer = client.outcome(request).await.ok()?.into_inner();
-    answer.known.then_some(HolderOutcome { word: answer.outcome })
+    let response = client.outcome(request).await.ok()?.into_inner();
+    response.known.then_some(HolderOutcome { name: response.outcome })
 }
--- a/crates/entry/src/web/limits.rs
+++ b/crates/entry/src/web/limits.rs
@@ -1,4 +1,4 @@
-//! Rates of organisations at this entry.
+//! Rate limits of organisations at this entry.
 
 use std::{
     collections::HashMap,
@@ -7,22 +7,22 @@
 
 use switchfold_core::{Millis, config::OrganisationConfig, share::RateBucket};
 
-/// Organisations that are remembered; past it the table starts anew.
-const MOST_ORGANISATIONS: usize = 20_000;
+/// Largest number of token buckets; when it is reached, all are discarded.
+const MAX_BUCKETS: usize = 20_000;
 
-/// Buckets of the organisations that were active of late.
+/// Token buckets of the organisations that have sent requests to this entry.
 #[derive(Debug, Default)]
 pub struct RateLimits {
     buckets: Mutex<HashMap<String, RateBucket>>,
 }
 
 impl RateLimits {
-    /// Takes one request of an organisation, whose limit is spread over `entries` entries.
+    /// Takes a token for one request. The organisation's limit is divided evenly over `entries` entries.
     ///
     /// # Errors
     ///
-    /// Gives the milliseconds to wait where the rate is used up.
-    pub fn take(
+    /// Returns the time to wait, in milliseconds, if the rate limit is exhausted.
+    pub fn try_take(
         &self,
         organisation: &OrganisationConfig,
         entries: usize,
@@ -33,7 +33,7 @@
         }
         let share = u64::from(organisation.limit_per_s).div_ceil(entries.max(1) as u64);
         let mut buckets = self.buckets.lock().unwrap_or_else(PoisonError::into_inner);
-        if buckets.len() >= MOST_ORGANISATIONS && !buckets.contains_key(&organisation.name) {
+        if buckets.len() >= MAX_BUCKETS && !buckets.contains_key(&organisation.name) {
             buckets.clear();
         }
         let bucket =
--- a/crates/entry/src/web/mod.rs
+++ b/crates/entry/src/web/mod.rs
@@ -1,16 +1,16 @@
-//! HTTP for callers and operators.
+//! HTTP API for callers and operators.
 //!
-//! | path | for |
+//! | path | use |
 //! |---|---|
-//! | `POST /v1/completions` | callers: tokens of a model, whole or as server-sent events |
-//! | any method, `/v1/services/{service}/…` | callers: a plain service |
-//! | `GET /v1/requests/{id}` | callers: the outcome of an earlier request |
+//! | `POST /v1/completions` | callers: completion of a prompt, in one response or as server-sent events |
+//! | any method, `/v1/services/{service}/…` | callers: call to a plain HTTP service |
+//! | `GET /v1/requests/{id}` | callers: outcome of an earlier request |
 //! | `POST /v1/operator` | operators: one statement |
-//! | `/healthz`, `/readyz`, `/metrics` | the platform |
+//! | `/healthz`, `/readyz`, `/metrics` | platform: liveness, readiness, metrics |
 //!
-//! Every answer to a caller's request carries `Switchfold-Outcome`: `done`, `not-run` or `unknown`,
-//! and where it is not `done`, a machine-readable `Switchfold-Reason`. A streamed answer carries both
-//! again at its end, as a last event and as a trailer.
+//! Every response to a caller's request has the header `Switchfold-Outcome` with the value `done`,
+//! `not-run` or `unknown`, and unless it is `done`, a machine-readable `Switchfold-Reason`. A streamed
+//! response carries both at its end, in the last event and in the trailers.
 
 mod access;
 mod calls;
@@ -45,40 +45,40 @@
 
 pub use limits::RateLimits;
 
-/// Everything that answers need.
+/// Data and services that request handlers use.
 #[derive(Clone)]
 pub struct WebContext {
     /// Settings of the entry.
     pub settings: Arc<EntrySettings>,
-    /// Requests.
+    /// Service that holds the requests and replicas.
     pub dispatch: Address<DispatchService>,
-    /// Claims.
+    /// Service that acquires claims on idempotency keys.
     pub claims: Address<ClaimService>,
-    /// What operators' statements need.
+    /// Context of operators' statements.
     pub commands: CommandContext,
-    /// What is in force.
+    /// Current configuration.
     pub view: watch::Receiver<Arc<ConfigView>>,
-    /// Other entries.
+    /// Addresses of the other entries.
     pub directory: PeerDirectory,
-    /// Metrics.
+    /// Metrics, as served by `/metrics`.
     pub metrics: Arc<EntryMetrics>,
-    /// Rates of organisations.
+    /// Rate limits of organisations at this entry.
     pub limits: Arc<RateLimits>,
-    /// Raised at a planned stop.
+    /// Raised at a planned shutdown, after which new requests are refused.
     pub shutdown: ShutdownSignal,
-    /// Work that a planned stop waits for.
-    pub work: ShutdownSignal,
-    /// When the store or a peer was last heard of.
+    /// Tracks the requests in flight, for which a planned shutdown waits.
+    pub in_flight: ShutdownSignal,
+    /// Time of the last message from the store or another entry; 0 before the first.
     pub last_contact: watch::Receiver<Millis>,
 }
 
 impl WebContext {
-    /// Answers one request.
+    /// Handles one request.
     ///
     /// # Errors
     ///
-    /// Never; the type is that of the server's handlers.
-    pub async fn answer(
+    /// Never returns an error; the type is required of the server's handlers.
+    pub async fn respond(
         self,
         request: Request<Incoming>,
     ) -> Result<HttpResponse, ConnectionDropped> {
@@ -87,13 +87,13 @@
             (_, "/healthz") => full_response(StatusCode::OK, "text/plain", "ok\n"),
             (_, "/readyz") => self.readiness(),
             (&Method::GET, "/metrics") => self.metrics_text(),
-            (&Method::POST, "/v1/completions") => completions::answer(&self, request).await,
-            (&Method::POST, "/v1/operator") => operator::answer(&self, request).await,
+            (&Method::POST, "/v1/completions") => completions::respond(&self, request).await,
+            (&Method::POST, "/v1/operator") => operator::respond(&self, request).await,
             (&Method::GET, path) if path.starts_with("/v1/requests/") => {
-                outcomes::answer(&self, &request).await
+                outcomes::respond(&self, &request).await
             }
-            (_, path) if path.starts_with("/v1/services/") => calls::answer(&self, request).await,
-            _ => responses::refusal(
+            (_, path) if path.starts_with("/v1/services/") => calls::respond(&self, request).await,
+            _ => responses::rejection(
                 StatusCode::NOT_FOUND,
                 "no-such-path",
                 "see the list of paths in the README",
@@ -101,21 +101,22 @@
         })
     }
 
-    /// Ready: not stopping, and not cut off from the store and all peers.
+    /// Returns status 200 unless the entry is shutting down, has no configuration yet, or has had no
+    /// contact to the store or another entry for longer than the setting `cut_off_ms`.
     fn readiness(&self) -> HttpResponse {
         if self.shutdown.is_raised() {
             return full_response(StatusCode::SERVICE_UNAVAILABLE, "text/plain", "stopping\n");
         }
-        let heard = *self.last_contact.borrow();
-        if heard == 0 {
+        let last_contact = *self.last_contact.borrow();
+        if last_contact == 0 {
             return full_response(
                 StatusCode::SERVICE_UNAVAILABLE,
                 "text/plain",
                 "no configuration yet\n",
             );
         }
-        let silent = now_millis().saturating_sub(heard);
-        if silent > self.settings.cut_off_ms {
+        let without_contact = now_millis().saturating_sub(last_contact);
+        if without_contact > self.settings.cut_off_ms {
             return full_response(
                 StatusCode::SERVICE_UNAVAILABLE,
                 "text/plain",
--- a/crates/entry/src/web/operator.rs
+++ b/crates/entry/src/web/operator.rs
@@ -1,4 +1,4 @@
-//! `POST /v1/operator`: one statement, as text.
+//! `POST /v1/operator`: runs one statement, which is the body of the request.
 
 use http::{Request, StatusCode};
 use hyper::body::Incoming;
@@ -12,14 +12,15 @@
     service::IssueId,
 };
 
-const COMMAND_ID: &str = "switchfold-command";
+/// Header that sets the id of the command.
+const COMMAND_ID_HEADER: &str = "switchfold-command";
 
 /// Longest id of a command, in bytes.
-const MOST_COMMAND_ID: usize = 100;
+const MAX_COMMAND_ID_BYTES: usize = 100;
 
-/// Body of an answer to a statement that was refused.
+/// JSON body of the response to a statement that failed.
 #[derive(Debug, Serialize)]
-struct CommandRefusal<'a> {
+struct CommandErrorBody<'a> {
     result: &'a str,
     reason: &'a str,
     message: String,
@@ -29,31 +30,33 @@
     column: Option<usize>,
 }
 
-pub(super) async fn answer(context: &WebContext, request: Request<Incoming>) -> HttpResponse {
-    if let Err(refused) = access::check_operator(context, request.headers()) {
-        return *refused;
+pub(super) async fn respond(context: &WebContext, request: Request<Incoming>) -> HttpResponse {
+    if let Err(rejection) = access::check_operator(context, request.headers()) {
+        return *rejection;
     }
-    let given = request.headers().get(COMMAND_ID).and_then(|value| value.to_str().ok());
+    let given = request.headers().get(COMMAND_ID_HEADER).and_then(|value| value.to_str().ok());
     let command = match given {
-        Some(id) if id.is_empty() || id.len() > MOST_COMMAND_ID || !id.bytes().all(is_id_byte) => {
-            let message = "Switchfold-Command: expected letters, digits and -";
-            return responses::refusal(StatusCode::BAD_REQUEST, "malformed-command-id", message);
+        Some(id)
+            if id.is_empty() || id.len() > MAX_COMMAND_ID_BYTES || !id.bytes().all(is_id_byte) =>
+        {
+            let message = "Switchfold-Command: expected 1 to 100 letters, digits or -";
+            return responses::rejection(StatusCode::BAD_REQUEST, "malformed-command-id", message);
         }
         Some(id) => id.to_owned(),
         None => match context.dispatch.send(IssueId).await {
             Ok(id) => id.to_string(),
-            Err(_) => return refused(&CommandError::Stopping),
+            Err(_) => return error_response(&CommandError::Stopping),
         },
     };
     let text = match read_body(request.into_body(), MAX_STATEMENT_BYTES).await {
         Ok(body) => String::from_utf8_lossy(&body).into_owned(),
         Err(error) => {
-            return responses::refusal(StatusCode::PAYLOAD_TOO_LARGE, "body", &error.to_string());
+            return responses::rejection(StatusCode::PAYLOAD_TOO_LARGE, "body", &error.to_string());
         }
     };
     match run_statement(&context.commands, &text, &command).await {
-        Ok(answer) => json_response(StatusCode::OK, &answer),
-        Err(error) => refused(&error),
+        Ok(output) => json_response(StatusCode::OK, &output),
+        Err(error) => error_response(&error),
     }
 }
 
@@ -61,7 +64,7 @@
     byte.is_ascii_alphanumeric() || byte == b'-'
 }
 
-fn refused(error: &CommandError) -> HttpResponse {
+fn error_response(error: &CommandError) -> HttpResponse {
     let (status, reason) = match error {
         CommandError::InvalidStatement { .. } => (StatusCode::BAD_REQUEST, "not-understood"),
         CommandError::NotFound { .. } => (StatusCode::NOT_FOUND, "missing"),
@@ -71,7 +74,7 @@
         CommandError::OutcomeUnknown { .. } => (StatusCode::BAD_GATEWAY, "unclear"),
         CommandError::Stopping => (StatusCode::SERVICE_UNAVAILABLE, "stopping"),
     };
-    let mut body = CommandRefusal {
+    let mut body = CommandErrorBody {
         result: "refused",
         reason,
         message: error.to_string(),
--- a/crates/entry/src/web/outcomes.rs
+++ b/crates/entry/src/web/outcomes.rs
@@ -1,4 +1,4 @@
-//! `GET /v1/requests/{id}`: the outcome of an earlier request, told again.
+//! `GET /v1/requests/{id}`: outcome of an earlier request.
 
 use http::{Request, StatusCode};
 use hyper::body::Incoming;
@@ -12,15 +12,15 @@
     service::ReadOutcome,
 };
 
-pub(super) async fn answer(context: &WebContext, request: &Request<Incoming>) -> HttpResponse {
-    if let Err(refused) = access::organisation(context, request.headers()) {
-        return *refused;
+pub(super) async fn respond(context: &WebContext, request: &Request<Incoming>) -> HttpResponse {
+    if let Err(rejection) = access::find_organisation(context, request.headers()) {
+        return *rejection;
     }
     let text = request.uri().path().trim_start_matches("/v1/requests/");
     let id: RequestId = match text.parse() {
         Ok(id) => id,
         Err(error) => {
-            return responses::refusal(
+            return responses::rejection(
                 StatusCode::BAD_REQUEST,
                 "malformed-id",
                 &format!("{error}"),
@@ -28,45 +28,46 @@
         }
     };
     match context.dispatch.send(ReadOutcome(id)).await {
-        Ok(Some(outcome)) => render(id, outcome),
-        _ => ask_others(context, id).await,
+        Ok(Some(outcome)) => outcome_response(id, outcome),
+        _ => query_peers(context, id).await,
     }
 }
 
-fn render(id: RequestId, outcome: Outcome) -> HttpResponse {
+fn outcome_response(id: RequestId, outcome: Outcome) -> HttpResponse {
     let (status, message) = match outcome {
-        Outcome::Running => (StatusCode::ACCEPTED, "it waits or runs"),
-        Outcome::Done => (StatusCode::OK, "it ran whole"),
-        Outcome::NotRun(_) => (StatusCode::OK, "it did not run, and never will"),
-        Outcome::Unknown(_) => (StatusCode::OK, "it may have run"),
+        Outcome::Running => (StatusCode::ACCEPTED, "the request is waiting or running"),
+        Outcome::Done => (StatusCode::OK, "the request completed"),
+        Outcome::NotRun(_) => (StatusCode::OK, "the request did not run and will not run"),
+        Outcome::Unknown(_) => (StatusCode::OK, "the request may have run"),
     };
     responses::with_outcome(status, id, outcome, message)
 }
 
-/// Another entry may have issued it; where none knows it, nothing can be said of it.
-async fn ask_others(context: &WebContext, id: RequestId) -> HttpResponse {
+/// Queries the other entries, one of which may have issued the id. If none of them knows the request,
+/// its outcome is unknown.
+async fn query_peers(context: &WebContext, id: RequestId) -> HttpResponse {
     for peer in context.directory.others() {
         let Some(mut client) = context.directory.client(&peer.address).await else {
             continue;
         };
-        let asked = OutcomeRequest { incarnation: id.incarnation, counter: id.counter };
-        if let Ok(told) = client.outcome(asked).await
-            && told.get_ref().known
+        let query = OutcomeRequest { incarnation: id.incarnation, counter: id.counter };
+        if let Ok(response) = client.outcome(query).await
+            && response.get_ref().known
         {
-            let told = told.into_inner();
-            let outcome = match told.outcome.as_str() {
+            let answer = response.into_inner();
+            let outcome = match answer.outcome.as_str() {
                 "running" => Outcome::Running,
                 "done" => Outcome::Done,
-                "not-run" => match serde_json::from_value(told.reason.into()) {
+                "not-run" => match serde_json::from_value(answer.reason.into()) {
                     Ok(reason) => Outcome::NotRun(reason),
                     Err(_) => Outcome::Unknown(UnknownReason::EntryStopped),
                 },
                 _ => Outcome::Unknown(UnknownReason::EntryStopped),
             };
-            return render(id, outcome);
+            return outcome_response(id, outcome);
         }
     }
-    let message = "no entry that can be reached remembers this request: it may have run";
+    let message = "no reachable entry knows this request; it may have run";
     responses::with_outcome(
         StatusCode::NOT_FOUND,
         id,
--- a/crates/entry/src/web/responses.rs
+++ b/crates/entry/src/web/responses.rs
@@ -1,4 +1,4 @@
-//! Answers, and the headers that state the outcome.
+//! Responses, and the headers that state the outcome of a request.
 
 use http::StatusCode;
 use serde::Serialize;
@@ -12,7 +12,7 @@
 pub(super) const REQUEST: &str = "switchfold-request";
 const RETRY_AFTER: &str = "retry-after";
 
-/// Body of an answer that is not a result.
+/// JSON body of a response without a result.
 #[derive(Debug, Serialize)]
 struct ErrorBody<'a> {
     error: ErrorDetail<'a>,
@@ -27,30 +27,34 @@
     request: Option<String>,
 }
 
-/// Refuses something that never became a request: it did not run.
-pub(super) fn refusal(status: StatusCode, reason: &str, message: &str) -> HttpResponse {
+/// Returns the response to a request that is rejected before it gets an id. Its outcome is `not-run`.
+pub(super) fn rejection(status: StatusCode, reason: &str, message: &str) -> HttpResponse {
     let detail = ErrorDetail { outcome: "not-run", reason, message, request: None };
-    let mut answer = json_response(status, &ErrorBody { error: detail });
-    set_header(&mut answer, OUTCOME, "not-run");
-    set_header(&mut answer, REASON, reason);
-    answer
+    let mut response = json_response(status, &ErrorBody { error: detail });
+    set_header(&mut response, OUTCOME, "not-run");
+    set_header(&mut response, REASON, reason);
+    response
 }
 
-/// States that a request did not run.
+/// Returns the response to a request that did not run, with `Retry-After` in seconds.
 pub(super) fn not_run(id: RequestId, reason: NotRunReason, retry_after: Millis) -> HttpResponse {
     let status = match reason {
         NotRunReason::RateLimit => StatusCode::TOO_MANY_REQUESTS,
         NotRunReason::AlreadyClaimed => StatusCode::CONFLICT,
         _ => StatusCode::SERVICE_UNAVAILABLE,
     };
-    let mut answer =
-        with_outcome(status, id, Outcome::NotRun(reason), "it did not run; it may be sent again");
+    let mut response = with_outcome(
+        status,
+        id,
+        Outcome::NotRun(reason),
+        "the request did not run; it may be sent again",
+    );
     let seconds = retry_after.div_ceil(1_000).max(1);
-    set_header(&mut answer, RETRY_AFTER, &seconds.to_string());
-    answer
+    set_header(&mut response, RETRY_AFTER, &seconds.to_string());
+    response
 }
 
-/// States that a request may have run.
+/// Returns the response to a request that may have run.
 pub(super) fn unknown(id: RequestId, reason: UnknownReason) -> HttpResponse {
     let status = match reason {
         UnknownReason::AlreadyClaimed => StatusCode::CONFLICT,
@@ -60,11 +64,11 @@
         status,
         id,
         Outcome::Unknown(reason),
-        "it may have run; do not take it for not run",
+        "the request may have run; it must not be treated as not run",
     )
 }
 
-/// An answer that states an outcome and nothing else.
+/// Returns a response whose body and headers state an outcome.
 pub(super) fn with_outcome(
     status: StatusCode,
     id: RequestId,
@@ -78,17 +82,17 @@
         message,
         request: Some(id.to_string()),
     };
-    let mut answer = json_response(status, &ErrorBody { error: detail });
-    state(&mut answer, id, outcome);
-    answer
+    let mut response = json_response(status, &ErrorBody { error: detail });
+    set_outcome(&mut response, id, outcome);
+    response
 }
 
-/// Adds the outcome's headers.
-pub(super) fn state(answer: &mut HttpResponse, id: RequestId, outcome: Outcome) {
-    set_header(answer, REQUEST, &id.to_string());
-    set_header(answer, OUTCOME, outcome.as_str());
+/// Sets the headers that state the outcome.
+pub(super) fn set_outcome(response: &mut HttpResponse, id: RequestId, outcome: Outcome) {
+    set_header(response, REQUEST, &id.to_string());
+    set_header(response, OUTCOME, outcome.as_str());
     let reason = outcome.reason();
     if !reason.is_empty() {
-        set_header(answer, REASON, &reason);
+        set_header(response, REASON, &reason);
     }
 }
