--- a/crates/entry/src/claims.rs
+++ b/crates/entry/src/claims.rs
@@ -1,10 +1,10 @@
 //! Claims on idempotency keys, so that a repeated request runs at most once.
 //!
-//! Claims that arrive within a few milliseconds are batched into one conditional write per shard. The
-//! next batch collects while a write is in progress, so the rate of writes at the store does not grow
-//! with the rate of requests. Each shard has an owner among the entries, chosen by rendezvous hashing,
-//! to which the other entries send their claims. The owner only avoids write conflicts; safety comes
-//! from the conditional write alone. See [`switchfold_core::claim`].
+//! Claims that arrive within a few milliseconds are batched into one conditional write per shard.
+//! The next batch collects while a write is in progress, so the rate of writes at the store does
+//! not grow with the rate of requests. Each shard has an owner among the entries, chosen by
+//! rendezvous hashing, to which the other entries send their claims. The owner only avoids write
+//! conflicts; safety comes from the conditional write alone. See [`switchfold_core::claim`].
 
 use std::{collections::HashMap, time::Duration};
 
@@ -53,7 +53,7 @@
 pub struct AcquireClaim {
     /// Key, request and entry of the claim.
     pub proposal: ClaimProposal,
-    /// Time after which the claim ends as [`ClaimState::Unavailable`].
+    /// Time for which to retry if the store or the owner of the shard does not respond.
     pub timeout: Duration,
 }
 
@@ -64,11 +64,12 @@
     Granted,
     /// Another request holds the claim.
     Held(ClaimHolder),
-    /// The store did not respond in time. The claim may still be granted by a write whose response was
-    /// lost.
+    /// The store or the owner of the shard did not respond in time. The claim may still be granted
+    /// by a write whose response was lost.
     Unavailable,
 }
 
+/// A claim that waits for its batch.
 #[derive(Debug)]
 struct PendingClaim {
     proposal: ClaimProposal,
@@ -122,11 +123,11 @@
     }
 }
 
-/// Acquires a claim at the owner of its shard, or at this entry if it is the owner or the owner cannot
-/// be reached.
+/// Acquires a claim at the owner of its shard, or at this entry if it is the owner or the owner
+/// cannot be reached.
 ///
-/// Both are safe: of concurrent claims at this entry and at the owner, the conditional write lets only
-/// one succeed.
+/// Both are safe: of concurrent claims at this entry and at the owner, the conditional write lets
+/// only one succeed.
 pub async fn claim_at_owner(
     directory: &PeerDirectory,
     own_name: &str,
@@ -227,6 +228,7 @@
     number: u64,
     shard: ClaimShard,
     store: StoreClient,
+    /// Whether `shard` was read from the store since the last failed call.
     loaded: bool,
 }
 
@@ -247,7 +249,7 @@
         }
     }
 
-    /// Retries deadline every claim of the batch has its result or has expired.
+    /// Retries until every claim of the batch has its result or has expired.
     async fn process_batch(&mut self, mut batch: Vec<PendingClaim>) {
         while !batch.is_empty() {
             if let Err(error) = self.write_batch(&batch).await {
@@ -266,11 +268,12 @@
                     Some(holder) => ClaimState::Held(holder),
                     None => ClaimState::Unavailable,
                 };
-                let _caller_may_have_gone = pending.result.send(state);
+                let _caller_may_have_disconnected = pending.result.send(state);
             }
         }
     }
 
+    /// Writes the claims of a batch that are new, in one conditional write.
     async fn write_batch(&mut self, batch: &[PendingClaim]) -> Result<(), StoreError> {
         if !self.loaded {
             self.load().await?;
@@ -319,7 +322,7 @@
     let (waiting, expired): (Vec<_>, Vec<_>) =
         batch.into_iter().partition(|pending| pending.deadline > now);
     for pending in expired {
-        let _caller_may_have_gone = pending.result.send(ClaimState::Unavailable);
+        let _caller_may_have_disconnected = pending.result.send(ClaimState::Unavailable);
     }
     waiting
 }
--- a/crates/entry/src/commands.rs
+++ b/crates/entry/src/commands.rs
@@ -1,9 +1,9 @@
 //! Execution of operators' statements.
 //!
-//! A change reads the object from the store, modifies it, and writes it back conditionally, with the
-//! id of the command inside. A concurrent change makes the write fail with a conflict that shows the
-//! current value. If the store's response is lost, the object is read back: it holds the command's id
-//! if the write took effect.
+//! A change reads the object from the store, modifies it, and writes it back conditionally, with
+//! the id of the command inside. A concurrent change makes the write fail with a conflict that
+//! shows the current value. If the store's response is lost, the object is read back: it holds the
+//! command's id if the write took effect.
 
 mod change;
 mod tables;
@@ -81,9 +81,9 @@
         /// Name of the object.
         name: String,
     },
-    /// The change or query does not apply to the object.
+    /// A name, value or field of the statement is not valid for the object.
     #[display("{detail}")]
-    InvalidChange {
+    InvalidArgument {
         /// What is wrong, and what was expected.
         detail: String,
     },
@@ -106,9 +106,7 @@
         source: StoreError,
     },
     /// The store's response was lost, and the object could not be read back in time.
-    #[display(
-        "it is not known whether the change was accepted: {source}; check the version with show config"
-    )]
+    #[display("it is not known whether the change was accepted: {source}; check with show config")]
     OutcomeUnknown {
         /// Error of the store.
         source: StoreError,
@@ -118,8 +116,8 @@
     Stopping,
 }
 
-/// Parses and runs a statement. `command` must be unique among all commands: a change that is written
-/// is recognised by it.
+/// Parses and runs a statement. `command` must be unique among all commands: a change that is
+/// written is recognised by it.
 ///
 /// # Errors
 ///
--- a/crates/entry/src/commands/change.rs
+++ b/crates/entry/src/commands/change.rs
@@ -32,8 +32,8 @@
 /// Longest name of an event, organisation or VM, in bytes.
 const MAX_NAME_BYTES: usize = 200;
 
-/// Applies a change and returns the new version. Fails with a conflict if `expected` is given and is
-/// not the current version.
+/// Applies a change and returns the new version. Fails with a conflict if `expected` is given and
+/// is not the current version.
 pub(super) async fn run_change(
     context: &CommandContext,
     change: Command,
@@ -49,6 +49,7 @@
     write(context, planned, command).await
 }
 
+/// Reads the object that the command changes, and determines the value to write.
 async fn plan_change(
     context: &CommandContext,
     change: Command,
@@ -90,9 +91,9 @@
             delete_organisation(context, &organisation, command).await
         }
         Command::Drain { vm, draining } => drain(context, vm, draining, command).await,
-        Command::Show(_) => {
-            Err(CommandError::InvalidChange { detail: "show does not change an object".to_owned() })
-        }
+        Command::Show(_) => Err(CommandError::InvalidArgument {
+            detail: "show does not change an object".to_owned(),
+        }),
     }
 }
 
@@ -111,7 +112,7 @@
 ) -> Result<(), CommandError> {
     let names: Vec<String> = config.classes.iter().map(|class| class.name.clone()).collect();
     let class = config.classes.iter_mut().find(|class| class.name == name);
-    let class = class.ok_or_else(|| CommandError::InvalidChange {
+    let class = class.ok_or_else(|| CommandError::InvalidArgument {
         detail: format!("no class {name:?}, expected one of {}", names.join(", ")),
     })?;
     match setting {
@@ -128,7 +129,7 @@
 
 fn parse<T: DeserializeOwned>(key: &ObjectKey, value: &[u8]) -> Result<T, CommandError> {
     parse_object(key, value)
-        .map_err(|error| CommandError::InvalidChange { detail: error.to_string() })
+        .map_err(|error| CommandError::InvalidArgument { detail: error.to_string() })
 }
 
 fn plan<T: Serialize>(key: ObjectKey, stored: StoredObject, value: &T) -> PlannedChange {
@@ -188,7 +189,7 @@
     let mut config: EventConfig = parse_json("event", json)?;
     check_name("event", &config.name)?;
     if config.classes.is_empty() {
-        return Err(CommandError::InvalidChange {
+        return Err(CommandError::InvalidArgument {
             detail: "event: classes must name at least one class".to_owned(),
         });
     }
@@ -255,7 +256,7 @@
     let stored = read(context, &key).await?;
     if !draining {
         if stored.value.is_none() {
-            return Err(CommandError::InvalidChange {
+            return Err(CommandError::InvalidArgument {
                 detail: format!("vm {vm:?} is not being drained by a command"),
             });
         }
@@ -273,14 +274,15 @@
     }
     let detail =
         format!("{kind} {name:?}: expected 1 to {MAX_NAME_BYTES} letters, digits, or - _ . :");
-    Err(CommandError::InvalidChange { detail })
+    Err(CommandError::InvalidArgument { detail })
 }
 
 fn parse_json<T: DeserializeOwned>(kind: &str, json: &str) -> Result<T, CommandError> {
     serde_json::from_str(json)
-        .map_err(|error| CommandError::InvalidChange { detail: format!("{kind}: {error}") })
+        .map_err(|error| CommandError::InvalidArgument { detail: format!("{kind}: {error}") })
 }
 
+/// Returns the error that shows the current version and value of an object.
 fn conflict(key: &ObjectKey, stored: &StoredObject) -> CommandError {
     let current = match stored.value.as_deref() {
         Some(value) => String::from_utf8_lossy(value).into_owned(),
@@ -294,6 +296,8 @@
     }
 }
 
+/// Writes a planned change to the store, and merges the new version into this entry's
+/// configuration.
 async fn write(
     context: &CommandContext,
     planned: PlannedChange,
@@ -335,8 +339,8 @@
     Ok(AcceptedChange { key, version })
 }
 
-/// Decides whether a deletion took effect whose response was lost. A deleted object holds no command
-/// id, so the deletion counts as accepted if the object no longer exists.
+/// Decides whether a deletion took effect whose response was lost. A deleted object holds no
+/// command id, so the deletion counts as accepted if the object no longer exists.
 async fn confirm_delete(
     context: &CommandContext,
     key: &ObjectKey,
--- a/crates/entry/src/commands/tables.rs
+++ b/crates/entry/src/commands/tables.rs
@@ -77,7 +77,7 @@
 
 fn column(table: &ResultTable, field: &str) -> Result<usize, CommandError> {
     let found = table.columns.iter().position(|name| name == field);
-    found.ok_or_else(|| CommandError::InvalidChange {
+    found.ok_or_else(|| CommandError::InvalidArgument {
         detail: format!("no field {field:?}, expected one of {}", table.columns.join(", ")),
     })
 }
--- a/crates/entry/src/config/gossip.rs
+++ b/crates/entry/src/config/gossip.rs
@@ -57,8 +57,8 @@
 }
 
 impl PeerDirectory {
-    /// Creates a directory for the entry `process`. `seeds` are the addresses used until `view` holds the
-    /// list of VMs.
+    /// Creates a directory for the entry `process`. `seeds` are the addresses used until `view`
+    /// holds the list of VMs.
     pub fn new(
         process: &str,
         token: &str,
@@ -96,7 +96,8 @@
         self.others().into_iter().find(|peer| peer.name == name)
     }
 
-    /// Returns a client for an entry that uses the cached channel, or opens a channel if there is none.
+    /// Returns a client for an entry that uses the cached channel, or opens a channel if there is
+    /// none.
     ///
     /// Returns `None` if the entry cannot be reached.
     pub async fn client(&self, address: &str) -> Option<PeerClient<PeerChannel>> {
@@ -193,8 +194,8 @@
     }
 }
 
-/// Compares hashes of all versions. If they differ, merges the objects that are newer at the peer, and
-/// pushes those that are newer here.
+/// Compares hashes of all versions. If they differ, merges the objects that are newer at the peer,
+/// and pushes those that are newer here.
 async fn exchange(
     directory: &PeerDirectory,
     peer: &PeerAddress,
--- a/crates/entry/src/config/mod.rs
+++ b/crates/entry/src/config/mod.rs
@@ -1,14 +1,14 @@
 //! Current configuration, and its distribution to all entries.
 //!
-//! The store is the source of the configuration. Two entries of each data centre, chosen by rendezvous
-//! hashing, watch the store and push each change along a tree of bounded fan-out over all entries.
-//! Once a second each entry compares the hash of all its versions with one other entry, which repairs
-//! missed pushes. So the number of watches at the store grows with the data centres rather than with
-//! the entries, and changes keep spreading during an outage of the store.
+//! The store is the source of the configuration. Two entries of each data centre, chosen by
+//! rendezvous hashing, watch the store and push each change along a tree of bounded fan-out over
+//! all entries. Once a second each entry compares the hash of all its versions with one other
+//! entry, which repairs missed pushes. So the number of watches at the store grows with the data
+//! centres rather than with the entries, and changes keep spreading during an outage of the store.
 //!
-//! Of two copies of an object, the one with the larger version wins ([`VersionedObjects`]), so no order
-//! of arrival can replace an object by an older version. The list of VMs is distributed the same way,
-//! as an object whose version is the revision of the list.
+//! Of two copies of an object, the one with the larger version wins ([`VersionedObjects`]), so no
+//! order of arrival can replace an object by an older version. The list of VMs is distributed the
+//! same way, as an object whose version is the revision of the list.
 //!
 //! [`VersionedObjects`]: switchfold_core::version::VersionedObjects
 
--- a/crates/entry/src/config/service.rs
+++ b/crates/entry/src/config/service.rs
@@ -25,7 +25,8 @@
     pub objects: Vec<peer::ObjectCopy>,
 }
 
-/// Holds the current version of each object, and publishes a [`ConfigView`] of all after each change.
+/// Holds the current version of each object, and publishes a [`ConfigView`] of all after each
+/// change.
 #[derive(Actor)]
 pub struct ConfigService {
     process: String,
@@ -122,8 +123,8 @@
 }
 
 impl ConfigService {
-    /// Creates a service without objects. `last_contact` is set to the time of each message from the
-    /// store or another entry.
+    /// Creates a service without objects. `last_contact` is set to the time of each message from
+    /// the store or another entry.
     pub fn new(
         process: &str,
         view: watch::Sender<Arc<ConfigView>>,
@@ -249,6 +250,7 @@
 }
 
 impl ConfigService {
+    /// Returns the objects with a larger version than in `versions`, or without one there.
     fn newer_than(&self, versions: &[peer::ObjectVersion]) -> Vec<peer::ObjectCopy> {
         let known = versions.iter();
         let known: BTreeMap<ObjectKey, u64> = known
@@ -261,12 +263,13 @@
         newer.map(|(key, copy)| copy_to_message(key, copy)).collect()
     }
 
+    /// Records the result of an exchange, and that the peer was in contact.
     fn record_peer_hash(&mut self, peer: &str, hash: u64) {
         let now = now_millis();
         self.last_contact.send_replace(now);
         let same = hash == self.objects.hash();
-        let reading = PeerSyncStatus { peer: peer.to_owned(), same, at: now };
-        self.peers.insert(peer.to_owned(), reading);
+        let status = PeerSyncStatus { peer: peer.to_owned(), same, at: now };
+        self.peers.insert(peer.to_owned(), status);
     }
 }
 
--- a/crates/entry/src/config/watch.rs
+++ b/crates/entry/src/config/watch.rs
@@ -47,8 +47,8 @@
 }
 
 impl WatcherSelection {
-    /// Returns whether this entry is one of its data centre's watchers. An entry that is not on the list
-    /// of VMs counts as a watcher, since the list may not be known yet.
+    /// Returns whether this entry is one of its data centre's watchers. An entry that is not on the
+    /// list of VMs counts as a watcher, since the list may not be known yet.
     fn is_watcher(&self) -> bool {
         let view = self.view.borrow();
         let vms = view.vms.vms.iter();
--- a/crates/entry/src/links.rs
+++ b/crates/entry/src/links.rs
@@ -29,7 +29,8 @@
     connection: u64,
 }
 
-/// Task that holds a link to one agent open and reconnects with backoff. Dropping it closes the link.
+/// Task that holds a link to one agent open and reconnects with backoff. Dropping it closes the
+/// link.
 #[derive(Debug)]
 pub(crate) struct AgentLink {
     pub(crate) address: String,
@@ -43,8 +44,8 @@
 }
 
 impl AgentLink {
-    /// Spawns the task for the agent `process` at `address`. `link_number` differs between all links that
-    /// this entry has started.
+    /// Spawns the task for the agent `process` at `address`. `link_number` differs between all
+    /// links that this entry has started.
     pub(crate) fn start(
         identity: LinkIdentity,
         link_number: u64,
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -16,7 +16,7 @@
 /// Largest number of classes that get a label value of their own.
 const MAX_CLASS_LABELS: usize = 20;
 
-/// Requests of an organisation after which it gets a label value of its own.
+/// Observations of an organisation after which it gets a label value of its own.
 const LABEL_THRESHOLD: u64 = 3;
 
 /// Upper bounds of the histogram buckets, in milliseconds.
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -199,7 +199,8 @@
     }
 }
 
-/// Sends the list of VMs, the drained VMs and the plans to the dispatch service whenever they change.
+/// Sends the list of VMs, the drained VMs and the plans to the dispatch service whenever they
+/// change.
 async fn follow_membership(
     mut view: watch::Receiver<Arc<ConfigView>>,
     dispatch: Address<DispatchService>,
--- a/crates/entry/src/service.rs
+++ b/crates/entry/src/service.rs
@@ -1,8 +1,8 @@
 //! Actor that runs the dispatch state machine.
 //!
 //! It owns the links to agents and the channels to callers, passes incoming messages to
-//! [`DispatchState`], and executes the actions that it returns. All decisions on requests are made by
-//! the state machine.
+//! [`DispatchState`], and executes the actions that it returns. All decisions on requests are made
+//! by the state machine.
 
 use std::{
     collections::{BTreeSet, HashMap, VecDeque},
@@ -33,7 +33,7 @@
 /// Channel for the events of one request to its caller.
 pub type CallerSink = mpsc::UnboundedSender<CallerEvent>;
 
-/// Dispatch of an entry as an actor.
+/// Holds the dispatch state machine, the links to agents and the channels to callers.
 #[derive(Actor)]
 pub struct DispatchService {
     state: DispatchState,
@@ -85,7 +85,7 @@
     /// Receives the events of the request.
     pub sink: CallerSink,
     /// Held until the request has ended, so that a planned shutdown waits for it.
-    pub work: WorkGuard,
+    pub work_guard: WorkGuard,
 }
 
 /// Records that a request was rejected before it was submitted, so that its outcome can be queried.
@@ -150,7 +150,7 @@
 pub struct NamedReplica {
     /// Name of its process.
     pub name: String,
-    /// State of the replica as last reported to this entry.
+    /// What this entry knows of the replica.
     pub view: ReplicaView,
 }
 
@@ -184,8 +184,8 @@
             match action {
                 DispatchAction::Send { process, body } => {
                     if !self.send(&process, body) {
-                        // The state machine must learn that the message was not sent, or it would wait for the
-                        // reply without end.
+                        // The state machine must learn that the message was not sent, or it would
+                        // wait for the reply without end.
                         pending.extend(self.state.on_link_lost(now_millis(), &process));
                     }
                 }
@@ -210,7 +210,7 @@
     fn notify_caller(&mut self, request: RequestId, event: CallerEvent) {
         let is_last = !matches!(event, CallerEvent::Tokens(_) | CallerEvent::Response { .. });
         if let Some(caller) = self.callers.get(&request) {
-            let _gone_callers_cancel = caller.sink.send(event);
+            let _caller_may_have_disconnected = caller.sink.send(event);
         }
         if is_last {
             self.callers.remove(&request);
@@ -261,9 +261,9 @@
         }
     }
 
-    /// Returns the name and address of each agent that this entry holds a link to. An open link is kept
-    /// even if its VM is no longer on the list: the list lags behind, and an open link shows that the
-    /// agent is alive.
+    /// Returns the name and address of each agent that this entry holds a link to. An open link is
+    /// kept even if its VM is no longer on the list: the list lags behind, and an open link shows
+    /// that the agent is alive.
     fn selected_agents(&self) -> HashMap<String, String> {
         let endpoints = self.vms.iter().filter(|vm| vm.role == VmRole::Endpoint);
         let mut agents: HashMap<String, String> =
@@ -282,8 +282,8 @@
         agents
     }
 
-    /// Returns the index of this entry among the entries sorted by name, by which agents are distributed
-    /// evenly over the entries.
+    /// Returns the index of this entry among the entries sorted by name, by which agents are
+    /// distributed evenly over the entries.
     fn index_among_entries(&self) -> usize {
         let entries = self.vms.iter().filter(|vm| vm.role == VmRole::Entry);
         entries.filter(|vm| vm.name < self.identity.process).count()
@@ -302,7 +302,8 @@
             return;
         };
         let draining = self.is_drained(process, &agent_link.address);
-        // A failed send needs no handling: the task that reads the link is about to report it closed.
+        // A failed send needs no handling: the task that reads the link is about to report it
+        // closed.
         self.send(process, Body::Drain(link::Drain { draining }));
         let planned = self.plan.iter().find(|planned| planned.vm == process);
         if let Some(assignment) = planned.map(|planned| planned.assignment.clone()) {
@@ -331,7 +332,7 @@
     type Return = ();
 
     async fn handle(&mut self, message: Submit, _: &mut Context<Self>) {
-        let caller = Caller { sink: message.sink, _work_guard: message.work };
+        let caller = Caller { sink: message.sink, _work_guard: message.work_guard };
         self.callers.insert(message.submission.id, caller);
         let actions = self.state.submit(now_millis(), message.submission);
         self.execute(actions);
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -44,14 +44,15 @@
     /// Largest number of concurrent connections of callers.
     #[serde(default = "default_connections")]
     pub connections: usize,
-    /// Milliseconds without progress after which a request counts as stalled and its recovery starts.
+    /// Milliseconds without progress after which a request counts as stalled and its recovery
+    /// starts.
     #[serde(default = "default_stall_ms")]
     pub stall_ms: u64,
     /// Milliseconds without an offer after which an agent counts as lost.
     #[serde(default = "default_silence_ms")]
     pub silence_ms: u64,
-    /// Milliseconds without contact to the store or any other entry after which the entry reports that it
-    /// is not ready.
+    /// Milliseconds without contact to the store or any other entry after which the entry reports
+    /// that it is not ready.
     #[serde(default = "default_cut_off_ms")]
     pub cut_off_ms: u64,
 }
@@ -177,7 +178,7 @@
             "cut_off_ms",
             FieldKind::Integer(100, 600_000),
             false,
-            "milliseconds without contact to the store or another entry until the entry is not ready"
+            "milliseconds without the store and other entries until not ready"
         ),
     ];
 
--- a/crates/entry/src/web/access.rs
+++ b/crates/entry/src/web/access.rs
@@ -13,6 +13,7 @@
 
 /// Header that names the event of a request.
 const EVENT_HEADER: &str = "switchfold-event";
+
 /// Header that names the class of a request.
 const CLASS_HEADER: &str = "switchfold-class";
 
@@ -61,8 +62,8 @@
 ) -> Result<OrganisationConfig, Box<HttpResponse>> {
     let view: Arc<ConfigView> = context.view.borrow().clone();
     let hash = token_hash(bearer_token(headers).unwrap_or_default());
-    // The time of a lookup by hash reveals nothing about a similar token. The deciding comparison is in
-    // constant time nonetheless.
+    // The time of a lookup by hash reveals nothing about a similar token. The deciding comparison
+    // is in constant time nonetheless.
     let found = view.organisations.get(&hash);
     let found = found.filter(|config| {
         bool::from(config.token_sha256.to_ascii_lowercase().as_bytes().ct_eq(hash.as_bytes()))
@@ -73,8 +74,8 @@
     })
 }
 
-/// Checks a caller's token, event and class, and that the event is open and uses `target`. The error is
-/// the response to send.
+/// Checks a caller's token, event and class, and that the event is open and uses `target`. The
+/// error is the response to send.
 pub(super) fn check_caller(
     context: &WebContext,
     headers: &HeaderMap,
--- a/crates/entry/src/web/completions.rs
+++ b/crates/entry/src/web/completions.rs
@@ -33,7 +33,8 @@
 /// Longest prompt, in tokens.
 const MAX_PROMPT_TOKENS: usize = 100_000;
 
-/// JSON body of a request. Unknown fields, such as those of other servers with this API, are ignored.
+/// JSON body of a request. Unknown fields, such as those of other servers with this API, are
+/// ignored.
 #[derive(Debug, Deserialize)]
 struct CompletionRequest {
     model: String,
@@ -180,8 +181,8 @@
     Ok(completion)
 }
 
-/// Checks the organisation's rate limit, claims the idempotency key if there is one, and submits the
-/// request. The error is the response to send.
+/// Checks the organisation's rate limit, claims the idempotency key if there is one, and submits
+/// the request. The error is the response to send.
 pub(super) async fn submit_request(
     context: &WebContext,
     headers: &HeaderMap,
@@ -222,7 +223,7 @@
     };
     let (sink, events) = mpsc::unbounded_channel();
     let guard = CancelGuard { id, dispatch: Some(context.dispatch.clone()) };
-    let submit = Submit { submission, sink, work: context.in_flight.guard() };
+    let submit = Submit { submission, sink, work_guard: context.in_flight.guard() };
     context.dispatch.send(submit).await.map_err(|_| stopping())?;
     Ok(CallerRequest { id, events, guard })
 }
@@ -291,15 +292,15 @@
     headers
         .insert(header::TRAILER, HeaderValue::from_static("switchfold-outcome, switchfold-reason"));
     if let Ok(value) = HeaderValue::from_str(&id.to_string()) {
-        headers.insert(HeaderName::from_static(responses::REQUEST), value);
+        headers.insert(HeaderName::from_static(responses::REQUEST_HEADER), value);
     }
     response
 }
 
 type StreamSender = http_body_util::channel::Sender<Bytes>;
 
-/// Sends the events of a request as server-sent events. If the caller disconnects, the function returns
-/// and drops `caller`, which cancels the request.
+/// Sends the events of a request as server-sent events. If the caller disconnects, the function
+/// returns and drops `caller`, which cancels the request.
 async fn stream_events(
     mut caller: CallerRequest,
     model: String,
@@ -356,9 +357,9 @@
         .send_data(Bytes::from(format!("event: outcome\ndata: {json}\n\ndata: [DONE]\n\n")))
         .await?;
     let mut trailers = HeaderMap::new();
-    trailers.insert(responses::OUTCOME, HeaderValue::from_static(outcome.as_str()));
+    trailers.insert(responses::OUTCOME_HEADER, HeaderValue::from_static(outcome.as_str()));
     if let Ok(reason) = HeaderValue::from_str(&reason) {
-        trailers.insert(responses::REASON, reason);
+        trailers.insert(responses::REASON_HEADER, reason);
     }
     sender.send(Frame::trailers(trailers)).await
 }
--- a/crates/entry/src/web/idempotency.rs
+++ b/crates/entry/src/web/idempotency.rs
@@ -93,8 +93,8 @@
     Box::new(responses::not_run(id, reason, RETRY_AFTER_MS))
 }
 
-/// Returns the response to a request that did not run because another request holds its key. It states
-/// the outcome of that other request.
+/// Returns the response to a request that did not run because another request holds its key. It
+/// states the outcome of that other request.
 fn held_response(
     id: RequestId,
     holder: &ClaimHolder,
@@ -107,12 +107,12 @@
         format!("request {} holds this key; the outcome is of that request", holder.request);
     let mut response = responses::with_outcome(StatusCode::CONFLICT, id, outcome, &message);
     set_header(&mut response, "switchfold-original", &holder.request.to_string());
-    set_header(&mut response, responses::REASON, "already-claimed");
+    set_header(&mut response, responses::REASON_HEADER, "already-claimed");
     response
 }
 
-/// Queries the outcome of the holder at the entry that issued it. Returns `None` if the entry cannot be
-/// reached or does not know the request.
+/// Queries the outcome of the holder at the entry that issued it. Returns `None` if the entry
+/// cannot be reached or does not know the request.
 async fn holder_outcome(context: &WebContext, holder: &ClaimHolder) -> Option<HolderOutcome> {
     if holder.entry == context.settings.name {
         let outcome = context.dispatch.send(ReadOutcome(holder.request)).await.ok()??;
--- a/crates/entry/src/web/limits.rs
+++ b/crates/entry/src/web/limits.rs
@@ -17,7 +17,8 @@
 }
 
 impl RateLimits {
-    /// Takes a token for one request. The organisation's limit is divided evenly over `entries` entries.
+    /// Takes a token for one request. The organisation's limit is divided evenly over `entries`
+    /// entries.
     ///
     /// # Errors
     ///
--- a/crates/entry/src/web/mod.rs
+++ b/crates/entry/src/web/mod.rs
@@ -2,15 +2,15 @@
 //!
 //! | path | use |
 //! |---|---|
-//! | `POST /v1/completions` | callers: completion of a prompt, in one response or as server-sent events |
+//! | `POST /v1/completions` | callers: completion, in one response or as server-sent events |
 //! | any method, `/v1/services/{service}/…` | callers: call to a plain HTTP service |
 //! | `GET /v1/requests/{id}` | callers: outcome of an earlier request |
 //! | `POST /v1/operator` | operators: one statement |
 //! | `/healthz`, `/readyz`, `/metrics` | platform: liveness, readiness, metrics |
 //!
 //! Every response to a caller's request has the header `Switchfold-Outcome` with the value `done`,
-//! `not-run` or `unknown`, and unless it is `done`, a machine-readable `Switchfold-Reason`. A streamed
-//! response carries both at its end, in the last event and in the trailers.
+//! `not-run` or `unknown`, and unless it is `done`, a machine-readable `Switchfold-Reason`. A
+//! streamed response carries both at its end, in the last event and in the trailers.
 
 mod access;
 mod calls;
@@ -64,7 +64,7 @@
     pub metrics: Arc<EntryMetrics>,
     /// Rate limits of organisations at this entry.
     pub limits: Arc<RateLimits>,
-    /// Raised at a planned shutdown, after which new requests are refused.
+    /// Raised at a planned shutdown, after which new requests are rejected.
     pub shutdown: ShutdownSignal,
     /// Tracks the requests in flight, for which a planned shutdown waits.
     pub in_flight: ShutdownSignal,
@@ -101,8 +101,8 @@
         })
     }
 
-    /// Returns status 200 unless the entry is shutting down, has no configuration yet, or has had no
-    /// contact to the store or another entry for longer than the setting `cut_off_ms`.
+    /// Returns status 200 unless the entry is shutting down, has no configuration yet, or has had
+    /// no contact to the store or another entry for longer than the setting `cut_off_ms`.
     fn readiness(&self) -> HttpResponse {
         if self.shutdown.is_raised() {
             return full_response(StatusCode::SERVICE_UNAVAILABLE, "text/plain", "stopping\n");
--- a/crates/entry/src/web/operator.rs
+++ b/crates/entry/src/web/operator.rs
@@ -39,7 +39,7 @@
         Some(id)
             if id.is_empty() || id.len() > MAX_COMMAND_ID_BYTES || !id.bytes().all(is_id_byte) =>
         {
-            let message = "Switchfold-Command: expected 1 to 100 letters, digits or -";
+            let message = "Switchfold-Command: expected letters, digits and -";
             return responses::rejection(StatusCode::BAD_REQUEST, "malformed-command-id", message);
         }
         Some(id) => id.to_owned(),
@@ -68,7 +68,7 @@
     let (status, reason) = match error {
         CommandError::InvalidStatement { .. } => (StatusCode::BAD_REQUEST, "not-understood"),
         CommandError::NotFound { .. } => (StatusCode::NOT_FOUND, "missing"),
-        CommandError::InvalidChange { .. } => (StatusCode::BAD_REQUEST, "unfit"),
+        CommandError::InvalidArgument { .. } => (StatusCode::BAD_REQUEST, "unfit"),
         CommandError::Conflict { .. } => (StatusCode::CONFLICT, "conflict"),
         CommandError::Store { .. } => (StatusCode::SERVICE_UNAVAILABLE, "store"),
         CommandError::OutcomeUnknown { .. } => (StatusCode::BAD_GATEWAY, "unclear"),
--- a/crates/entry/src/web/outcomes.rs
+++ b/crates/entry/src/web/outcomes.rs
@@ -43,8 +43,8 @@
     responses::with_outcome(status, id, outcome, message)
 }
 
-/// Queries the other entries, one of which may have issued the id. If none of them knows the request,
-/// its outcome is unknown.
+/// Queries the other entries, one of which may have issued the id. If none of them knows the
+/// request, its outcome is unknown.
 async fn query_peers(context: &WebContext, id: RequestId) -> HttpResponse {
     for peer in context.directory.others() {
         let Some(mut client) = context.directory.client(&peer.address).await else {
--- a/crates/entry/src/web/responses.rs
+++ b/crates/entry/src/web/responses.rs
@@ -7,10 +7,16 @@
 
 use crate::dispatch::submission::{NotRunReason, Outcome, UnknownReason};
 
-pub(super) const OUTCOME: &str = "switchfold-outcome";
-pub(super) const REASON: &str = "switchfold-reason";
-pub(super) const REQUEST: &str = "switchfold-request";
-const RETRY_AFTER: &str = "retry-after";
+/// Header that states the outcome of a request.
+pub(super) const OUTCOME_HEADER: &str = "switchfold-outcome";
+
+/// Header that states why the outcome is not `done`.
+pub(super) const REASON_HEADER: &str = "switchfold-reason";
+
+/// Header that holds the id of the request.
+pub(super) const REQUEST_HEADER: &str = "switchfold-request";
+
+const RETRY_AFTER_HEADER: &str = "retry-after";
 
 /// JSON body of a response without a result.
 #[derive(Debug, Serialize)]
@@ -27,12 +33,13 @@
     request: Option<String>,
 }
 
-/// Returns the response to a request that is rejected before it gets an id. Its outcome is `not-run`.
+/// Returns the response to a request that is rejected before it gets an id. Its outcome is
+/// `not-run`.
 pub(super) fn rejection(status: StatusCode, reason: &str, message: &str) -> HttpResponse {
     let detail = ErrorDetail { outcome: "not-run", reason, message, request: None };
     let mut response = json_response(status, &ErrorBody { error: detail });
-    set_header(&mut response, OUTCOME, "not-run");
-    set_header(&mut response, REASON, reason);
+    set_header(&mut response, OUTCOME_HEADER, "not-run");
+    set_header(&mut response, REASON_HEADER, reason);
     response
 }
 
@@ -50,7 +57,7 @@
         "the request did not run; it may be sent again",
     );
     let seconds = retry_after.div_ceil(1_000).max(1);
-    set_header(&mut response, RETRY_AFTER, &seconds.to_string());
+    set_header(&mut response, RETRY_AFTER_HEADER, &seconds.to_string());
     response
 }
 
@@ -89,10 +96,10 @@
 
 /// Sets the headers that state the outcome.
 pub(super) fn set_outcome(response: &mut HttpResponse, id: RequestId, outcome: Outcome) {
-    set_header(response, REQUEST, &id.to_string());
-    set_header(response, OUTCOME, outcome.as_str());
+    set_header(response, REQUEST_HEADER, &id.to_string());
+    set_header(response, OUTCOME_HEADER, outcome.as_str());
     let reason = outcome.reason();
     if !reason.is_empty() {
-        set_header(response, REASON, &reason);
+        set_header(response, REASON_HEADER, &reason);
     }
 }
--- a/crates/local/src/measure.rs
+++ b/crates/local/src/measure.rs
@@ -208,14 +208,14 @@
         sleep_until(start + Duration::from_micros(number * 1_000_000 / offered_per_s)).await;
         let claims = claims.clone();
         calls.spawn(async move {
-            let wish = ClaimProposal {
+            let proposal = ClaimProposal {
                 key: ClaimKey::new("org", &number.to_string()),
                 request: RequestId { incarnation: 1, counter: number },
                 entry: "entry-0".to_owned(),
                 replaces: None,
             };
             let asked = Instant::now();
-            let state = claim_locally(&claims, AcquireClaim { proposal: wish, timeout }).await;
+            let state = claim_locally(&claims, AcquireClaim { proposal, timeout }).await;
             (state, asked.elapsed().as_micros() as u64)
         });
     }
