--- a/crates/relay/src/limits.rs
+++ b/crates/relay/src/limits.rs
@@ -1,9 +1,12 @@
-//! Limits of replicas that hold for all relays together: asking for grants, handing them out, and telling others.
+//! Rate limits of replicas, which apply to all relays together: requesting and issuing grants, and
+//! sharing limits with other relays.
 //!
-//! What is decided stands in the router: what each replica said, which relay keeps its limit, who gets the next grant. Asks
-//! and grants are datagrams between the relay that has requests and the one that keeps the limit; a lost one costs a
-//! pause, and the grant. Relays tell changed limits with their state; whoever missed that learns it with the first answer, or
-//! from its neighbours, who tell all limits in turn.
+//! The decisions are made in `switchfold-router`: the current limit of each replica, the relay that
+//! coordinates it, and the relay that gets the next grant. Grant requests and grants are datagrams
+//! between the relay that has requests to send and the coordinator. A lost datagram costs a pause until
+//! the grants are requested again; a lost grant is gone. Relays share changed limits in their state
+//! messages. A relay that missed a change learns it from the first response of the replica, or from the
+//! relays of its data centre, which share all limits in turn.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -31,51 +34,58 @@
     state::{Relay, RelayState},
 };
 
-/// Time between two looks of a relay that keeps a limit or wants grants, and of one that does not.
-const LOOK_EVERY: Duration = Duration::from_millis(25);
-const IDLE_LOOK: Duration = Duration::from_millis(1_000);
+/// Interval at which grants are issued and requested while any are pending.
+const BUSY_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Time for which a changed limit is told, in milliseconds: three messages to other data centres, and one may be lost.
-const TELL_TIME: Millis = 1_300;
+/// Interval at which outdated limits are dropped while no grants are pending.
+const IDLE_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Most changed limits that one message tells, and limits told in turn beside them.
-const MOST_CHANGED: usize = 64;
-const MOST_IN_TURN: usize = 8;
+/// Time for which a changed limit is shared, in milliseconds: three messages to other data centres, one
+/// of which may be lost.
+const SHARE_TIME: Millis = 1_300;
 
-/// Whether this relay keeps limits of replicas.
+/// Maximum number of changed limits in one message.
+const MAX_CHANGED_LIMITS: usize = 64;
+
+/// Number of limits that each message contains in turn, in addition to the changed ones.
+const PAGE_SIZE: usize = 8;
+
+/// Returns whether this relay may coordinate rate limits.
 pub fn can_coordinate_limits(relay: &Relay, state: &RelayState, now: Millis) -> bool {
     let has_others = || state.peers.live_count(now) > 0;
-    // One that stops leaves them to the others while it is there, so that nobody waits for its silence.
-    // What a member hears of the others is too little to tell whether it is cut off.
-    let speaks = !state.peers.is_member();
-    speaks && now >= COORDINATES_AFTER && !(relay.shutdown.is_stopping() && has_others())
+    // A relay that is shutting down leaves its limits to the others, so that they waiter not wait until
+    // it times out. A member hears of too few relays to tell whether it is partitioned from them.
+    let is_speaker = !state.peers.is_member();
+    is_speaker && now >= COORDINATES_AFTER && !(relay.shutdown.is_stopping() && has_others())
 }
 
-fn own_stamp(relay: &Relay, now: Millis) -> PeerStamp {
+fn current_stamp(relay: &Relay, now: Millis) -> PeerStamp {
     PeerStamp { incarnation: relay.incarnation, time: now }
 }
 
-fn find_keeper<'a>(
+/// Returns the relay that coordinates the limit of the replica `id`.
+fn find_coordinator<'a>(
     relay: &Relay,
     state: &'a RelayState,
     id: &str,
     now: Millis,
 ) -> LimitCoordinator<'a> {
     let RelaySettings { name, data_centre, .. } = &relay.settings;
-    let own =
+    let local =
         LocalRelay { name, data_centre, is_eligible: can_coordinate_limits(relay, state, now) };
-    let place = state.fleet.view.get(id).map_or("", |entry| &entry.data_centre);
-    limit_coordinator(&own, &state.peers, id, place, now)
+    let replica_data_centre = state.fleet.view.get(id).map_or("", |entry| &entry.data_centre);
+    limit_coordinator(&local, &state.peers, id, replica_data_centre, now)
 }
 
-/// Takes over what a replica said of its limit; `from` is the relay that told it, where it was not said to this one.
-pub fn update_limit(relay: &Relay, id: &str, word: LimitReport, from: Option<&str>) {
+/// Applies the limit that a replica reported. `from` is the relay that shared the report, or `None` if
+/// this relay received it.
+pub fn update_limit(relay: &Relay, id: &str, report: LimitReport, from: Option<&str>) {
     let now = now_millis();
-    let changed = relay.state.borrow_mut().limits.update(id, word, now);
+    let changed = relay.state.borrow_mut().limits.update(id, report, now);
     let Some(change) = changed else { return };
     count(&relay.counts.limits_changed);
     relay.limit_notify.notify_one();
-    let age = now as i64 - word.sent;
+    let age = now as i64 - report.sent;
     match change {
         LimitChange::Set(limit) => {
             relay.state.borrow_mut().grants.record_limit(id, limit);
@@ -85,61 +95,64 @@
     }
 }
 
-/// Limits to tell another relay with this one's state: those that changed lately, and to `near` ones some of all in turn.
+/// Returns the limits for a state message to another relay: those that changed recently and, if
+/// `same_data_centre` is set, page `round` of all limits.
 pub fn limits_to_share(
     state: &RelayState,
-    near: bool,
+    same_data_centre: bool,
     round: usize,
     now: Millis,
 ) -> Vec<LimitRecord> {
     if state.limits.is_empty() {
         return Vec::new();
     }
-    let changed = state.limits.changed_since(now.saturating_sub(TELL_TIME)).take(MOST_CHANGED);
-    let turn = near.then(|| state.limits.page(round, MOST_IN_TURN));
-    let told = changed.chain(turn.into_iter().flatten());
-    told.map(|(id, word)| LimitRecord::new(id, word, now)).collect()
+    let changed =
+        state.limits.changed_since(now.saturating_sub(SHARE_TIME)).take(MAX_CHANGED_LIMITS);
+    let page = same_data_centre.then(|| state.limits.page(round, PAGE_SIZE));
+    let shared = changed.chain(page.into_iter().flatten());
+    shared.map(|(id, report)| LimitRecord::new(id, report, now)).collect()
 }
 
-/// Takes over limits that another relay told in a message that it wrote at `written`.
+/// Merges the limits in a message that the relay `from` wrote at `written`, by the clock of this relay.
 pub fn merge_peer_limits(relay: &Relay, limits: &[LimitRecord], from: &str, written: i64) {
     limits
         .iter()
         .for_each(|limit| update_limit(relay, &limit.id, limit.report(written), Some(from)));
 }
 
-/// Notes that a request would have begun at a replica for which this relay has no grant, and asks for one: of those that
-/// could begin it, the one with most places left.
+/// Requests a grant for a replica at which a request could have started if this relay had one. Of the
+/// replicas that `can_start` accepts, it is the one with the most free slots.
 pub fn request_grant(
     relay: &Rc<Relay>,
     service: &str,
     rank: u8,
-    begins: impl Fn(&ReplicaEntry) -> bool,
+    can_start: impl Fn(&ReplicaEntry) -> bool,
 ) {
     let now = now_millis();
     {
         let mut guard = relay.state.borrow_mut();
         let state = &mut *guard;
-        let Some(id) = wanted_replica(state, service, rank, begins, now) else { return };
+        let Some(id) = replica_without_grant(state, service, rank, can_start, now) else { return };
         state.grants.record_miss(&id, now);
     }
-    ask_for_grants(relay);
+    send_grant_requests(relay);
 }
 
-/// The replica with most places left, of those for which no grant is left.
-fn wanted_replica(
+/// Returns the replica with the most free slots among those that can start a request, but for which
+/// this relay has no grant.
+fn replica_without_grant(
     state: &RelayState,
     service: &str,
     rank: u8,
-    begins: impl Fn(&ReplicaEntry) -> bool,
+    can_start: impl Fn(&ReplicaEntry) -> bool,
     now: Millis,
 ) -> Option<String> {
     if state.limits.is_empty() {
         return None;
     }
-    let lacks = |replica: &&ReplicaEntry| {
+    let lacks_grant = |replica: &&ReplicaEntry| {
         replica.is_ready()
-            && begins(replica)
+            && can_start(replica)
             && !state.suspects.is_suspect(&replica.instance, now)
             && state.backoffs.remaining(&replica.instance, now).is_none()
             && state.limit_wait(&replica.instance, rank, now).is_some()
@@ -147,103 +160,104 @@
     let load = |replica: &ReplicaEntry| {
         state.slot_reservations.reserved(&replica.instance) / f64::from(replica.slots.max(1))
     };
-    let replicas = state.fleet.view.of_service(service).filter(lacks);
-    let least = replicas.min_by(|left, right| load(left).total_cmp(&load(right)));
-    least.map(|replica| replica.instance.id().to_owned())
+    let replicas = state.fleet.view.of_service(service).filter(lacks_grant);
+    let least_loaded = replicas.min_by(|left, right| load(left).total_cmp(&load(right)));
+    least_loaded.map(|replica| replica.instance.id().to_owned())
 }
 
-/// A request that waits for a grant; dropping it ends that.
+/// Registers a request that waits for a grant. Dropping it ends the wait.
 #[derive(Debug)]
 pub struct GrantWait {
     relay: Rc<Relay>,
     id: String,
-    need: GrantWaiter,
+    waiter: GrantWaiter,
 }
 
 impl GrantWait {
-    /// Waits at the replica where a grant may come first; nothing where no limit holds the request back.
+    /// Starts to wait for a grant of the replica that is expected to get one first. Returns `None` if no
+    /// rate limit delays the request.
     pub fn begin(
         relay: &Rc<Relay>,
         service: &str,
-        need: GrantWaiter,
-        begins: impl Fn(&ReplicaEntry) -> bool,
+        waiter: GrantWaiter,
+        can_start: impl Fn(&ReplicaEntry) -> bool,
     ) -> Option<Self> {
         let now = now_millis();
         let id = {
             let mut state = relay.state.borrow_mut();
             let wait = |replica: &&ReplicaEntry| {
-                let is_usable = replica.is_ready() && begins(replica);
-                is_usable.then(|| state.limit_wait(&replica.instance, need.rank, now)).flatten()
+                let is_usable = replica.is_ready() && can_start(replica);
+                is_usable.then(|| state.limit_wait(&replica.instance, waiter.rank, now)).flatten()
             };
             let replicas = state.fleet.view.of_service(service);
             let waits =
                 replicas.filter_map(|replica| Some((wait(&replica)?, replica.instance.id())));
             let id = waits.min()?.1.to_owned();
-            state.grants.begin_wait(&id, need);
+            state.grants.begin_wait(&id, waiter);
             id
         };
-        ask_for_grants(relay);
-        Some(Self { relay: relay.clone(), id, need })
+        send_grant_requests(relay);
+        Some(Self { relay: relay.clone(), id, waiter })
     }
 }
 
 impl Drop for GrantWait {
     fn drop(&mut self) {
-        self.relay.state.borrow_mut().grants.end_wait(&self.id, self.need);
+        self.relay.state.borrow_mut().grants.end_wait(&self.id, self.waiter);
     }
 }
 
-/// Asks the keepers for the grants that are due.
-fn ask_for_grants(relay: &Relay) {
+/// Sends the grant requests that are due to the coordinators of the limits.
+fn send_grant_requests(relay: &Relay) {
     let now = now_millis();
-    let stamp = own_stamp(relay, now);
-    let mut asks: Vec<(SocketAddr, Vec<GrantRequestRecord>)> = Vec::new();
-    let mut is_own = false;
+    let stamp = current_stamp(relay, now);
+    let mut requests: Vec<(SocketAddr, Vec<GrantRequestRecord>)> = Vec::new();
+    let mut is_coordinator = false;
     {
         let mut state = relay.state.borrow_mut();
         let due = state.grants.due_requests(now);
         if !due.is_empty() {
             relay.limit_notify.notify_one();
         }
-        for ask in due {
-            let (id, wanted) = (ask.id.clone(), ask.count);
-            let Some(word) = state.limits.report(&id) else { continue };
-            add(&relay.counts.grants_asked, wanted as u64);
-            match find_keeper(relay, &state, &id, now) {
+        for request in due {
+            let (id, count) = (request.id.clone(), request.count);
+            let Some(report) = state.limits.report(&id) else { continue };
+            add(&relay.counts.grants_asked, count as u64);
+            match find_coordinator(relay, &state, &id, now) {
                 LimitCoordinator::Unknown => {}
                 LimitCoordinator::Local => {
-                    is_own = true;
-                    state.issuer.request(&ask, &relay.settings.name, stamp, now);
+                    is_coordinator = true;
+                    state.issuer.request(&request, &relay.settings.name, stamp, now);
                 }
                 LimitCoordinator::Peer(_, address) => {
-                    let limit = LimitRecord::new(&id, word, now);
-                    let ask = GrantRequestRecord {
+                    let limit = LimitRecord::new(&id, report, now);
+                    let record = GrantRequestRecord {
                         limit,
-                        count: wanted as u32,
-                        valid_for_ms: ask.valid_for as u32,
+                        count: count as u32,
+                        valid_for_ms: request.valid_for as u32,
                     };
-                    match asks.iter_mut().find(|(to, _)| *to == address) {
-                        Some((_, asks)) => asks.push(ask),
-                        None => asks.push((address, vec![ask])),
+                    match requests.iter_mut().find(|(to, _)| *to == address) {
+                        Some((_, records)) => records.push(record),
+                        None => requests.push((address, vec![record])),
                     }
                 }
             }
         }
     }
-    for (address, asks) in asks {
+    for (address, requests) in requests {
         let name = relay.settings.name.clone();
         let stamp = (stamp.incarnation, stamp.time);
-        let message =
-            PeerMessage::GrantRequests(GrantRequestMessage { name, stamp, requests: asks });
-        // A lost one is asked again.
+        let message = PeerMessage::GrantRequests(GrantRequestMessage { name, stamp, requests });
+        // A lost request is repeated.
         let _lost = relay.peer_socket.try_send_to(&message.encode(), address);
     }
-    if is_own {
+    if is_coordinator {
         issue_grants(relay);
     }
 }
 
-/// Stamp of a message of another relay, and when it was written at the latest.
+/// Returns the stamp of a message of another relay, and the latest time at which it can have been
+/// written, by the clock of this relay.
 fn read_stamp(
     relay: &Relay,
     name: &str,
@@ -254,23 +268,24 @@
     (stamp, relay.state.borrow_mut().clocks.written_at(name, stamp, now))
 }
 
-/// Takes asks of another relay.
-pub fn handle_grant_requests(relay: &Relay, news: &GrantRequestMessage) {
+/// Records the grant requests of another relay, and issues the grants that are due.
+pub fn handle_grant_requests(relay: &Relay, message: &GrantRequestMessage) {
     let now = now_millis();
-    let (stamp, written) = read_stamp(relay, &news.name, news.stamp, now);
-    for ask in &news.requests {
-        update_limit(relay, &ask.limit.id, ask.limit.report(written), Some(&news.name));
+    let (stamp, written) = read_stamp(relay, &message.name, message.stamp, now);
+    for record in &message.requests {
+        update_limit(relay, &record.limit.id, record.limit.report(written), Some(&message.name));
         let mut state = relay.state.borrow_mut();
-        state.issuer.request(&ask.request(), &news.name, stamp, now);
+        state.issuer.request(&record.request(), &message.name, stamp, now);
     }
     relay.limit_notify.notify_one();
     issue_grants(relay);
 }
 
-/// Hands out the grants that may be issued now. An ask for a replica that has no limit any more is answered with that.
+/// Issues the grants that are due. If a replica no longer has a limit, the relay that requested grants
+/// for it is told so.
 fn issue_grants(relay: &Relay) {
     let now = now_millis();
-    let mut told: Vec<(String, GrantRecord)> = Vec::new();
+    let mut outgoing: Vec<(String, GrantRecord)> = Vec::new();
     {
         let mut guard = relay.state.borrow_mut();
         if !can_coordinate_limits(relay, &guard, now) {
@@ -278,51 +293,52 @@
         }
         let state = &mut *guard;
         let RelaySettings { name, data_centre, .. } = &relay.settings;
-        let own = LocalRelay { name, data_centre, is_eligible: true };
-        let part = rate_fraction(&own, &state.peers, now);
-        let asked: Vec<String> = state.issuer.requested_replicas().map(str::to_owned).collect();
-        for id in asked {
-            let Some(word) = state.limits.report(&id) else { continue };
-            // Whoever asks may not have heard the one that keeps the limit yet: two that give would give twice as much.
-            if find_keeper(relay, state, &id, now) != LimitCoordinator::Local {
+        let local = LocalRelay { name, data_centre, is_eligible: true };
+        let fraction = rate_fraction(&local, &state.peers, now);
+        let requested: Vec<String> = state.issuer.requested_replicas().map(str::to_owned).collect();
+        for id in requested {
+            let Some(report) = state.limits.report(&id) else { continue };
+            // The requesting relay may not know the real coordinator yet. Two issuers would issue twice
+            // the limit.
+            if find_coordinator(relay, state, &id, now) != LimitCoordinator::Local {
                 continue;
             }
-            let rate = word.per_second.map_or(f64::INFINITY, |limit| limit * part);
-            for issued in state.issuer.issue(&id, rate, word.sent, now) {
+            let rate = report.per_second.map_or(f64::INFINITY, |limit| limit * fraction);
+            for issued in state.issuer.issue(&id, rate, report.sent, now) {
                 add(&relay.counts.grants_issued, issued.count as u64);
                 if issued.relay == relay.settings.name {
-                    let at = issued.stamp.time + issued.held_for;
-                    state.grants.add(&id, issued.count, at as i64, issued.share, now);
+                    let issued_at = issued.stamp.time + issued.held_for;
+                    state.grants.add(&id, issued.count, issued_at as i64, issued.share, now);
                 } else {
-                    let limit = LimitRecord::new(&id, word, now);
-                    told.push((issued.relay.clone(), GrantRecord::new(limit, &issued)));
+                    let limit = LimitRecord::new(&id, report, now);
+                    outgoing.push((issued.relay.clone(), GrantRecord::new(limit, &issued)));
                 }
             }
         }
     }
-    tell_grants(relay, told, now);
+    send_grants(relay, outgoing, now);
 }
 
-fn tell_grants(relay: &Relay, told: Vec<(String, GrantRecord)>, now: Millis) {
+fn send_grants(relay: &Relay, grants: Vec<(String, GrantRecord)>, now: Millis) {
     let state = relay.state.borrow();
-    for (to, grant) in told {
+    for (to, grant) in grants {
         let Some(address) = state.peers.address(&to) else { continue };
-        let news = GrantMessage {
+        let message = GrantMessage {
             name: relay.settings.name.clone(),
             stamp: (relay.incarnation, now),
             grants: vec![grant],
         };
-        // A lost one is asked for again.
-        let _lost = relay.peer_socket.try_send_to(&PeerMessage::Grants(news).encode(), address);
+        // Lost grants are requested again.
+        let _lost = relay.peer_socket.try_send_to(&PeerMessage::Grants(message).encode(), address);
     }
 }
 
-/// Takes grants of the keeper.
-pub fn handle_grants(relay: &Relay, news: &GrantMessage) {
+/// Adds grants that a coordinator issued to this relay.
+pub fn handle_grants(relay: &Relay, message: &GrantMessage) {
     let now = now_millis();
-    let (_, written) = read_stamp(relay, &news.name, news.stamp, now);
-    for grant in &news.grants {
-        update_limit(relay, &grant.limit.id, grant.limit.report(written), Some(&news.name));
+    let (_, written) = read_stamp(relay, &message.name, message.stamp, now);
+    for grant in &message.grants {
+        update_limit(relay, &grant.limit.id, grant.limit.report(written), Some(&message.name));
         let IssuedGrants { stamp, held_for, count, share, .. } = grant.issued_grants();
         if stamp.incarnation == relay.incarnation {
             let issued = (stamp.time + held_for) as i64;
@@ -332,8 +348,8 @@
     }
 }
 
-/// Drops what is kept of limits that bind nobody any more.
-fn forget(relay: &Relay) {
+/// Drops outdated limits, and the grants and grant requests for replicas without a limit.
+fn drop_outdated(relay: &Relay) {
     let mut guard = relay.state.borrow_mut();
     let RelayState { limits, grants, issuer, fleet, .. } = &mut *guard;
     limits.forget(|id| fleet.view.get(id).is_some(), now_millis());
@@ -341,7 +357,8 @@
     issuer.retain(|id| limits.limit(id).is_some());
 }
 
-/// Asks for grants and hands them out for good.
+/// Requests grants that this relay needs, and issues those of the limits that it coordinates. Never
+/// returns.
 pub async fn exchange_grants(relay: Rc<Relay>) {
     loop {
         let now = now_millis();
@@ -351,12 +368,12 @@
         };
         if is_busy {
             issue_grants(&relay);
-            ask_for_grants(&relay);
-            sleep(LOOK_EVERY).await;
+            send_grant_requests(&relay);
+            sleep(BUSY_INTERVAL).await;
         } else {
             tokio::select! {
-                () = relay.limit_notify.notified() => sleep(LOOK_EVERY).await,
-                () = sleep(IDLE_LOOK) => forget(&relay),
+                () = relay.limit_notify.notified() => sleep(BUSY_INTERVAL).await,
+                () = sleep(IDLE_INTERVAL) => drop_outdated(&relay),
             }
         }
     }
--- a/crates/relay/src/placer.rs
+++ b/crates/relay/src/placer.rs
@@ -161,9 +161,9 @@
     /// Returns the share of the planning that falls to this relay, or `None` if it plans nothing.
     fn plan_share(&mut self, relay: &Relay, now: Millis) -> Option<PlanShare> {
         let config = relay.config()?;
-        let fresh = relay.is_fleet_fresh(now);
+        let is_fresh = relay.is_fleet_fresh(now);
         let state = relay.state.borrow();
-        let rank = state.peers.rank(&relay.settings.name, fresh, now)?;
+        let rank = state.peers.rank(&relay.settings.name, is_fresh, now)?;
         let groups = self.groups.update(&config, &state.fleet.view);
         let planners = planner_count(groups, state.peers.live_speaker_count(now) + 1);
         (rank < planners).then_some(PlanShare { rank, planners })
--- a/crates/relay/src/quarantine.rs
+++ b/crates/relay/src/quarantine.rs
@@ -1,8 +1,10 @@
-//! Requests that end the replicas that run them: what is learnt, told, kept in the platform's store, and refused.
+//! Requests that crash the replicas that run them: rejecting them, and sharing what is known of them
+//! with other relays and with the platform's store.
 //!
-//! Which request that is decides [`switchfold_router::quarantine`]. Relays tell each other by datagram, in all data centres;
-//! the store holds what must outlive them, and what relays must know of each other that are cut off from each other but not from
-//! it. It is written where the second crash in a row says that it may be worth a call, so in calm not at all.
+//! [`switchfold_router::quarantine`] decides which requests these are. Relays of all data centres share
+//! crash reports by datagram. The store keeps them across restarts of all relays, and reaches relays
+//! that are partitioned from each other but not from the store. It is written only after a second crash
+//! in a row, so it gets no calls while there are no crashes.
 
 use std::{collections::BTreeMap, rc::Rc, time::Duration};
 
@@ -33,35 +35,37 @@
     store_calls::{CallCause, CallKind, CallVerb, CountedStore},
 };
 
-/// Time for which a request still is sent nowhere; nothing where it may be.
+/// Returns the remaining time of the quarantine of a request in milliseconds, or `None` if it is not
+/// quarantined.
 pub fn quarantine_remaining(relay: &Relay, request: &CallerRequest) -> Option<Millis> {
     relay.state.borrow().quarantine.remaining(&request.fingerprint, now_millis())
 }
 
-/// Refuses a request that ended the replicas that ran it.
+/// Rejects a quarantined request.
 ///
 /// # Errors
 ///
-/// Gives the refusal.
+/// Returns the rejection for the caller.
 pub fn check_quarantine(relay: &Relay, request: &CallerRequest) -> Result<(), Refusal> {
-    let Some(left) = quarantine_remaining(relay, request) else { return Ok(()) };
+    let Some(remaining) = quarantine_remaining(relay, request) else { return Ok(()) };
     count(&relay.counts.quarantined);
     tracing::warn!(
         event = "request-quarantined",
         request = request.headers.attempt_id,
         fingerprint = %request.fingerprint,
-        left_ms = left,
+        left_ms = remaining,
     );
-    Err(Refusal::Quarantined(left))
+    Err(Refusal::Quarantined(remaining))
 }
 
-/// Notes that a replica is lost: found silent, refusing connections, or listed no more without having said that it leaves.
+/// Records that a replica is lost: it is silent, refuses connections, or is no longer listed although it
+/// did not announce that it is leaving.
 pub fn record_replica_loss(relay: &Relay, instance: &ReplicaInstance) {
     let change = relay.state.borrow_mut().quarantine.record_crash(instance, now_millis());
     apply_change(relay, &change);
 }
 
-/// Notes that a replica gave a result of a request, and lives.
+/// Records that a replica returned a result for a request and is still alive.
 pub fn record_result(relay: &Relay, request: &CallerRequest) {
     let fingerprint = &request.fingerprint;
     let was_known = relay.state.borrow_mut().quarantine.record_result(fingerprint, now_millis());
@@ -71,22 +75,27 @@
     }
 }
 
-/// Takes over what another relay tells of requests.
-pub fn merge_peer_crashes(relay: &Relay, news: &StateMessage, origin: UpdateOrigin, now: Millis) {
-    if news.crashes.is_empty() && news.cleared.is_empty() {
+/// Merges the crash reports and cleared requests in a state message of another relay.
+pub fn merge_peer_crashes(
+    relay: &Relay,
+    message: &StateMessage,
+    origin: UpdateOrigin,
+    now: Millis,
+) {
+    if message.crashes.is_empty() && message.cleared.is_empty() {
         return;
     }
-    let crashes = news.crashes.iter().map(|crash| crash.report(now)).collect();
-    let cleared = news
+    let crashes = message.crashes.iter().map(|crash| crash.report(now)).collect();
+    let cleared = message
         .cleared
         .iter()
-        .map(|(of, age)| (RequestFingerprint::from_bytes(*of), Millis::from(*age)));
+        .map(|(bytes, age)| (RequestFingerprint::from_bytes(*bytes), Millis::from(*age)));
     let change = {
         let mut state = relay.state.borrow_mut();
-        let is_member_news = origin == UpdateOrigin::Member;
-        let tells_on = is_member_news || state.peers.has_members(now);
-        state.quarantine.merge_cleared(&cleared.collect::<Vec<_>>(), tells_on, now);
-        state.quarantine.merge(crashes, is_member_news, now)
+        let is_from_member = origin == UpdateOrigin::Member;
+        let forwards_cleared = is_from_member || state.peers.has_members(now);
+        state.quarantine.merge_cleared(&cleared.collect::<Vec<_>>(), forwards_cleared, now);
+        state.quarantine.merge(crashes, is_from_member, now)
     };
     apply_change(relay, &change);
     if !change.quarantined.is_empty() {
@@ -94,7 +103,8 @@
     }
 }
 
-/// Writes lines of requests that are sent nowhere from now on, and tells others at once where that matters.
+/// Logs the newly quarantined requests. If the change is urgent, writes it to the store and sends it to
+/// other relays at once.
 pub fn apply_change(relay: &Relay, change: &QuarantineChange) {
     for (fingerprint, weight) in &change.quarantined {
         count(&relay.counts.stopped_requests);
@@ -106,64 +116,74 @@
     }
 }
 
-/// What the store holds of a request. Times are Unix milliseconds by the writer's time of day: a step of it moves the end of a
-/// quarantine, and no more.
+/// Entry of the store for one request. Times are Unix milliseconds by the writer's wall clock. A step of
+/// that clock only shifts the end of a quarantine.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 struct StoredRequest {
-    /// Until when it is sent nowhere; 0 where it is not stopped.
+    /// End of the quarantine; 0 if the request is not quarantined.
     until: u64,
     runs: Vec<StoredRun>,
 }
 
 #[derive(Clone, Debug, Deserialize, Serialize)]
 struct StoredRun {
+    /// Id of the replica.
     id: String,
-    born: Millis,
+    #[serde(rename = "born")]
+    started_at: Millis,
+    /// Time at which the request was sent to the replica.
     sent: u64,
+    /// Time at which the run was lost.
     lost: u64,
-    strong: bool,
+    #[serde(rename = "strong")]
+    is_strong: bool,
 }
 
 impl StoredRequest {
-    fn of(news: &CrashReport, now: Millis, epoch: u64) -> Self {
-        let at = |time: i64| epoch.saturating_add_signed(time - now as i64);
-        let runs = news.runs.iter().map(|run| StoredRun {
+    /// Creates the entry for a report. `epoch` is the Unix time at `now`.
+    fn new(report: &CrashReport, now: Millis, epoch: u64) -> Self {
+        let unix_time = |time: i64| epoch.saturating_add_signed(time - now as i64);
+        let runs = report.runs.iter().map(|run| StoredRun {
             id: run.instance.id().to_owned(),
-            born: run.instance.started_at(),
-            sent: at(run.sent),
-            lost: at(run.lost),
-            strong: run.evidence == CrashEvidence::Strong,
+            started_at: run.instance.started_at(),
+            sent: unix_time(run.sent),
+            lost: unix_time(run.lost),
+            is_strong: run.evidence == CrashEvidence::Strong,
         });
-        Self { until: news.remaining.map_or(0, |left| epoch + left), runs: runs.collect() }
+        Self {
+            until: report.remaining.map_or(0, |remaining| epoch + remaining),
+            runs: runs.collect(),
+        }
     }
 
-    fn news(&self, fingerprint: RequestFingerprint, now: Millis, epoch: u64) -> CrashReport {
-        let at = |time: u64| now as i64 - (epoch as i64 - time as i64);
+    /// Returns the report of the entry. `epoch` is the Unix time at `now`.
+    fn report(&self, fingerprint: RequestFingerprint, now: Millis, epoch: u64) -> CrashReport {
+        let local_time = |time: u64| now as i64 - (epoch as i64 - time as i64);
         let runs = self.runs.iter().map(|run| CrashRun {
-            instance: ReplicaInstance::new(&run.id, run.born),
-            sent: at(run.sent),
-            lost: at(run.lost),
-            evidence: if run.strong { CrashEvidence::Strong } else { CrashEvidence::Weak },
+            instance: ReplicaInstance::new(&run.id, run.started_at),
+            sent: local_time(run.sent),
+            lost: local_time(run.lost),
+            evidence: if run.is_strong { CrashEvidence::Strong } else { CrashEvidence::Weak },
         });
-        let left = self.until.checked_sub(epoch).filter(|left| *left > 0);
-        CrashReport { fingerprint, remaining: left, runs: runs.collect() }
+        let remaining = self.until.checked_sub(epoch).filter(|remaining| *remaining > 0);
+        CrashReport { fingerprint, remaining, runs: runs.collect() }
     }
 }
 
-/// Pause before the store is called again where it did not answer.
-const CALL_AGAIN: Duration = Duration::from_millis(500);
+/// Pause before a failed call to the store is retried.
+const STORE_RETRY_PAUSE: Duration = Duration::from_millis(500);
 
-/// Keeps in the store what this relay saw of requests, for good.
+/// Writes the crash reports of this relay to the store. Never returns.
 pub async fn store_quarantine(relay: Rc<Relay>) {
     loop {
         relay.quarantine_notify.notified().await;
         while !store_changes(&relay).await {
-            sleep(CALL_AGAIN).await;
+            sleep(STORE_RETRY_PAUSE).await;
         }
     }
 }
 
-/// Tells the store what it lacks; tells whether it took all.
+/// Writes the pending changes to the store. Returns whether all reports were written.
 async fn store_changes(relay: &Relay) -> bool {
     let now = now_millis();
     let (unstored, removable) = {
@@ -173,25 +193,25 @@
     for fingerprint in removable {
         if let Err(error) = relay.store.remove(CallKind::Quarantine, &fingerprint.to_string()).await
         {
-            // It ends by itself; a relay that starts before then takes the request for one that is stopped.
+            // The entry expires. A relay that starts before then quarantines the request.
             tracing::warn!(event = "quarantine-not-removed", %fingerprint, %error);
         }
     }
-    let mut took_all = true;
-    for news in unstored {
-        let fingerprint = news.fingerprint;
-        if let Err(error) = store_request(relay, &news, now).await {
+    let mut is_complete = true;
+    for report in unstored {
+        let fingerprint = report.fingerprint;
+        if let Err(error) = store_report(relay, &report, now).await {
             relay.state.borrow_mut().quarantine.record_store_failure(&fingerprint);
             tracing::info!(event = "quarantine-not-stored", %fingerprint, %error);
-            took_all = false;
+            is_complete = false;
         }
     }
-    took_all
+    is_complete
 }
 
-async fn store_request(relay: &Relay, news: &CrashReport, now: Millis) -> Result<(), StoreError> {
-    let name = news.fingerprint.to_string();
-    let stored = StoredRequest::of(news, now, epoch_millis());
+async fn store_report(relay: &Relay, report: &CrashReport, now: Millis) -> Result<(), StoreError> {
+    let name = report.fingerprint.to_string();
+    let stored = StoredRequest::new(report, now, epoch_millis());
     match relay.store.create(CallKind::Quarantine, &name, &stored).await {
         Err(StoreError::Conflict { .. }) => {
             relay.store.replace(CallKind::Quarantine, &name, &stored).await
@@ -200,131 +220,139 @@
     }
 }
 
-/// Wait of a watch in milliseconds: as long as the shortest contact time, so that a connection that went silent is found
-/// out within two of them, at a third of a call a second for each data centre.
-const WATCH_WAIT: Millis = 3_000;
+/// Maximum duration of a watch call, in milliseconds: as long as the shortest contact time, so that a
+/// dead connection is detected within twice that time, at a third of a call per second for each data
+/// centre.
+const WATCH_TIMEOUT: Millis = 3_000;
 
-/// Time between two looks at whether another relay reads for this one.
-const COVER_LOOK: Duration = Duration::from_millis(200);
+/// Interval between two checks of whether another relay reads the store for this one.
+const READER_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Follows what other relays left in the store, for good. One relay of each data centre does; it tells the others.
+/// Follows the entries of the store and merges them. One relay of each data centre does this and shares
+/// the entries with the others. Never returns.
 pub async fn follow_quarantine(relay: Rc<Relay>) {
     let platform = relay.settings.platform.to_string();
-    let patience = Duration::from_millis(WATCH_WAIT + STORE_TIMEOUT);
-    let store = CountedStore::new(&platform, patience, &relay.calls);
-    let mut held = BTreeMap::new();
+    let timeout = Duration::from_millis(WATCH_TIMEOUT + STORE_TIMEOUT);
+    let store = CountedStore::new(&platform, timeout, &relay.calls);
+    let mut stored = BTreeMap::new();
     let mut revision = None;
-    wait_at_start(&relay, |state, now| is_read_by_other(&relay.settings, state, now)).await;
+    wait_at_start(&relay, |state, now| is_read_by_peer(&relay.settings, state, now)).await;
     loop {
         let (is_read_by_peer, is_lost) = {
             let state = relay.state.borrow();
-            let is_read_by_peer = is_read_by_other(&relay.settings, &state, now_millis());
+            let is_read_by_peer = is_read_by_peer(&relay.settings, &state, now_millis());
             (is_read_by_peer, state.config_lease.is_lost())
         };
         if is_read_by_peer || is_lost {
             revision = None;
-            sleep(if is_lost { CALL_AGAIN } else { COVER_LOOK }).await;
+            sleep(if is_lost { STORE_RETRY_PAUSE } else { READER_CHECK_INTERVAL }).await;
             continue;
         }
-        match read_once(&relay, &store, revision, &mut held).await {
-            Ok(at) => revision = Some(at),
+        match read_store(&relay, &store, revision, &mut stored).await {
+            Ok(read_revision) => revision = Some(read_revision),
             Err(error) => {
                 revision = None;
                 tracing::info!(event = "quarantine-unread", %error);
-                sleep(CALL_AGAIN).await;
+                sleep(STORE_RETRY_PAUSE).await;
             }
         }
-        remove_ended(&relay, &mut held).await;
+        remove_expired(&relay, &mut stored).await;
     }
 }
 
-/// Tells the store again what this relay told it before it came back from a copy.
+/// Writes the crash reports of this relay to the store again, after it was restored from a backup.
 pub fn store_again(relay: &Relay) {
     relay.state.borrow_mut().quarantine.reset_stored();
     relay.quarantine_notify.notify_one();
 }
 
-/// Whether a relay of the data centre that comes before this one reads the store.
-fn is_read_by_other(settings: &RelaySettings, state: &RelayState, now: Millis) -> bool {
-    let before = state.peers.preceding(&settings.name, &settings.data_centre, now);
-    before.live > before.lost_config
+/// Returns whether another relay of the data centre reads the store: one that precedes this relay by
+/// name and whose reads succeed.
+fn is_read_by_peer(settings: &RelaySettings, state: &RelayState, now: Millis) -> bool {
+    let preceding = state.peers.preceding(&settings.name, &settings.data_centre, now);
+    preceding.live > preceding.lost_config
 }
 
-/// Objects that the store holds, with the Unix time at which they end.
-type HeldObjects = BTreeMap<RequestFingerprint, u64>;
+/// Unix times in milliseconds at which the entries of the store expire.
+type ExpiryTimes = BTreeMap<RequestFingerprint, u64>;
 
-async fn read_once(
+/// Lists the entries of the store, or watches for changes after `revision`. Returns the revision up to
+/// which the store has been read.
+async fn read_store(
     relay: &Relay,
     store: &CountedStore,
     revision: Option<u64>,
-    held: &mut HeldObjects,
+    stored: &mut ExpiryTimes,
 ) -> Result<u64, StoreError> {
     let Some(after) = revision else {
         let cause = CallCause::Quarantine;
         let list = store.list(CallKind::Quarantine, CallVerb::List, cause).await?;
-        held.clear();
-        take_objects(relay, &list.items, held);
+        stored.clear();
+        merge_objects(relay, &list.items, stored);
         return Ok(list.revision);
     };
-    let wait = Duration::from_millis(WATCH_WAIT);
+    let wait = Duration::from_millis(WATCH_TIMEOUT);
     let changes = store.watch(CallKind::Quarantine, after, wait).await?;
     for change in &changes.events.decoded {
-        take_object_change(relay, change, held);
+        apply_object_change(relay, change, stored);
     }
     Ok(changes.revision.max(after))
 }
 
-fn take_object_change(relay: &Relay, change: &ObjectChange, held: &mut HeldObjects) {
+fn apply_object_change(relay: &Relay, change: &ObjectChange, stored: &mut ExpiryTimes) {
     if !change.gone {
-        return take_objects(relay, std::slice::from_ref(&change.object), held);
+        return merge_objects(relay, std::slice::from_ref(&change.object), stored);
     }
     let Some(fingerprint) = RequestFingerprint::parse(&change.object.metadata.name) else { return };
-    held.remove(&fingerprint);
+    stored.remove(&fingerprint);
     relay.state.borrow_mut().quarantine.release(&fingerprint, now_millis());
     tracing::info!(event = "request-released", %fingerprint);
 }
 
-fn take_objects(relay: &Relay, objects: &[ListedObject], held: &mut HeldObjects) {
+fn merge_objects(relay: &Relay, objects: &[ListedObject], stored: &mut ExpiryTimes) {
     let (now, epoch) = (now_millis(), epoch_millis());
-    let mut told = Vec::new();
+    let mut reports = Vec::new();
     for object in objects {
         let name = &object.metadata.name;
-        let stored = StoredRequest::deserialize(&object.spec);
-        let (Some(fingerprint), Ok(stored)) = (RequestFingerprint::parse(name), stored) else {
+        let entry = StoredRequest::deserialize(&object.spec);
+        let (Some(fingerprint), Ok(entry)) = (RequestFingerprint::parse(name), entry) else {
             count(&relay.counts.odd_entries);
             tracing::warn!(event = "quarantine-unreadable", name);
             continue;
         };
-        held.insert(fingerprint, stored.ends());
-        told.push(stored.news(fingerprint, now, epoch));
+        stored.insert(fingerprint, entry.expires_at());
+        reports.push(entry.report(fingerprint, now, epoch));
     }
-    if told.is_empty() {
+    if reports.is_empty() {
         return;
     }
-    let change = relay.state.borrow_mut().quarantine.merge(told, true, now);
+    let change = relay.state.borrow_mut().quarantine.merge(reports, true, now);
     apply_change(relay, &change);
 }
 
 impl StoredRequest {
-    /// Unix time after which it is of no use.
-    fn ends(&self) -> u64 {
-        let last = self.runs.iter().map(|run| run.lost).max().unwrap_or_default();
-        self.until.max(last) + QUARANTINE_TIME
+    /// Returns the Unix time after which the entry has no use.
+    fn expires_at(&self) -> u64 {
+        let last_lost = self.runs.iter().map(|run| run.lost).max().unwrap_or_default();
+        self.until.max(last_lost) + QUARANTINE_TIME
     }
 }
 
-/// Removes objects that are of no use any more; the relay that gives the orders does.
-async fn remove_ended(relay: &Relay, held: &mut HeldObjects) {
+/// Removes expired entries from the store if this relay is the leader.
+async fn remove_expired(relay: &Relay, stored: &mut ExpiryTimes) {
     let (now, epoch) = (now_millis(), epoch_millis());
-    let fresh = relay.is_fleet_fresh(now);
-    if !relay.state.borrow().peers.is_leader(&relay.settings.name, fresh, now) {
+    let is_fresh = relay.is_fleet_fresh(now);
+    if !relay.state.borrow().peers.is_leader(&relay.settings.name, is_fresh, now) {
         return;
     }
-    let ended: Vec<RequestFingerprint> =
-        held.iter().filter(|(_, end)| **end < epoch).map(|(fingerprint, _)| *fingerprint).collect();
-    for fingerprint in ended {
+    let expired: Vec<RequestFingerprint> = stored
+        .iter()
+        .filter(|(_, expiry)| **expiry < epoch)
+        .map(|(fingerprint, _)| *fingerprint)
+        .collect();
+    for fingerprint in expired {
         match relay.store.remove(CallKind::Quarantine, &fingerprint.to_string()).await {
-            Ok(()) => drop(held.remove(&fingerprint)),
+            Ok(()) => drop(stored.remove(&fingerprint)),
             Err(error) => {
                 tracing::info!(event = "quarantine-not-removed", %fingerprint, %error);
                 return;
