--- a/crates/relay/tests/crashes.rs
+++ b/crates/relay/tests/crashes.rs
@@ -1,19 +1,10 @@
-//! Requests that end each replica that begins to run them.
+//! Requests that crash each replica that starts to run them.
 //!
-//! Callers sent the same request again and again, each time under a new id, to whichever relay the balancer chose. Each
-//! replica that began to run it ended 30 to 120 ms later, before the first event. Nothing that a relay knew outlived an
-//! attempt: it kept away from the replica, sent the request on to one that was well, and for the next attempt, or at another
-//! relay, all began anew. Within eight seconds ten of 39 replicas ended under ten ids at four relays, each of them with the
-//! streams of others: of 276 that broke, 13 had given no event, and 12 of these were that request. One id tells it:
-//!
-//! ```text
-//! 41.2518 dispatch       first i-29bf22071d
-//! 41.3073 answered       status 200, took_ms 57
-//! 41.3663 stream-lost    error reading a body from connection, no last_event, sends 1
-//! 41.3721 dispatch       first i-b4b9f37fbc
-//! 41.4239 stream-resumed quiet_ms 117
-//! 41.4610 stream-lost    error reading a body from connection, no last_event, sends 2
-//! ```
+//! Callers sent the same request again and again, each time under a new id, to whichever relay the load
+//! balancer chose. Each replica that started to run it crashed 30 to 120 ms later, before the first
+//! event. Relays remembered nothing of it beyond a single attempt, so each attempt was resumed at
+//! another healthy replica: within eight seconds ten of 39 replicas crashed, with the streams of other
+//! callers on them.
 
 mod harness;
 
@@ -41,27 +32,28 @@
 };
 use tokio::time::sleep;
 
-/// Events of a whole stream.
+/// Number of events of a complete stream.
 const EVENTS: u64 = 4;
 
-/// Pause between events, and from a head to the crash.
+/// Pause between two events, and between the response head and the crash.
 const PAUSE: Duration = Duration::from_millis(10);
 
-/// Time between two attempts of a caller: several messages between relays, and a second less than their contact time.
-const BETWEEN: Duration = Duration::from_millis(1_000);
+/// Time between two attempts of a caller: long enough for several messages between relays, and well below
+/// the contact time.
+const ATTEMPT_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Time for what one relay does by itself.
-const SHORTLY: Duration = Duration::from_millis(300);
+/// Time between two attempts at one relay: long enough for it to process a crash.
+const LOCAL_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Replicas that a request may end at most.
-const MOST_ENDED: usize = 3;
+/// Maximum number of replicas that a request may crash.
+const MAX_CRASHED: usize = 3;
 
 fn is_bad(request: &ReceivedRequest) -> bool {
     request.target.contains("/bad")
 }
 
-/// An engine that holds all layers, and ends when it begins to run the bad request.
-fn fragile(request: &ReceivedRequest) -> Reply {
+/// An engine that holds all layers, and crashes when it starts to run the bad request.
+fn fragile_engine(request: &ReceivedRequest) -> Reply {
     match request.target.as_str() {
         REPORT_PATH => signed_response(request, 200, &report(0, LAYERS, &[])),
         ORDER_PATH => signed_response(request, 200, ""),
@@ -73,11 +65,11 @@
 fn stream_head(request: &ReceivedRequest) -> Vec<u8> {
     match events(request, 0, PAUSE, StreamEnd::Silence) {
         Reply::Stream { head, .. } => head.into_bytes(),
-        other => panic!("a stream, and not {other:?}"),
+        other => panic!("expected a stream, got {other:?}"),
     }
 }
 
-fn whole_model(address: SocketAddr) -> Value {
+fn full_model(address: SocketAddr) -> Value {
     model_entry(address, 0, LAYERS)
 }
 
@@ -92,12 +84,12 @@
     engines
 }
 
-fn ended(replicas: &[StandinReplica]) -> usize {
+fn count_crashed(replicas: &[StandinReplica]) -> usize {
     replicas.iter().filter(|replica| replica.has_crashed()).count()
 }
 
-/// A store with the configuration of the tests and these replicas.
-async fn store_of(replicas: &[StandinReplica], entry: fn(SocketAddr) -> Value) -> StandinStore {
+/// Starts a store with the configuration of the tests and these replicas.
+async fn start_store(replicas: &[StandinReplica], entry: fn(SocketAddr) -> Value) -> StandinStore {
     let store = StandinStore::start().await;
     store.put(CONFIG_KIND, CONFIG_NAME, config(1, &ROUTES, &[KEY]));
     for (number, replica) in replicas.iter().enumerate() {
@@ -106,7 +98,7 @@
     store
 }
 
-/// A relay in each of these data centres.
+/// Starts a relay in each of these data centres, and waits until all are ready.
 async fn start_relays(data_centres: &[&str], store: &StandinStore) -> Vec<RunningRelay> {
     let mut relays = Vec::new();
     for (number, data_centre) in data_centres.iter().enumerate() {
@@ -120,13 +112,13 @@
     relays
 }
 
-/// The same request comes to relays of two data centres in turn, under a new id each time. It ends three replicas, and no more;
-/// what else the caller sends is served before and after.
+/// Relays of two data centres get the same request in turn, under a new id each time. It crashes three
+/// replicas and no more, and other requests of the caller are served throughout.
 #[test]
-fn a_request_that_ends_replicas_is_stopped_at_all_relays() {
+fn a_request_that_crashes_replicas_is_quarantined_at_all_relays() {
     run_test(async {
-        let engines = start_engines(10, fragile).await;
-        let store = store_of(&engines, whole_model).await;
+        let engines = start_engines(10, fragile_engine).await;
+        let store = start_store(&engines, full_model).await;
         let relays = start_relays(&["hall", "far"], &store).await;
         for attempt in 0..8 {
             let relay = &relays[attempt % relays.len()];
@@ -134,35 +126,36 @@
             let good =
                 relay.get(&format!("/stream/good-{attempt}"), &format!("good-{attempt}")).await;
             assert_eq!(event_ids(&good.body).len() as u64, EVENTS, "attempt {attempt}");
-            sleep(BETWEEN).await;
+            sleep(ATTEMPT_INTERVAL).await;
         }
-        assert_eq!(ended(&engines), MOST_ENDED);
+        assert_eq!(count_crashed(&engines), MAX_CRASHED);
     });
 }
 
-/// A later stage ends when it gets its part of the request. Moves of the running stream to other paths are sends like others.
+/// A later stage of the path crashes when the request reaches it. Moving the running stream to another
+/// path counts as a send, too.
 #[test]
-fn a_request_that_ends_later_stages_is_not_moved_on() {
+fn a_request_that_crashes_later_stages_is_not_rerouted() {
     run_test(async {
         let later = start_engines(8, |request| match request.target.as_str() {
             REPORT_PATH => signed_response(request, 200, &report(4, LAYERS, &[])),
             _ => signed_response(request, 200, ""),
         })
         .await;
-        let at_work: Arc<Mutex<Option<SocketAddr>>> = Arc::default();
+        let crashed_at: Arc<Mutex<Option<SocketAddr>>> = Arc::default();
         let crash_at = {
-            let (later, at_work) = (later.clone(), at_work.clone());
+            let (later, crashed_at) = (later.clone(), crashed_at.clone());
             move |path: &str| {
-                let second = path.split(',').nth(1).and_then(|part| part.split_once('='));
+                let second = path.split(',').nth(1).and_then(|stage| stage.split_once('='));
                 let address = second.and_then(|(address, _)| address.parse().ok());
                 let replica = later.iter().find(|replica| Some(replica.address()) == address);
                 replica.into_iter().for_each(StandinReplica::crash);
-                *at_work.lock().expect("no script panics") = address;
+                *crashed_at.lock().expect("no script panics") = address;
             }
         };
         let first = StandinReplica::start(move |request| match request.target.as_str() {
             REPORT_PATH => {
-                let faulty_replica = *at_work.lock().expect("no script panics");
+                let faulty_replica = *crashed_at.lock().expect("no script panics");
                 let stalled: Vec<(&str, SocketAddr)> = faulty_replica
                     .map(|faulty_replica| ("bad-0", faulty_replica))
                     .into_iter()
@@ -181,16 +174,16 @@
             }
         })
         .await;
-        let store = store_of(&later, |address| model_entry(address, 4, LAYERS)).await;
+        let store = start_store(&later, |address| model_entry(address, 4, LAYERS)).await;
         let (id, entry) = entry_of("i-first", &first, |address| model_entry(address, 0, 4));
         store.put(REPLICA_KIND, id, entry);
         let relays = start_relays(&["hall"], &store).await;
         relays[0].get("/stream/bad", "bad-0").await;
-        assert_eq!(ended(&later), MOST_ENDED);
+        assert_eq!(count_crashed(&later), MAX_CRASHED);
     });
 }
 
-/// A plain service's replica that ends when it begins to run the bad request.
+/// A replica of a plain service that crashes when it starts to run the bad request.
 fn fragile_desk(request: &ReceivedRequest) -> Reply {
     match is_bad(request) {
         true => Reply::Crash(Vec::new(), PAUSE),
@@ -198,13 +191,14 @@
     }
 }
 
-/// Requests to plain services end replicas as well; those that may run once are not sent on, and are stopped all the same.
+/// Requests to plain services may crash replicas as well. Those that may run only once are not retried,
+/// but are quarantined in the same way.
 #[test]
-fn a_request_that_ends_plain_replicas_is_stopped() {
+fn a_request_that_crashes_plain_replicas_is_quarantined() {
     for path in ["/safe/bad", "/once/bad"] {
         run_test(async move {
             let desks = start_engines(8, fragile_desk).await;
-            let store = store_of(&desks, desk_entry).await;
+            let store = start_store(&desks, desk_entry).await;
             let relays = start_relays(&["hall"], &store).await;
             let mut last = None;
             for attempt in 0..6 {
@@ -213,48 +207,48 @@
                 assert_eq!(
                     good.status,
                     StatusCode::OK,
-                    "{path}, attempt {attempt}: {good:?}, {} ended",
-                    ended(&desks)
+                    "{path}, attempt {attempt}: {good:?}, {} crashed",
+                    count_crashed(&desks)
                 );
-                sleep(SHORTLY).await;
+                sleep(LOCAL_INTERVAL).await;
             }
-            assert_eq!(ended(&desks), MOST_ENDED, "{path}");
-            let refused = last.expect("some attempts");
-            assert_eq!(refused.status, StatusCode::SERVICE_UNAVAILABLE);
+            assert_eq!(count_crashed(&desks), MAX_CRASHED, "{path}");
+            let rejected = last.expect("some attempts");
+            assert_eq!(rejected.status, StatusCode::SERVICE_UNAVAILABLE);
             let wait: f64 =
-                refused.headers["retry-after"].to_str().expect("text").parse().expect("seconds");
-            assert!(wait > 60.0, "nothing invites it to come again at once: {wait} s");
-            assert!(!refused.body.is_empty(), "it says why");
+                rejected.headers["retry-after"].to_str().expect("text").parse().expect("seconds");
+            assert!(wait > 60.0, "the caller must not be told to retry soon: {wait} s");
+            assert!(!rejected.body.is_empty(), "the body gives the reason");
         });
     }
 }
 
-/// All relays end, and with them what they knew; the store has it.
+/// All relays end and lose their state. The relays that start next learn of the quarantine from the store.
 #[test]
-fn a_relay_that_starts_after_all_ended_knows_stopped_requests() {
+fn quarantines_survive_the_end_of_all_relays() {
     run_test(async {
-        let engines = start_engines(8, fragile).await;
-        let store = store_of(&engines, whole_model).await;
+        let engines = start_engines(8, fragile_engine).await;
+        let store = start_store(&engines, full_model).await;
         let relays = start_relays(&["hall"], &store).await;
         for attempt in 0..3 {
             relays[0].get("/stream/bad", &format!("bad-{attempt}")).await;
-            sleep(SHORTLY).await;
+            sleep(LOCAL_INTERVAL).await;
         }
-        assert_eq!(ended(&engines), MOST_ENDED);
-        wait_until(async || stored(&store) > 0).await;
+        assert_eq!(count_crashed(&engines), MAX_CRASHED);
+        wait_until(async || count_stored(&store) > 0).await;
         relays.into_iter().for_each(|relay| relay.task.abort());
         let relays = start_relays(&["far", "hall"], &store).await;
         for relay in &relays {
-            wait_until(async || knows_stopped(relay).await).await;
-            let refused = relay.get("/stream/bad", "bad-again").await;
-            assert_eq!(refused.status, StatusCode::SERVICE_UNAVAILABLE);
+            wait_until(async || knows_quarantine(relay).await).await;
+            let rejected = relay.get("/stream/bad", "bad-again").await;
+            assert_eq!(rejected.status, StatusCode::SERVICE_UNAVAILABLE);
         }
-        assert_eq!(ended(&engines), MOST_ENDED);
+        assert_eq!(count_crashed(&engines), MAX_CRASHED);
     });
 }
 
-/// Objects of the quarantine that the store holds.
-fn stored(store: &StandinStore) -> usize {
+/// Returns the number of quarantine entries created in the store.
+fn count_stored(store: &StandinStore) -> usize {
     store
         .calls()
         .iter()
@@ -262,8 +256,8 @@
         .count()
 }
 
-/// Whether a relay knows of a request that is stopped, by its metrics.
-async fn knows_stopped(relay: &RunningRelay) -> bool {
+/// Returns whether a relay knows one quarantined request, according to its metrics.
+async fn knows_quarantine(relay: &RunningRelay) -> bool {
     let request = Request::get("/metrics").body(Full::default()).expect("a request");
     let metrics = call(relay.metrics, request).await.body;
     let mut lines = metrics.lines().filter(|line| line.contains("requests_stopped_now"));
--- a/crates/relay/tests/limits.rs
+++ b/crates/relay/tests/limits.rs
@@ -1,20 +1,8 @@
-//! Replicas that name in their answers how many requests a second they take from all relays together.
+//! Replicas whose responses name a rate limit for all relays together (`Server-Limit`).
 //!
-//! Two first replicas, in two of three data centres, named limits of about a third of what they got. No relay read that, so
-//! each sent what it had sent before: the first one got 87 requests in four seconds from four relays, where 46 were the most
-//! that it may get, the second one 28 from one relay, where 22 were. Meanwhile the first replica of the third data centre,
-//! which named no limit, got 45 and had places for four times as many. What settled it is that the rates did not
-//! change when the limits were named, that the relays' own lines add up to just what the replicas counted, and that none of
-//! these requests had waited or was sent for want of another path.
-//!
-//! ```text
-//! 60 to 64  i-3e7a63cf00  15 26 14 22 a second    i-d1627c1f4d  9 8 11 12
-//! 64 to 68  i-3e7a63cf00  22 21 13 26 a second    i-d1627c1f4d  7 7 6 7
-//! 67.030 to 71.030  dispatches, first i-3e7a63cf00: 33 + 25 + 15 + 14 = 87, waited_ms 0 to 2
-//! 67.192 to 71.192  dispatches, first i-d1627c1f4d: 28, waited_ms 0 to 2
-//! ```
-//!
-//! Had each relay kept the limit by itself, four of them would have sent four times as much: it binds all together.
+//! Relays once ignored these limits: in four seconds, four relays sent 87 requests to a replica that
+//! allowed 46, while another replica had free slots. A limit enforced by each relay on its own would
+//! not have been enough either, since it applies to all of them together.
 
 mod harness;
 
@@ -36,82 +24,86 @@
 };
 use tokio::time::sleep;
 
-/// Requests a second that the replica takes, and its word for it.
+/// Requests per second that the replica accepts.
 const LIMIT: f64 = 3.1;
-const NAMED: &str = "3.1";
 
-/// Time after the first naming from which requests count.
-const CONTACT: Duration = Duration::from_millis(3_000);
+/// Value of the header that names the limit.
+const LIMIT_HEADER: &str = "3.1";
 
-/// Time in which requests are counted, and how many may come in it.
+/// Time after the first response with the limit from which requests are counted.
+const CONTACT_TIME: Duration = Duration::from_millis(3_000);
+
+/// Time for which requests are counted.
 const WINDOW: Duration = Duration::from_millis(4_000);
-const MOST_IN_WINDOW: usize = (LIMIT * 1.5 * 4.0) as usize + 5;
 
-/// Time between two requests of a caller, each at a relay of its own.
-const BETWEEN: Duration = Duration::from_millis(50);
+/// Maximum number of requests in that time.
+const MAX_IN_WINDOW: usize = (LIMIT * 1.5 * 4.0) as usize + 5;
+
+/// Pause between two requests of a caller. Each caller uses a relay of its own.
+const PAUSE: Duration = Duration::from_millis(50);
 
-fn whole_model(address: SocketAddr) -> Value {
+fn full_model(address: SocketAddr) -> Value {
     model_entry(address, 0, LAYERS)
 }
 
-/// When requests came to a replica.
+/// Arrival times of the requests at a replica.
 #[derive(Clone, Default)]
-struct SeenTimes(Arc<Mutex<Vec<Instant>>>);
+struct RequestTimes(Arc<Mutex<Vec<Instant>>>);
 
-impl SeenTimes {
-    /// Requests that came in the time from the contact time after the first naming on.
+impl RequestTimes {
+    /// Returns the number of requests in the window that starts [`CONTACT_TIME`] after the first one.
     fn in_window(&self) -> usize {
-        let seen = self.0.lock().expect("no script panics");
-        let from = *seen.first().expect("it was named") + CONTACT;
-        seen.iter().filter(|at| **at >= from && **at < from + WINDOW).count()
+        let times = self.0.lock().expect("no script panics");
+        let from = *times.first().expect("a request arrived") + CONTACT_TIME;
+        times.iter().filter(|at| **at >= from && **at < from + WINDOW).count()
     }
 }
 
-/// A replica that serves all, and names a limit in each answer.
-fn names_limit(seen: &SeenTimes) -> impl Fn(&ReceivedRequest) -> Reply + Send + Sync + 'static {
-    let seen = seen.clone();
+/// A replica that serves all requests and names its limit in each response.
+fn with_limit(times: &RequestTimes) -> impl Fn(&ReceivedRequest) -> Reply + Send + Sync + 'static {
+    let times = times.clone();
     move |request| {
         if ![REPORT_PATH, ORDER_PATH].contains(&request.target.as_str()) {
-            seen.0.lock().expect("no script panics").push(Instant::now());
+            times.0.lock().expect("no script panics").push(Instant::now());
         }
-        with_header(respond_healthy(request), "Server-Limit", NAMED)
+        with_header(respond_healthy(request), "Server-Limit", LIMIT_HEADER)
     }
 }
 
-/// Calls a relay again and again until the counted time is over; each caller is served.
-async fn call_for_long(relay: &RunningRelay, path: &str, name: &str) {
-    let begun = Instant::now();
+/// Calls a relay repeatedly until the end of the window. Each call must be served.
+async fn call_until_end(relay: &RunningRelay, path: &str, name: &str) {
+    let started = Instant::now();
     let mut count = 0;
-    while begun.elapsed() < CONTACT + WINDOW {
+    while started.elapsed() < CONTACT_TIME + WINDOW {
         let id = format!("{name}{count}");
-        let called = relay.get(&format!("{path}{id}"), &id).await;
-        assert_eq!(called.status, StatusCode::OK, "{id}");
+        let result = relay.get(&format!("{path}{id}"), &id).await;
+        assert_eq!(result.status, StatusCode::OK, "{id}");
         count += 1;
-        sleep(BETWEEN).await;
+        sleep(PAUSE).await;
     }
 }
 
-/// Two relays, and a replica near them that names a limit of a tenth of what they send: together they keep to it, and every
-/// caller is served by the other replica.
+/// Two relays send ten times as many requests as the replica in their data centre accepts. Together
+/// they keep to its limit, and a replica elsewhere serves the other requests.
 #[test]
 fn a_limit_holds_for_all_relays_together() {
     for (path, entry) in
-        [("/stream/", whole_model as fn(SocketAddr) -> Value), ("/safe/", desk_entry)]
+        [("/stream/", full_model as fn(SocketAddr) -> Value), ("/safe/", desk_entry)]
     {
         run_test(async {
-            let seen = SeenTimes::default();
-            let near = StandinReplica::start(names_limit(&seen)).await;
+            let times = RequestTimes::default();
+            let limited = StandinReplica::start(with_limit(&times)).await;
             let other = StandinReplica::start(respond_healthy).await;
             let far = |address| in_data_centre(entry(address), "far");
-            let entries = [entry_of("i-1", &near, entry), entry_of("i-2", &other, far)];
+            let entries = [entry_of("i-1", &limited, entry), entry_of("i-2", &other, far)];
             let one = RunningRelay::start(bounds(), &entries).await;
             let two = BoundRelay::new("relay-2", one.store.clone(), bounds()).await.run();
             two.wait_ready(StatusCode::OK).await;
             let calls =
-                [(&one, "a"), (&two, "b")].map(|(relay, name)| call_for_long(relay, path, name));
+                [(&one, "a"), (&two, "b")].map(|(relay, name)| call_until_end(relay, path, name));
             join_all(calls).await;
-            let came = seen.in_window();
-            assert!(came <= MOST_IN_WINDOW, "{path}: {came} in 4 s, {MOST_IN_WINDOW} allowed");
+            let count = times.in_window();
+            assert!(count <= MAX_IN_WINDOW, "{path}: {count} in 4 s, {MAX_IN_WINDOW} allowed");
         });
     }
 }
--- a/crates/relay/tests/notices.rs
+++ b/crates/relay/tests/notices.rs
@@ -1,21 +1,9 @@
-//! Replicas that say in their answers that they want no requests for a time, or that they are leaving.
+//! Replicas that ask in their responses for a back-off (`Retry-After`), or announce that they are
+//! leaving (`Server-Leaving`).
 //!
-//! Two first replicas, in two of three data centres, began to turn every request away and asked each relay to stay away for
-//! three seconds. The relays read the status of these answers and passed over what they asked: a first replica that rejects
-//! a request was left alone for 250 ms, whatever it said, and the next request after that went there again, was turned away
-//! again, went to the second one, was turned away there, and only then to the third data centre. So each of the two got
-//! eight requests of one relay in the time in which it wanted none, and every fourth of a second one caller paid for two
-//! sends that could not succeed. What settled it is how long after a relay's last rejection its next dispatch came, for the 51
-//! of them within three seconds: never less than 250 ms, and often just that.
-//!
-//! ```text
-//! 6.005 attempt-failed  i-3e7a63cf00  Rejected  status 503 Service Unavailable at None
-//! 7.313 dispatch        first i-3e7a63cf00
-//! 7.315 attempt-failed  i-3e7a63cf00  Rejected  status 503 Service Unavailable at None
-//! 7.315 dispatch        first i-d1627c1f4d
-//! 7.317 attempt-failed  i-d1627c1f4d  Rejected  status 503 Service Unavailable at None
-//! 7.317 dispatch        first i-0351a068a1
-//! ```
+//! Relays once ignored `Retry-After`: after a rejection they avoided the replica for 250 ms, whatever it
+//! asked for. Two replicas that asked for three seconds each got eight requests of one relay in that
+//! time, and four times a second a caller paid for two sends that could not succeed.
 
 mod harness;
 
@@ -44,25 +32,26 @@
 use switchfold_relay::settings::BoundSettings;
 use tokio::time::sleep;
 
-/// Time that a replica asks for.
-const ASKED: Duration = Duration::from_millis(3_000);
+/// Back-off that a replica asks for.
+const BACKOFF: Duration = Duration::from_millis(3_000);
 
-/// Time after the asking from which requests count.
-const ON_THE_WAY: Duration = Duration::from_millis(500);
+/// Time after the first rejection from which requests are counted; earlier ones may have been in flight.
+const IN_FLIGHT_TIME: Duration = Duration::from_millis(500);
 
-/// Requests of one VM that may reach a replica in the time in which it wants none.
-const MOST_UNWANTED: usize = 2;
+/// Maximum number of requests of one VM that may reach a replica during its back-off.
+const MAX_UNWANTED: usize = 2;
 
-/// Time over which callers come back that were refused until the same end, in seconds.
-const RETURN_SPREAD: f64 = 0.25;
+/// Time over which the retries of callers are spread that were rejected until the same time, in seconds.
+const RETRY_SPREAD_S: f64 = 0.25;
 
-/// Time between two requests of the callers.
-const BETWEEN: Duration = Duration::from_millis(20);
+/// Pause between two requests of a caller.
+const PAUSE: Duration = Duration::from_millis(20);
 
-fn whole_model(address: SocketAddr) -> Value {
+fn full_model(address: SocketAddr) -> Value {
     model_entry(address, 0, LAYERS)
 }
 
+/// Moves the replica of an entry to another data centre.
 fn far(entry: fn(SocketAddr) -> Value) -> impl Fn(SocketAddr) -> Value {
     move |address| in_data_centre(entry(address), "far")
 }
@@ -71,22 +60,23 @@
     [REPORT_PATH, ORDER_PATH].contains(&request.target.as_str())
 }
 
-/// Requests that a replica got, with what it answered each.
+/// Arrival times of the requests at a replica, and whether the response to each had a notice: a back-off,
+/// or that the replica is leaving.
 #[derive(Clone, Default)]
-struct SeenTimes(Arc<Mutex<Vec<(Instant, bool)>>>);
+struct RequestTimes(Arc<Mutex<Vec<(Instant, bool)>>>);
 
-impl SeenTimes {
-    fn note(&self, turned_away: bool) {
-        self.0.lock().expect("no script panics").push((Instant::now(), turned_away));
+impl RequestTimes {
+    fn record(&self, has_notice: bool) {
+        self.0.lock().expect("no script panics").push((Instant::now(), has_notice));
     }
 
-    /// Requests that came while the replica wanted none.
-    fn unwanted(&self, asked: Duration) -> usize {
-        let seen = self.0.lock().expect("no script panics");
-        let first = seen.iter().find(|(_, turned_away)| *turned_away);
+    /// Returns the number of requests during the back-off that the first notice asked for.
+    fn unwanted(&self, backoff: Duration) -> usize {
+        let times = self.0.lock().expect("no script panics");
+        let first = times.iter().find(|(_, has_notice)| *has_notice);
         let Some((first, _)) = first else { return 0 };
-        let counts = |at: &Instant| *at > *first + ON_THE_WAY && *at < *first + asked;
-        seen.iter().filter(|(at, _)| counts(at)).count()
+        let counts = |at: &Instant| *at > *first + IN_FLIGHT_TIME && *at < *first + backoff;
+        times.iter().filter(|(at, _)| counts(at)).count()
     }
 
     fn len(&self) -> usize {
@@ -94,21 +84,21 @@
     }
 }
 
-/// A replica that turns requests away while `is_closed`, and asks for a time without any.
-fn turns_away(
+/// A replica that rejects requests while `is_closed`, and asks for a back-off of `retry_after` seconds.
+fn rejects(
     is_closed: &Arc<AtomicBool>,
-    asks: &'static str,
-    seen: &SeenTimes,
+    retry_after: &'static str,
+    times: &RequestTimes,
 ) -> impl Fn(&ReceivedRequest) -> Reply + Send + Sync + 'static {
-    let (is_closed, seen) = (is_closed.clone(), seen.clone());
+    let (is_closed, times) = (is_closed.clone(), times.clone());
     move |request| {
         if is_control(request) {
             return respond_healthy(request);
         }
-        let closed = is_closed.load(Ordering::SeqCst);
-        seen.note(closed);
-        match closed {
-            true => with_header(reject(request, 503, None), "Retry-After", asks),
+        let is_closed = is_closed.load(Ordering::SeqCst);
+        times.record(is_closed);
+        match is_closed {
+            true => with_header(reject(request, 503, None), "Retry-After", retry_after),
             false => respond_healthy(request),
         }
     }
@@ -118,165 +108,166 @@
     Arc::new(AtomicBool::new(true))
 }
 
-/// Two replicas, one of which turns all away and asks for three seconds: it gets no more than two requests in that time, and
-/// every caller is served by the other one.
+/// A replica that rejects all requests and asks for a back-off of three seconds gets at most two more in
+/// that time. Another replica serves every caller.
 #[test]
-fn a_replica_that_asks_for_time_gets_it() {
+fn a_backoff_is_respected() {
     for (path, entry) in
-        [("/stream/", whole_model as fn(SocketAddr) -> Value), ("/once/", desk_entry)]
+        [("/stream/", full_model as fn(SocketAddr) -> Value), ("/once/", desk_entry)]
     {
         run_test(async {
-            let seen = SeenTimes::default();
-            let near = StandinReplica::start(turns_away(&closed(), "3", &seen)).await;
+            let times = RequestTimes::default();
+            let near = StandinReplica::start(rejects(&closed(), "3", &times)).await;
             let other = StandinReplica::start(respond_healthy).await;
             let entries = [entry_of("i-1", &near, entry), entry_of("i-2", &other, far(entry))];
             let relay = RunningRelay::start(bounds(), &entries).await;
-            let begun = Instant::now();
+            let started = Instant::now();
             let mut count = 0;
-            while begun.elapsed() < ASKED {
-                let called = relay.get(&format!("{path}{count}"), &format!("a{count}")).await;
-                assert_eq!(called.status, StatusCode::OK, "{path}");
+            while started.elapsed() < BACKOFF {
+                let result = relay.get(&format!("{path}{count}"), &format!("a{count}")).await;
+                assert_eq!(result.status, StatusCode::OK, "{path}");
                 count += 1;
-                sleep(BETWEEN).await;
+                sleep(PAUSE).await;
             }
-            assert!(seen.len() > 0, "{path}");
-            assert!(seen.unwanted(ASKED) <= MOST_UNWANTED, "{path}: {}", seen.unwanted(ASKED));
+            assert!(times.len() > 0, "{path}");
+            assert!(times.unwanted(BACKOFF) <= MAX_UNWANTED, "{path}: {}", times.unwanted(BACKOFF));
         });
     }
 }
 
-/// Where all replicas want no requests, callers are told so at once, and when the first of them takes requests again; none
-/// of them is sent to.
+/// While all replicas have asked for a back-off, callers are rejected at once, with the time at which the
+/// first replica accepts requests again. None of these requests is sent.
 #[test]
-fn callers_are_told_when_all_replicas_want_time() {
+fn callers_are_rejected_while_all_replicas_back_off() {
     for (path, entry) in
-        [("/stream/", whole_model as fn(SocketAddr) -> Value), ("/safe/", desk_entry)]
+        [("/stream/", full_model as fn(SocketAddr) -> Value), ("/safe/", desk_entry)]
     {
         run_test(async {
-            let seen = [SeenTimes::default(), SeenTimes::default()];
-            let one = StandinReplica::start(turns_away(&closed(), "6", &seen[0])).await;
-            let two = StandinReplica::start(turns_away(&closed(), "4", &seen[1])).await;
+            let times = [RequestTimes::default(), RequestTimes::default()];
+            let one = StandinReplica::start(rejects(&closed(), "6", &times[0])).await;
+            let two = StandinReplica::start(rejects(&closed(), "4", &times[1])).await;
             let entries = [entry_of("i-1", &one, entry), entry_of("i-2", &two, entry)];
             let relay = RunningRelay::start(bounds(), &entries).await;
             wait_until(async || {
                 relay.get(&format!("{path}first"), "first").await;
-                seen.iter().all(|seen| seen.len() > 0)
+                times.iter().all(|times| times.len() > 0)
             })
             .await;
-            let sent: usize = seen.iter().map(SeenTimes::len).sum();
-            let called = relay.get(&format!("{path}late"), "late").await;
-            assert_eq!(called.status, StatusCode::SERVICE_UNAVAILABLE, "{path}");
-            let after = called.headers.get("retry-after").and_then(|value| value.to_str().ok());
+            let sent: usize = times.iter().map(RequestTimes::len).sum();
+            let result = relay.get(&format!("{path}late"), "late").await;
+            assert_eq!(result.status, StatusCode::SERVICE_UNAVAILABLE, "{path}");
+            let after = result.headers.get("retry-after").and_then(|value| value.to_str().ok());
             let after: f64 = after.and_then(|value| value.parse().ok()).expect("a time");
-            // They come back over a quarter of a second, so that not all do at the same moment.
-            assert!(after > 1.4 && after <= 4.0 + RETURN_SPREAD, "{path}: {after}");
-            assert_eq!(seen.iter().map(SeenTimes::len).sum::<usize>(), sent, "{path}");
+            // Retries are spread over a quarter of a second, so that they do not arrive all at once.
+            assert!(after > 1.4 && after <= 4.0 + RETRY_SPREAD_S, "{path}: {after}");
+            assert_eq!(times.iter().map(RequestTimes::len).sum::<usize>(), sent, "{path}");
         });
     }
 }
 
-/// A request waits for the end of the time where that comes soon enough for it to be served in time.
+/// A request waits for the end of a back-off if it can then still be served in time.
 #[test]
-fn a_short_time_is_waited_for() {
+fn a_short_backoff_is_waited_for() {
     for (path, entry) in
-        [("/stream/", whole_model as fn(SocketAddr) -> Value), ("/safe/", desk_entry)]
+        [("/stream/", full_model as fn(SocketAddr) -> Value), ("/safe/", desk_entry)]
     {
         run_test(async {
-            let (is_closed, seen) = (closed(), SeenTimes::default());
-            let replica = StandinReplica::start(turns_away(&is_closed, "0.15", &seen)).await;
+            let (is_closed, times) = (closed(), RequestTimes::default());
+            let replica = StandinReplica::start(rejects(&is_closed, "0.15", &times)).await;
             let relay = RunningRelay::start(bounds(), &[entry_of("i-1", &replica, entry)]).await;
             relay.get(&format!("{path}first"), "first").await;
             is_closed.store(false, Ordering::SeqCst);
-            let called = relay.get(&format!("{path}second"), "second").await;
-            assert_eq!(called.status, StatusCode::OK, "{path}");
+            let result = relay.get(&format!("{path}second"), "second").await;
+            assert_eq!(result.status, StatusCode::OK, "{path}");
         });
     }
 }
 
-/// After the end of the time all callers that waited for it do not come at once: the first one finds out whether the
-/// replica takes requests again.
+/// After the end of a back-off, the requests that waited for it are not all sent at once. A single trial
+/// request finds out whether the replica accepts requests again.
 #[test]
-fn one_request_finds_out_whether_the_time_is_over() {
+fn a_backoff_ends_with_a_single_trial_request() {
     for (path, entry) in
-        [("/stream/", whole_model as fn(SocketAddr) -> Value), ("/safe/", desk_entry)]
+        [("/stream/", full_model as fn(SocketAddr) -> Value), ("/safe/", desk_entry)]
     {
         run_test(async {
-            let seen = SeenTimes::default();
-            let replica = StandinReplica::start(turns_away(&closed(), "0.15", &seen)).await;
+            let times = RequestTimes::default();
+            let replica = StandinReplica::start(rejects(&closed(), "0.15", &times)).await;
             let relay = RunningRelay::start(bounds(), &[entry_of("i-1", &replica, entry)]).await;
             relay.get(&format!("{path}first"), "first").await;
-            let before = seen.len();
+            let before = times.len();
             let paths: Vec<String> = (0..20).map(|number| format!("{path}{number}")).collect();
             join_all(paths.iter().map(|path| relay.get(path, path))).await;
-            // The time may end twice, or three times, while they wait.
-            let came = seen.len() - before;
-            assert!((1..=3).contains(&came), "{path}: {came}");
+            // The back-off may end two or three times while they wait.
+            let count = times.len() - before;
+            assert!((1..=3).contains(&count), "{path}: {count}");
         });
     }
 }
 
-/// Bounds by which a replica that leaves must be left alone soon.
-fn soon() -> BoundSettings {
+/// Bounds with a short time for which a leaving replica continues to serve.
+fn short_drain_bounds() -> BoundSettings {
     BoundSettings { drain_ms: 200.0, ..bounds() }
 }
 
-/// A replica that serves, and says in all its answers from some time on that it is leaving; its entry does not.
-fn leaves(
+/// A replica that serves all requests and, while `is_leaving`, announces in each response that it is
+/// leaving. Its entry does not say so.
+fn announces_leaving(
     is_leaving: &Arc<AtomicBool>,
-    seen: &SeenTimes,
+    times: &RequestTimes,
 ) -> impl Fn(&ReceivedRequest) -> Reply + Send + Sync + 'static {
-    let (is_leaving, seen) = (is_leaving.clone(), seen.clone());
+    let (is_leaving, times) = (is_leaving.clone(), times.clone());
     move |request| {
-        let leaving = is_leaving.load(Ordering::SeqCst);
+        let is_leaving = is_leaving.load(Ordering::SeqCst);
         if !is_control(request) {
-            seen.note(leaving);
+            times.record(is_leaving);
         }
-        match leaving {
+        match is_leaving {
             true => with_header(respond_healthy(request), "Server-Leaving", "1"),
             false => respond_healthy(request),
         }
     }
 }
 
-/// A replica says in an answer that it is leaving, and its entry says for long that it takes requests. From then on it gets
-/// none, whatever its entry says, until it starts again.
+/// A replica announces in a response that it is leaving, while its entry still says that it accepts
+/// requests. From then on it gets none, whatever its entry says, until it restarts.
 #[test]
-fn a_replica_that_says_it_is_leaving_is_left() {
+fn a_replica_that_announces_leaving_gets_no_requests() {
     for (path, entry) in
-        [("/stream/", whole_model as fn(SocketAddr) -> Value), ("/once/", desk_entry)]
+        [("/stream/", full_model as fn(SocketAddr) -> Value), ("/once/", desk_entry)]
     {
         run_test(async {
-            let (is_leaving, seen) = (Arc::new(AtomicBool::new(true)), SeenTimes::default());
-            let near = StandinReplica::start(leaves(&is_leaving, &seen)).await;
+            let (is_leaving, times) = (Arc::new(AtomicBool::new(true)), RequestTimes::default());
+            let near = StandinReplica::start(announces_leaving(&is_leaving, &times)).await;
             let other = StandinReplica::start(respond_healthy).await;
             let own = started_at(entry(near.address()), 1_000);
             let entries = [("i-1", own.clone()), entry_of("i-2", &other, far(entry))];
-            let relay = RunningRelay::start(soon(), &entries).await;
+            let relay = RunningRelay::start(short_drain_bounds(), &entries).await;
             let mut count = 0;
             let mut call = async || {
                 count += 1;
-                let called = relay.get(&format!("{path}{count}"), &format!("a{count}")).await;
-                assert_eq!(called.status, StatusCode::OK, "{path}");
+                let result = relay.get(&format!("{path}{count}"), &format!("a{count}")).await;
+                assert_eq!(result.status, StatusCode::OK, "{path}");
             };
             wait_until(async || {
                 call().await;
-                seen.len() > 0
+                times.len() > 0
             })
             .await;
             sleep(Duration::from_millis(250)).await;
-            let reached = seen.len();
+            let reached = times.len();
             for _ in 0..10 {
-                // What the replica writes anew of the same start changes nothing.
+                // Another write of the entry of the same instance changes nothing.
                 relay.store.put(REPLICA_KIND, "i-1", own.clone());
                 call().await;
-                sleep(BETWEEN).await;
+                sleep(PAUSE).await;
             }
-            assert_eq!(seen.len(), reached, "{path}");
+            assert_eq!(times.len(), reached, "{path}");
             is_leaving.store(false, Ordering::SeqCst);
             relay.store.put(REPLICA_KIND, "i-1", started_at(own, 2_000));
             wait_until(async || {
                 call().await;
-                seen.len() > reached
+                times.len() > reached
             })
             .await;
         });
--- a/crates/relay/tests/settings.rs
+++ b/crates/relay/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a relay: the example, the template, every fault at once, and reading them again.
+//! Settings of a relay: the example, the template, complete validation, and reloading.
 
 use std::{cell::RefCell, fs};
 
@@ -12,17 +12,19 @@
 const EXAMPLE: &str = include_str!("../../../examples/relay/relay.json");
 
 #[test]
-fn the_example_is_well_formed() {
-    let settings: RelaySettings = parse_settings("example", EXAMPLE.as_bytes()).expect("no faults");
+fn the_example_is_valid() {
+    let settings: RelaySettings =
+        parse_settings("example", EXAMPLE.as_bytes()).expect("valid settings");
     assert_eq!(settings.bounds.revoke_ms, 5_000.0);
 }
 
-/// Names sort by the class of the processor, the strongest first; those without one stay.
+/// The name gets the class of the processor share as prefix, so that names sort by it, the strongest
+/// first. Without a processor share the name stays as it is.
 #[test]
 fn names_sort_by_processor() {
     let named = |share: Option<f64>| {
         let settings: RelaySettings =
-            parse_settings("example", EXAMPLE.as_bytes()).expect("no faults");
+            parse_settings("example", EXAMPLE.as_bytes()).expect("valid settings");
         RelaySettings { processor_share: share, ..settings }.with_ranked_name().name
     };
     let rows = [
@@ -38,9 +40,9 @@
     }
 }
 
-/// The template names the same fields as the example, so that what the platform fills in is checked.
+/// The template for the platform has the same fields as the example, which is validated.
 #[test]
-fn the_template_names_every_field() {
+fn the_template_has_every_field() {
     let template = include_str!("../../../deploy/relay.json.template");
     let fields = |text: &str| -> Vec<String> {
         let lines = text.lines().filter_map(|line| line.trim().strip_prefix('"'));
@@ -50,21 +52,22 @@
 }
 
 #[test]
-fn every_fault_is_told_at_once() {
+fn all_errors_are_reported_together() {
     let faulty = EXAMPLE
         .replace("\"127.0.0.1:8227\"", "\"nowhere\"")
         .replace("0.2,", "-1,")
         .replace("\"grace_s\": 8", "\"graces\": 8");
-    let error = parse_settings::<RelaySettings>("faulty", faulty.as_bytes()).expect_err("faulty");
-    let SettingsError::Invalid { errors: faults, .. } = error else { panic!("{error}") };
-    let mut paths: Vec<&str> = faults.iter().map(|fault| fault.path.as_str()).collect();
+    let error =
+        parse_settings::<RelaySettings>("faulty", faulty.as_bytes()).expect_err("invalid settings");
+    let SettingsError::Invalid { errors, .. } = error else { panic!("{error}") };
+    let mut paths: Vec<&str> = errors.iter().map(|error| error.path.as_str()).collect();
     paths.sort_unstable();
     assert_eq!(paths, ["bounds.grace_s", "bounds.graces", "bounds.retry_ratio", "listen"]);
     let same = EXAMPLE.replace("127.0.0.1:8220", "127.0.0.1:8227");
     assert!(parse_settings::<RelaySettings>("same", same.as_bytes()).is_err());
 }
 
-/// Names of the bounds that the platform sets, with a value above each one's range.
+/// Names of the bounds set by the platform, each with a value above its range.
 const BOUNDS: [(&str, f64); 5] = [
     ("revoke_ms", 1e9),
     ("grace_s", 1e5),
@@ -73,7 +76,7 @@
     ("retry_allowance", 1e9),
 ];
 
-/// The example with one bound set to something else, or left out.
+/// Parses the example with one bound set to another value, or left out.
 fn with_bound(name: &str, value: Option<Value>) -> Result<RelaySettings, SettingsError> {
     let mut example: Value = serde_json::from_str(EXAMPLE).expect("the example is JSON");
     let bounds = example["bounds"].as_object_mut().expect("an object");
@@ -84,46 +87,47 @@
     parse_settings(name, &serde_json::to_vec(&example).expect("JSON"))
 }
 
-fn fault_paths(read: Result<RelaySettings, SettingsError>) -> Vec<String> {
-    match read {
+fn error_paths(parsed: Result<RelaySettings, SettingsError>) -> Vec<String> {
+    match parsed {
         Ok(_) => Vec::new(),
-        Err(SettingsError::Invalid { errors: faults, .. }) => {
-            faults.into_iter().map(|fault| fault.path).collect()
+        Err(SettingsError::Invalid { errors, .. }) => {
+            errors.into_iter().map(|error| error.path).collect()
         }
         Err(error) => panic!("{error}"),
     }
 }
 
-/// The platform hands amounts whole or with fractions, as a deployment's size makes them.
+/// The platform computes some bounds from the size of a deployment, so any of them may have a fraction.
 #[test]
 fn every_bound_takes_whole_and_fractional_numbers() {
     for (name, above) in BOUNDS {
         for good in [json!(1), json!(1.0), json!(2.352_941_176_470_588_4)] {
-            assert_eq!(fault_paths(with_bound(name, Some(good.clone()))), [""; 0], "{name} {good}");
+            assert_eq!(error_paths(with_bound(name, Some(good.clone()))), [""; 0], "{name} {good}");
         }
-        let zero = fault_paths(with_bound(name, Some(json!(0))));
+        let zero = error_paths(with_bound(name, Some(json!(0))));
         assert_eq!(zero.is_empty(), name != "retry_window_s", "{name} 0");
         let bad = [json!(-1), json!(above), json!(1e300), json!("1"), json!(null), json!([1])];
         for bad in bad.into_iter().map(Some).chain([None]) {
             let path = format!("bounds.{name}");
-            assert_eq!(fault_paths(with_bound(name, bad.clone())), [path], "{name} {bad:?}");
+            assert_eq!(error_paths(with_bound(name, bad.clone())), [path], "{name} {bad:?}");
         }
     }
 }
 
-/// Fractions are rounded to the side that breaks no bound.
+/// Fractions are rounded to the side on which no bound is exceeded.
 #[test]
-fn fractions_are_rounded_to_the_strict_side() {
-    let read = |name, value| with_bound(name, Some(json!(value))).expect("no faults").bounds;
-    assert_eq!(read("revoke_ms", 4_999.9).revoke(), 4_999);
-    assert_eq!(read("grace_s", 7.999_9).grace(), 7_999);
-    assert_eq!(read("retry_window_s", 9.999_9).retry_window(), 10_000);
+fn fractions_are_rounded_to_the_stricter_side() {
+    let bounds = |name, value| with_bound(name, Some(json!(value))).expect("valid settings").bounds;
+    assert_eq!(bounds("revoke_ms", 4_999.9).revoke(), 4_999);
+    assert_eq!(bounds("grace_s", 7.999_9).grace(), 7_999);
+    assert_eq!(bounds("retry_window_s", 9.999_9).retry_window(), 10_000);
 }
 
-/// A file with one field at fault changes nothing, also where its other fields changed.
+/// A file with an invalid field changes nothing, even if its other fields are valid and changed.
 #[test]
-fn a_reload_with_a_fault_keeps_the_settings() {
-    let settings: RelaySettings = parse_settings("example", EXAMPLE.as_bytes()).expect("no faults");
+fn an_invalid_file_keeps_the_settings() {
+    let settings: RelaySettings =
+        parse_settings("example", EXAMPLE.as_bytes()).expect("valid settings");
     let settings = settings.with_ranked_name();
     let bounds = RefCell::new(settings.bounds.clone());
     let file = std::env::temp_dir().join(format!("switchfold-reload-{}.json", std::process::id()));
@@ -133,9 +137,9 @@
         ("{".to_owned(), ReloadOutcome::Rejected, 8_000),
         (changed, ReloadOutcome::Applied { changed: true, needs_restart: false }, 6_500),
     ];
-    for (text, end, grace) in rows {
+    for (text, outcome, grace) in rows {
         fs::write(&file, &text).expect("a file");
-        assert_eq!(reload(&settings, &bounds, &file), end, "{text}");
+        assert_eq!(reload(&settings, &bounds, &file), outcome, "{text}");
         assert_eq!(bounds.borrow().grace(), grace, "{text}");
     }
     fs::remove_file(&file).expect("the file is there");
