--- a/crates/relay/src/peers.rs
+++ b/crates/relay/src/peers.rs
@@ -1,8 +1,8 @@
-//! Hearing the other relays.
+//! Receives messages of the other relays and applies them.
 //!
-//! Relays tell each other by UDP; whom, and what for, stands in [`tell`](crate::tell). A lost datagram costs nothing but the age
-//! of some figures. Relays learn of each other from an object each in the store ([`registry`](crate::registry)), and
-//! from the datagrams themselves.
+//! Relays exchange datagrams over UDP; [`gossip`](crate::gossip) describes which relays send what. A
+//! lost datagram only means that some figures are older. Relays find each other through one object
+//! each in the store ([`registry`](crate::registry)), and through the datagrams themselves.
 
 use std::{collections::HashMap, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -32,61 +32,62 @@
     state::{Relay, RelayState},
 };
 
-/// Largest datagram that is read.
-const MOST_DATAGRAM: usize = 60_000;
+/// Size of the largest datagram that is read, in bytes.
+const MAX_DATAGRAM_BYTES: usize = 60_000;
 
-/// Tells and hears peers for good.
+/// Exchanges messages with the other relays for as long as the process runs.
 pub async fn run_gossip(relay: Rc<Relay>) {
-    tokio::join!(hear(&relay), run_sender(&relay), discover_peers(&relay));
+    tokio::join!(receive(&relay), run_sender(&relay), discover_peers(&relay));
 }
 
-async fn hear(relay: &Relay) {
-    let mut buffer = vec![0; MOST_DATAGRAM];
+async fn receive(relay: &Relay) {
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let Ok((len, from)) = relay.peer_socket.recv_from(&mut buffer).await else {
-            // A datagram to a dead peer comes back as an error of this socket; the next one may do.
+            // A datagram to a peer that is gone can surface as an error here; the socket stays usable.
             sleep(Duration::from_millis(5)).await;
             continue;
         };
         match PeerMessage::decode(&buffer[..len]) {
-            Some(PeerMessage::State(news)) => take_state(relay, &news, from),
-            Some(PeerMessage::Fleet(news)) => take_fleet(relay, news, from),
-            Some(PeerMessage::GrantRequests(news)) => handle_grant_requests(relay, &news),
-            Some(PeerMessage::Grants(news)) => handle_grants(relay, &news),
+            Some(PeerMessage::State(message)) => apply_state(relay, &message, from),
+            Some(PeerMessage::Fleet(message)) => apply_fleet(relay, message, from),
+            Some(PeerMessage::GrantRequests(message)) => handle_grant_requests(relay, &message),
+            Some(PeerMessage::Grants(message)) => handle_grants(relay, &message),
             None => drop_datagram(relay, from, "unreadable"),
         }
     }
 }
 
-/// Relays that are remembered at most; names that a damaged or forged message makes up do not fill the memory.
-const MOST_RELAYS: usize = 8_192;
+/// Maximum number of known relays, so that names from damaged or forged messages cannot exhaust
+/// memory.
+const MAX_RELAYS: usize = 8_192;
 
-/// Time between two lines on datagrams that are dropped, in milliseconds.
-const DROPS_LOGGED_EVERY: Millis = 1_000;
+/// Minimum interval of log lines about dropped datagrams, in milliseconds.
+const DROP_LOG_INTERVAL: Millis = 1_000;
 
 fn drop_datagram(relay: &Relay, from: SocketAddr, why: &str) {
     count(&relay.counts.bad_datagrams);
     let now = now_millis();
     let logged = relay.drop_logged_at.get();
-    if logged.is_none_or(|logged| now.saturating_sub(logged) >= DROPS_LOGGED_EVERY) {
+    if logged.is_none_or(|logged| now.saturating_sub(logged) >= DROP_LOG_INTERVAL) {
         relay.drop_logged_at.set(Some(now));
         let dropped = relay.counts.bad_datagrams.get();
         tracing::warn!(event = "datagram-dropped", %from, why, dropped);
     }
 }
 
-fn take_state(relay: &Relay, news: &StateMessage, from: SocketAddr) {
+fn apply_state(relay: &Relay, message: &StateMessage, from: SocketAddr) {
     let now = now_millis();
-    let is_excess = {
+    let is_over_limit = {
         let peers = &relay.state.borrow().peers;
-        peers.known_count() >= MOST_RELAYS && peers.address(&news.name).is_none()
+        peers.known_count() >= MAX_RELAYS && peers.address(&message.name).is_none()
     };
-    if is_excess {
-        return drop_datagram(relay, from, "of one relay too many");
+    if is_over_limit {
+        return drop_datagram(relay, from, "too many relays");
     }
     count(&relay.counts.states_heard);
-    let peer = peer_state(news);
-    let kind = ReportKind::from(news.report);
+    let peer = peer_state(message);
+    let kind = ReportKind::from(message.report);
     let origin = match kind {
         ReportKind::None => UpdateOrigin::Peer,
         ReportKind::Spare | ReportKind::Counted => UpdateOrigin::Member,
@@ -95,35 +96,37 @@
     {
         let mut guard = relay.state.borrow_mut();
         let state = &mut *guard;
-        state.peers.upsert(&news.name, from, &news.data_centre, now);
-        let (incarnation, time) = news.stamp;
+        state.peers.upsert(&message.name, from, &message.data_centre, now);
+        let (incarnation, time) = message.stamp;
         let stamp = PeerStamp { incarnation, time };
-        if state.peers.is_returning(&news.name, stamp, now) {
+        if state.peers.is_returning(&message.name, stamp, now) {
             state.quarantine.announce_all(now);
         }
-        if !state.peers.record_message(&news.name, peer, stamp, now) {
+        if !state.peers.record_message(&message.name, peer, stamp, now) {
             count(&relay.counts.older_states);
             return;
         }
-        state.peers.record_report(&news.name, kind, now);
-        state.peers.record_reported_roles(&news.coordinators, news.reader, now);
-        state.peers.record_members(&news.members, now);
-        written = state.clocks.written_at(&news.name, stamp, now);
-        take_load(state, news, kind, now);
-        for (instance, hundredfold) in &news.slowdowns {
-            let factor = f64::from(*hundredfold) / 100.0;
+        state.peers.record_report(&message.name, kind, now);
+        state.peers.record_reported_roles(&message.coordinators, message.reader, now);
+        state.peers.record_members(&message.members, now);
+        written = state.clocks.written_at(&message.name, stamp, now);
+        merge_reservations(state, message, kind, now);
+        for (instance, hundredths) in &message.slowdowns {
+            let factor = f64::from(*hundredths) / 100.0;
             state.slowdowns.merge_peer(&instance.into(), factor, origin, now);
         }
-        let mutes =
-            news.stalls.iter().map(|(instance, lasts)| (instance.into(), Millis::from(*lasts)));
-        state.stalls.merge_peer(&news.name, origin, mutes, now);
-        lost = take_suspects(state, news, origin, now);
+        let stalls = message
+            .stalls
+            .iter()
+            .map(|(instance, remaining_ms)| (instance.into(), Millis::from(*remaining_ms)));
+        state.stalls.merge_peer(&message.name, origin, stalls, now);
+        lost = merge_suspects(state, message, origin, now);
     }
-    merge_peer_limits(relay, &news.limits, &news.name, written);
+    merge_peer_limits(relay, &message.limits, &message.name, written);
     lost.iter().for_each(|instance| record_replica_loss(relay, instance));
-    merge_peer_crashes(relay, news, origin, now);
-    if news.data_centre == relay.settings.data_centre {
-        take_proofs(relay, news, &peer, now);
+    merge_peer_crashes(relay, message, origin, now);
+    if message.data_centre == relay.settings.data_centre {
+        apply_proofs(relay, message, &peer, now);
     }
     if !lost.is_empty() {
         relay.request_path_check();
@@ -131,27 +134,27 @@
     }
 }
 
-/// Takes over which replicas another relay keeps away from; gives those that are news.
-fn take_suspects(
+/// Merges the suspicions of another relay. Returns the replicas that were not suspected before.
+fn merge_suspects(
     state: &mut RelayState,
-    news: &StateMessage,
+    message: &StateMessage,
     origin: UpdateOrigin,
     now: Millis,
 ) -> Vec<ReplicaInstance> {
     let mut lost = Vec::new();
-    for (instance, lasts) in &news.suspects {
+    for (instance, remaining_ms) in &message.suspects {
         let instance = ReplicaInstance::from(instance);
         let is_current = state.fleet.view.get_current(&instance).is_some();
         if is_current && !state.suspects.is_suspect(&instance, now) {
-            state.suspects.merge_peer(&instance, now + Millis::from(*lasts), origin);
-            tracing::info!(event = "suspect-heard", replica = %instance, from = news.name, lasts);
+            state.suspects.merge_peer(&instance, now + Millis::from(*remaining_ms), origin);
+            tracing::info!(event = "suspect-heard", replica = %instance, from = message.name, lasts = remaining_ms);
             lost.push(instance);
         }
     }
     lost
 }
 
-/// Tells on at once what another relay told, to those that hear it from this one alone.
+/// Sends at once what another relay sent to those relays that receive it from this one only.
 pub fn propagate(relay: &Relay, origin: UpdateOrigin, now: Millis) {
     if !relay.state.borrow().peers.has_members(now) {
         return;
@@ -162,14 +165,20 @@
     }
 }
 
-/// Takes over what is promised. A member hears the sum of all from its speakers, which holds what any other tells it.
-fn take_load(state: &mut RelayState, news: &StateMessage, kind: ReportKind, now: Millis) {
+/// Merges the reservations that another relay sent. A member ignores those of relays that do not
+/// report to it, since the sums that its speakers send include them.
+fn merge_reservations(
+    state: &mut RelayState,
+    message: &StateMessage,
+    kind: ReportKind,
+    now: Millis,
+) {
     let is_member = state.peers.is_member();
     let RelayState { memory_reservations: memory, slot_reservations: slots, .. } = state;
-    match &news.reservations {
+    match &message.reservations {
         ReservationReport::Group(reserved) if !is_member || kind == ReportKind::Counted => {
-            memory.merge_peer(&news.name, amounts(&reserved.memory), now);
-            slots.merge_peer(&news.name, amounts(&reserved.slots), now);
+            memory.merge_peer(&message.name, amounts(&reserved.memory), now);
+            slots.merge_peer(&message.name, amounts(&reserved.slots), now);
         }
         ReservationReport::Sums { same_data_centre, other_data_centres } if is_member => {
             merge_sum(memory, slots, SumScope::SameDataCentre, same_data_centre, now);
@@ -198,25 +207,26 @@
     records.iter().map(|(instance, amount)| (instance.into(), f64::from(*amount))).collect()
 }
 
-fn peer_state(news: &StateMessage) -> PeerState {
+fn peer_state(message: &StateMessage) -> PeerState {
     PeerState {
-        fleet_is_fresh: news.fleet_is_fresh,
-        fleet_is_lost: news.fleet_is_lost,
-        config_is_lost: news.config_is_lost,
-        fleet_digest: news.fleet_digest,
-        config_version: news.config_version,
-        config_age: news.config_age,
-        fleet_age: news.fleet_age,
-        config_answer_age: news.config_answer_age,
-        fleet_answer_age: news.fleet_answer_age,
-        fleet_read_age: news.fleet_read_age,
-        keeps_limits: news.coordinates_limits,
-        is_member: news.is_member,
+        fleet_is_fresh: message.fleet_is_fresh,
+        fleet_is_lost: message.fleet_is_lost,
+        config_is_lost: message.config_is_lost,
+        fleet_digest: message.fleet_digest,
+        config_version: message.config_version,
+        config_age: message.config_age,
+        fleet_age: message.fleet_age,
+        config_answer_age: message.config_answer_age,
+        fleet_answer_age: message.fleet_answer_age,
+        fleet_read_age: message.fleet_read_age,
+        keeps_limits: message.coordinates_limits,
+        is_member: message.is_member,
     }
 }
 
-/// Takes over what a relay of the same data centre proved.
-fn take_proofs(relay: &Relay, news: &StateMessage, peer: &PeerState, now: Millis) {
+/// Applies what a relay of the same data centre proves about the configuration and the list of
+/// replicas.
+fn apply_proofs(relay: &Relay, message: &StateMessage, peer: &PeerState, now: Millis) {
     let mut guard = relay.state.borrow_mut();
     let state = &mut *guard;
     let own = OwnState {
@@ -226,13 +236,14 @@
         config_version: state.config_version(),
         fleet_digest: state.fleet.view.digest(),
     };
-    let echo = news.echo.map(|((incarnation, time), held)| (PeerStamp { incarnation, time }, held));
+    let echo =
+        message.echo.map(|((incarnation, time), held)| (PeerStamp { incarnation, time }, held));
     let proofs = state.peers.read_proofs(own, peer, echo, now);
     let is_newer = |answered: Option<Millis>, age: Option<Millis>| {
         let known = age.map(|age| now.saturating_sub(age));
-        answered.is_some_and(|at| known.is_none_or(|known| at >= known + NEWER_BY))
+        answered.is_some_and(|at| known.is_none_or(|known| at >= known + MIN_ANSWER_GAIN))
     };
-    let passes_on = is_newer(proofs.config.answered, state.config_lease.answer_age(now))
+    let propagates = is_newer(proofs.config.answered, state.config_lease.answer_age(now))
         || is_newer(proofs.fleet.answered, state.fleet.answer_age(now));
     if let Some(answered) = proofs.config.answered {
         state.config_lease.record_answer(answered);
@@ -242,17 +253,17 @@
     }
     state.fleet.record_proof(proofs.fleet);
     drop(guard);
-    if passes_on {
+    if propagates {
         propagate(relay, UpdateOrigin::Peer, now);
     }
 }
 
-/// Time by which an answer of the store must be younger than the last known one to be told on at once, in milliseconds. Members
-/// would otherwise hear of it so late that they read the store themselves.
-const NEWER_BY: Millis = 200;
+/// Time in milliseconds by which an answer of the store must be newer than the last known one to be
+/// sent on at once. Members would otherwise hear of it so late that they read the store themselves.
+const MIN_ANSWER_GAIN: Millis = 200;
 
-fn take_fleet(relay: &Relay, news: FleetMessage, from: SocketAddr) {
-    forward_fleet_changes(relay, &news, from);
-    let news = news.changes.into_iter().map(ReplicaUpdate::from).collect();
-    apply_updates(relay, news, UpdateSource::Relay(from));
+fn apply_fleet(relay: &Relay, message: FleetMessage, from: SocketAddr) {
+    forward_fleet_changes(relay, &message, from);
+    let updates = message.changes.into_iter().map(ReplicaUpdate::from).collect();
+    apply_updates(relay, updates, UpdateSource::Relay(from));
 }
