--- a/crates/relay/benches/store_restore.rs
+++ b/crates/relay/benches/store_restore.rs
@@ -1,8 +1,10 @@
-//! A store that comes back from an older copy: how long until all relays hold what it says now, and what that costs it.
+//! A store that is restored from an older backup: time until all relays hold its current replicas, and
+//! calls that this costs.
 //!
-//! Run it with `cargo bench -p switchfold-relay --bench copies`. All relays of three data centres share one thread with the
-//! store, so the figures are upper bounds; 8 cores; five returns a row. A replica joins at the moment of the return; "held"
-//! is when the last relay has it, and all others; calls are those of the second after the return.
+//! Run it with `cargo bench -p switchfold-relay --bench store_restore`. All relays of three data centres
+//! share one thread with the store, so the figures are upper bounds; 8 cores, five restores per row. A
+//! replica joins at the time of the restore; "held" is the time until the last relay holds it and all
+//! others; calls are those of the second after the restore.
 //!
 //! | relays | held, p50 and worst, in ms | calls, p50 and most | fewest replicas held of 30 |
 //! |---|---|---|---|
@@ -11,7 +13,8 @@
 //! | 32 | 946, 1,158 | 43, 80 | 30 |
 //! | 100 | 1,009, 1,195 | 59, 304 | 30 |
 //!
-//! Before places carried an era a relay lacked such a replica until the revisions had caught up.
+//! Before revisions carried an era, a relay did not see such a replica until the revisions had caught
+//! up.
 
 #[path = "../tests/harness/mod.rs"]
 mod harness;
@@ -30,12 +33,16 @@
 
 const DATA_CENTRES: [&str; 3] = ["hall", "far", "farther"];
 const REPLICAS: u16 = 30;
-const RETURNS: u64 = 5;
+const RESTORES: u64 = 5;
 
-/// Time that the store is away, the age of its copy, and from the return until what was lost is written again.
-const AWAY: Duration = Duration::from_millis(200);
-const AGE: Duration = Duration::from_millis(1_500);
-const WRITTEN: Duration = Duration::from_millis(300);
+/// Duration of the store's outage.
+const OUTAGE: Duration = Duration::from_millis(200);
+
+/// Age of the backup.
+const BACKUP_AGE: Duration = Duration::from_millis(1_500);
+
+/// Time from the restore until the lost entries are written again.
+const REWRITE_DELAY: Duration = Duration::from_millis(300);
 
 fn write_replicas(store: &StandinStore, slots: u64) {
     for number in 0..REPLICAS {
@@ -47,21 +54,21 @@
     }
 }
 
-/// Replicas that a relay holds.
-async fn held(relay: &RunningRelay) -> u64 {
+/// Number of replicas that a relay knows, by its metrics.
+async fn replica_count(relay: &RunningRelay) -> u64 {
     let request = Request::get("/metrics").body(Full::default()).expect("a request");
     let text = call(relay.metrics, request).await.body;
     let line = text.lines().find(|line| line.contains("name=\"replicas\""));
     line.and_then(|line| line.rsplit(' ').next()?.parse::<f64>().ok()).unwrap_or(0.0) as u64
 }
 
-/// Lets one more replica join.
-fn join(store: &StandinStore, number: u64) {
+/// Adds one more replica to the store.
+fn add_replica(store: &StandinStore, number: u64) {
     let address = SocketAddr::from(([10, 0, 0, 2], 8_000 + number as u16));
     store.put(REPLICA_KIND, &format!("i-new-{number}"), desk_entry(address));
 }
 
-async fn play(count: usize) {
+async fn run_restores(count: usize) {
     let store = StandinStore::start().await;
     store.put(CONFIG_KIND, CONFIG_NAME, config(1, &ROUTES, &[KEY]));
     write_replicas(&store, 6);
@@ -76,40 +83,40 @@
     }
     sleep(Duration::from_secs(3)).await;
     let (mut times, mut calls, mut fewest) = (Vec::new(), Vec::new(), u64::MAX);
-    for number in 1..=RETURNS {
+    for number in 1..=RESTORES {
         store.take_backup();
-        sleep(AGE).await;
+        sleep(BACKUP_AGE).await;
         write_replicas(&store, 6 + number);
         sleep(Duration::from_millis(300)).await;
         store.set_behaviour(StoreBehaviour::Unavailable);
-        sleep(AWAY).await;
+        sleep(OUTAGE).await;
         store.restore_backup();
         store.set_behaviour(StoreBehaviour::Healthy);
-        let (begun, before) = (Instant::now(), store.calls().len());
-        join(&store, number);
-        let (mut waiting, mut is_written, mut in_second) = (0, false, None);
-        while waiting < relays.len() || in_second.is_none() {
-            if !is_written && begun.elapsed() > WRITTEN {
-                is_written = true;
+        let (restored_at, calls_before) = (Instant::now(), store.calls().len());
+        add_replica(&store, number);
+        let (mut up_to_date, mut is_rewritten, mut calls_in_second) = (0, false, None);
+        while up_to_date < relays.len() || calls_in_second.is_none() {
+            if !is_rewritten && restored_at.elapsed() > REWRITE_DELAY {
+                is_rewritten = true;
                 write_replicas(&store, 6 + number);
             }
-            if begun.elapsed() > Duration::from_secs(1) {
-                in_second.get_or_insert_with(|| store.calls().len() - before);
+            if restored_at.elapsed() > Duration::from_secs(1) {
+                calls_in_second.get_or_insert_with(|| store.calls().len() - calls_before);
             }
-            if let Some(relay) = relays.get(waiting) {
-                let replicas = held(relay).await;
+            if let Some(relay) = relays.get(up_to_date) {
+                let replicas = replica_count(relay).await;
                 fewest = fewest.min(replicas + 1 - number);
                 if replicas == u64::from(REPLICAS) + number {
-                    waiting += 1;
-                    if waiting == relays.len() {
-                        times.push(begun.elapsed().as_millis());
+                    up_to_date += 1;
+                    if up_to_date == relays.len() {
+                        times.push(restored_at.elapsed().as_millis());
                     }
                     continue;
                 }
             }
             sleep(Duration::from_millis(5)).await;
         }
-        calls.push(in_second.unwrap_or_default());
+        calls.push(calls_in_second.unwrap_or_default());
         sleep(Duration::from_secs(3)).await;
     }
     times.sort_unstable();
@@ -125,6 +132,6 @@
 
 fn main() {
     for count in [1, 8, 32, 100] {
-        run_test(play(count));
+        run_test(run_restores(count));
     }
 }
--- a/crates/relay/tests/snapshots.rs
+++ b/crates/relay/tests/snapshots.rs
@@ -1,4 +1,5 @@
-//! What neighbours read from the store is handed on, and nothing else is believed.
+//! Snapshots of the store between neighbours: they replace calls to the store, and invalid ones are
+//! dropped.
 
 mod harness;
 
@@ -25,12 +26,12 @@
 };
 use tokio::net::UdpSocket;
 
-fn well(request: &ReceivedRequest) -> Reply {
+fn respond_ok(request: &ReceivedRequest) -> Reply {
     signed_response(request, 200, "well")
 }
 
-/// Lists of the store that were read so far, of the kinds that are followed.
-fn lists(store: &StandinStore) -> usize {
+/// Number of lists that relays have read from the store so far, of the kinds that are followed.
+fn list_count(store: &StandinStore) -> usize {
     let calls = store.calls();
     let is_list = |call: &&String| {
         let of_kind = |kind| call.contains(&format!("/objects/{kind}?"));
@@ -39,18 +40,19 @@
     calls.iter().filter(is_list).count()
 }
 
-/// A relay that starts beside one that reads the store takes the state over from that one.
+/// A relay that starts next to one that reads the store gets its state from that one.
 #[test]
-fn a_start_beside_a_reader_lists_nothing() {
+fn a_relay_that_starts_beside_a_reader_lists_nothing() {
     run_test(async {
-        let replica = StandinReplica::start(well).await;
+        let replica = StandinReplica::start(respond_ok).await;
         let store = StandinStore::start().await;
         store.put(CONFIG_KIND, CONFIG_NAME, samples::config(1, &ROUTES, &[KEY]));
         store.put(REPLICA_KIND, "i-1", desk_entry(replica.address()));
         let first = BoundRelay::new("relay-1", store.clone(), bounds()).await.run();
         first.wait_ready(StatusCode::OK).await;
-        let before = lists(&store);
-        // Its address stands in the store, and the first one tells it of itself as it does a restarted one.
+        let before = list_count(&store);
+        // Its object is in the store, as that of a restarted relay would be, and the first relay sends it
+        // its state.
         let second = BoundRelay::new("relay-2", store.clone(), bounds()).await;
         let address = json!({"address": second.peers(), "data_centre": "hall"});
         store.put(RELAY_KIND, "relay-2", address);
@@ -58,22 +60,22 @@
         let second = second.run();
         second.wait_ready(StatusCode::OK).await;
         assert_eq!(second.get("/safe/a", "a").await.status, StatusCode::OK);
-        assert_eq!(lists(&store), before);
-        // A newer configuration reaches it without a call of its own, too.
+        assert_eq!(list_count(&store), before);
+        // It also gets a newer configuration without a call of its own.
         store.put(CONFIG_KIND, CONFIG_NAME, samples::config(2, &[], &[KEY]));
         wait_until(async || second.get("/safe/a", "b").await.status == StatusCode::NOT_FOUND).await;
-        assert_eq!(lists(&store), before);
+        assert_eq!(list_count(&store), before);
         assert!(
             !store.calls().iter().any(|call| call.contains("POST") && call.contains("relay-2"))
         );
     });
 }
 
-/// A relay that starts while the store is away serves as its neighbour does.
+/// A relay that starts during an outage of the store serves with the state of its neighbour.
 #[test]
-fn a_start_in_an_outage_serves_by_what_a_neighbour_holds() {
+fn a_relay_that_starts_in_an_outage_uses_its_neighbours_state() {
     run_test(async {
-        let replica = StandinReplica::start(well).await;
+        let replica = StandinReplica::start(respond_ok).await;
         let store = StandinStore::start().await;
         store.put(CONFIG_KIND, CONFIG_NAME, samples::config(1, &ROUTES, &[KEY]));
         store.put(REPLICA_KIND, "i-1", desk_entry(replica.address()));
@@ -89,63 +91,69 @@
     });
 }
 
-/// A neighbour whose answers are damaged, of another relay or of another kind: the store is asked, and the
-/// relay serves by it.
+/// A neighbour sends snapshots that are damaged, from another relay or of another kind: the relay must
+/// drop them, read the store instead, and serve.
 #[test]
 fn bad_snapshots_are_dropped_and_counted() {
     let body = SnapshotBody::Replicas(Vec::new());
-    let whole =
+    let valid =
         Snapshot { source: "relay-0".to_owned(), at: 900, proved_age: 0, answered_age: 0, body };
-    let other_source = Snapshot { source: "relay-7".to_owned(), ..whole.clone() };
-    let other_kind = Snapshot { body: SnapshotBody::Relays(Vec::new()), ..whole.clone() };
-    let mut long = whole.encode();
-    long.push(1);
-    let cut = whole.encode()[..3].to_vec();
-    let answers =
-        [Vec::new(), vec![9, 9, 9], cut, long, other_source.encode(), other_kind.encode()];
+    let other_source = Snapshot { source: "relay-7".to_owned(), ..valid.clone() };
+    let other_kind = Snapshot { body: SnapshotBody::Relays(Vec::new()), ..valid.clone() };
+    let mut extended = valid.encode();
+    extended.push(1);
+    let truncated = valid.encode()[..3].to_vec();
+    let responses = [
+        Vec::new(),
+        vec![9, 9, 9],
+        truncated,
+        extended,
+        other_source.encode(),
+        other_kind.encode(),
+    ];
     run_test(async {
-        for bytes in answers {
-            let replica = StandinReplica::start(well).await;
+        for bytes in responses {
+            let replica = StandinReplica::start(respond_ok).await;
             let store = StandinStore::start().await;
             store.put(CONFIG_KIND, CONFIG_NAME, samples::config(1, &ROUTES, &[KEY]));
             store.put(REPLICA_KIND, "i-1", desk_entry(replica.address()));
-            let text = bytes.clone();
-            let liar = StandinReplica::start(move |request: &ReceivedRequest| {
-                bytes_answer(request, &text)
+            let body = bytes.clone();
+            let faulty_peer = StandinReplica::start(move |request: &ReceivedRequest| {
+                bytes_response(request, &body)
             })
             .await;
             let relay = BoundRelay::new("relay-1", store.clone(), bounds()).await;
-            let told = tell_as_reader(liar.address(), relay.peers());
+            let sender = send_state_as_reader(faulty_peer.address(), relay.peers());
             let relay = relay.run();
             relay.wait_ready(StatusCode::OK).await;
-            wait_until(async || bad_snapshots(&relay).await > 0).await;
-            told.abort();
+            wait_until(async || bad_snapshot_count(&relay).await > 0).await;
+            sender.abort();
             assert_eq!(relay.get("/safe/a", "a").await.status, StatusCode::OK, "{bytes:?}");
         }
     });
 }
 
-/// Count of questions and answers that the relay could not read, as its metrics tell.
-async fn bad_snapshots(relay: &RunningRelay) -> u64 {
-    let asked = Request::get("/metrics").body(Full::default()).expect("a request");
-    let text = call(relay.metrics, asked).await.body;
+/// Number of snapshot requests and responses that the relay could not read, by its metrics.
+async fn bad_snapshot_count(relay: &RunningRelay) -> u64 {
+    let request = Request::get("/metrics").body(Full::default()).expect("a request");
+    let text = call(relay.metrics, request).await.body;
     let line = text.lines().find(|line| line.contains("name=\"bad_snapshots\""));
     let value = line.and_then(|line| line.split_whitespace().last());
     value.and_then(|value| value.parse().ok()).unwrap_or(0)
 }
 
-fn bytes_answer(request: &ReceivedRequest, body: &[u8]) -> Reply {
-    let Reply::Bytes(whole) = signed_response(request, 200, &"x".repeat(body.len())) else {
-        panic!("answers are bytes")
+fn bytes_response(request: &ReceivedRequest, body: &[u8]) -> Reply {
+    let Reply::Bytes(response) = signed_response(request, 200, &"x".repeat(body.len())) else {
+        panic!("responses are bytes")
     };
-    Reply::Bytes([&whole[..whole.len() - body.len()], body].concat())
+    Reply::Bytes([&response[..response.len() - body.len()], body].concat())
 }
 
-/// Tells a relay again and again that one before it, at this address, reads the store.
-fn tell_as_reader(from: SocketAddr, to: SocketAddr) -> tokio::task::JoinHandle<()> {
+/// Sends a relay the state of a preceding relay at `from` that reads the store, every 20 ms.
+fn send_state_as_reader(from: SocketAddr, to: SocketAddr) -> tokio::task::JoinHandle<()> {
     tokio::task::spawn_local(async move {
         let socket = UdpSocket::bind(from).await.expect("its port is free for datagrams");
-        let news = StateMessage {
+        let message = StateMessage {
             name: "relay-0".to_owned(),
             data_centre: "hall".to_owned(),
             config_version: 1,
@@ -159,8 +167,8 @@
         let mut stamp = 0;
         loop {
             stamp += 1;
-            let news = StateMessage { stamp: (1, stamp), ..news.clone() };
-            let datagram = PeerMessage::State(Box::new(news)).encode();
+            let message = StateMessage { stamp: (1, stamp), ..message.clone() };
+            let datagram = PeerMessage::State(Box::new(message)).encode();
             let _sent = socket.send_to(&datagram, to).await;
             tokio::time::sleep(std::time::Duration::from_millis(20)).await;
         }
@@ -168,7 +176,7 @@
 }
 
 #[test]
-fn targets_are_read_as_they_are_written() {
+fn parsing_a_target_inverts_formatting_it() {
     for kind in CallKind::ALL {
         for held in [0, 1, u64::MAX] {
             let target = snapshot_target(kind, held);
@@ -176,13 +184,13 @@
             assert_eq!(parse_target(path, Some(query)), Some((kind, held)));
         }
     }
-    let bad = [
+    let invalid = [
         ("/snapshots/", "held=1"),
         ("/snapshots/config", "held=-1"),
         ("/snapshots/config", "x=1"),
         ("/report", "held=1"),
     ];
-    for (path, query) in bad {
+    for (path, query) in invalid {
         assert_eq!(parse_target(path, Some(query)), None, "{path}?{query}");
     }
     assert_eq!(parse_target("/snapshots/config", None), None);
@@ -211,33 +219,34 @@
 
 proptest! {
     #[test]
-    fn snapshots_are_read_as_they_are_written(snapshot in snapshot()) {
+    fn decoding_a_snapshot_inverts_encoding_it(snapshot in snapshot()) {
         prop_assert_eq!(Snapshot::decode(&snapshot.encode()), Some(snapshot));
     }
 
-    /// Cut short, with more behind, of another form: nothing is read, and nothing panics.
+    /// Truncated snapshots, ones with trailing bytes and ones of another format version are rejected
+    /// without a panic.
     #[test]
-    fn damaged_snapshots_are_not_read(snapshot in snapshot(), cut in 1_usize..40, form in 2_u8..) {
-        let whole = snapshot.encode();
-        let short = &whole[..whole.len().saturating_sub(cut)];
-        prop_assert_eq!(Snapshot::decode(short), None);
-        let long = [whole.as_slice(), &[0]].concat();
-        prop_assert_eq!(Snapshot::decode(&long), None);
-        let mut other = whole;
-        other[0] = form;
-        prop_assert_eq!(Snapshot::decode(&other), None);
+    fn damaged_snapshots_are_rejected(snapshot in snapshot(), cut in 1_usize..40, version in 2_u8..) {
+        let valid = snapshot.encode();
+        let truncated = &valid[..valid.len().saturating_sub(cut)];
+        prop_assert_eq!(Snapshot::decode(truncated), None);
+        let extended = [valid.as_slice(), &[0]].concat();
+        prop_assert_eq!(Snapshot::decode(&extended), None);
+        let mut other_version = valid;
+        other_version[0] = version;
+        prop_assert_eq!(Snapshot::decode(&other_version), None);
     }
 
     #[test]
-    fn any_bytes_are_read_or_dropped(bytes in any::<Vec<u8>>()) {
-        let _read = Snapshot::decode(&bytes);
+    fn arbitrary_bytes_do_not_panic(bytes in any::<Vec<u8>>()) {
+        let _decoded = Snapshot::decode(&bytes);
     }
 }
 
-/// A state that is only borrowed is written as one that is owned.
+/// [`encode_state`] and [`PeerMessage::encode`] write the same bytes.
 #[test]
-fn borrowed_states_have_the_same_form() {
-    let news = StateMessage {
+fn borrowed_states_have_the_same_encoding() {
+    let message = StateMessage {
         name: "relay-1".to_owned(),
         stamp: (7, 1_000),
         reservations: ReservationReport::Group(ReservationRecord {
@@ -247,7 +256,7 @@
         stalls: vec![(InstanceRecord("i-2".to_owned(), 0), 600)],
         ..StateMessage::default()
     };
-    let written = encode_state(&news);
-    assert_eq!(written, PeerMessage::State(Box::new(news.clone())).encode());
-    assert_eq!(PeerMessage::decode(&written), Some(PeerMessage::State(Box::new(news))));
+    let encoded = encode_state(&message);
+    assert_eq!(encoded, PeerMessage::State(Box::new(message.clone())).encode());
+    assert_eq!(PeerMessage::decode(&encoded), Some(PeerMessage::State(Box::new(message))));
 }
--- a/crates/relay/tests/store_restore.rs
+++ b/crates/relay/tests/store_restore.rs
@@ -1,4 +1,4 @@
-//! A store that is away for a moment, and comes back from a copy of before.
+//! The store is unavailable for a moment and is restored from an older backup.
 
 mod harness;
 
@@ -14,109 +14,115 @@
 };
 use tokio::time::sleep;
 
-/// A key that is taken away.
-const OLD_KEY: &str = "key-old";
+/// A key that is revoked.
+const REVOKED_KEY: &str = "key-old";
 
-/// Time that the store is away: less than entries need to lapse.
-const AWAY: Duration = Duration::from_millis(100);
+/// Duration of the store's outage: shorter than the time after which missing entries expire.
+const OUTAGE: Duration = Duration::from_millis(100);
 
-/// Time for which nothing of the copy may be believed that this relay knows to be over; the store drops entries of replicas
-/// that have ended within it.
-const DOUBTED: Duration = Duration::from_millis(1_500);
+/// Time after the restore for which the relay must not apply what it knows to be outdated in the
+/// backup. Within it, the store removes the entries of replicas that have ended.
+const DOUBTED_TIME: Duration = Duration::from_millis(1_500);
 
-fn whole_model(address: SocketAddr) -> Value {
+fn all_layers_entry(address: SocketAddr) -> Value {
     model_entry(address, 0, LAYERS)
 }
 
-fn registrations(store: &StandinStore) -> usize {
+fn registration_count(store: &StandinStore) -> usize {
     let target = format!("POST /objects/{RELAY_KIND}");
     store.calls().iter().filter(|call| **call == target).count()
 }
 
-async fn comes_back(store: &StandinStore) {
+async fn restore_after_outage(store: &StandinStore) {
     store.set_behaviour(StoreBehaviour::Unavailable);
-    sleep(AWAY).await;
+    sleep(OUTAGE).await;
     store.restore_backup();
     store.set_behaviour(StoreBehaviour::Healthy);
 }
 
-/// A key is taken away, one replica leaves and one joins; then the store comes back from a copy of before all that, where
-/// other changes get the same revisions. Nothing that the relay knew is undone, what comes after is heard, and the relay
-/// stands in the store again.
+/// Guards against a restored store undoing what a relay already knew.
+///
+/// A key is revoked, one replica leaves and one joins; then the store is restored from a backup of
+/// before that, and reuses the same revisions for other changes. The relay must keep what it knew,
+/// apply later changes, and write its own object again.
 #[test]
-fn an_older_copy_undoes_nothing_that_was_known() {
+fn a_restored_backup_undoes_nothing_that_the_relay_knew() {
     for (path, entry) in
-        [("/stream/", whole_model as fn(SocketAddr) -> Value), ("/once/", desk_entry)]
+        [("/stream/", all_layers_entry as fn(SocketAddr) -> Value), ("/once/", desk_entry)]
     {
         run_test(async {
             let left = StandinReplica::start(respond_healthy).await;
             let joined = StandinReplica::start(respond_healthy).await;
             let last = StandinReplica::start(respond_healthy).await;
             let store = StandinStore::start().await;
-            store.put(CONFIG_KIND, CONFIG_NAME, config(1, &ROUTES, &[KEY, OLD_KEY]));
+            store.put(CONFIG_KIND, CONFIG_NAME, config(1, &ROUTES, &[KEY, REVOKED_KEY]));
             store.put(REPLICA_KIND, "i-left", entry(left.address()));
             store.take_backup();
             let relay = RunningRelay::start_with_store(store, bounds()).await;
             relay.wait_ready(StatusCode::OK).await;
-            let newer = config(2, &ROUTES, &[KEY]);
-            relay.store.put(CONFIG_KIND, CONFIG_NAME, newer.clone());
-            let near = entry(joined.address());
-            relay.store.put(REPLICA_KIND, "i-joined", near.clone());
-            // Its last revision is far above those that are given out again.
+            let new_config = config(2, &ROUTES, &[KEY]);
+            relay.store.put(CONFIG_KIND, CONFIG_NAME, new_config.clone());
+            let joined_entry = entry(joined.address());
+            relay.store.put(REPLICA_KIND, "i-joined", joined_entry.clone());
+            // Its last revision is far above those that are reused after the restore.
             for slots in 7..30 {
-                let mut entry = near.clone();
+                let mut entry = joined_entry.clone();
                 entry["slots"] = slots.into();
                 relay.store.put(REPLICA_KIND, "i-joined", entry);
             }
             relay.store.remove(REPLICA_KIND, "i-left");
-            let with_old_key = async |id: &str| {
-                let mut asked = request(&format!("{path}{id}"), id);
-                let key = format!("Bearer {OLD_KEY}").parse().expect("a value");
-                asked.headers_mut().insert("authorization", key);
-                call(relay.address, asked).await.status
+            let status_of_revoked_key = async |id: &str| {
+                let mut request = request(&format!("{path}{id}"), id);
+                let key = format!("Bearer {REVOKED_KEY}").parse().expect("a value");
+                request.headers_mut().insert("authorization", key);
+                call(relay.address, request).await.status
             };
-            wait_until(async || with_old_key("old").await == StatusCode::UNAUTHORIZED).await;
-            wait_until(async || registrations(&relay.store) > 0).await;
-            let serves = async |id: &str| {
-                let called = relay.get(&format!("{path}{id}"), id).await;
-                assert_eq!(called.status, StatusCode::OK, "{path}{id}");
+            wait_until(async || status_of_revoked_key("old").await == StatusCode::UNAUTHORIZED)
+                .await;
+            wait_until(async || registration_count(&relay.store) > 0).await;
+            let assert_served = async |id: &str| {
+                let result = relay.get(&format!("{path}{id}"), id).await;
+                assert_eq!(result.status, StatusCode::OK, "{path}{id}");
             };
             wait_until(async || {
                 relay.get(&format!("{path}first"), "first").await;
                 !joined.requests().is_empty()
             })
             .await;
-            let reached = left.requests().len();
-            let registered = registrations(&relay.store);
-            comes_back(&relay.store).await;
-            let begun = std::time::Instant::now();
+            let left_requests = left.requests().len();
+            let registered_before = registration_count(&relay.store);
+            restore_after_outage(&relay.store).await;
+            let restored_at = std::time::Instant::now();
             let mut count = 0;
-            while begun.elapsed() < DOUBTED {
+            while restored_at.elapsed() < DOUBTED_TIME {
                 count += 1;
-                assert_eq!(with_old_key(&format!("o{count}")).await, StatusCode::UNAUTHORIZED);
-                serves(&format!("s{count}")).await;
+                assert_eq!(
+                    status_of_revoked_key(&format!("o{count}")).await,
+                    StatusCode::UNAUTHORIZED
+                );
+                assert_served(&format!("s{count}")).await;
                 sleep(Duration::from_millis(50)).await;
                 if count == 5 {
-                    // What was lost is written again.
-                    relay.store.put(CONFIG_KIND, CONFIG_NAME, newer.clone());
-                    relay.store.put(REPLICA_KIND, "i-joined", near.clone());
+                    // The operator and the replica write again what was lost.
+                    relay.store.put(CONFIG_KIND, CONFIG_NAME, new_config.clone());
+                    relay.store.put(REPLICA_KIND, "i-joined", joined_entry.clone());
                 }
             }
-            assert_eq!(left.requests().len(), reached, "{path}");
+            assert_eq!(left.requests().len(), left_requests, "{path}");
             relay.store.remove(REPLICA_KIND, "i-left");
-            // What the store tells of the new era is heard, whatever its revisions.
+            // Changes of the new era are applied, whatever their revisions.
             relay.store.put(REPLICA_KIND, "i-last", in_data_centre(entry(last.address()), "far"));
-            relay.store.put(REPLICA_KIND, "i-joined", draining(near));
+            relay.store.put(REPLICA_KIND, "i-joined", draining(joined_entry));
             wait_until(async || {
-                serves("late").await;
+                assert_served("late").await;
                 let before = joined.requests().len();
                 for number in 0..5 {
-                    serves(&format!("l{number}")).await;
+                    assert_served(&format!("l{number}")).await;
                 }
                 !last.requests().is_empty() && joined.requests().len() == before
             })
             .await;
-            wait_until(async || registrations(&relay.store) > registered).await;
+            wait_until(async || registration_count(&relay.store) > registered_before).await;
         });
     }
 }
