--- a/crates/relay/src/forward.rs
+++ b/crates/relay/src/forward.rs
@@ -43,7 +43,7 @@
 const PROBE_FACTOR: Millis = 3;
 
 /// Minimum of the pause after which the replicas are probed, in milliseconds. Without failures
-/// hardly any pause is as long, so probes cost nothing then.
+/// hardly any pause is as long, so that probes cost nothing then.
 const MIN_PROBE_PAUSE: Millis = 100;
 
 /// Pause after which a stream is checked if a replica of its path is suspected, in milliseconds:
--- a/crates/relay/src/paths.rs
+++ b/crates/relay/src/paths.rs
@@ -31,7 +31,7 @@
     pub service: &'a str,
     /// Model that the service runs.
     pub engine: &'a EngineSpec,
-    /// Maximum number of tokens that the request may hold.
+    /// Estimated number of tokens that the request may hold, those of its prompt and completion.
     pub tokens: f64,
     /// Rank of the request. If replicas accept few requests, waiting requests of a lower rank,
     /// which are more urgent, go first.
@@ -249,7 +249,7 @@
 }
 
 /// Returns the time until the first replica at which a path could start accepts requests again;
-/// `None` if one accepts them now.
+/// `None` if one accepts them now, or if there is no such replica.
 fn throttle_remaining(relay: &Relay, criteria: &PathCriteria<'_>) -> Option<Duration> {
     let can_start = |replica: &ReplicaEntry| is_start_candidate(replica, criteria);
     let remaining =
--- a/crates/relay/src/request.rs
+++ b/crates/relay/src/request.rs
@@ -84,8 +84,8 @@
         self.deadline.saturating_sub(now)
     }
 
-    /// Returns whether a response with these headers belongs to this request. One without an
-    /// attempt id is taken to.
+    /// Returns whether a response with these headers belongs to this request. A response without an
+    /// attempt id is assumed to.
     pub fn matches_response(&self, headers: &ResponseHeaders) -> bool {
         headers.attempt_id.as_ref().is_none_or(|id| *id == self.headers.attempt_id)
     }
--- a/crates/relay/tests/plain.rs
+++ b/crates/relay/tests/plain.rs
@@ -391,7 +391,7 @@
         let relay = RunningRelay::start(bounds(), &[entry_of("i-1", &replica, desk_entry)]).await;
         let calling = call(relay.address, request("/once/a", "a"));
         let outcome = tokio::time::timeout(Duration::from_millis(300), calling).await;
-        assert!(outcome.is_err(), "the replica never answers");
+        assert!(outcome.is_err(), "the replica never responds");
         wait_until(async || replica.requests().len() == 1 && replica.open_connections() == 0).await;
     });
 }
--- a/crates/relay/tests/streams.rs
+++ b/crates/relay/tests/streams.rs
@@ -440,13 +440,13 @@
         let held = move |request: &ReceivedRequest| {
             let mut reply = events(request, EVENTS, PAUSE, StreamEnd::Complete);
             let counted = counted.clone();
-            let asked = Mutex::new(None);
+            let probed_at = Mutex::new(None);
             if let Reply::Stream { gate, .. } = &mut reply {
                 *gate = StreamGate::new(move || {
                     let all = *counted.lock().expect("no script panics") >= 8;
-                    let mut asked = asked.lock().expect("no script panics");
-                    *asked = asked.or_else(|| all.then(Instant::now));
-                    match asked.is_some_and(|asked| asked.elapsed() > RECOVERY_TIME) {
+                    let mut probed_at = probed_at.lock().expect("no script panics");
+                    *probed_at = probed_at.or_else(|| all.then(Instant::now));
+                    match probed_at.is_some_and(|probed_at| probed_at.elapsed() > RECOVERY_TIME) {
                         true => GateState::Open,
                         false => GateState::Closed,
                     }
