--- a/crates/relay/src/admit.rs
+++ b/crates/relay/src/admit.rs
@@ -76,5 +76,5 @@
 /// the current one within the platform's revocation bound.
 pub fn is_config_fresh(relay: &Relay, now: Millis) -> bool {
     let bound = relay.bounds.borrow().revoke();
-    relay.beliefs.borrow().config_lease.is_valid(bound, now)
+    relay.state.borrow().config_lease.is_valid(bound, now)
 }
--- a/crates/relay/src/forward.rs
+++ b/crates/relay/src/forward.rs
@@ -71,7 +71,7 @@
     /// Time of the last bytes.
     last_progress: Millis,
     longest_pause: Millis,
-    /// Value of `Relay::alarms` at the last check of the path.
+    /// Value of `Relay::path_check_epoch` at the last check of the path.
     alarms_seen: u64,
     /// Time at which the stream moves off replicas that are about to leave.
     leave_at: Option<Millis>,
@@ -97,7 +97,7 @@
     in_flight: InFlightGuard,
 ) -> RelayBody {
     let forwarder = StreamForwarder {
-        alarms_seen: relay.alarms.get(),
+        alarms_seen: relay.path_check_epoch.get(),
         framer: EventFramer::resume_after(request.headers.last_event_id),
         headers: read_response_headers(&opened.head.headers),
         body: opened.body,
@@ -188,7 +188,7 @@
         if remaining == 0 {
             return WaitOutcome::Deadline;
         }
-        if self.alarms_seen != self.relay.alarms.get() {
+        if self.alarms_seen != self.relay.path_check_epoch.get() {
             return WaitOutcome::Alarm;
         }
         let wake_at =
@@ -200,7 +200,7 @@
                 Some(Err(error)) => WaitOutcome::Broken(error.to_string()),
                 None => WaitOutcome::End,
             },
-            () = self.relay.alarm_bell.notified() => WaitOutcome::Alarm,
+            () = self.relay.path_check_notify.notified() => WaitOutcome::Alarm,
             () = sleep_until(wake_at) => WaitOutcome::Pause,
         }
     }
--- a/crates/relay/src/forward/recovery.rs
+++ b/crates/relay/src/forward/recovery.rs
@@ -19,7 +19,7 @@
     paths::{CrossingRule, MemoryRule, PathCriteria, PathReservation, find_path},
     quarantine::quarantine_remaining,
     run_tracker::RunTracker,
-    state::PartState,
+    state::StageState,
     stream::{OpenOutcome, OpenStream, find_stalled_replica, open_stream, suspect_at, take_retry},
 };
 
@@ -62,17 +62,17 @@
     /// replica is lost. If one is about to leave, schedules the move off it after a random delay,
     /// since all streams of a leaving replica move and the new one computes each request again.
     pub(super) fn handle_alarm(&mut self) {
-        self.alarms_seen = self.relay.alarms.get();
+        self.alarms_seen = self.relay.path_check_epoch.get();
         match self.path_state() {
-            PartState::Well => self.leave_at = None,
-            PartState::Leaving => {
+            StageState::Serving => self.leave_at = None,
+            StageState::Leaving => {
                 let delay = self.draw_delay(MAX_LEAVE_DELAY).as_millis() as Millis;
                 self.leave_at = self.leave_at.or(Some(now_millis() + delay));
             }
             // The suspicion may be wrong: a stream that still has events has lost nothing.
-            PartState::Lost => self.is_suspect = true,
+            StageState::Lost => self.is_suspect = true,
         }
-        self.is_suspect |= self.relay.part_state(&self.path[0]) == PartState::Lost;
+        self.is_suspect |= self.relay.stage_state(&self.path[0]) == StageState::Lost;
         if self.is_suspect {
             // A stream that pauses already is checked at once: waiting for the next check would
             // take much of the longest pause allowed.
@@ -84,7 +84,7 @@
     pub(super) async fn leave_when_due(&mut self) {
         if self.leave_at.is_some_and(|at| now_millis() >= at) {
             self.leave_at = None;
-            if self.path_state() == PartState::Leaving {
+            if self.path_state() == StageState::Leaving {
                 self.repath().await;
             }
         }
@@ -92,19 +92,19 @@
 
     /// Returns the worst state of the stages after the first; the loss of the first breaks the
     /// response.
-    fn path_state(&self) -> PartState {
-        let states = self.path.iter().skip(1).map(|stage| self.relay.part_state(stage));
-        states.fold(PartState::Well, |worst, state| match (worst, state) {
-            (PartState::Lost, _) | (_, PartState::Lost) => PartState::Lost,
-            (PartState::Leaving, _) | (_, PartState::Leaving) => PartState::Leaving,
-            _ => PartState::Well,
+    fn path_state(&self) -> StageState {
+        let states = self.path.iter().skip(1).map(|stage| self.relay.stage_state(stage));
+        states.fold(StageState::Serving, |worst, state| match (worst, state) {
+            (StageState::Lost, _) | (_, StageState::Lost) => StageState::Lost,
+            (StageState::Leaving, _) | (_, StageState::Leaving) => StageState::Leaving,
+            _ => StageState::Serving,
         })
     }
 
     /// Returns whether any replica of the path is lost.
     fn is_path_lost(&self) -> bool {
-        self.relay.part_state(&self.path[0]) == PartState::Lost
-            || self.path_state() == PartState::Lost
+        self.relay.stage_state(&self.path[0]) == StageState::Lost
+            || self.path_state() == StageState::Lost
     }
 
     async fn replace_lost(&mut self) {
@@ -120,8 +120,8 @@
         self.is_suspect = false;
         let first = self.path[0].clone();
         let pause = now_millis() - self.last_progress;
-        let first_is_lost = self.relay.part_state(&first) == PartState::Lost;
-        if !first_is_lost && self.path_state() != PartState::Lost {
+        let first_is_lost = self.relay.stage_state(&first) == StageState::Lost;
+        if !first_is_lost && self.path_state() != StageState::Lost {
             if pause < self.max_pause() {
                 self.is_probed = true;
                 probe_replicas(&self.relay, self.path.iter().map(|stage| stage.address));
@@ -133,10 +133,10 @@
                 suspect_at(&self.relay, faulty_replica, "stalled");
             }
         }
-        if self.relay.part_state(&first) == PartState::Lost {
+        if self.relay.stage_state(&first) == StageState::Lost {
             return self.recover("the first replica is lost", StreamLoss::Silent).await;
         }
-        if self.path_state() == PartState::Lost {
+        if self.path_state() == StageState::Lost {
             return self.replace_lost().await;
         }
         if now_millis() - self.last_progress > MAX_SILENCE {
@@ -163,8 +163,8 @@
                 Some(OrderOutcome::Taken) => return true,
                 Some(OrderOutcome::Refused(_, Some(faulty_replica))) => {
                     probe_replicas(&self.relay, std::iter::once(faulty_replica));
-                    let beliefs = self.relay.beliefs.borrow();
-                    let Some(replica) = beliefs.fleet.view.at_address(faulty_replica) else {
+                    let state = self.relay.state.borrow();
+                    let Some(replica) = state.fleet.view.at_address(faulty_replica) else {
                         return false;
                     };
                     excluded.push(replica.instance.clone());
@@ -178,11 +178,10 @@
     /// Returns the replicas that restarted since the request reached them. The first engine takes
     /// them for their former instances, which still held the KV cache of the request.
     fn restarted_replicas(&self) -> Vec<ReplicaInstance> {
-        let beliefs = self.relay.beliefs.borrow();
-        let is_gone =
-            |stage: &&PathStage| beliefs.fleet.view.get_current(&stage.instance).is_none();
+        let state = self.relay.state.borrow();
+        let is_gone = |stage: &&PathStage| state.fleet.view.get_current(&stage.instance).is_none();
         let gone = self.path.iter().filter(is_gone);
-        let restarted = gone.filter_map(|stage| beliefs.fleet.view.at_address(stage.address));
+        let restarted = gone.filter_map(|stage| state.fleet.view.at_address(stage.address));
         restarted.map(|replica| replica.instance.clone()).collect()
     }
 
--- a/crates/relay/src/paths.rs
+++ b/crates/relay/src/paths.rs
@@ -21,7 +21,7 @@
 use crate::{
     limits::{GrantWait, request_grant},
     notices::min_send_wait,
-    state::{Beliefs, Relay},
+    state::{Relay, RelayState},
 };
 
 /// What a path must satisfy.
@@ -113,8 +113,8 @@
 fn draw_scope(relay: &Relay, service: &str) -> PathScope {
     let local = &relay.settings.data_centre;
     let local_count = {
-        let beliefs = relay.beliefs.borrow();
-        let replicas = beliefs.fleet.view.of_service(service);
+        let state = relay.state.borrow();
+        let replicas = state.fleet.view.of_service(service);
         replicas.filter(|replica| replica.data_centre == *local).count()
     };
     match group_count(local_count) {
@@ -146,12 +146,12 @@
     rule: MemoryRule,
     crossing: CrossingRule,
 ) -> Option<Vec<PathStage>> {
-    let beliefs = relay.beliefs.borrow();
+    let state = relay.state.borrow();
     let mut numbers = DataCentreNumbers::default();
     let local_name = &relay.settings.data_centre;
     let local = numbers.number(local_name);
     let in_scope = |replica: &ReplicaEntry| scope.contains(replica, local_name);
-    let mut offers = collect_offers(&beliefs, criteria, in_scope, &mut numbers);
+    let mut offers = collect_offers(&state, criteria, in_scope, &mut numbers);
     let request = PathRequest {
         layers: criteria.engine.layers,
         tokens: criteria.tokens,
@@ -223,11 +223,11 @@
 fn record_missed_grant(relay: &Rc<Relay>, criteria: &PathCriteria<'_>, path: &[PathStage]) {
     let local = &relay.settings.data_centre;
     let starts_locally = {
-        let beliefs = relay.beliefs.borrow();
-        if beliefs.limits.is_empty() {
+        let state = relay.state.borrow();
+        if state.limits.is_empty() {
             return;
         }
-        beliefs
+        state
             .fleet
             .view
             .get_current(&path[0].instance)
@@ -253,18 +253,21 @@
 fn throttle_remaining(relay: &Relay, criteria: &PathCriteria<'_>) -> Option<Duration> {
     let can_start = |replica: &ReplicaEntry| is_start_candidate(replica, criteria);
     let remaining =
-        min_send_wait(&relay.beliefs.borrow(), criteria.service, criteria.rank, can_start)?;
+        min_send_wait(&relay.state.borrow(), criteria.service, criteria.rank, can_start)?;
     Some(Duration::from_millis(remaining))
 }
 
 /// Logs which replica of a path has the least free memory.
 fn log_crowded(relay: &Relay, criteria: &PathCriteria<'_>, path: &[PathStage]) {
-    let beliefs = relay.beliefs.borrow();
+    let state = relay.state.borrow();
     let fill = |stage: &PathStage| {
-        let replica = beliefs.fleet.view.get_current(&stage.instance)?;
+        let replica = state.fleet.view.get_current(&stage.instance)?;
         let memory = criteria.engine.kind(&replica.kind)?.memory_mb;
         let total = criteria.engine.free_token_layers(memory, replica.layers?.len());
-        Some((beliefs.room.reserved(&stage.instance) / total.max(1.0), &replica.instance))
+        Some((
+            state.memory_reservations.reserved(&stage.instance) / total.max(1.0),
+            &replica.instance,
+        ))
     };
     let fullest = path.iter().filter_map(fill).max_by(|left, right| left.0.total_cmp(&right.0));
     if let Some((fill, replica)) = fullest {
@@ -279,9 +282,9 @@
     let crossings = count_crossings(relay, &path);
     let link_ms = criteria.engine.transfer_ms(criteria.tokens) * f64::from(crossings);
     let now = now_millis();
-    let mut beliefs = relay.beliefs.borrow_mut();
-    let relays = beliefs.peers.known_count() + 1;
-    let is_reserved = beliefs.pipe.try_reserve(link_ms, relays, now);
+    let mut state = relay.state.borrow_mut();
+    let relays = state.peers.known_count() + 1;
+    let is_reserved = state.bandwidth.try_reserve(link_ms, relays, now);
     if !is_reserved {
         tracing::info!(
             event = "pipe-full",
@@ -296,9 +299,9 @@
 
 /// Counts how often a path crosses from one data centre to another.
 fn count_crossings(relay: &Relay, path: &[PathStage]) -> u32 {
-    let beliefs = relay.beliefs.borrow();
+    let state = relay.state.borrow();
     let data_centre = |stage: &PathStage| {
-        beliefs.fleet.view.get_current(&stage.instance).map(|replica| &replica.data_centre)
+        state.fleet.view.get_current(&stage.instance).map(|replica| &replica.data_centre)
     };
     let crossings = path.windows(2).filter(|pair| data_centre(&pair[0]) != data_centre(&pair[1]));
     crossings.count() as u32
@@ -322,7 +325,7 @@
 }
 
 fn collect_offers(
-    beliefs: &Beliefs,
+    state: &RelayState,
     criteria: &PathCriteria<'_>,
     in_scope: impl Fn(&ReplicaEntry) -> bool,
     numbers: &mut DataCentreNumbers,
@@ -331,25 +334,25 @@
     let usable = |replica: &&ReplicaEntry| {
         in_scope(replica)
             && replica.is_ready()
-            && !beliefs.suspects.is_suspect(&replica.instance, now)
+            && !state.suspects.is_suspect(&replica.instance, now)
             && !criteria.excluded.contains(&replica.instance)
     };
-    let replicas = beliefs.fleet.view.of_service(criteria.service).filter(usable);
-    let mut offers: Vec<StageOffer> = kept_stage(beliefs, criteria, numbers).into_iter().collect();
+    let replicas = state.fleet.view.of_service(criteria.service).filter(usable);
+    let mut offers: Vec<StageOffer> = kept_stage(state, criteria, numbers).into_iter().collect();
     for replica in replicas {
         let Some(range) = replica.layers else { continue };
         let kind = criteria.engine.kind(&replica.kind);
         let total =
             kind.map_or(0.0, |kind| criteria.engine.free_token_layers(kind.memory_mb, range.len()));
-        let reserved = beliefs.room.reserved(&replica.instance);
+        let reserved = state.memory_reservations.reserved(&replica.instance);
         // A replica that was short of memory recently counts as full.
         let reserved =
-            if beliefs.full.is_suspect(&replica.instance, now) { total } else { reserved };
+            if state.short_of_memory.is_suspect(&replica.instance, now) { total } else { reserved };
         let step_factor = kind.map_or(1.0, |kind| kind.step_factor)
-            * beliefs.paces.factor(&replica.instance, now);
+            * state.slowdowns.factor(&replica.instance, now);
         let layer_cost = layer_cost(criteria.engine, step_factor, reserved, total);
         let data_centre = numbers.number(&replica.data_centre);
-        let is_throttled = beliefs.send_wait(&replica.instance, criteria.rank, now).is_some();
+        let is_throttled = state.send_wait(&replica.instance, criteria.rank, now).is_some();
         offers.push(StageOffer {
             instance: replica.instance.clone(),
             address: replica.address,
@@ -357,7 +360,7 @@
             range,
             layer_cost,
             free_token_layers: (total * PLANNED_FILL - reserved).max(0.0),
-            start_cost: if is_throttled { None } else { replica_start_cost(beliefs, replica, now) },
+            start_cost: if is_throttled { None } else { replica_start_cost(state, replica, now) },
             is_throttled,
         });
     }
@@ -369,16 +372,16 @@
 const STALLED_COST: f64 = 60.0;
 
 /// Returns the cost of starting at a replica; `None` if it has no free slot.
-fn replica_start_cost(beliefs: &Beliefs, replica: &ReplicaEntry, now: Millis) -> Option<f64> {
-    if beliefs.full_starts.is_full(&replica.instance, now) {
+fn replica_start_cost(state: &RelayState, replica: &ReplicaEntry, now: Millis) -> Option<f64> {
+    if state.full_replicas.is_full(&replica.instance, now) {
         return None;
     }
-    let cost = start_cost(beliefs.places.reserved(&replica.instance), replica.slots)?;
-    Some(cost + stalled_cost(beliefs, &replica.instance, now))
+    let cost = start_cost(state.slot_reservations.reserved(&replica.instance), replica.slots)?;
+    Some(cost + stalled_cost(state, &replica.instance, now))
 }
 
-fn stalled_cost(beliefs: &Beliefs, instance: &ReplicaInstance, now: Millis) -> f64 {
-    match beliefs.heads.is_stalled(instance, now) {
+fn stalled_cost(state: &RelayState, instance: &ReplicaInstance, now: Millis) -> f64 {
+    match state.stalls.is_stalled(instance, now) {
         true => STALLED_COST,
         false => 0.0,
     }
@@ -387,12 +390,12 @@
 /// Returns the offer for the first stage of a running request, which its replica continues to run
 /// whatever layers it is to hold later.
 fn kept_stage(
-    beliefs: &Beliefs,
+    state: &RelayState,
     criteria: &PathCriteria<'_>,
     numbers: &mut DataCentreNumbers,
 ) -> Option<StageOffer> {
     let (instance, range) = criteria.first?;
-    let replica = beliefs.fleet.view.get_current(instance)?;
+    let replica = state.fleet.view.get_current(instance)?;
     Some(StageOffer {
         instance: instance.clone(),
         address: replica.address,
@@ -428,18 +431,22 @@
         let amount = |stage: &PathStage| tokens * f64::from(stage.range.len());
         let stages: Vec<(ReplicaInstance, f64)> =
             path.iter().map(|stage| (stage.instance.clone(), amount(stage))).collect();
-        let mut beliefs = relay.beliefs.borrow_mut();
-        stages.iter().for_each(|(instance, amount)| beliefs.room.reserve(instance, *amount));
+        let mut state = relay.state.borrow_mut();
+        stages
+            .iter()
+            .for_each(|(instance, amount)| state.memory_reservations.reserve(instance, *amount));
         let first = path.first().map(|stage| stage.instance.clone());
-        first.iter().for_each(|instance| beliefs.places.reserve(instance, 1.0));
+        first.iter().for_each(|instance| state.slot_reservations.reserve(instance, 1.0));
         Self { relay: relay.clone(), stages, first }
     }
 }
 
 impl Drop for PathReservation {
     fn drop(&mut self) {
-        let mut beliefs = self.relay.beliefs.borrow_mut();
-        self.stages.iter().for_each(|(instance, amount)| beliefs.room.release(instance, *amount));
-        self.first.iter().for_each(|instance| beliefs.places.release(instance, 1.0));
+        let mut state = self.relay.state.borrow_mut();
+        self.stages
+            .iter()
+            .for_each(|(instance, amount)| state.memory_reservations.release(instance, *amount));
+        self.first.iter().for_each(|instance| state.slot_reservations.release(instance, 1.0));
     }
 }
--- a/crates/relay/src/run_tracker.rs
+++ b/crates/relay/src/run_tracker.rs
@@ -93,8 +93,8 @@
         let run =
             LostRun { instances: &self.instances, sent: self.sent_at, progress: self.progress };
         let change = {
-            let mut beliefs = relay.beliefs.borrow_mut();
-            beliefs.quarantine.record_lost(request.fingerprint, &run, now)
+            let mut state = relay.state.borrow_mut();
+            state.quarantine.record_lost(request.fingerprint, &run, now)
         };
         apply_change(relay, &change);
     }
--- a/crates/relay/src/stream.rs
+++ b/crates/relay/src/stream.rs
@@ -173,7 +173,7 @@
     let has_attempts =
         history.sends < permit.route.max_attempts.max(1) && history.rejections < MAX_REJECTIONS;
     let is_first = history.sends + history.rejections == 0;
-    has_attempts && (is_first || relay.spend_repeat(&permit.service, now_millis()))
+    has_attempts && (is_first || relay.spend_retry(&permit.service, now_millis()))
 }
 
 /// Opens a stream over the cheapest path, after waiting up to `max_wait` for one with enough
@@ -198,7 +198,7 @@
         first: None,
     };
     let path = wait_for_path(relay, &criteria, max_wait).await?;
-    let first = relay.beliefs.borrow().fleet.view.get_current(&path[0].instance).cloned()?;
+    let first = relay.state.borrow().fleet.view.get_current(&path[0].instance).cloned()?;
     if let Err(refusal) = check_quarantine(relay, request) {
         return Some(OpenOutcome::Refused(refusal));
     }
@@ -285,7 +285,7 @@
 /// description for logs.
 pub fn suspect_at(relay: &Relay, faulty_replica: SocketAddr, why: &str) -> String {
     let instance = relay
-        .beliefs
+        .state
         .borrow()
         .fleet
         .view
@@ -367,7 +367,7 @@
 ) {
     let faulty_replica = headers.faulty_replica.unwrap_or(first.address);
     let instance = relay
-        .beliefs
+        .state
         .borrow()
         .fleet
         .view
@@ -379,7 +379,7 @@
         return;
     };
     if headers.faulty_replica.is_none() && status == StatusCode::SERVICE_UNAVAILABLE {
-        relay.beliefs.borrow_mut().full_starts.record_rejection(&instance, now_millis());
+        relay.state.borrow_mut().full_replicas.record_rejection(&instance, now_millis());
     }
     if headers.faulty_replica.is_some() && status == StatusCode::SERVICE_UNAVAILABLE {
         match recent_report(relay, faulty_replica).await {
@@ -391,7 +391,7 @@
                 relay.suspect(&instance, "rejected a request and holds no layers");
             }
             ReportState::Received(report) if report.kv_used > report.kv_total * FULL_FRACTION => {
-                relay.note_full(&instance);
+                relay.record_memory_shortage(&instance);
             }
             ReportState::Received(_) => {}
         }
