--- a/crates/relay/src/response_head.rs
+++ b/crates/relay/src/response_head.rs
@@ -136,7 +136,7 @@
         let has_attempts = self.earlier_sends + 1 < self.permit.route.max_attempts;
         self.is_repeatable()
             && has_attempts
-            && self.relay.can_retry_service(&self.permit.service, now_millis())
+            && self.relay.can_retry(&self.permit.service, now_millis())
     }
 
     fn is_repeatable(&self) -> bool {
