--- a/crates/relay/src/run.rs
+++ b/crates/relay/src/run.rs
@@ -163,21 +163,19 @@
 
 /// Maximum number of attempts to find a port that is free for both UDP and TCP if the settings leave
 /// the choice of the port to the system.
-const MAX_PORT_ATTEMPTS: usize = 16;
+const MAX_PORT_TRIES: usize = 16;
 
 /// Binds the same port for UDP and TCP.
 async fn bind_peers(address: SocketAddr) -> Result<(UdpSocket, TcpListener), RunError> {
-    let mut attempts = 0;
+    let mut tries = 0;
     loop {
-        attempts += 1;
+        tries += 1;
         let udp = UdpSocket::bind(address).await;
         let udp = udp.map_err(|source| RunError::Listen { address, source })?;
         let bound = udp.local_addr().map_err(|source| RunError::Listen { address, source })?;
         match listen(bound).await {
             Ok(tcp) => return Ok((udp, tcp)),
-            Err(error) if address.port() != 0 || attempts == MAX_PORT_ATTEMPTS => {
-                return Err(error);
-            }
+            Err(error) if address.port() != 0 || tries == MAX_PORT_TRIES => return Err(error),
             Err(_) => {}
         }
     }
