--- a/crates/entry/src/commands/tables.rs
+++ b/crates/entry/src/commands/tables.rs
@@ -257,15 +257,15 @@
     let statuses = context.config.send(ReadPeers).await.map_err(|_| CommandError::Stopping)?;
     let now = switchfold_kernel::clock::now_millis();
     let mut table = ResultTable::new(&["entry", "same_versions", "heard_ms_ago"]);
-    for vm in context.directory.others() {
-        let status = statuses.iter().find(|status| status.peer == vm.name);
+    for peer in context.directory.others() {
+        let status = statuses.iter().find(|status| status.peer == peer.name);
         match status {
-            Some(status) if status.same => {}
+            Some(status) if status.in_sync => {}
             Some(status) => {
-                let ago = now.saturating_sub(status.at);
-                table.push([vm.name, "false".to_owned(), ago.to_string()]);
+                let ago = now.saturating_sub(status.exchanged_at);
+                table.push([peer.name, "false".to_owned(), ago.to_string()]);
             }
-            None => table.push([vm.name, "not heard".to_owned(), String::new()]),
+            None => table.push([peer.name, "not heard".to_owned(), String::new()]),
         }
     }
     Ok(table)
--- a/crates/entry/src/config/service.rs
+++ b/crates/entry/src/config/service.rs
@@ -97,9 +97,9 @@
     /// Name of the other entry.
     pub peer: String,
     /// Whether its versions equalled those of this entry.
-    pub same: bool,
+    pub in_sync: bool,
     /// Time of the exchange, in milliseconds of the process's clock.
-    pub at: Millis,
+    pub exchanged_at: Millis,
 }
 
 /// Current version of one object.
@@ -267,8 +267,8 @@
     fn record_peer_hash(&mut self, peer: &str, hash: u64) {
         let now = now_millis();
         self.last_contact.send_replace(now);
-        let same = hash == self.objects.hash();
-        let status = PeerSyncStatus { peer: peer.to_owned(), same, at: now };
+        let in_sync = hash == self.objects.hash();
+        let status = PeerSyncStatus { peer: peer.to_owned(), in_sync, exchanged_at: now };
         self.peers.insert(peer.to_owned(), status);
     }
 }
