--- a/crates/relay/src/forward.rs
+++ b/crates/relay/src/forward.rs
@@ -72,7 +72,7 @@
     last_progress: Millis,
     longest_pause: Millis,
     /// Value of `Relay::path_check_epoch` at the last check of the path.
-    alarms_seen: u64,
+    seen_epoch: u64,
     /// Time at which the stream moves off replicas that are about to leave.
     leave_at: Option<Millis>,
     /// Whether the path was probed since the last event.
@@ -97,7 +97,7 @@
     in_flight: InFlightGuard,
 ) -> RelayBody {
     let forwarder = StreamForwarder {
-        alarms_seen: relay.path_check_epoch.get(),
+        seen_epoch: relay.path_check_epoch.get(),
         framer: EventFramer::resume_after(request.headers.last_event_id),
         headers: read_response_headers(&opened.head.headers),
         body: opened.body,
@@ -137,7 +137,7 @@
     /// No bytes arrived until the next check.
     Pause,
     /// A replica became suspect or started to leave.
-    Alarm,
+    ReplicaChange,
     /// The deadline of the request has passed.
     Deadline,
 }
@@ -169,7 +169,7 @@
                     self.next_check = now_millis() + CHECK_INTERVAL;
                     self.check_path().await;
                 }
-                WaitOutcome::Alarm => self.handle_alarm(),
+                WaitOutcome::ReplicaChange => self.handle_replica_change(),
                 WaitOutcome::Deadline => self.give_up("deadline passed", "deadline passed"),
             }
         }
@@ -188,8 +188,8 @@
         if remaining == 0 {
             return WaitOutcome::Deadline;
         }
-        if self.alarms_seen != self.relay.path_check_epoch.get() {
-            return WaitOutcome::Alarm;
+        if self.seen_epoch != self.relay.path_check_epoch.get() {
+            return WaitOutcome::ReplicaChange;
         }
         let wake_at =
             Instant::now() + Duration::from_millis(check_at.saturating_sub(now).min(remaining));
@@ -200,7 +200,7 @@
                 Some(Err(error)) => WaitOutcome::Broken(error.to_string()),
                 None => WaitOutcome::End,
             },
-            () = self.relay.path_check_notify.notified() => WaitOutcome::Alarm,
+            () = self.relay.path_check_notify.notified() => WaitOutcome::ReplicaChange,
             () = sleep_until(wake_at) => WaitOutcome::Pause,
         }
     }
--- a/crates/relay/src/forward/recovery.rs
+++ b/crates/relay/src/forward/recovery.rs
@@ -61,8 +61,8 @@
     /// Checks the path after the state of a replica changed. Marks the stream as suspect if a
     /// replica is lost. If one is about to leave, schedules the move off it after a random delay,
     /// since all streams of a leaving replica move and the new one computes each request again.
-    pub(super) fn handle_alarm(&mut self) {
-        self.alarms_seen = self.relay.path_check_epoch.get();
+    pub(super) fn handle_replica_change(&mut self) {
+        self.seen_epoch = self.relay.path_check_epoch.get();
         match self.path_state() {
             StageState::Serving => self.leave_at = None,
             StageState::Leaving => {
