--- a/crates/agent/src/admin.rs
+++ b/crates/agent/src/admin.rs
@@ -19,17 +19,17 @@
 ) {
     let handler = move |request: Request<Incoming>| {
         let gate = gate.clone();
-        async move { Ok::<HttpResponse, ConnectionDropped>(answer(&request, &gate).await) }
+        async move { Ok::<HttpResponse, ConnectionDropped>(respond(&request, &gate).await) }
     };
     serve(listener, HttpLimits::default(), shutdown, handler).await;
 }
 
-async fn answer(request: &Request<Incoming>, gate: &Address<GateService>) -> HttpResponse {
+async fn respond(request: &Request<Incoming>, gate: &Address<GateService>) -> HttpResponse {
     match request.uri().path() {
         "/healthz" => full_response(StatusCode::OK, "text/plain", "ok\n"),
         "/metrics" => match gate.send(ReadCounts).await {
-            Ok(reading) => {
-                full_response(StatusCode::OK, "text/plain; version=0.0.4", render(&reading))
+            Ok(status) => {
+                full_response(StatusCode::OK, "text/plain; version=0.0.4", render(&status))
             }
             Err(_) => full_response(StatusCode::SERVICE_UNAVAILABLE, "text/plain", "stopping\n"),
         },
@@ -38,8 +38,8 @@
 }
 
 /// Counters as Prometheus text.
-pub fn render(reading: &GateStatus) -> String {
-    let counts = &reading.counts;
+pub fn render(status: &GateStatus) -> String {
+    let counts = &status.counts;
     let counters = [
         ("admitted", counts.admitted),
         ("refused", counts.refused),
@@ -58,8 +58,8 @@
         text += &format!("switchfold_agent_{name}_total {value}\n");
     }
     text += "# TYPE switchfold_agent_in_flight gauge\n";
-    text += &format!("switchfold_agent_in_flight {}\n", reading.in_flight);
+    text += &format!("switchfold_agent_in_flight {}\n", status.in_flight);
     text += "# TYPE switchfold_agent_draining gauge\n";
-    text += &format!("switchfold_agent_draining {}\n", u8::from(reading.draining));
+    text += &format!("switchfold_agent_draining {}\n", u8::from(status.draining));
     text
 }
--- a/crates/agent/src/calls.rs
+++ b/crates/agent/src/calls.rs
@@ -13,8 +13,8 @@
     service::{CallEnded, GateService},
 };
 
-/// Largest answer of a service, in bytes.
-const MOST_ANSWER_BYTES: usize = 4 << 20;
+/// Largest response of a service, in bytes.
+const MAX_RESPONSE_BYTES: usize = 4 << 20;
 
 /// Headers that belong to one connection and are not passed on.
 const CONNECTION_HEADERS: &[&str] = &[
@@ -36,9 +36,9 @@
 }
 
 impl ServiceCaller {
-    /// Makes a caller that waits `patience` for each answer.
-    pub(crate) fn new(address: String, patience: Duration) -> Self {
-        Self { address, http: HttpClient::new(patience, MOST_ANSWER_BYTES) }
+    /// Makes a caller that waits `timeout` for each response.
+    pub(crate) fn new(address: String, timeout: Duration) -> Self {
+        Self { address, http: HttpClient::new(timeout, MAX_RESPONSE_BYTES) }
     }
 
     /// Starts a call; its end goes to the gate.
@@ -55,7 +55,7 @@
             return CallOutcome::NotSent;
         };
         match self.http.call(request).await {
-            Ok(answer) => answered(answer),
+            Ok(response) => responded(response),
             Err(CallError::NotConnected { .. }) => CallOutcome::NotSent,
             Err(CallError::NoResponse { .. }) => CallOutcome::Unknown,
         }
@@ -76,15 +76,15 @@
     }
 }
 
-fn answered(answer: FullResponse) -> CallOutcome {
+fn responded(response: FullResponse) -> CallOutcome {
     let kept =
-        answer.headers.iter().filter(|(name, _)| !CONNECTION_HEADERS.contains(&name.as_str()));
+        response.headers.iter().filter(|(name, _)| !CONNECTION_HEADERS.contains(&name.as_str()));
     let headers = kept.filter_map(|(name, value)| {
         Some(Header { name: name.to_string(), value: value.to_str().ok()?.to_owned() })
     });
     CallOutcome::Responded {
-        status: answer.status.as_u16().into(),
+        status: response.status.as_u16().into(),
         headers: headers.collect(),
-        body: answer.body,
+        body: response.body,
     }
 }
--- a/crates/agent/src/engine.rs
+++ b/crates/agent/src/engine.rs
@@ -21,7 +21,7 @@
 };
 
 /// Outputs that go to the gate in one message at most.
-const OUTPUTS_AT_ONCE: usize = 64;
+const MAX_OUTPUTS_PER_MESSAGE: usize = 64;
 
 /// Connects to an engine and asks what it is.
 pub(crate) async fn describe_engine(
@@ -35,11 +35,14 @@
     let mut client = EngineClient::new(channel);
     let described = client.describe(DescribeRequest {}).await;
     let described = described.map_err(|status| failed(status.message().to_owned()))?;
-    let shape = engine_shape(described.into_inner()).map_err(|error| failed(error.to_string()))?;
-    Ok((client, GateEndpoint::Engine(shape)))
+    let engine =
+        parse_description(described.into_inner()).map_err(|error| failed(error.to_string()))?;
+    Ok((client, GateEndpoint::Engine(engine)))
 }
 
-fn engine_shape(description: Description) -> Result<EngineDescription, switchfold_core::Error> {
+fn parse_description(
+    description: Description,
+) -> Result<EngineDescription, switchfold_core::Error> {
     Ok(EngineDescription {
         layers: LayerRange::new(description.first_layer, description.end_layer)?,
         model: description.model,
@@ -52,7 +55,7 @@
 }
 
 /// Keeps a stream to the engine for as long as the gate lives.
-pub(crate) async fn keep_engine(address: String, seed: u64, gate: Address<GateService>) {
+pub(crate) async fn maintain_engine_stream(address: String, seed: u64, gate: Address<GateService>) {
     let mut backoff = Backoff::new(ChaCha8Rng::seed_from_u64(seed));
     while gate.is_connected() {
         if let Ok((client, endpoint)) = describe_engine(&address).await {
@@ -77,13 +80,13 @@
         return;
     }
     tokio::select! {
-        () = feed_engine(queue, step_sender, client, gate) => {}
+        () = execute_commands(queue, step_sender, client, gate) => {}
         () = read_outputs(outputs.into_inner(), gate) => {}
     }
     let _gate_may_have_stopped = gate.send(EngineLost).await;
 }
 
-async fn feed_engine(
+async fn execute_commands(
     mut queue: mpsc::UnboundedReceiver<EngineCommand>,
     steps: mpsc::UnboundedSender<StepInput>,
     mut client: EngineClient<Channel>,
@@ -96,25 +99,29 @@
                     return;
                 }
             }
-            EngineCommand::Load(order) => load(&mut client, order, gate).await,
+            EngineCommand::Load(order) => load_layers(&mut client, order, gate).await,
         }
     }
 }
 
-async fn load(client: &mut EngineClient<Channel>, order: LoadOrder, gate: &Address<GateService>) {
+async fn load_layers(
+    client: &mut EngineClient<Channel>,
+    order: LoadOrder,
+    gate: &Address<GateService>,
+) {
     let version = order.plan_version;
     match client.order(order).await {
-        Ok(answer) if answer.get_ref().accepted => {
+        Ok(response) if response.get_ref().accepted => {
             let Ok(described) = client.describe(DescribeRequest {}).await else {
                 return;
             };
-            if let Ok(shape) = engine_shape(described.into_inner()) {
-                let endpoint = GateEndpoint::Engine(shape);
+            if let Ok(engine) = parse_description(described.into_inner()) {
+                let endpoint = GateEndpoint::Engine(engine);
                 let _gate_may_have_stopped = gate.send(EngineReloaded(endpoint)).await;
             }
         }
-        Ok(answer) => {
-            log::warn!("plan={version} state=refused reason={:?}", answer.get_ref().reason)
+        Ok(response) => {
+            log::warn!("plan={version} state=refused reason={:?}", response.get_ref().reason)
         }
         Err(status) => log::warn!("plan={version} state=failed error={:?}", status.message()),
     }
@@ -124,11 +131,11 @@
 where
     S: Stream<Item = Result<StepOutput, tonic::Status>> + Unpin,
 {
-    let mut chunks = outputs.ready_chunks(OUTPUTS_AT_ONCE);
+    let mut chunks = outputs.ready_chunks(MAX_OUTPUTS_PER_MESSAGE);
     while let Some(chunk) = chunks.next().await {
-        let whole = chunk.len();
+        let received = chunk.len();
         let outputs: Vec<StepOutput> = chunk.into_iter().map_while(Result::ok).collect();
-        let ended = outputs.len() < whole;
+        let ended = outputs.len() < received;
         if gate.send(EngineOutputs(outputs)).detach().await.is_err() || ended {
             return;
         }
--- a/crates/agent/src/gate/mod.rs
+++ b/crates/agent/src/gate/mod.rs
@@ -33,16 +33,16 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct EntryState {
     waiting: u32,
-    saw_drain: bool,
-    told: Option<link::Heartbeat>,
-    ticks_since: u32,
+    drain_acknowledged: bool,
+    last_heartbeat: Option<link::Heartbeat>,
+    ticks_since_heartbeat: u32,
 }
 
 /// Ticks after which an entry with requests here hears from the agent, changed or not.
-const BUSY_TICKS: u32 = 2;
+const BUSY_HEARTBEAT_TICKS: u32 = 2;
 
 /// Ticks after which an idle entry does.
-const IDLE_TICKS: u32 = 10;
+const IDLE_HEARTBEAT_TICKS: u32 = 10;
 
 /// What one entry may use now.
 #[derive(Clone, Debug)]
@@ -63,9 +63,9 @@
     window: SlotWindow,
     next_ticket: u64,
     entries: BTreeMap<EntryKey, EntryState>,
-    offers: u64,
-    ordered_drain: bool,
-    own_drain: bool,
+    report_count: u64,
+    drain_ordered: bool,
+    is_stopping: bool,
     endpoint_up: bool,
     plan_version: u64,
     counts: GateCounts,
@@ -85,9 +85,9 @@
             tickets: HashMap::new(),
             next_ticket: 0,
             entries: BTreeMap::new(),
-            offers: 0,
-            ordered_drain: false,
-            own_drain: false,
+            report_count: 0,
+            drain_ordered: false,
+            is_stopping: false,
             endpoint_up: true,
             plan_version: 0,
             counts: GateCounts::default(),
@@ -106,19 +106,19 @@
 
     /// Tells whether new requests are refused.
     pub fn is_draining(&self) -> bool {
-        self.ordered_drain || self.own_drain
+        self.drain_ordered || self.is_stopping
     }
 
     /// Tells whether a planned stop would cut nothing: nothing is in flight here, and no entry can have
     /// sent anything that has not arrived.
     pub fn is_drained(&self) -> bool {
-        let all_saw = self.entries.values().all(|state| state.saw_drain);
-        self.own_drain && self.in_flight() == 0 && all_saw
+        let all_acknowledged = self.entries.values().all(|state| state.drain_acknowledged);
+        self.is_stopping && self.in_flight() == 0 && all_acknowledged
     }
 
     /// Notes that this process was told to stop.
     pub fn begin_drain(&mut self) -> Vec<GateAction> {
-        self.own_drain = true;
+        self.is_stopping = true;
         self.make_offers()
     }
 
@@ -195,12 +195,12 @@
 
     /// Offers to all entries, with the credits of each: after a change of what is offered.
     pub fn make_offers(&mut self) -> Vec<GateAction> {
-        self.offers += 1;
+        self.report_count += 1;
         let mut actions = Vec::new();
-        for share in self.shares() {
+        for share in self.entry_shares() {
             if let Some(state) = self.entries.get_mut(&share.entry) {
-                state.told = Some(share.heartbeat);
-                state.ticks_since = 0;
+                state.last_heartbeat = Some(share.heartbeat);
+                state.ticks_since_heartbeat = 0;
             }
             let offer = self.offer(share.heartbeat);
             actions.push(GateAction::to_entry(&share.entry, Body::Offer(offer)));
@@ -211,19 +211,19 @@
     /// Heartbeats to those entries that are due one: often where requests are in flight, seldom where
     /// nothing goes on, since at size an agent's idle links are most of its links.
     fn heartbeats(&mut self) -> Vec<GateAction> {
-        self.offers += 1;
+        self.report_count += 1;
         let mut actions = Vec::new();
-        for share in self.shares() {
+        for share in self.entry_shares() {
             let Some(state) = self.entries.get_mut(&share.entry) else {
                 continue;
             };
-            state.ticks_since += 1;
+            state.ticks_since_heartbeat += 1;
             let is_busy = share.used > 0 || state.waiting > 0;
-            let is_changed = state.told != Some(share.heartbeat);
-            let due = if is_busy { BUSY_TICKS } else { IDLE_TICKS };
-            if state.ticks_since >= due || (is_busy && is_changed) {
-                state.told = Some(share.heartbeat);
-                state.ticks_since = 0;
+            let is_changed = state.last_heartbeat != Some(share.heartbeat);
+            let due = if is_busy { BUSY_HEARTBEAT_TICKS } else { IDLE_HEARTBEAT_TICKS };
+            if state.ticks_since_heartbeat >= due || (is_busy && is_changed) {
+                state.last_heartbeat = Some(share.heartbeat);
+                state.ticks_since_heartbeat = 0;
                 actions.push(GateAction::to_entry(&share.entry, Body::Heartbeat(share.heartbeat)));
             }
         }
@@ -231,7 +231,7 @@
     }
 
     /// What each entry may use now.
-    fn shares(&self) -> Vec<EntryShare> {
+    fn entry_shares(&self) -> Vec<EntryShare> {
         let mut used: BTreeMap<&EntryKey, u32> = BTreeMap::new();
         let running = self.requests.values().map(|state| &state.entry).chain(self.calls.values());
         for entry in running {
@@ -244,7 +244,7 @@
             .map(|(entry, state)| EntryDemand { used: used_by(entry), waiting: state.waiting })
             .collect();
         let limit = if self.endpoint_up { self.window.limit() } else { 0 };
-        let credits = share_credits(limit, &demands, self.offers as usize);
+        let credits = share_credits(limit, &demands, self.report_count as usize);
         let (running, spare) = (self.in_flight() as u32, self.spare_slots());
         let shared = self.entries.keys().zip(demands).zip(credits);
         shared
@@ -268,7 +268,7 @@
             spare: heartbeat.spare,
             draining: self.is_draining(),
             plan_version: self.plan_version,
-            sent: self.offers,
+            sent: self.report_count,
             ..link::Offer::default()
         };
         match &self.config.endpoint {
@@ -299,16 +299,16 @@
 
     fn on_drain_seen(&mut self, entry: &EntryKey) -> Vec<GateAction> {
         if let Some(state) = self.entries.get_mut(entry) {
-            state.saw_drain = true;
+            state.drain_acknowledged = true;
         }
         Vec::new()
     }
 
     fn on_drain(&mut self, draining: bool) -> Vec<GateAction> {
-        if self.ordered_drain == draining {
+        if self.drain_ordered == draining {
             return Vec::new();
         }
-        self.ordered_drain = draining;
+        self.drain_ordered = draining;
         self.make_offers()
     }
 
@@ -363,7 +363,7 @@
         let Some(id) = release.request.map(RequestId::from) else {
             return self.unexpected();
         };
-        let is_later = |state: &RequestState| state.gate.attempt() > release.attempt;
+        let is_later = |state: &RequestState| state.step_gate.attempt() > release.attempt;
         if self.requests.get(&id).is_some_and(is_later) {
             return Vec::new();
         }
--- a/crates/agent/src/gate/request.rs
+++ b/crates/agent/src/gate/request.rs
@@ -32,8 +32,8 @@
     pub(super) entry: EntryKey,
     pub(super) route: Route,
     pub(super) pipeline: PipelineRoute,
-    pub(super) place: usize,
-    pub(super) gate: StepGate,
+    pub(super) stage_index: usize,
+    pub(super) step_gate: StepGate,
     pub(super) log: ActivationLog,
     pub(super) running: VecDeque<RunningStep>,
     pub(super) last_token: Option<LastToken>,
@@ -42,12 +42,12 @@
 }
 
 impl RequestState {
-    pub(super) fn is_last(&self) -> bool {
-        self.place + 1 == self.pipeline.stages().len()
+    pub(super) fn is_last_stage(&self) -> bool {
+        self.stage_index + 1 == self.pipeline.stages().len()
     }
 
-    pub(super) fn next(&self) -> Option<&RouteStage> {
-        self.pipeline.stages().get(self.place + 1)
+    pub(super) fn next_stage(&self) -> Option<&RouteStage> {
+        self.pipeline.stages().get(self.stage_index + 1)
     }
 
     /// Hops after which a repeated step has gone round the whole pipeline.
@@ -56,12 +56,12 @@
     }
 
     /// Index of the token that follows from the position before `next_position`.
-    pub(super) fn index_at(&self, next_position: u32) -> u32 {
+    pub(super) fn token_index_at(&self, next_position: u32) -> u32 {
         next_position.saturating_sub(self.route.prompt_len)
     }
 
     pub(super) fn sends_to(&self, address: &str) -> bool {
-        let target = match self.next() {
+        let target = match self.next_stage() {
             Some(next) => &next.address,
             None => &self.pipeline.stages()[0].address,
         };
@@ -71,7 +71,7 @@
     pub(super) fn refusal(&self, id: RequestId, reason: RefusalReason, about: &str) -> GateAction {
         let refusal = link::Refusal {
             request: Some(id.into()),
-            attempt: self.gate.attempt(),
+            attempt: self.step_gate.attempt(),
             reason: reason.into(),
             about: about.to_owned(),
         };
@@ -79,25 +79,25 @@
     }
 
     /// Takes the route of a later attempt.
-    pub(super) fn adopt(&mut self, attempt: u32, route: &Route, own: &str) {
+    pub(super) fn apply_route(&mut self, attempt: u32, route: &Route, own: &str) {
         let Ok(pipeline) = route.pipeline() else {
             return;
         };
-        let Some(place) = pipeline.position(own) else {
+        let Some(stage_index) = pipeline.position(own) else {
             return;
         };
-        if self.gate.raise_attempt(attempt) {
+        if self.step_gate.raise_attempt(attempt) {
             self.route = route.clone();
             self.pipeline = pipeline;
-            self.place = place;
+            self.stage_index = stage_index;
         }
     }
 
     /// What to send to the next stage now, and whether it is a replay: the whole log where that stage
     /// joined in this attempt and was sent nothing yet, otherwise the last output.
     pub(super) fn span_for_next(&self) -> Option<NextSpan> {
-        let next = self.next()?;
-        let attempt = self.gate.attempt();
+        let next = self.next_stage()?;
+        let attempt = self.step_gate.attempt();
         let is_fresh = next.joined_attempt == attempt && self.sent_attempt < attempt;
         let is_replay = is_fresh && attempt > 1;
         if is_fresh && self.log.is_truncated() {
--- a/crates/agent/src/gate/steps.rs
+++ b/crates/agent/src/gate/steps.rs
@@ -19,9 +19,9 @@
 };
 
 /// Positions that arrive for a request, from whoever sent them.
-struct ArrivingStep {
+struct IncomingStep {
     id: RequestId,
-    view: StepHeader,
+    header: StepHeader,
     inputs: Vec<u32>,
     activations: bytes::Bytes,
 }
@@ -32,19 +32,19 @@
             return self.unexpected();
         };
         let id = RequestId::from(id);
-        if let Err(reason) = self.join(id, start.attempt, &route) {
+        if let Err(reason) = self.ensure_request(id, start.attempt, &route) {
             return self.refuse(entry, id, start.attempt, reason);
         }
-        let view = StepHeader {
+        let header = StepHeader {
             attempt: start.attempt,
             layer: 0,
             first_position: 0,
             len: start.tokens.len() as u32,
             resend: if start.attempt > 1 { 2 * route.stages.len() as u32 } else { 0 },
         };
-        self.arrive(ArrivingStep {
+        self.process_step(IncomingStep {
             id,
-            view,
+            header,
             inputs: start.tokens,
             activations: bytes::Bytes::new(),
         })
@@ -55,20 +55,25 @@
             return self.unexpected();
         };
         if let Some(route) = &step.route
-            && let Err(reason) = self.join(id, step.attempt, route)
+            && let Err(reason) = self.ensure_request(id, step.attempt, route)
         {
             let entry =
                 EntryKey { name: route.entry.clone(), incarnation: route.entry_incarnation };
             return self.refuse(&entry, id, step.attempt, reason);
         }
-        let view = StepHeader {
+        let header = StepHeader {
             attempt: step.attempt,
             layer: step.layer,
             first_position: step.first_position,
             len: step.inputs.len() as u32,
             resend: step.resend,
         };
-        self.arrive(ArrivingStep { id, view, inputs: step.inputs, activations: step.activations })
+        self.process_step(IncomingStep {
+            id,
+            header,
+            inputs: step.inputs,
+            activations: step.activations,
+        })
     }
 
     /// A token of the last stage comes back to the first one and starts the next step.
@@ -80,7 +85,7 @@
             self.counts.dropped_steps += 1;
             return Vec::new();
         };
-        let view = StepHeader {
+        let header = StepHeader {
             attempt: token.attempt,
             layer: 0,
             first_position: state.route.prompt_len + token.index,
@@ -88,7 +93,7 @@
             resend: token.resend,
         };
         let inputs = vec![token.token];
-        self.arrive(ArrivingStep { id, view, inputs, activations: bytes::Bytes::new() })
+        self.process_step(IncomingStep { id, header, inputs, activations: bytes::Bytes::new() })
     }
 
     pub(super) fn on_reroute(&mut self, reroute: &link::Reroute) -> Vec<GateAction> {
@@ -98,11 +103,12 @@
         let Some(state) = self.requests.get_mut(&id) else {
             return Vec::new();
         };
-        if reroute.attempt <= state.gate.attempt() {
+        if reroute.attempt <= state.step_gate.attempt() {
             return Vec::new();
         }
-        state.adopt(reroute.attempt, route, &self.config.address);
-        let is_fresh = state.next().is_some_and(|next| next.joined_attempt == state.gate.attempt());
+        state.apply_route(reroute.attempt, route, &self.config.address);
+        let is_fresh =
+            state.next_stage().is_some_and(|next| next.joined_attempt == state.step_gate.attempt());
         if is_fresh { self.forward(id, 0) } else { Vec::new() }
     }
 
@@ -112,7 +118,7 @@
             return Vec::new();
         };
         if !output.error.is_empty() {
-            return self.fail(id);
+            return self.fail_request(id);
         }
         let Some(state) = self.requests.get_mut(&id) else {
             return Vec::new();
@@ -120,15 +126,15 @@
         let Some(step) = state.running.pop_front() else {
             return Vec::new();
         };
-        state.gate.finish();
+        state.step_gate.finish();
         state.log.push(&step.inputs, &output.activations);
         self.counts.steps += 1;
-        if !state.is_last() {
+        if !state.is_last_stage() {
             return self.forward(id, step.resend.saturating_sub(1));
         }
-        let ran_to = state.gate.next_position();
+        let ran_to = state.step_gate.next_position();
         let queued: usize = state.running.iter().map(|step| step.inputs.len()).sum();
-        let index = state.index_at(ran_to - queued as u32);
+        let index = state.token_index_at(ran_to - queued as u32);
         state.last_token = Some(LastToken { index, token: output.token });
         self.emit_token(id, step.resend.saturating_sub(1))
     }
@@ -137,10 +143,10 @@
     pub fn engine_lost(&mut self) -> Vec<GateAction> {
         self.set_endpoint_down();
         let ids: Vec<RequestId> = self.requests.keys().copied().collect();
-        ids.into_iter().flat_map(|id| self.fail(id)).collect()
+        ids.into_iter().flat_map(|id| self.fail_request(id)).collect()
     }
 
-    fn fail(&mut self, id: RequestId) -> Vec<GateAction> {
+    fn fail_request(&mut self, id: RequestId) -> Vec<GateAction> {
         let mut actions = Vec::new();
         if let Some(state) = self.requests.get(&id) {
             let about = self.config.address.clone();
@@ -168,7 +174,12 @@
     }
 
     /// Makes sure that the request is here, with the route of this attempt.
-    fn join(&mut self, id: RequestId, attempt: u32, route: &Route) -> Result<(), RefusalReason> {
+    fn ensure_request(
+        &mut self,
+        id: RequestId,
+        attempt: u32,
+        route: &Route,
+    ) -> Result<(), RefusalReason> {
         let own = self.config.address.clone();
         if self.requests.get(&id).is_some_and(|state| route.lineage > state.route.lineage) {
             // The request begins anew: what was run for the former sequence of tokens is void.
@@ -176,7 +187,7 @@
             self.requests.remove(&id);
         }
         if let Some(state) = self.requests.get_mut(&id) {
-            state.adopt(attempt, route, &own);
+            state.apply_route(attempt, route, &own);
             return Ok(());
         }
         let GateEndpoint::Engine(shape) = &self.config.endpoint else {
@@ -187,12 +198,12 @@
         }
         let layers = shape.layers;
         let pipeline = route.pipeline().map_err(|_| RefusalReason::WrongLayer)?;
-        let place = pipeline.position(&own).ok_or(RefusalReason::WrongLayer)?;
-        if pipeline.stages()[place].layers != layers {
+        let stage_index = pipeline.position(&own).ok_or(RefusalReason::WrongLayer)?;
+        if pipeline.stages()[stage_index].layers != layers {
             return Err(RefusalReason::WrongLayer);
         }
         // A stage that joined after the request began replaces one that was lost.
-        let is_replacement = pipeline.stages()[place].joined_attempt > route.lineage;
+        let is_replacement = pipeline.stages()[stage_index].joined_attempt > route.lineage;
         let slots = match is_replacement {
             true => self.config.endpoint.slots(),
             false => self.config.unreserved_slots(),
@@ -204,8 +215,8 @@
             entry,
             route: route.clone(),
             pipeline,
-            place,
-            gate: StepGate::new(layers.first(), attempt),
+            stage_index,
+            step_gate: StepGate::new(layers.first(), attempt),
             log: ActivationLog::new(self.config.log_bytes),
             running: VecDeque::new(),
             last_token: None,
@@ -215,19 +226,21 @@
         Ok(())
     }
 
-    fn arrive(&mut self, step: ArrivingStep) -> Vec<GateAction> {
+    fn process_step(&mut self, step: IncomingStep) -> Vec<GateAction> {
         let id = step.id;
         let Some(state) = self.requests.get_mut(&id) else {
             self.counts.dropped_steps += 1;
             return Vec::new();
         };
         let mut actions = Vec::new();
-        if state.is_last() && step.view.resend > 0 {
-            actions = known_tokens(id, state, &step);
+        if state.is_last_stage() && step.header.resend > 0 {
+            actions = replayed_tokens(id, state, &step);
         }
-        match state.gate.decide(&step.view) {
-            StepDecision::Run { skip } => actions.push(self.run(step, skip)),
-            StepDecision::ResendOutput => actions.extend(self.repeat(id, step.view.resend - 1)),
+        match state.step_gate.decide(&step.header) {
+            StepDecision::Run { skip } => actions.push(self.start_step(step, skip)),
+            StepDecision::ResendOutput => {
+                actions.extend(self.resend_output(id, step.header.resend - 1))
+            }
             StepDecision::Drop(_) => self.counts.dropped_steps += 1,
             StepDecision::Refuse(refusal) => {
                 self.counts.gaps += 1;
@@ -242,16 +255,16 @@
         actions
     }
 
-    fn run(&mut self, step: ArrivingStep, skip: u32) -> GateAction {
+    fn start_step(&mut self, step: IncomingStep, skip: u32) -> GateAction {
         self.next_ticket += 1;
         let ticket = self.next_ticket;
         self.tickets.insert(ticket, step.id);
         self.window.sample(self.tickets.len());
         let skip = skip as usize;
-        let is_first_layer = step.view.layer == 0;
+        let is_first_layer = step.header.layer == 0;
         let width = step.activations.len() / step.inputs.len().max(1);
         let inputs = step.inputs[skip..].to_vec();
-        let first_position = step.view.first_position + skip as u32;
+        let first_position = step.header.first_position + skip as u32;
         let mut input = StepInput {
             key: Some(step.id.into()),
             first_position,
@@ -269,15 +282,15 @@
             input.tokens.clone_from(&inputs);
         }
         if let Some(state) = self.requests.get_mut(&step.id) {
-            input.want_token = state.is_last();
-            state.running.push_back(RunningStep { inputs, resend: step.view.resend });
+            input.want_token = state.is_last_stage();
+            state.running.push_back(RunningStep { inputs, resend: step.header.resend });
         }
         GateAction::RunStep(input)
     }
 
-    fn repeat(&mut self, id: RequestId, resend: u32) -> Vec<GateAction> {
+    fn resend_output(&mut self, id: RequestId, resend: u32) -> Vec<GateAction> {
         self.counts.repeated_steps += 1;
-        let is_last = self.requests.get(&id).is_some_and(RequestState::is_last);
+        let is_last = self.requests.get(&id).is_some_and(RequestState::is_last_stage);
         if is_last { self.emit_token(id, resend) } else { self.forward(id, resend) }
     }
 
@@ -286,7 +299,7 @@
         let Some(state) = self.requests.get_mut(&id) else {
             return Vec::new();
         };
-        let Some(next) = state.next() else {
+        let Some(next) = state.next_stage() else {
             return Vec::new();
         };
         let (address, layer) = (next.address.clone(), next.layers.first());
@@ -300,12 +313,12 @@
         if is_replay {
             self.counts.replayed_positions += span.inputs.len() as u64;
         }
-        let attempt = state.gate.attempt();
+        let attempt = state.step_gate.attempt();
         let end = span.first_position + span.inputs.len() as u32;
         let step = link::Step {
             request: Some(id.into()),
             attempt,
-            index: state.index_at(end),
+            index: state.token_index_at(end),
             layer,
             first_position: span.first_position,
             inputs: span.inputs,
@@ -326,7 +339,7 @@
             return Vec::new();
         };
         let last = index + 1 >= state.route.max_tokens;
-        let attempt = state.gate.attempt();
+        let attempt = state.step_gate.attempt();
         let token = link::Token { request: Some(id.into()), attempt, index, token, resend, last };
         let first = &state.pipeline.stages()[0].address;
         let mut actions = vec![GateAction::to_entry(&state.entry, Body::Token(token))];
@@ -338,14 +351,14 @@
 }
 
 /// A replay shows the last stage which tokens were made before: the entry may have missed some.
-fn known_tokens(id: RequestId, state: &RequestState, step: &ArrivingStep) -> Vec<GateAction> {
-    let first = step.view.first_position;
+fn replayed_tokens(id: RequestId, state: &RequestState, step: &IncomingStep) -> Vec<GateAction> {
+    let first = step.header.first_position;
     let positions = step.inputs.iter().enumerate();
     let positions = positions.map(|(offset, token)| (first + offset as u32, *token));
     let generated = positions.filter(|(position, _)| *position >= state.route.prompt_len);
     let tokens = generated.map(|(position, token)| {
         let index = position - state.route.prompt_len;
-        let attempt = step.view.attempt;
+        let attempt = step.header.attempt;
         let token =
             link::Token { request: Some(id.into()), attempt, index, token, resend: 0, last: false };
         GateAction::to_entry(&state.entry, Body::Token(token))
--- a/crates/agent/src/links.rs
+++ b/crates/agent/src/links.rs
@@ -10,7 +10,8 @@
 use crate::{
     gate::EntryKey,
     service::{
-        EntryClosed, EntryFrame, EntryOpened, GateService, StageClosed, StageFrame, StageOpened,
+        EntryConnected, EntryDisconnected, EntryFrame, GateService, StageConnected,
+        StageDisconnected, StageFrame,
     },
 };
 
@@ -21,8 +22,8 @@
 impl LinkId {
     /// Makes an id that no other connection of this process has.
     pub(crate) fn next() -> Self {
-        static MADE: AtomicU64 = AtomicU64::new(0);
-        Self(MADE.fetch_add(1, Ordering::Relaxed))
+        static NEXT: AtomicU64 = AtomicU64::new(0);
+        Self(NEXT.fetch_add(1, Ordering::Relaxed))
     }
 }
 
@@ -49,14 +50,15 @@
         tokio::spawn(async move {
             match connect_link(&address, &token, hello).await {
                 Ok(link) => {
-                    let opened = StageOpened { id, address: address.clone(), sender: link.sender };
+                    let opened =
+                        StageConnected { id, address: address.clone(), sender: link.sender };
                     let _gate_may_have_stopped = gate.send(opened).await;
                     let mut frames = link.frames;
                     while let Ok(Some(_)) = frames.message().await {}
                 }
                 Err(error) => log::warn!("stage={address} state=unreachable error={error:?}"),
             }
-            let _gate_may_have_stopped = gate.send(StageClosed { id, address }).await;
+            let _gate_may_have_stopped = gate.send(StageDisconnected { id, address }).await;
         });
     }
 }
@@ -76,7 +78,7 @@
     }
     let id = LinkId::next();
     let entry = EntryKey { name: hello.process, incarnation: hello.incarnation };
-    if gate.send(EntryOpened { id, entry: entry.clone(), sender }).await.is_err() {
+    if gate.send(EntryConnected { id, entry: entry.clone(), sender }).await.is_err() {
         return;
     }
     while let Ok(Some(frame)) = frames.message().await {
@@ -84,7 +86,7 @@
             return;
         }
     }
-    let _gate_may_have_stopped = gate.send(EntryClosed { id, entry }).await;
+    let _gate_may_have_stopped = gate.send(EntryDisconnected { id, entry }).await;
 }
 
 /// Tasks that end with their owner.
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -13,7 +13,7 @@
     AgentError,
     admin::serve_admin,
     calls::ServiceCaller,
-    engine::{describe_engine, keep_engine},
+    engine::{describe_engine, maintain_engine_stream},
     gate::{GateConfig, GateEndpoint},
     links::{StageConnector, TaskGroup, read_link},
     service::{BeginDrain, GATE, GateService, GateTick, SetAddress},
@@ -21,10 +21,10 @@
 };
 
 /// Tries to reach the engine before the agent gives up at its start.
-const START_TRIES: u32 = 50;
+const MAX_CONNECT_ATTEMPTS: u32 = 50;
 
 /// Wait between these tries.
-const START_WAIT: Duration = Duration::from_millis(100);
+const CONNECT_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Sockets of an agent, bound before it starts.
 #[derive(Debug)]
@@ -45,7 +45,7 @@
     sockets: AgentSockets,
     shutdown: ShutdownSignal,
 ) -> Result<(), AgentError> {
-    let endpoint = endpoint_of(&settings).await?;
+    let endpoint = describe_endpoint(&settings).await?;
     let incarnation = process_incarnation(&settings.name, epoch_millis());
     let registry = ServiceRegistry::new();
     let gate = start_gate(&settings, endpoint, incarnation).await;
@@ -54,7 +54,7 @@
     let mut tasks = TaskGroup::default();
     if let Some(address) = settings.engine.clone() {
         let seed = hash_bytes(incarnation, settings.name.as_bytes());
-        tasks.spawn(keep_engine(address, seed, gate.clone()));
+        tasks.spawn(maintain_engine_stream(address, seed, gate.clone()));
     }
     tasks.spawn(tick(Duration::from_millis(settings.offer_ms), gate.clone()));
     if let Some(listener) = sockets.admin {
@@ -75,7 +75,7 @@
     }
 }
 
-async fn endpoint_of(settings: &AgentSettings) -> Result<GateEndpoint, AgentError> {
+async fn describe_endpoint(settings: &AgentSettings) -> Result<GateEndpoint, AgentError> {
     if let Some(service) = &settings.service {
         return Ok(GateEndpoint::Service { name: service.name.clone(), slots: service.slots });
     }
@@ -85,8 +85,8 @@
         tries += 1;
         match describe_engine(address).await {
             Ok((_, endpoint)) => return Ok(endpoint),
-            Err(error) if tries >= START_TRIES => return Err(error),
-            Err(_) => sleep(START_WAIT).await,
+            Err(error) if tries >= MAX_CONNECT_ATTEMPTS => return Err(error),
+            Err(_) => sleep(CONNECT_RETRY_INTERVAL).await,
         }
     }
 }
@@ -133,7 +133,7 @@
 
 /// How long a drained agent goes on refusing: a request that an entry sent to an earlier stage before
 /// it saw the drain may still arrive, and must be told that it did not run here.
-const LINGER: Duration = Duration::from_secs(1);
+const DRAIN_LINGER: Duration = Duration::from_secs(1);
 
 /// Waits for the signal, then until nothing is in flight and every entry knows.
 async fn drain(gate: &Address<GateService>, shutdown: &ShutdownSignal) {
@@ -142,5 +142,5 @@
     if gate.send(BeginDrain(work.guard())).await.is_ok() {
         work.drained().await;
     }
-    sleep(LINGER).await;
+    sleep(DRAIN_LINGER).await;
 }
--- a/crates/agent/src/service.rs
+++ b/crates/agent/src/service.rs
@@ -36,8 +36,8 @@
     engine: Option<mpsc::UnboundedSender<EngineCommand>>,
     caller: Option<ServiceCaller>,
     connector: StageConnector,
-    drained: Option<WorkGuard>,
-    me: Option<Address<GateService>>,
+    drain_guard: Option<WorkGuard>,
+    own_handle: Option<Address<GateService>>,
 }
 
 /// The connection of an entry that is in use.
@@ -66,14 +66,14 @@
 }
 
 /// An entry opened its link.
-pub(crate) struct EntryOpened {
+pub(crate) struct EntryConnected {
     pub(crate) id: LinkId,
     pub(crate) entry: EntryKey,
     pub(crate) sender: LinkSender,
 }
 
 /// An entry's link ended.
-pub(crate) struct EntryClosed {
+pub(crate) struct EntryDisconnected {
     pub(crate) id: LinkId,
     pub(crate) entry: EntryKey,
 }
@@ -89,19 +89,19 @@
 pub(crate) struct StageFrame(pub(crate) Frame);
 
 /// A link to another stage is open.
-pub(crate) struct StageOpened {
+pub(crate) struct StageConnected {
     pub(crate) id: LinkId,
     pub(crate) address: String,
     pub(crate) sender: LinkSender,
 }
 
 /// A link to another stage ended, or was not made.
-pub(crate) struct StageClosed {
+pub(crate) struct StageDisconnected {
     pub(crate) id: LinkId,
     pub(crate) address: String,
 }
 
-/// The engine is there, with this shape.
+/// The engine is there, with this engine.
 pub(crate) struct EngineReady {
     pub(crate) endpoint: GateEndpoint,
     pub(crate) work: mpsc::UnboundedSender<EngineCommand>,
@@ -163,12 +163,12 @@
             engine: None,
             caller,
             connector,
-            drained: None,
-            me: None,
+            drain_guard: None,
+            own_handle: None,
         }
     }
 
-    fn carry_out(&mut self, actions: Vec<GateAction>) {
+    fn execute(&mut self, actions: Vec<GateAction>) {
         let mut waiting = VecDeque::from(actions);
         while let Some(action) = waiting.pop_front() {
             match action {
@@ -195,7 +195,7 @@
             }
         }
         if self.state.is_drained() {
-            self.drained = None;
+            self.drain_guard = None;
         }
     }
 
@@ -225,8 +225,8 @@
 
     fn connect_stage(&mut self, address: String, first: Body) {
         let id = LinkId::next();
-        if let Some(me) = self.me.clone() {
-            self.connector.connect(id, address.clone(), me);
+        if let Some(handle) = self.own_handle.clone() {
+            self.connector.connect(id, address.clone(), handle);
         }
         let state = StageLinkState::Connecting(vec![first]);
         self.stages.insert(address, StageLink { id, state });
@@ -236,7 +236,7 @@
     fn close_entry(&mut self, entry: &EntryKey) {
         self.entries.remove(entry);
         let actions = self.state.entry_disconnected(entry);
-        self.carry_out(actions);
+        self.execute(actions);
     }
 
     /// Steps for an engine that is gone are lost with it; [`EngineLost`] tells the entries.
@@ -247,8 +247,8 @@
     }
 
     fn call(&mut self, call: ServiceCall) {
-        if let (Some(caller), Some(me)) = (&self.caller, self.me.clone()) {
-            caller.start(call, me);
+        if let (Some(caller), Some(handle)) = (&self.caller, self.own_handle.clone()) {
+            caller.start(call, handle);
         }
     }
 }
@@ -260,14 +260,14 @@
     type Return = ();
 
     async fn handle(&mut self, message: SetAddress, _: &mut Context<Self>) {
-        self.me = Some(message.0);
+        self.own_handle = Some(message.0);
     }
 }
 
-impl Handler<EntryOpened> for GateService {
+impl Handler<EntryConnected> for GateService {
     type Return = ();
 
-    async fn handle(&mut self, message: EntryOpened, _: &mut Context<Self>) {
+    async fn handle(&mut self, message: EntryConnected, _: &mut Context<Self>) {
         if self.entries.contains_key(&message.entry) {
             self.close_entry(&message.entry);
         }
@@ -275,14 +275,14 @@
         self.entries.insert(message.entry.clone(), link);
         log::info!("entry={} state=connected", message.entry.name);
         let actions = self.state.entry_connected(message.entry);
-        self.carry_out(actions);
+        self.execute(actions);
     }
 }
 
-impl Handler<EntryClosed> for GateService {
+impl Handler<EntryDisconnected> for GateService {
     type Return = ();
 
-    async fn handle(&mut self, message: EntryClosed, _: &mut Context<Self>) {
+    async fn handle(&mut self, message: EntryDisconnected, _: &mut Context<Self>) {
         let is_current = |link: &EntryLink| link.id == message.id;
         if self.entries.get(&message.entry).is_some_and(is_current) {
             log::info!("entry={} state=gone", message.entry.name);
@@ -301,7 +301,7 @@
         }
         for body in message.frame.messages.into_iter().filter_map(|message| message.body) {
             let actions = self.state.on_entry_message(&message.entry, body);
-            self.carry_out(actions);
+            self.execute(actions);
         }
     }
 }
@@ -312,15 +312,15 @@
     async fn handle(&mut self, message: StageFrame, _: &mut Context<Self>) {
         for body in message.0.messages.into_iter().filter_map(|message| message.body) {
             let actions = self.state.on_stage_message(body);
-            self.carry_out(actions);
+            self.execute(actions);
         }
     }
 }
 
-impl Handler<StageOpened> for GateService {
+impl Handler<StageConnected> for GateService {
     type Return = ();
 
-    async fn handle(&mut self, message: StageOpened, _: &mut Context<Self>) {
+    async fn handle(&mut self, message: StageConnected, _: &mut Context<Self>) {
         let Some(link) = self.stages.get_mut(&message.address).filter(|link| link.id == message.id)
         else {
             return;
@@ -329,21 +329,21 @@
         if let StageLinkState::Connecting(waiting) = std::mem::replace(&mut link.state, opened) {
             for body in waiting {
                 let actions = self.send_stage(message.address.clone(), body);
-                self.carry_out(actions);
+                self.execute(actions);
             }
         }
     }
 }
 
-impl Handler<StageClosed> for GateService {
+impl Handler<StageDisconnected> for GateService {
     type Return = ();
 
-    async fn handle(&mut self, message: StageClosed, _: &mut Context<Self>) {
+    async fn handle(&mut self, message: StageDisconnected, _: &mut Context<Self>) {
         let is_current = |link: &StageLink| link.id == message.id;
         if self.stages.get(&message.address).is_some_and(is_current) {
             self.stages.remove(&message.address);
             let actions = self.state.stage_disconnected(&message.address);
-            self.carry_out(actions);
+            self.execute(actions);
         }
     }
 }
@@ -356,7 +356,7 @@
         self.state.set_endpoint(message.endpoint);
         self.engine = Some(message.work);
         let actions = self.state.make_offers();
-        self.carry_out(actions);
+        self.execute(actions);
     }
 }
 
@@ -368,7 +368,7 @@
         let mut actions = self.state.engine_lost();
         self.state.set_endpoint(message.0);
         actions.extend(self.state.make_offers());
-        self.carry_out(actions);
+        self.execute(actions);
     }
 }
 
@@ -380,7 +380,7 @@
         self.engine = None;
         let mut actions = self.state.engine_lost();
         actions.extend(self.state.make_offers());
-        self.carry_out(actions);
+        self.execute(actions);
     }
 }
 
@@ -390,7 +390,7 @@
     async fn handle(&mut self, message: EngineOutputs, _: &mut Context<Self>) {
         for output in message.0 {
             let actions = self.state.on_output(&output);
-            self.carry_out(actions);
+            self.execute(actions);
         }
     }
 }
@@ -400,7 +400,7 @@
 
     async fn handle(&mut self, message: CallEnded, _: &mut Context<Self>) {
         let actions = self.state.on_call_outcome(&message.call, message.end);
-        self.carry_out(actions);
+        self.execute(actions);
     }
 }
 
@@ -409,7 +409,7 @@
 
     async fn handle(&mut self, _: GateTick, _: &mut Context<Self>) {
         let actions = self.state.tick();
-        self.carry_out(actions);
+        self.execute(actions);
     }
 }
 
@@ -418,9 +418,9 @@
 
     async fn handle(&mut self, message: BeginDrain, _: &mut Context<Self>) {
         log::info!("state=draining in_flight={}", self.state.in_flight());
-        self.drained = Some(message.0);
+        self.drain_guard = Some(message.0);
         let actions = self.state.begin_drain();
-        self.carry_out(actions);
+        self.execute(actions);
     }
 }
 
--- a/crates/entry/src/commands/tables.rs
+++ b/crates/entry/src/commands/tables.rs
@@ -220,7 +220,7 @@
         ("unknown", counts.unknown),
         ("stages-replaced", counts.stages_replaced),
         ("restarts", counts.restarts),
-        ("nudges", counts.nudges),
+        ("nudges", counts.resend_requests),
         ("replicas-lost", counts.replicas_lost),
         ("ejections", counts.ejections),
     ];
--- a/crates/entry/src/dispatch/action.rs
+++ b/crates/entry/src/dispatch/action.rs
@@ -1,4 +1,4 @@
-//! What the state machine asks the entry to do.
+//! Effects that the state machine requests.
 
 use std::sync::Arc;
 
@@ -7,81 +7,82 @@
 
 use super::submission::{CallerEvent, Outcome, Submission};
 
-/// One thing to do.
+/// An effect for the caller of the state machine to carry out.
 #[derive(Clone, Debug)]
 pub enum DispatchAction {
     /// Send a message to an agent.
     Send {
-        /// Name of the agent's process.
+        /// Process name of the agent.
         process: String,
-        /// The message.
+        /// Message to send.
         body: Body,
     },
-    /// Tell the caller of a request something.
+    /// Send an event to the caller of a request.
     Notify {
-        /// The request.
+        /// Identifier of the request.
         request: RequestId,
-        /// What to tell.
+        /// Event to send.
         event: CallerEvent,
     },
-    /// End the link to an agent, so that it releases what it has, and link to it anew.
+    /// Close the link to an agent, so that the agent releases the requests of this entry, and open
+    /// a new one.
     ResetLink {
-        /// Name of the agent's process.
+        /// Process name of the agent.
         process: String,
     },
-    /// Measure something.
+    /// Record a measurement.
     Observe(Observation),
 }
 
 impl DispatchAction {
-    /// Makes a message to an agent.
+    /// Creates the action that sends `body` to the agent `process`.
     pub fn send(process: &str, body: Body) -> Self {
         Self::Send { process: process.to_owned(), body }
     }
 
-    /// Makes a message to a caller.
+    /// Creates the action that sends `event` to the caller of `request`.
     pub fn notify(request: RequestId, event: CallerEvent) -> Self {
         Self::Notify { request, event }
     }
 }
 
-/// Something to measure.
+/// Measurement of one request.
 #[derive(Clone, Debug)]
 pub struct Observation {
     /// Organisation of the request.
     pub organisation: Arc<str>,
     /// Class of the request.
     pub class: Arc<str>,
-    /// What was measured.
+    /// Measured quantity and its value.
     pub kind: ObservationKind,
 }
 
-/// What was measured; times are in milliseconds.
+/// Measured quantity of an [`Observation`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ObservationKind {
-    /// From arrival to the first dispatch.
+    /// Time from arrival to the first dispatch.
     QueueWait(Millis),
-    /// From arrival to the first token.
+    /// Time from arrival to the first token.
     FirstToken(Millis),
-    /// From one delivery of tokens to the next.
+    /// Time from one delivery of tokens to the next.
     BetweenTokens(Millis),
-    /// From arrival to the end.
+    /// End of the request.
     Ended {
-        /// How it ended.
+        /// Outcome of the request.
         outcome: Outcome,
-        /// How long it took.
+        /// Time from arrival to the end.
         total: Millis,
     },
 }
 
 impl Observation {
-    /// Makes an observation on a request.
+    /// Creates an observation of a request.
     pub fn new(submission: &Submission, kind: ObservationKind) -> Self {
         let organisation = Arc::clone(&submission.organisation);
         Self { organisation, class: Arc::clone(&submission.class), kind }
     }
 
-    /// Makes the observation of a request's end.
+    /// Creates the observation of a request's end.
     pub fn ended(submission: &Submission, outcome: Outcome, total: Millis) -> Self {
         Self::new(submission, ObservationKind::Ended { outcome, total })
     }
--- a/crates/entry/src/dispatch/config.rs
+++ b/crates/entry/src/dispatch/config.rs
@@ -1,55 +1,56 @@
-//! Bounds of the state machine.
+//! Configuration of the state machine.
 
 use serde::{Deserialize, Serialize};
 use switchfold_core::{Millis, ejection::EjectionConfig, path::PathPolicy, retry::RetryConfig};
 
-/// A model that is served.
+/// A model that the entry serves.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ModelConfig {
-    /// Name.
+    /// Name, as in requests and offers.
     pub name: String,
-    /// Layers.
+    /// Number of layers.
     pub layers: u32,
 }
 
-/// Bounds and identity of an entry's state machine.
+/// Identity and limits of an entry's state machine.
 #[derive(Clone, Debug)]
 pub struct DispatchConfig {
-    /// Name of the process.
+    /// Name of the entry's process.
     pub process: String,
-    /// Run of the process.
+    /// Incarnation of the process, different after each restart.
     pub incarnation: u64,
-    /// Models.
+    /// Models that the entry serves. Every other target is a service.
     pub models: Vec<ModelConfig>,
-    /// How paths are chosen.
+    /// Policy by which replicas are chosen.
     pub policy: PathPolicy,
-    /// A request without progress for so long is looked into.
+    /// Time without progress after which a completion's stages are asked to resend their output.
     pub stall_timeout: Millis,
-    /// An agent that runs requests of this entry and says nothing for so long is taken for lost.
+    /// Time without a message after which an agent that runs requests of this entry counts as lost.
     pub agent_timeout: Millis,
-    /// An agent that runs none is given longer, since it speaks less often.
+    /// The same for an agent that runs no request of this entry. It must be longer, since such an
+    /// agent sends heartbeats less often.
     pub idle_agent_timeout: Millis,
-    /// Time between two ticks that shows that this process itself was paused.
+    /// Time between two ticks from which on this process counts as paused in between.
     pub pause_threshold: Millis,
-    /// Longest time that a call of a service may take.
+    /// Time after which a service call without a response ends as unknown.
     pub call_timeout: Millis,
-    /// How long a request that must not be repeated waits for word of a lost agent.
+    /// Time that a request which must not be repeated waits for its lost agent to return.
     pub void_timeout: Millis,
-    /// How long a request waits for a replacement of a lost stage.
+    /// Time that a request waits for a replacement of a lost stage.
     pub replacement_timeout: Millis,
-    /// Outcomes remembered.
+    /// Number of outcomes of ended requests to keep.
     pub max_outcomes: usize,
-    /// Budget for repeating work.
+    /// Retry budget.
     pub retry: RetryConfig,
-    /// Bounds of ejection.
+    /// Thresholds for the ejection of replicas.
     pub ejection: EjectionConfig,
-    /// Seed of all choices.
+    /// Seed of the random choices.
     pub seed: u64,
 }
 
 impl DispatchConfig {
-    /// Makes the usual bounds for an entry.
+    /// Creates a configuration with the default limits. The seed is the incarnation.
     pub fn new(process: &str, incarnation: u64, models: Vec<ModelConfig>) -> Self {
         Self {
             process: process.to_owned(),
@@ -70,7 +71,8 @@
         }
     }
 
-    /// Layers of a model, where it is known.
+    /// Returns the number of layers of a model, or `None` if it is not one of
+    /// [`models`](Self::models).
     pub fn layers(&self, model: &str) -> Option<u32> {
         self.models.iter().find(|config| config.name == model).map(|config| config.layers)
     }
--- a/crates/entry/src/dispatch/counts.rs
+++ b/crates/entry/src/dispatch/counts.rs
@@ -1,43 +1,44 @@
-//! What an entry counts.
+//! Counters of an entry.
 
 use serde::Serialize;
 use switchfold_core::assembly::AssemblyCounts;
 
 use super::submission::Outcome;
 
-/// Counters of an entry since its start.
+/// Counters since the start of an entry.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize)]
 pub struct DispatchCounts {
-    /// Requests taken from callers.
+    /// Requests submitted by callers.
     pub submitted: u64,
-    /// Requests sent to a first stage or a service, repeats included.
+    /// Requests sent to a first stage or a service, including retries.
     pub dispatched: u64,
-    /// Ended as `done`.
+    /// Requests that ended as `done`.
     pub done: u64,
-    /// Ended as `not-run`.
+    /// Requests that ended as `not-run`.
     pub not_run: u64,
-    /// Ended as `unknown`.
+    /// Requests that ended as `unknown`.
     pub unknown: u64,
-    /// Stages replaced under running requests.
+    /// Lost stages of running requests that were replaced.
     pub stages_replaced: u64,
-    /// Requests begun anew with their delivered tokens as a prefix.
+    /// Restarts of requests on a new path, with the delivered tokens as a prefix.
     pub restarts: u64,
-    /// Requests whose last steps were asked for again.
-    pub nudges: u64,
-    /// Refusals by agents, before anything ran there.
+    /// Times that the stages of a stalled request were asked to resend their last output.
+    #[serde(rename = "nudges")]
+    pub resend_requests: u64,
+    /// Refusals by agents before any part of the request ran there.
     pub refused_by_agents: u64,
-    /// Tokens that came twice.
+    /// Tokens received more than once.
     pub repeated_tokens: u64,
-    /// Tokens of attempts that were given up, or past the end.
+    /// Tokens of abandoned attempts or ended requests, or past the end of the completion.
     pub late_tokens: u64,
-    /// Agents taken for lost.
+    /// Agents lost: their link ended or they fell silent.
     pub replicas_lost: u64,
-    /// Replicas ejected as slow or failing.
+    /// Ejections of slow or failing replicas.
     pub ejections: u64,
 }
 
 impl DispatchCounts {
-    pub(super) fn note_outcome(&mut self, outcome: &Outcome) {
+    pub(super) fn record_outcome(&mut self, outcome: &Outcome) {
         match outcome {
             Outcome::Done => self.done += 1,
             Outcome::NotRun(_) => self.not_run += 1,
@@ -46,7 +47,7 @@
         }
     }
 
-    pub(super) fn note_assembly(&mut self, counts: AssemblyCounts) {
+    pub(super) fn record_assembly(&mut self, counts: AssemblyCounts) {
         self.repeated_tokens += counts.duplicates;
         self.late_tokens += counts.past_end;
     }
--- a/crates/entry/src/dispatch/history.rs
+++ b/crates/entry/src/dispatch/history.rs
@@ -1,4 +1,4 @@
-//! Outcomes that can be asked for later.
+//! Bounded history of request outcomes, for later queries.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -6,22 +6,23 @@
 
 use super::submission::Outcome;
 
-/// The last outcomes of an entry, oldest forgotten first.
+/// Outcomes of the most recent requests of an entry. The oldest one is evicted first.
 #[derive(Debug)]
 pub struct OutcomeHistory {
     capacity: usize,
     outcomes: HashMap<RequestId, Outcome>,
+    /// Order of eviction, oldest first.
     order: VecDeque<RequestId>,
 }
 
 impl OutcomeHistory {
-    /// Makes a record of at most `capacity` outcomes.
+    /// Creates an empty history of at most `capacity` outcomes.
     pub fn new(capacity: usize) -> Self {
         Self { capacity, outcomes: HashMap::new(), order: VecDeque::new() }
     }
 
-    /// Remembers an outcome; the first one for a request stands.
-    pub fn put(&mut self, id: RequestId, outcome: Outcome) {
+    /// Records the outcome of a request. Later calls for the same request have no effect.
+    pub fn insert(&mut self, id: RequestId, outcome: Outcome) {
         if self.outcomes.contains_key(&id) {
             return;
         }
@@ -34,7 +35,7 @@
         }
     }
 
-    /// Outcome of a request, where it is remembered.
+    /// Returns the outcome of a request, or `None` if there is no record of it.
     pub fn get(&self, id: RequestId) -> Option<Outcome> {
         self.outcomes.get(&id).copied()
     }
--- a/crates/entry/src/dispatch/loss.rs
+++ b/crates/entry/src/dispatch/loss.rs
@@ -1,27 +1,28 @@
-//! What the loss of an agent means for the requests that it ran.
+//! Handling of lost agents.
 //!
-//! An agent is lost when its link ends, or when it falls silent. A request that must not be repeated
-//! then waits a little for word of its first stage, which alone can say that nothing ever ran; others
-//! go on to [`recovery`](super::recovery), or back into their queue.
+//! An agent is lost if its link ends or it sends no message for too long. A request that must not
+//! be repeated then waits for the agent of its first stage to return, since only that agent can
+//! confirm that the request never ran. Other completions go on to [`recovery`](super::recovery),
+//! and other service calls return to their queue.
 
 use switchfold_core::{Millis, id::RequestId};
 use switchfold_proto::link::{self, message::Body};
 
 use super::{
     DispatchAction, DispatchState, ReplicaView,
-    request::{RequestPhase, SettlingRun},
+    request::{PendingVoid, RequestPhase},
     submission::{Outcome, UnknownReason},
 };
 
 impl DispatchState {
-    /// Notes that the link to an agent ended.
+    /// Handles the end of the link to an agent.
     pub fn on_link_lost(&mut self, now: Millis, process: &str) -> Vec<DispatchAction> {
-        let mut actions = self.replica_lost(now, process);
-        actions.extend(self.pump(now));
+        let mut actions = self.on_replica_lost(now, process);
+        actions.extend(self.schedule(now));
         actions
     }
 
-    /// Forgets a replica that is no longer on the list and not linked.
+    /// Removes a replica, unless its link is open. Called when its VM is no longer on the list.
     pub fn remove_replica(&mut self, process: &str) {
         if self.replicas.get(process).is_some_and(|view| !view.connected) {
             self.replicas.remove(process);
@@ -29,24 +30,26 @@
         }
     }
 
-    /// Takes agents that have gone silent for lost, though their links are open.
-    pub(super) fn find_silent(&mut self, now: Millis) -> Vec<DispatchAction> {
+    /// Handles agents as lost that have sent no message for too long, though their links are open.
+    pub(super) fn expire_agents(&mut self, now: Millis) -> Vec<DispatchAction> {
         let (busy, idle) = (self.config.agent_timeout, self.config.idle_agent_timeout);
-        let patience = |view: &ReplicaView| if view.in_flight > 0 { busy } else { idle };
+        let timeout = |view: &ReplicaView| if view.in_flight > 0 { busy } else { idle };
         let is_silent =
-            |view: &ReplicaView| view.connected && view.last_message_at + patience(view) < now;
+            |view: &ReplicaView| view.connected && view.last_message_at + timeout(view) < now;
         let silent = self.replicas.iter().filter(|(_, view)| is_silent(view));
         let silent: Vec<String> = silent.map(|(process, _)| process.clone()).collect();
         let mut actions = Vec::new();
         for process in silent {
-            // It may be paused: ending the link makes it release, once it wakes, what it had.
+            // The agent may only be paused. When it resumes, the closed link makes it release this
+            // entry's requests.
             actions.push(DispatchAction::ResetLink { process: process.clone() });
-            actions.extend(self.replica_lost(now, &process));
+            actions.extend(self.on_replica_lost(now, &process));
         }
         actions
     }
 
-    pub(super) fn replica_lost(&mut self, now: Millis, process: &str) -> Vec<DispatchAction> {
+    /// Marks a replica as disconnected and handles the loss for each request that it ran.
+    pub(super) fn on_replica_lost(&mut self, now: Millis, process: &str) -> Vec<DispatchAction> {
         let Some(view) = self.replicas.get_mut(process) else {
             return Vec::new();
         };
@@ -58,17 +61,18 @@
         let incarnation = view.incarnation;
         self.weights_stale = true;
         self.counts.replicas_lost += 1;
-        let hit = self.requests.iter();
-        let hit = hit.filter_map(|(id, request)| Some((*id, request.stage_of(process)?)));
-        let hit: Vec<(RequestId, usize)> = hit.collect();
+        let affected = self.requests.iter();
+        let affected = affected.filter_map(|(id, request)| Some((*id, request.stage_of(process)?)));
+        let affected: Vec<(RequestId, usize)> = affected.collect();
         let mut actions = Vec::new();
-        for (id, stage) in hit {
-            actions.extend(self.lose_stage_of(now, id, stage, process, incarnation));
+        for (id, stage) in affected {
+            actions.extend(self.handle_agent_loss(now, id, stage, process, incarnation));
         }
         actions
     }
 
-    fn lose_stage_of(
+    /// Handles the loss of the agent that ran a stage of a request.
+    fn handle_agent_loss(
         &mut self,
         now: Millis,
         id: RequestId,
@@ -81,25 +85,26 @@
         };
         let once = request.submission.once;
         if once && stage == 0 && request.assembly.delivered().is_empty() {
-            // Only the first stage starts a request: what it says settles it for all.
-            let until = now + self.config.void_timeout;
+            // The first stage starts the request: if it never ran there, it ran nowhere.
+            let deadline = now + self.config.void_timeout;
             let process = process.to_owned();
-            let settling = SettlingRun { process, incarnation, until, asked: false };
-            return self.begin_settling(id, settling);
+            let pending = PendingVoid { process, incarnation, deadline, sent: false };
+            return self.begin_void(id, pending);
         }
         if request.submission.is_call() {
-            return self.call_lost(now, id);
+            return self.retry_lost_call(now, id);
         }
-        self.lose_stage(now, id, stage, once)
+        self.mark_stage_lost(now, id, stage, once)
     }
 
-    fn begin_settling(&mut self, id: RequestId, settling: SettlingRun) -> Vec<DispatchAction> {
-        let lost = settling.process.clone();
+    /// Lets a request wait for its lost agent, and releases it at all other stages.
+    fn begin_void(&mut self, id: RequestId, pending: PendingVoid) -> Vec<DispatchAction> {
+        let lost = pending.process.clone();
         let Some(request) = self.requests.get_mut(&id) else {
             return Vec::new();
         };
         let attempt = request.attempt;
-        let phase = std::mem::replace(&mut request.phase, RequestPhase::Settling(settling));
+        let phase = std::mem::replace(&mut request.phase, RequestPhase::Voiding(pending));
         let RequestPhase::Running(run) = phase else {
             return Vec::new();
         };
@@ -115,22 +120,28 @@
         actions
     }
 
-    fn call_lost(&mut self, now: Millis, id: RequestId) -> Vec<DispatchAction> {
+    /// Queues a call again if the retry budget allows it. Otherwise the call ends as unknown.
+    fn retry_lost_call(&mut self, now: Millis, id: RequestId) -> Vec<DispatchAction> {
         if self.budget.try_spend() {
             return self.requeue(now, id);
         }
-        self.end(now, id, Outcome::Unknown(UnknownReason::RetryBudget), false)
+        self.finish(now, id, Outcome::Unknown(UnknownReason::RetryBudget), false)
     }
 
-    /// Asks an agent that is back, in the same run, whether it ever ran what was sent to it.
-    pub(super) fn ask_settling(&mut self, process: &str, incarnation: u64) -> Vec<DispatchAction> {
+    /// Sends the pending void requests for an agent that returned with the same incarnation. Its
+    /// answers say whether the requests ran.
+    pub(super) fn send_pending_voids(
+        &mut self,
+        process: &str,
+        incarnation: u64,
+    ) -> Vec<DispatchAction> {
         let mut actions = Vec::new();
         for (id, request) in &mut self.requests {
-            let RequestPhase::Settling(run) = &mut request.phase else {
+            let RequestPhase::Voiding(pending) = &mut request.phase else {
                 continue;
             };
-            if run.process == process && run.incarnation == incarnation && !run.asked {
-                run.asked = true;
+            if pending.process == process && pending.incarnation == incarnation && !pending.sent {
+                pending.sent = true;
                 let void = link::Void { request: Some((*id).into()) };
                 actions.push(DispatchAction::send(process, Body::Void(void)));
             }
@@ -138,7 +149,7 @@
         actions
     }
 
-    /// Puts a request that provably did not run back into its queue.
+    /// Puts a request back into its queue. It must either not have run or be safe to repeat.
     pub(super) fn requeue(&mut self, now: Millis, id: RequestId) -> Vec<DispatchAction> {
         let Some(request) = self.requests.get_mut(&id) else {
             return Vec::new();
@@ -155,6 +166,6 @@
                 }
             }
         }
-        self.pump(now)
+        self.schedule(now)
     }
 }
--- a/crates/entry/src/dispatch/progress.rs
+++ b/crates/entry/src/dispatch/messages.rs
@@ -1,4 +1,4 @@
-//! What tokens, answers, offers and refusals mean.
+//! Handling of messages from agents.
 
 use switchfold_core::{Millis, id::RequestId};
 use switchfold_proto::link::{self, RefusalReason, VoidOutcome, message::Body};
@@ -11,7 +11,7 @@
 };
 
 impl DispatchState {
-    /// Takes a message of an agent that is linked under the name `process`, at `address`.
+    /// Handles a message from the agent `process`, linked at `address`.
     pub fn on_message(
         &mut self,
         now: Millis,
@@ -41,13 +41,13 @@
         offer: &link::Offer,
     ) -> Vec<DispatchAction> {
         let mut actions = Vec::new();
-        let is_other_run =
+        let is_other_instance =
             |view: &ReplicaView| view.incarnation != offer.incarnation || view.address != address;
-        if self.replicas.get(process).is_some_and(is_other_run) {
-            actions = self.replica_lost(now, process);
+        if self.replicas.get(process).is_some_and(is_other_instance) {
+            actions = self.on_replica_lost(now, process);
             self.replicas.remove(process);
         }
-        let is_new = match self.replicas.get_mut(process) {
+        let is_changed = match self.replicas.get_mut(process) {
             Some(view) => {
                 let before = (view.connected, view.draining, view.role.clone(), view.step_micros);
                 view.apply_offer(offer, now);
@@ -58,17 +58,17 @@
                 view.map(|view| self.replicas.insert(process.to_owned(), view)).is_some()
             }
         };
-        self.weights_stale |= is_new;
+        self.weights_stale |= is_changed;
         if offer.draining {
-            // Links keep their order: nothing new follows this to the agent.
+            // Links preserve order, so no new request follows this acknowledgement.
             actions.push(DispatchAction::send(process, Body::DrainSeen(link::DrainSeen {})));
         }
-        actions.extend(self.ask_settling(process, offer.incarnation));
-        actions.extend(self.pump(now));
+        actions.extend(self.send_pending_voids(process, offer.incarnation));
+        actions.extend(self.schedule(now));
         actions
     }
 
-    /// A heartbeat of an agent that was taken for lost tells nothing: its link is being reset.
+    /// Applies a heartbeat. Those of lost agents are ignored, since their links are being reset.
     fn on_heartbeat(
         &mut self,
         now: Millis,
@@ -79,7 +79,7 @@
             return Vec::new();
         };
         view.apply_heartbeat(heartbeat);
-        self.pump(now)
+        self.schedule(now)
     }
 
     fn on_token(&mut self, now: Millis, process: &str, token: &link::Token) -> Vec<DispatchAction> {
@@ -102,25 +102,25 @@
         if token.last {
             request.assembly.set_total(token.index + 1);
         }
-        let is_whole = request.assembly.is_complete();
+        let is_complete = request.assembly.is_complete();
         let mut actions = Vec::new();
         if !tokens.is_empty() {
-            let gap = now.saturating_sub(request.last_progress);
+            let elapsed = now.saturating_sub(request.last_progress);
             let kind = match is_first {
                 true => ObservationKind::FirstToken(now.saturating_sub(request.submitted)),
-                false => ObservationKind::BetweenTokens(gap),
+                false => ObservationKind::BetweenTokens(elapsed),
             };
             actions.push(DispatchAction::Observe(Observation::new(&request.submission, kind)));
             request.last_progress = now;
             if let Some(run) = request.run_mut() {
-                run.nudges = 0;
+                run.resend_requests = 0;
             }
             actions.push(DispatchAction::notify(id, CallerEvent::Tokens(tokens)));
         }
-        if is_whole {
-            self.note_success(now, id);
-            actions.extend(self.end(now, id, Outcome::Done, false));
-            actions.extend(self.pump(now));
+        if is_complete {
+            self.record_success(now, id);
+            actions.extend(self.finish(now, id, Outcome::Done, false));
+            actions.extend(self.schedule(now));
         }
         actions
     }
@@ -141,15 +141,15 @@
         if !is_current {
             return Vec::new();
         }
-        self.note_success(now, id);
+        self.record_success(now, id);
         let event = CallerEvent::Response {
             status: answer.status,
             headers: answer.headers,
             body: answer.body,
         };
         let mut actions = vec![DispatchAction::notify(id, event)];
-        actions.extend(self.end(now, id, Outcome::Done, false));
-        actions.extend(self.pump(now));
+        actions.extend(self.finish(now, id, Outcome::Done, false));
+        actions.extend(self.schedule(now));
         actions
     }
 
@@ -174,29 +174,29 @@
         match refusal.reason() {
             RefusalReason::EndpointFailed if is_call => self.call_failed(now, id, process),
             RefusalReason::EndpointUnreached => {
-                self.note_failure(process);
+                self.record_failure(process);
                 self.call_unreached(now, id)
             }
             RefusalReason::EndpointFailed => {
-                self.note_failure(process);
-                self.lose_stage(now, id, stage, once)
+                self.record_failure(process);
+                self.mark_stage_lost(now, id, stage, once)
             }
             RefusalReason::NextStageLost => {
                 let run = request.run().and_then(|run| run.pipeline.as_ref());
                 let lost = run.and_then(|pipeline| pipeline.position(&refusal.about));
-                lost.map(|lost| self.lose_stage(now, id, lost, once)).unwrap_or_default()
+                lost.map(|lost| self.mark_stage_lost(now, id, lost, once)).unwrap_or_default()
             }
             RefusalReason::Gap => self.fill_gap(now, id, stage),
             RefusalReason::LogTruncated => self.restart(now, id),
             RefusalReason::AlreadyKnown if once => {
-                self.end(now, id, Outcome::Unknown(UnknownReason::StageLost), false)
+                self.finish(now, id, Outcome::Unknown(UnknownReason::StageLost), false)
             }
-            _ => self.refused_before_running(now, id, stage, process),
+            _ => self.handle_not_admitted(now, id, stage, process),
         }
     }
 
-    /// The agent did not let the request in: nothing ran there.
-    fn refused_before_running(
+    /// Handles a refusal to admit a request: no part of it ran at the agent.
+    fn handle_not_admitted(
         &mut self,
         now: Millis,
         id: RequestId,
@@ -205,37 +205,40 @@
     ) -> Vec<DispatchAction> {
         self.counts.refused_by_agents += 1;
         if let Some(view) = self.replicas.get_mut(process) {
-            // Its credits were out of date: nothing more until its next offer.
+            // The credits were outdated. Send nothing more before the agent's next report.
             view.credits = 0;
         }
         let is_first_attempt = self.requests.get(&id).is_some_and(|request| {
-            let fresh = request.run().is_some_and(|run| run.lineage == request.attempt);
-            stage == 0 && fresh && request.assembly.delivered().is_empty()
+            let is_first_of_sequence =
+                request.run().is_some_and(|run| run.lineage == request.attempt);
+            stage == 0 && is_first_of_sequence && request.assembly.delivered().is_empty()
         });
         if is_first_attempt {
             return self.requeue(now, id);
         }
-        self.lose_stage(now, id, stage, false)
+        self.mark_stage_lost(now, id, stage, false)
     }
 
-    /// A call's service could not be reached: it did not run, and may go elsewhere.
+    /// Handles a call whose service could not be reached: it did not run, so it may be sent to
+    /// another replica.
     fn call_unreached(&mut self, now: Millis, id: RequestId) -> Vec<DispatchAction> {
         if self.budget.try_spend() {
             return self.requeue(now, id);
         }
-        self.end_not_run(now, id, NotRunReason::ServiceUnreachable, self.config.stall_timeout)
+        self.finish_not_run(now, id, NotRunReason::ServiceUnreachable, self.config.stall_timeout)
     }
 
+    /// Handles a call that its service may have run without a complete response.
     fn call_failed(&mut self, now: Millis, id: RequestId, process: &str) -> Vec<DispatchAction> {
-        self.note_failure(process);
+        self.record_failure(process);
         let once = self.requests.get(&id).is_some_and(|request| request.submission.once);
         if once {
-            return self.end(now, id, Outcome::Unknown(UnknownReason::ServiceFailed), false);
+            return self.finish(now, id, Outcome::Unknown(UnknownReason::ServiceFailed), false);
         }
         if self.budget.try_spend() {
             return self.requeue(now, id);
         }
-        self.end(now, id, Outcome::Unknown(UnknownReason::RetryBudget), false)
+        self.finish(now, id, Outcome::Unknown(UnknownReason::RetryBudget), false)
     }
 
     fn on_void_answer(
@@ -247,26 +250,26 @@
         let Some(id) = answer.request.map(RequestId::from) else {
             return Vec::new();
         };
-        let is_asked = self.requests.get(&id).is_some_and(|request| {
-            matches!(&request.phase, RequestPhase::Settling(run) if run.process == process)
+        let is_pending = self.requests.get(&id).is_some_and(|request| {
+            matches!(&request.phase, RequestPhase::Voiding(pending) if pending.process == process)
         });
-        if !is_asked {
+        if !is_pending {
             return Vec::new();
         }
         match answer.outcome() {
-            // It is voided there; elsewhere it may still run.
+            // The agent will never run the request, so another replica may.
             VoidOutcome::NeverRan => self.requeue(now, id),
-            _ => self.end(now, id, Outcome::Unknown(UnknownReason::StageLost), false),
+            _ => self.finish(now, id, Outcome::Unknown(UnknownReason::StageLost), false),
         }
     }
 
-    fn note_failure(&mut self, process: &str) {
+    fn record_failure(&mut self, process: &str) {
         if let Some(view) = self.replicas.get_mut(process) {
             view.health.record_failure();
         }
     }
 
-    fn note_success(&mut self, now: Millis, id: RequestId) {
+    fn record_success(&mut self, now: Millis, id: RequestId) {
         let Some(run) = self.requests.get(&id).and_then(|request| request.run()) else {
             return;
         };
--- a/crates/entry/src/dispatch/mod.rs
+++ b/crates/entry/src/dispatch/mod.rs
@@ -1,28 +1,29 @@
-//! The entry's state machine for requests: what waits, what runs where, what is told to whom.
+//! State machine of an entry: queueing, dispatch and recovery of requests.
 //!
-//! Like the agent's gate it is a plain struct without I/O: messages, ticks and submissions in, actions
-//! out. Time comes in as [`Millis`], randomness from a seed. The modules split it by what they decide:
+//! [`DispatchState`] does no I/O, like the agent's gate: submissions, messages and ticks go in,
+//! [`DispatchAction`]s come out. The time is passed in as [`Millis`], and random choices come from
+//! a seeded generator, so tests can replay any sequence of events. Its modules:
 //!
-//! | module | decides |
+//! | module | contents |
 //! |---|---|
-//! | [`submission`] | what a request is, and what its caller is told |
-//! | [`replica`] | what is known of each replica, and whether it may be used |
-//! | `pump` | who goes next, over which path |
-//! | `progress` | what tokens, answers and refusals mean |
-//! | `loss` | what the loss of an agent means for its requests |
-//! | `recovery` | how a lost stage is replaced under a running request |
-//! | [`history`] | outcomes that can be asked for later |
+//! | [`submission`] | requests, their outcomes, and the events that callers receive |
+//! | [`replica`] | state of each replica, as its agent reports it |
+//! | `scheduling` | which request is dispatched next, and over which replicas |
+//! | `messages` | handling of messages from agents |
+//! | `loss` | handling of lost agents |
+//! | `recovery` | replacement of lost stages of running requests |
+//! | [`history`] | outcomes of finished requests |
 
 mod action;
 mod config;
 mod counts;
 pub mod history;
 mod loss;
-mod progress;
-mod pump;
+mod messages;
 mod recovery;
 pub mod replica;
 mod request;
+mod scheduling;
 pub mod submission;
 
 use std::collections::{BTreeMap, HashMap};
@@ -46,14 +47,16 @@
 use request::{RequestPhase, RequestRecord};
 use submission::{CallerEvent, NotRunReason, Outcome, Submission, UnknownReason};
 
-/// Requests for one model or service.
+/// Waiting requests for one model or service, and the rate at which they are dispatched.
 #[derive(Debug, Default)]
 struct TargetQueue {
     queue: AdmissionQueue,
     rate: ServiceRate,
 }
 
-/// All state of an entry that decides about requests.
+/// State of the requests and replicas of one entry.
+///
+/// Methods that may have effects return the [`DispatchAction`]s to carry out, in order.
 #[derive(Debug)]
 pub struct DispatchState {
     config: DispatchConfig,
@@ -61,32 +64,33 @@
     replicas: BTreeMap<String, ReplicaView>,
     targets: BTreeMap<String, TargetQueue>,
     requests: HashMap<RequestId, RequestRecord>,
-    record: OutcomeHistory,
+    history: OutcomeHistory,
     budget: RetryBudget,
     random: ChaCha8Rng,
     cursor: PathCursor,
+    /// Whether replicas joined, left or changed since the flow weights were computed.
     weights_stale: bool,
     last_tick: Option<Millis>,
     counts: DispatchCounts,
 }
 
-/// One row of what waits.
+/// Number of requests of one organisation in one queue.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct QueueDepth {
-    /// Model or service.
+    /// Name of the model or service.
     pub target: String,
-    /// Organisation.
+    /// Name of the organisation.
     pub organisation: String,
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub waiting: usize,
 }
 
 impl DispatchState {
-    /// Makes the state of an entry that has just started.
+    /// Creates the state of an entry without requests or replicas.
     pub fn new(config: DispatchConfig) -> Self {
         Self {
             issuer: IdIssuer::new(config.incarnation),
-            record: OutcomeHistory::new(config.max_outcomes),
+            history: OutcomeHistory::new(config.max_outcomes),
             budget: RetryBudget::new(config.retry),
             random: ChaCha8Rng::seed_from_u64(config.seed),
             config,
@@ -100,99 +104,107 @@
         }
     }
 
-    /// Issues an identifier.
+    /// Issues an identifier that this entry has not used before.
     pub fn issue_id(&mut self) -> RequestId {
         self.issuer.issue()
     }
 
-    /// What was counted so far.
+    /// Returns the counters since the start of the entry.
     pub fn counts(&self) -> &DispatchCounts {
         &self.counts
     }
 
-    /// Requests that are queued or running.
+    /// Returns the number of requests that are queued or running.
     pub fn in_flight(&self) -> usize {
         self.requests.len()
     }
 
-    /// Replicas that are known, by name of their process.
+    /// Returns the known replicas by process name, including those whose link is down.
     pub fn replicas(&self) -> &BTreeMap<String, ReplicaView> {
         &self.replicas
     }
 
-    /// What is known of the outcome of a request of this entry.
+    /// Returns the outcome of a request of this entry, or `None` if it is unknown or was evicted
+    /// from the history.
     pub fn outcome(&self, id: RequestId) -> Option<Outcome> {
         if self.requests.contains_key(&id) {
             return Some(Outcome::Running);
         }
-        self.record.get(id)
+        self.history.get(id)
     }
 
-    /// Remembers that a request was refused before it was submitted.
+    /// Records that a request was refused before it was submitted.
     pub fn record_not_run(&mut self, id: RequestId, reason: NotRunReason) {
         if !self.requests.contains_key(&id) {
-            self.record.put(id, Outcome::NotRun(reason));
+            self.history.insert(id, Outcome::NotRun(reason));
         }
     }
 
-    /// What waits, by model or service and organisation.
+    /// Returns the number of waiting requests by model or service and organisation.
     pub fn queue_depths(&self) -> Vec<QueueDepth> {
-        let mut rows = Vec::new();
-        for (target, state) in &self.targets {
-            for (organisation, waiting) in state.queue.by_organisation() {
+        let mut depths = Vec::new();
+        for (target, target_queue) in &self.targets {
+            for (organisation, waiting) in target_queue.queue.by_organisation() {
                 let organisation = organisation.to_string();
-                rows.push(QueueDepth { target: target.clone(), organisation, waiting });
+                depths.push(QueueDepth { target: target.clone(), organisation, waiting });
             }
         }
-        rows
+        depths
     }
 
-    /// Takes a request of a caller.
+    /// Queues a request and dispatches it if a path is free. A request whose deadline is before the
+    /// end of the estimated wait is refused at once.
     pub fn submit(&mut self, now: Millis, submission: Submission) -> Vec<DispatchAction> {
         self.counts.submitted += 1;
         let id = submission.id;
-        let target = self.targets.entry(submission.target.clone()).or_default();
-        target.rate.advance(now);
-        let ahead = target.queue.ahead_of(submission.priority);
-        let wait = if ahead == 0 { None } else { target.rate.estimated_wait(ahead) };
+        let target_queue = self.targets.entry(submission.target.clone()).or_default();
+        target_queue.rate.advance(now);
+        let ahead = target_queue.queue.ahead_of(submission.priority);
+        let wait = if ahead == 0 { None } else { target_queue.rate.estimated_wait(ahead) };
         if let Some(wait) = wait
             && now + wait > submission.deadline
         {
             let retry_after = now + wait - submission.deadline;
-            return self.refuse_new(&submission, NotRunReason::DeadlineUnreachable, retry_after);
+            return self.reject_submission(
+                &submission,
+                NotRunReason::DeadlineUnreachable,
+                retry_after,
+            );
         }
-        target.queue.push(submission.queue_entry(now));
+        target_queue.queue.push(submission.queue_entry(now));
         self.requests.insert(id, RequestRecord::new(submission, now));
-        self.pump(now)
+        self.schedule(now)
     }
 
-    /// Takes back a request whose caller has gone.
+    /// Cancels a request whose caller has disconnected. Its outcome is unknown if it was sent out.
     pub fn cancel(&mut self, now: Millis, id: RequestId) -> Vec<DispatchAction> {
         let Some(request) = self.requests.get(&id) else {
             return Vec::new();
         };
         match request.phase {
-            RequestPhase::Queued => self.end_not_run(now, id, NotRunReason::Cancelled, 0),
-            RequestPhase::Running(_) | RequestPhase::Settling(_) => {
-                self.end(now, id, Outcome::Unknown(UnknownReason::Cancelled), true)
+            RequestPhase::Queued => self.finish_not_run(now, id, NotRunReason::Cancelled, 0),
+            RequestPhase::Running(_) | RequestPhase::Voiding(_) => {
+                self.finish(now, id, Outcome::Unknown(UnknownReason::Cancelled), true)
             }
         }
     }
 
-    /// Does what time asks for: deadlines, silence, stalls. Call it every 50 milliseconds or so.
+    /// Handles all time-outs: deadlines, silent agents and stalled requests. Should be called about
+    /// every 50 ms.
     pub fn tick(&mut self, now: Millis) -> Vec<DispatchAction> {
-        self.forgive_own_pause(now);
-        let mut actions = self.expire(now);
-        actions.extend(self.find_silent(now));
-        self.judge_health(now);
+        self.discount_own_pause(now);
+        let mut actions = self.expire_queued(now);
+        actions.extend(self.expire_agents(now));
+        self.update_ejections(now);
         actions.extend(self.tick_requests(now));
-        actions.extend(self.pump(now));
-        actions.extend(self.demands());
+        actions.extend(self.schedule(now));
+        actions.extend(self.demand_updates());
         actions
     }
 
-    /// An entry that was paused itself heard nobody: that is not the agents' silence.
-    fn forgive_own_pause(&mut self, now: Millis) {
+    /// Extends the time-outs of agents and requests if this process was paused: messages that
+    /// arrived during the pause have not been handled yet, so agents only appear to be silent.
+    fn discount_own_pause(&mut self, now: Millis) {
         let last = self.last_tick.replace(now).unwrap_or(now);
         let paused = now.saturating_sub(last);
         if paused < self.config.pause_threshold {
@@ -206,24 +218,27 @@
         }
     }
 
-    fn expire(&mut self, now: Millis) -> Vec<DispatchAction> {
-        let mut late = Vec::new();
-        for state in self.targets.values_mut() {
-            state.rate.advance(now);
-            let wait = state.rate.estimated_wait(state.queue.len()).unwrap_or(0);
-            late.extend(state.queue.expire(now).into_iter().map(|entry| (entry.id, wait)));
+    /// Ends the queued requests whose deadline has passed.
+    fn expire_queued(&mut self, now: Millis) -> Vec<DispatchAction> {
+        let mut expired = Vec::new();
+        for target_queue in self.targets.values_mut() {
+            target_queue.rate.advance(now);
+            let wait = target_queue.rate.estimated_wait(target_queue.queue.len()).unwrap_or(0);
+            expired
+                .extend(target_queue.queue.expire(now).into_iter().map(|entry| (entry.id, wait)));
         }
-        let ends = late.into_iter();
-        ends.flat_map(|(id, wait)| self.end_not_run(now, id, NotRunReason::DeadlinePassed, wait))
+        let ended = expired.into_iter();
+        ended
+            .flat_map(|(id, wait)| self.finish_not_run(now, id, NotRunReason::DeadlinePassed, wait))
             .collect()
     }
 
-    /// Tells agents how much waits for them, where it changed.
-    fn demands(&mut self) -> Vec<DispatchAction> {
+    /// Sends each agent the number of requests that wait for its model or service, if it changed.
+    fn demand_updates(&mut self) -> Vec<DispatchAction> {
         let mut actions = Vec::new();
         for (process, replica) in &mut self.replicas {
-            let queue = self.targets.get(&replica.target);
-            let waiting = queue.map_or(0, |state| state.queue.len()) as u32;
+            let target_queue = self.targets.get(&replica.target);
+            let waiting = target_queue.map_or(0, |target_queue| target_queue.queue.len()) as u32;
             if replica.connected && replica.last_demand != waiting {
                 replica.last_demand = waiting;
                 actions.push(DispatchAction::send(process, Body::Demand(link::Demand { waiting })));
@@ -232,7 +247,8 @@
         actions
     }
 
-    fn refuse_new(
+    /// Ends a request as not run before it is queued.
+    fn reject_submission(
         &mut self,
         submission: &Submission,
         reason: NotRunReason,
@@ -240,14 +256,15 @@
     ) -> Vec<DispatchAction> {
         let id = submission.id;
         let outcome = Outcome::NotRun(reason);
-        self.counts.note_outcome(&outcome);
-        self.record.put(id, outcome);
-        let observed = Observation::ended(submission, outcome, 0);
+        self.counts.record_outcome(&outcome);
+        self.history.insert(id, outcome);
+        let observation = Observation::ended(submission, outcome, 0);
         let event = CallerEvent::NotRun { reason, retry_after };
-        vec![DispatchAction::notify(id, event), DispatchAction::Observe(observed)]
+        vec![DispatchAction::notify(id, event), DispatchAction::Observe(observation)]
     }
 
-    fn end_not_run(
+    /// Ends a request as not run. `retry_after` is in milliseconds.
+    fn finish_not_run(
         &mut self,
         now: Millis,
         id: RequestId,
@@ -257,11 +274,11 @@
         if let Some(request) = self.requests.get_mut(&id) {
             request.retry_after = retry_after;
         }
-        self.end(now, id, Outcome::NotRun(reason), false)
+        self.finish(now, id, Outcome::NotRun(reason), false)
     }
 
-    /// Ends a request: tells the caller, frees the stages, remembers the outcome.
-    fn end(
+    /// Ends a request: notifies the caller, releases the stages and records the outcome.
+    fn finish(
         &mut self,
         now: Millis,
         id: RequestId,
@@ -271,13 +288,13 @@
         let Some(request) = self.requests.remove(&id) else {
             return Vec::new();
         };
-        if let Some(target) = self.targets.get_mut(&request.submission.target) {
-            target.queue.remove(id);
+        if let Some(target_queue) = self.targets.get_mut(&request.submission.target) {
+            target_queue.queue.remove(id);
         }
-        let mut actions = self.free_stages(id, &request, cancelled);
-        self.counts.note_outcome(&outcome);
-        self.counts.note_assembly(request.assembly.counts());
-        self.record.put(id, outcome);
+        let mut actions = self.release_stages(id, &request, cancelled);
+        self.counts.record_outcome(&outcome);
+        self.counts.record_assembly(request.assembly.counts());
+        self.history.insert(id, outcome);
         if outcome == Outcome::Done {
             self.budget.record_success();
         }
@@ -293,13 +310,13 @@
         };
         actions.extend(event.map(|event| DispatchAction::notify(id, event)));
         let total = now.saturating_sub(request.submitted);
-        let observed = Observation::ended(&request.submission, outcome, total);
-        actions.push(DispatchAction::Observe(observed));
+        let observation = Observation::ended(&request.submission, outcome, total);
+        actions.push(DispatchAction::Observe(observation));
         actions
     }
 
-    /// Gives back the credits of a request and tells its stages that it is over.
-    fn free_stages(
+    /// Returns the credits of a request and releases it at its stages.
+    fn release_stages(
         &mut self,
         id: RequestId,
         request: &RequestRecord,
--- a/crates/entry/src/dispatch/recovery.rs
+++ b/crates/entry/src/dispatch/recovery.rs
@@ -1,12 +1,14 @@
-//! What happens to a request whose stage is lost.
+//! Recovery of requests that lost a stage or make no progress.
 //!
-//! - A request that may be repeated gets a replacement for just that stage: the stage before it plays
-//!   its log, the others run nothing twice. For the first stage the entry itself holds the log: the
-//!   prompt and the delivered tokens.
-//! - Where no replica holds the same layers, or the log was cut, it begins anew on a fresh path with
-//!   the delivered tokens as a prefix, at the cost of one retry.
-//! - A request that must not be repeated ends as unknown, unless its agent comes back and says that
-//!   it never ran it.
+//! - If a request may be repeated, only the lost stage is replaced: the stage before it replays its
+//!   log to the replacement, and the others compute nothing twice. For the first stage the entry
+//!   replays the prompt and the delivered tokens.
+//! - If no replica holds the same layers, or the log was truncated, the request restarts on a new
+//!   path with the delivered tokens as a prefix. This costs one retry from the budget.
+//! - A request that must not be repeated ends as unknown, unless the agent of its first stage
+//!   returns and reports that it never ran the request (see [`loss`](super::loss)).
+//! - If a completion makes no progress, its stages are asked to resend their last output, since a
+//!   message may have been lost.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -24,12 +26,14 @@
     submission::{Outcome, UnknownReason},
 };
 
-/// Times that the last steps of a stalled request are asked for again.
-const MOST_NUDGES: u32 = 3;
+/// Number of times that the stages of a stalled request are asked to resend their last output
+/// before the request ends as unknown.
+const MAX_RESEND_REQUESTS: u32 = 3;
 
 impl DispatchState {
-    /// Marks a stage as lost and tries to replace it at once.
-    pub(super) fn lose_stage(
+    /// Marks a stage of a request as lost and tries to replace it at once. A request with `once`
+    /// set ends as unknown instead.
+    pub(super) fn mark_stage_lost(
         &mut self,
         now: Millis,
         id: RequestId,
@@ -37,7 +41,7 @@
         once: bool,
     ) -> Vec<DispatchAction> {
         if once {
-            return self.end(now, id, Outcome::Unknown(UnknownReason::StageLost), true);
+            return self.finish(now, id, Outcome::Unknown(UnknownReason::StageLost), true);
         }
         let Some(request) = self.requests.get_mut(&id) else {
             return Vec::new();
@@ -65,43 +69,46 @@
         actions
     }
 
-    /// Tries again to replace what is missing.
-    pub(super) fn repair_missing(&mut self, now: Millis) -> Vec<DispatchAction> {
-        let lacking = self.requests.iter();
-        let lacking =
-            lacking.filter(|(_, request)| request.run().is_some_and(|run| !run.missing.is_empty()));
-        let mut ids: Vec<RequestId> = lacking.map(|(id, _)| *id).collect();
+    /// Tries again to replace the missing stages of all requests.
+    pub(super) fn retry_replacements(&mut self, now: Millis) -> Vec<DispatchAction> {
+        let incomplete = self.requests.iter();
+        let incomplete = incomplete
+            .filter(|(_, request)| request.run().is_some_and(|run| !run.missing.is_empty()));
+        let mut ids: Vec<RequestId> = incomplete.map(|(id, _)| *id).collect();
         ids.sort_unstable();
         ids.into_iter().flat_map(|id| self.replace_missing(now, id)).collect()
     }
 
-    /// Replaces all missing stages together, or none.
+    /// Replaces all missing stages of a request, or none of them.
     fn replace_missing(&mut self, now: Millis, id: RequestId) -> Vec<DispatchAction> {
-        let Some((target, run)) = self.running(id) else {
+        let Some((target, run)) = self.target_and_run(id) else {
             return Vec::new();
         };
         let Some(pipeline) = run.pipeline.clone() else {
             return Vec::new();
         };
-        let mut not = run.processes.clone();
+        let mut excluded = run.processes.clone();
         let mut replacements = BTreeMap::new();
         for stage in &run.missing {
-            let place = &pipeline.stages()[*stage];
-            let Some(process) = self.choose_replacement(now, &target, place, &not) else {
-                return self.restart_if_hopeless(now, id, place);
+            let route_stage = &pipeline.stages()[*stage];
+            let Some(process) = self.choose_replacement(now, &target, route_stage, &excluded)
+            else {
+                return self.restart_unless_replaceable(now, id, route_stage);
             };
-            not.push(process.clone());
+            excluded.push(process.clone());
             replacements.insert(*stage, process);
         }
-        self.put_replacements(now, id, replacements)
+        self.apply_replacements(now, id, replacements)
     }
 
-    fn running(&self, id: RequestId) -> Option<(String, super::request::RequestRun)> {
+    /// Returns the target and the stages of a running request.
+    fn target_and_run(&self, id: RequestId) -> Option<(String, super::request::RequestRun)> {
         let request = self.requests.get(&id)?;
         Some((request.submission.target.clone(), request.run()?.clone()))
     }
 
-    fn put_replacements(
+    /// Begins a new attempt in which `replacements`, by stage index, take over the missing stages.
+    fn apply_replacements(
         &mut self,
         now: Millis,
         id: RequestId,
@@ -124,24 +131,25 @@
             };
             view.use_credit(now);
             let layers = pipeline.stages()[*stage].layers;
-            let place = RouteStage {
+            let route_stage = RouteStage {
                 address: view.address.clone(),
                 process: process.clone(),
                 layers,
                 joined_attempt: attempt,
             };
-            // It was chosen for having these layers.
-            let _fits = pipeline.replace(*stage, place);
+            // The replacement was chosen to hold these layers, so this cannot fail.
+            let _same_layers = pipeline.replace(*stage, route_stage);
             run.processes[*stage].clone_from(process);
         }
         run.missing.clear();
         self.counts.stages_replaced += replacements.len() as u64;
         let fresh = replacements.into_keys().collect();
-        self.send_attempt(id, &fresh)
+        self.send_reroutes(id, &fresh)
     }
 
-    /// Tells all stages of the present attempt; a replaced first stage gets a start instead.
-    fn send_attempt(&self, id: RequestId, fresh: &BTreeSet<usize>) -> Vec<DispatchAction> {
+    /// Sends the route of the current attempt to all stages but the `fresh` ones, last stage first.
+    /// Fresh stages receive the route with their first step; a fresh first stage is sent a start.
+    fn send_reroutes(&self, id: RequestId, fresh: &BTreeSet<usize>) -> Vec<DispatchAction> {
         let Some(request) = self.requests.get(&id) else {
             return Vec::new();
         };
@@ -165,7 +173,8 @@
         actions
     }
 
-    /// A stage lacks positions: the one before it plays its whole log to it again.
+    /// Begins a new attempt in which the stage before `stage` replays its whole log, since `stage`
+    /// misses positions.
     pub(super) fn fill_gap(
         &mut self,
         now: Millis,
@@ -182,52 +191,56 @@
             return Vec::new();
         };
         if let Some(pipeline) = &mut run.pipeline {
-            let mut place = pipeline.stages()[stage].clone();
-            place.joined_attempt = attempt;
-            // The place is the stage's own, so it fits.
-            let _fits = pipeline.replace(stage, place);
+            let mut route_stage = pipeline.stages()[stage].clone();
+            route_stage.joined_attempt = attempt;
+            // The stage keeps its layers, so this cannot fail.
+            let _same_layers = pipeline.replace(stage, route_stage);
         }
         let fresh = if stage == 0 { BTreeSet::from([0]) } else { BTreeSet::new() };
-        self.send_attempt(id, &fresh)
+        self.send_reroutes(id, &fresh)
     }
 
-    /// Asks for the last steps again, all the way round; nothing runs twice.
-    fn nudge(&mut self, now: Millis, id: RequestId) -> Vec<DispatchAction> {
+    /// Begins a new attempt in which each stage resends its last output along the whole route. The
+    /// stages' step gates ensure that nothing runs twice.
+    fn request_resend(&mut self, now: Millis, id: RequestId) -> Vec<DispatchAction> {
         let Some(request) = self.requests.get_mut(&id) else {
             return Vec::new();
         };
         request.attempt += 1;
         request.last_progress = now;
         if let Some(run) = request.run_mut() {
-            run.nudges += 1;
+            run.resend_requests += 1;
         }
-        self.counts.nudges += 1;
-        self.send_attempt(id, &BTreeSet::from([0]))
+        self.counts.resend_requests += 1;
+        self.send_reroutes(id, &BTreeSet::from([0]))
     }
 
-    fn restart_if_hopeless(
+    /// Restarts a request unless some replica could replace `route_stage` later.
+    fn restart_unless_replaceable(
         &mut self,
         now: Millis,
         id: RequestId,
-        place: &RouteStage,
+        route_stage: &RouteStage,
     ) -> Vec<DispatchAction> {
-        let holds = |view: &&ReplicaView| {
-            view.connected && !view.draining && view.layers() == Some(place.layers)
+        let can_replace = |view: &&ReplicaView| {
+            view.connected && !view.draining && view.layers() == Some(route_stage.layers)
         };
-        if self.replicas.values().any(|view| holds(&view)) {
-            // One is there, and busy: its credits come with its next offer.
+        if self.replicas.values().any(|view| can_replace(&view)) {
+            // All such replicas are busy. Their next reports may grant slots.
             return Vec::new();
         }
         self.restart(now, id)
     }
 
-    /// Begins anew with the delivered tokens as a prefix, where the budget allows it.
+    /// Restarts a request on a new path, with the delivered tokens as a prefix. Ends it as unknown
+    /// if it must not be repeated or the retry budget is used up. Does nothing while no path is
+    /// free.
     pub(super) fn restart(&mut self, now: Millis, id: RequestId) -> Vec<DispatchAction> {
         let Some(request) = self.requests.get(&id) else {
             return Vec::new();
         };
         if request.submission.once {
-            return self.end(now, id, Outcome::Unknown(UnknownReason::StageLost), true);
+            return self.finish(now, id, Outcome::Unknown(UnknownReason::StageLost), true);
         }
         let target = request.submission.target.clone();
         let Some(layers) = self.config.layers(&target) else {
@@ -237,13 +250,13 @@
             return Vec::new();
         }
         if !self.budget.try_spend() {
-            return self.end(now, id, Outcome::Unknown(UnknownReason::RetryBudget), true);
+            return self.finish(now, id, Outcome::Unknown(UnknownReason::RetryBudget), true);
         }
         let mut actions = match self.requests.remove(&id) {
             Some(request) => {
-                let freed = self.free_stages(id, &request, true);
+                let released = self.release_stages(id, &request, true);
                 self.requests.insert(id, request);
-                freed
+                released
             }
             None => Vec::new(),
         };
@@ -251,7 +264,7 @@
         actions
     }
 
-    /// Looks after requests that make no progress.
+    /// Checks the time-outs of all requests that were sent out.
     pub(super) fn tick_requests(&mut self, now: Millis) -> Vec<DispatchAction> {
         let mut ids: Vec<RequestId> = self.requests.keys().copied().collect();
         ids.sort_unstable();
@@ -266,28 +279,34 @@
         let is_stalled = request.last_progress + self.config.stall_timeout < now;
         let is_overdue = is_call && request.last_progress + self.config.call_timeout < now;
         match &request.phase {
-            RequestPhase::Settling(run) if run.until < now => {
-                self.end(now, id, Outcome::Unknown(UnknownReason::StageLost), false)
+            RequestPhase::Voiding(pending) if pending.deadline < now => {
+                self.finish(now, id, Outcome::Unknown(UnknownReason::StageLost), false)
             }
             RequestPhase::Running(run) if !run.missing.is_empty() => {
                 if run.missing_since + self.config.replacement_timeout < now {
-                    return self.end(now, id, Outcome::Unknown(UnknownReason::NoReplacement), true);
+                    return self.finish(
+                        now,
+                        id,
+                        Outcome::Unknown(UnknownReason::NoReplacement),
+                        true,
+                    );
                 }
                 Vec::new()
             }
             RequestPhase::Running(_) if is_overdue => {
-                self.end(now, id, Outcome::Unknown(UnknownReason::Stalled), true)
+                self.finish(now, id, Outcome::Unknown(UnknownReason::Stalled), true)
             }
-            RequestPhase::Running(run) if is_stalled && !is_call => match run.nudges {
-                0..MOST_NUDGES => self.nudge(now, id),
-                _ => self.end(now, id, Outcome::Unknown(UnknownReason::Stalled), true),
+            RequestPhase::Running(run) if is_stalled && !is_call => match run.resend_requests {
+                0..MAX_RESEND_REQUESTS => self.request_resend(now, id),
+                _ => self.finish(now, id, Outcome::Unknown(UnknownReason::Stalled), true),
             },
             _ => Vec::new(),
         }
     }
 
-    /// Ejects replicas that stand out among their like.
-    pub(super) fn judge_health(&mut self, now: Millis) {
+    /// Ejects the replicas that are outliers among the replicas with the same target and first
+    /// layer.
+    pub(super) fn update_ejections(&mut self, now: Millis) {
         let mut groups: BTreeMap<(String, Option<u32>), Vec<&mut ReplicaHealth>> = BTreeMap::new();
         for view in self.replicas.values_mut().filter(|view| view.connected) {
             let group = (view.target.clone(), view.layers().map(|layers| layers.first()));
--- a/crates/entry/src/dispatch/replica.rs
+++ b/crates/entry/src/dispatch/replica.rs
@@ -1,9 +1,9 @@
-//! What an entry knows of each replica.
+//! State of a replica, as an entry knows it.
 
 use switchfold_core::{Millis, ejection::ReplicaHealth, route::LayerRange};
 use switchfold_proto::link;
 
-/// What a replica serves.
+/// Work that a replica runs.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ReplicaRole {
     /// Layers of a model.
@@ -12,55 +12,57 @@
     Service,
 }
 
-/// One replica, as its agent last described it.
+/// A replica, as its agent last reported it.
 #[derive(Clone, Debug)]
 pub struct ReplicaView {
     /// Address of its agent.
     pub address: String,
-    /// Data centre.
+    /// Data centre of its VM.
     pub data_centre: String,
-    /// Run of the agent.
+    /// Incarnation of its agent.
     pub incarnation: u64,
-    /// Model or service.
+    /// Name of the model or service.
     pub target: String,
-    /// What it serves of it.
+    /// Part of the model that it holds, or that it is a service.
     pub role: ReplicaRole,
-    /// Requests that it takes at once, of all entries.
+    /// Maximum number of concurrent requests of all entries.
     pub slots: u32,
-    /// Requests that it takes at once of this entry.
+    /// Maximum number of concurrent requests of this entry, as last granted.
     pub credits: u32,
-    /// Slots that replacements of lost stages may take, as last reported.
+    /// Free slots for replacements of lost stages, as last reported.
     pub spare: u32,
-    /// Requests that it runs, of all entries, as last reported.
+    /// Requests of all entries in flight there, as last reported.
     pub running: u32,
-    /// Requests of this entry that it runs.
+    /// Requests of this entry in flight there.
     pub in_flight: u32,
-    /// Requests sent to it since its last offer.
+    /// Requests that this entry sent there since the last offer or heartbeat.
     pub sent_since_report: u32,
-    /// Microseconds of a full batch.
+    /// Duration of a step with a full batch, in microseconds.
     pub step_micros: u32,
-    /// Sequences of a full batch.
+    /// Number of sequences in a full batch.
     pub max_batch: u32,
-    /// Takes no new request.
+    /// Whether it accepts no new requests.
     pub draining: bool,
     /// Version of the plan that its engine follows.
     pub plan_version: u64,
     /// Kind of accelerator.
     pub accelerator: String,
-    /// Its link is open and it speaks.
+    /// Whether its link is open and its agent has not timed out.
     pub connected: bool,
-    /// When it last spoke.
+    /// Time of the last message from its agent, or of the first request sent to it while idle, if
+    /// that is later.
     pub last_message_at: Millis,
-    /// Share of the maximum flow.
+    /// Weight for the choice of replicas: its flow in tokens per thousand seconds if it holds
+    /// layers, its slots if it is a service.
     pub weight: f64,
-    /// How it does against its like.
+    /// Observations for outlier detection.
     pub health: ReplicaHealth,
-    /// What it was last told about waiting requests.
+    /// Number of waiting requests that was last sent to its agent.
     pub last_demand: u32,
 }
 
 impl ReplicaView {
-    /// Makes the view of a replica from its first offer; nothing where the offer is malformed.
+    /// Creates the view of a replica from its first offer. Returns `None` if the offer is malformed.
     pub fn new(address: &str, offer: &link::Offer, now: Millis) -> Option<Self> {
         let mut view = Self {
             address: address.to_owned(),
@@ -88,7 +90,8 @@
         view.apply_offer(offer, now).then_some(view)
     }
 
-    /// Takes a later offer of the same run. Returns whether it was well-formed.
+    /// Applies an offer of the same incarnation. Returns false and changes nothing if the offer is
+    /// malformed.
     pub fn apply_offer(&mut self, offer: &link::Offer, now: Millis) -> bool {
         if offer.service.is_empty() {
             let Ok(layers) = LayerRange::new(offer.first_layer, offer.end_layer) else {
@@ -115,7 +118,7 @@
         true
     }
 
-    /// Takes what changes while the endpoint stays what it is.
+    /// Applies the load and the credits of a heartbeat or offer.
     pub fn apply_heartbeat(&mut self, heartbeat: link::Heartbeat) {
         self.credits = heartbeat.credits;
         self.running = heartbeat.running;
@@ -123,7 +126,7 @@
         self.sent_since_report = 0;
     }
 
-    /// Layers that it holds, where it holds any.
+    /// Returns the layers that the replica holds, or `None` if it is a service.
     pub fn layers(&self) -> Option<LayerRange> {
         match self.role {
             ReplicaRole::Layers(layers) => Some(layers),
@@ -131,38 +134,41 @@
         }
     }
 
-    /// Further requests that this entry may send.
+    /// Returns how many more requests this entry may send.
     pub fn free_credits(&self) -> u32 {
         self.credits.saturating_sub(self.in_flight)
     }
 
-    /// Tells whether new requests may go to it, its health aside.
+    /// Returns whether a new request may be sent to the replica. Ejection is not considered.
     pub fn can_accept(&self) -> bool {
         self.is_available() && self.free_credits() > 0
     }
 
-    /// Tells whether it is there and does not drain.
+    /// Returns whether the replica is connected and not draining.
     pub fn is_available(&self) -> bool {
         self.connected && !self.draining
     }
 
-    /// Further replacements of lost stages that this entry may send.
+    /// Returns how many more replacements of lost stages this entry may send.
     pub fn free_replacement_slots(&self) -> u32 {
         self.spare.saturating_sub(self.sent_since_report)
     }
 
-    /// Requests there: as reported, plus those sent since.
+    /// Returns the requests in flight there: as last reported, plus those sent since.
     pub fn outstanding(&self) -> u32 {
         self.running + self.sent_since_report
     }
 
-    /// Tokens a thousand seconds at full batches.
+    /// Returns the throughput with full batches, in tokens per thousand seconds.
     pub fn milli_rate(&self) -> u64 {
         let batch = u64::from(self.max_batch.max(1));
         batch * 1_000_000_000 / u64::from(self.step_micros.max(1))
     }
 
-    /// Takes one credit. An idle agent speaks seldom: its silence counts from its first request on.
+    /// Takes one credit for a request.
+    ///
+    /// If the agent was idle, its time-out starts now: idle agents send heartbeats less often, so
+    /// its last message may be older than the time-out for busy agents.
     pub fn use_credit(&mut self, now: Millis) {
         if self.in_flight == 0 {
             self.last_message_at = self.last_message_at.max(now);
@@ -171,7 +177,7 @@
         self.sent_since_report += 1;
     }
 
-    /// Gives one credit back.
+    /// Returns the credit of a request.
     pub fn return_credit(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
--- a/crates/entry/src/dispatch/request.rs
+++ b/crates/entry/src/dispatch/request.rs
@@ -1,4 +1,4 @@
-//! One request at its entry.
+//! State of one request at its entry.
 
 use std::collections::BTreeSet;
 
@@ -10,54 +10,62 @@
     submission::{Submission, Work},
 };
 
-/// A request that is not over.
+/// A request that has not ended.
 #[derive(Debug)]
 pub(super) struct RequestRecord {
     pub(super) submission: Submission,
     pub(super) submitted: Millis,
     pub(super) phase: RequestPhase,
     pub(super) assembly: CompletionAssembly,
-    /// Last attempt that was sent out; attempts of one request only grow.
+    /// Last attempt that was sent out; 0 before the first one. It never decreases.
     pub(super) attempt: u32,
+    /// Time of the last dispatch, delivery or recovery step.
     pub(super) last_progress: Millis,
+    /// Time after which the caller may retry if the request ends as not run.
     pub(super) retry_after: Millis,
 }
 
-/// Where a request stands.
+/// Phase of a request.
 #[derive(Debug)]
 pub(super) enum RequestPhase {
-    /// It never left the entry, or provably never ran.
+    /// The request waits in the queue: it was not sent out yet, or certainly did not run.
     Queued,
-    /// It was sent out.
+    /// The request was sent out.
     Running(RequestRun),
-    /// It must not be repeated, and its agent is out of sight: it waits for word whether it ran.
-    Settling(SettlingRun),
+    /// The request must not be repeated and the agent of its first stage is lost. The entry waits
+    /// for the agent to return and say whether the request ran.
+    Voiding(PendingVoid),
 }
 
-/// A request that was sent out.
+/// Stages that run a request.
 #[derive(Clone, Debug)]
 pub(super) struct RequestRun {
-    /// Stages of a pipeline; nothing for a call.
+    /// Route through the stages of a model; `None` for a service call.
     pub(super) pipeline: Option<PipelineRoute>,
-    /// Processes of the stages, in order; one for a call.
+    /// Process names of the agents, by stage; a single one for a service call.
     pub(super) processes: Vec<String>,
-    /// Stages that are lost and not yet replaced.
+    /// Indices of the stages that are lost and not yet replaced.
     pub(super) missing: BTreeSet<usize>,
-    /// Since when a stage is missing.
+    /// Time since which at least one stage is missing.
     pub(super) missing_since: Millis,
-    /// First attempt of the present sequence of tokens.
+    /// First attempt that belongs to the current sequence of tokens. Attempts that only replaced
+    /// stages continue the sequence; a restart begins a new one.
     pub(super) lineage: u32,
-    /// Times that the last steps were asked for again without progress.
-    pub(super) nudges: u32,
+    /// Number of times the stages were asked to resend their last output since the last progress.
+    pub(super) resend_requests: u32,
 }
 
-/// A request that waits for word of a lost agent.
+/// Void request to a lost agent, sent once the agent returns.
 #[derive(Clone, Debug)]
-pub(super) struct SettlingRun {
+pub(super) struct PendingVoid {
+    /// Process name of the lost agent.
     pub(super) process: String,
+    /// Incarnation of the lost agent; a later one knows nothing of the request.
     pub(super) incarnation: u64,
-    pub(super) until: Millis,
-    pub(super) asked: bool,
+    /// Time at which the request ends as unknown.
+    pub(super) deadline: Millis,
+    /// Whether the void request was sent.
+    pub(super) sent: bool,
 }
 
 impl RequestRecord {
@@ -91,14 +99,15 @@
         }
     }
 
-    /// Stage that a process runs for this request, where it is in use.
+    /// Returns the index of the stage that `process` runs for this request, or `None` if it runs
+    /// none or that stage is lost.
     pub(super) fn stage_of(&self, process: &str) -> Option<usize> {
         let run = self.run()?;
         let stage = run.processes.iter().position(|name| name == process)?;
         (!run.missing.contains(&stage)).then_some(stage)
     }
 
-    /// The route as a message.
+    /// Returns the current route, or `None` if no pipeline runs the request.
     pub(super) fn route(&self, config: &DispatchConfig) -> Option<link::Route> {
         let pipeline = self.run()?.pipeline.as_ref()?;
         let Work::Completion { prompt, max_tokens } = &self.submission.work else {
@@ -117,7 +126,8 @@
         })
     }
 
-    /// The start of the present attempt: the prompt and all tokens delivered so far.
+    /// Returns the message that starts the current attempt at the first stage, with the prompt and
+    /// all tokens delivered so far; `None` for a service call.
     pub(super) fn start(&self, config: &DispatchConfig) -> Option<link::Start> {
         let Work::Completion { prompt, .. } = &self.submission.work else {
             return None;
--- a/crates/entry/src/dispatch/pump.rs
+++ b/crates/entry/src/dispatch/scheduling.rs
@@ -1,4 +1,4 @@
-//! Who goes next, over which path.
+//! Scheduling: which request is dispatched next, and over which replicas.
 
 use std::collections::BTreeSet;
 
@@ -18,37 +18,40 @@
     submission::Work,
 };
 
-/// A path: one process for each stage.
+/// Replicas preferred for a request.
 struct ChosenPath {
+    /// Process names of the agents, by stage; a single one for a service call.
     processes: Vec<String>,
+    /// Route through the stages of a model; `None` for a service call.
     pipeline: Option<PipelineRoute>,
 }
 
 impl DispatchState {
-    /// Sends out what can go: first the requests that lack a stage, then the queues.
-    pub(super) fn pump(&mut self, now: Millis) -> Vec<DispatchAction> {
+    /// Dispatches as much as there are credits for: first replacements of lost stages, then queued
+    /// requests.
+    pub(super) fn schedule(&mut self, now: Millis) -> Vec<DispatchAction> {
         self.refresh_weights();
-        let mut actions = self.repair_missing(now);
+        let mut actions = self.retry_replacements(now);
         let targets: Vec<String> = self.targets.keys().cloned().collect();
         for target in targets {
-            actions.extend(self.pump_target(now, &target));
+            actions.extend(self.schedule_target(now, &target));
         }
         actions
     }
 
-    fn pump_target(&mut self, now: Millis, target: &str) -> Vec<DispatchAction> {
+    fn schedule_target(&mut self, now: Millis, target: &str) -> Vec<DispatchAction> {
         let mut actions = Vec::new();
-        while self.targets.get(target).is_some_and(|state| !state.queue.is_empty()) {
+        while self.targets.get(target).is_some_and(|target_queue| !target_queue.queue.is_empty()) {
             let Some(path) = self.choose_path(now, target) else {
                 break;
             };
-            let Some(state) = self.targets.get_mut(target) else {
+            let Some(target_queue) = self.targets.get_mut(target) else {
                 break;
             };
-            let Some(entry) = state.queue.pop() else {
+            let Some(entry) = target_queue.queue.pop() else {
                 break;
             };
-            state.rate.record(now, 1);
+            target_queue.rate.record(now, 1);
             actions.extend(self.dispatch(now, entry.id, path));
         }
         actions
@@ -59,13 +62,14 @@
             Some(layers) => self.choose_pipeline(now, target, layers, 1),
             None => {
                 let role = |view: &ReplicaView| view.role == ReplicaRole::Service;
-                let process = self.choose_among(now, target, role)?;
+                let process = self.choose_for_start(now, target, role)?;
                 Some(ChosenPath { processes: vec![process], pipeline: None })
             }
         }
     }
 
-    /// Chooses a replica for each stage, from the first layer to the last.
+    /// Chooses a replica for each stage, from the first layer to the last. `joined` is the attempt
+    /// that the stages join in.
     fn choose_pipeline(
         &mut self,
         now: Millis,
@@ -73,90 +77,97 @@
         layers: u32,
         joined: u32,
     ) -> Option<ChosenPath> {
-        let ends = self.completable(target, layers);
-        let mut cursor = 0;
-        let mut places = Vec::new();
-        while cursor < layers {
-            let at_cursor = |view: &ReplicaView| {
+        let starts = self.completable_starts(target, layers);
+        let mut next_layer = 0;
+        let mut stages = Vec::new();
+        while next_layer < layers {
+            let continues_path = |view: &ReplicaView| {
                 let range = view.layers();
-                range.is_some_and(|range| range.first() == cursor && ends.contains(&range.end()))
+                range.is_some_and(|range| {
+                    range.first() == next_layer && starts.contains(&range.end())
+                })
             };
-            let process = self.choose_among(now, target, at_cursor)?;
+            let process = self.choose_for_start(now, target, continues_path)?;
             let replica = &self.replicas[&process];
             let range = replica.layers()?;
-            places.push(RouteStage {
+            stages.push(RouteStage {
                 address: replica.address.clone(),
                 process,
                 layers: range,
                 joined_attempt: joined,
             });
-            cursor = range.end();
+            next_layer = range.end();
         }
-        let processes = places.iter().map(|place| place.process.clone()).collect();
-        let pipeline = PipelineRoute::new(places, layers).ok()?;
+        let processes = stages.iter().map(|stage| stage.process.clone()).collect();
+        let pipeline = PipelineRoute::new(stages, layers).ok()?;
         Some(ChosenPath { processes, pipeline: Some(pipeline) })
     }
 
-    /// Layers from which the end of the model can be reached over replicas that take work.
-    fn completable(&self, target: &str, layers: u32) -> BTreeSet<u32> {
+    /// Returns the layers from which the end of the model can be reached over replicas that can
+    /// accept a request; always contains `layers` itself.
+    fn completable_starts(&self, target: &str, layers: u32) -> BTreeSet<u32> {
         let usable =
             self.replicas.values().filter(|view| view.target == target && view.can_accept());
         let ranges: BTreeSet<(u32, u32)> = usable
             .filter_map(ReplicaView::layers)
             .map(|range| (range.first(), range.end()))
             .collect();
-        let mut ends = BTreeSet::from([layers]);
+        let mut starts = BTreeSet::from([layers]);
         for (first, end) in ranges.into_iter().rev() {
-            if ends.contains(&end) {
-                ends.insert(first);
+            if starts.contains(&end) {
+                starts.insert(first);
             }
         }
-        ends
+        starts
     }
 
-    /// Tells whether some path through the whole model takes work.
+    /// Returns whether there is a path through the whole model on which every replica can accept a
+    /// request.
     pub(super) fn has_free_path(&self, target: &str, layers: u32) -> bool {
-        self.completable(target, layers).contains(&0)
+        self.completable_starts(target, layers).contains(&0)
     }
 
-    /// Chooses a replica for a request that is to begin.
-    fn choose_among(
+    /// Chooses a replica with a free credit for a new request.
+    fn choose_for_start(
         &mut self,
         now: Millis,
         target: &str,
-        suits: impl Fn(&ReplicaView) -> bool,
+        is_candidate: impl Fn(&ReplicaView) -> bool,
     ) -> Option<String> {
-        self.choose_free(now, ReplicaView::free_credits, |view| {
-            view.target == target && suits(view)
+        self.choose_with_slots(now, ReplicaView::free_credits, |view| {
+            view.target == target && is_candidate(view)
         })
     }
 
-    /// Chooses one open replica that has room; those that are ejected only where no other has.
-    fn choose_free(
+    /// Chooses an available replica with a free slot. Ejected replicas are excluded_addresses only if no other
+    /// has one.
+    fn choose_with_slots(
         &mut self,
         now: Millis,
-        room: impl Fn(&ReplicaView) -> u32,
-        suits: impl Fn(&ReplicaView) -> bool,
+        free_slots: impl Fn(&ReplicaView) -> u32,
+        is_candidate: impl Fn(&ReplicaView) -> bool,
     ) -> Option<String> {
-        let usable = |view: &ReplicaView| view.is_available() && room(view) > 0 && suits(view);
+        let is_usable =
+            |view: &ReplicaView| view.is_available() && free_slots(view) > 0 && is_candidate(view);
         let all: Vec<(&String, &ReplicaView)> =
-            self.replicas.iter().filter(|(_, view)| usable(view)).collect();
+            self.replicas.iter().filter(|(_, view)| is_usable(view)).collect();
         let healthy: Vec<(&String, &ReplicaView)> =
             all.iter().copied().filter(|(_, view)| !view.health.is_ejected(now)).collect();
-        let chosen = if healthy.is_empty() { all } else { healthy };
-        let candidates: Vec<PathCandidate> = chosen
+        let preferred = if healthy.is_empty() { all } else { healthy };
+        let candidates: Vec<PathCandidate> = preferred
             .iter()
             .map(|(_, view)| PathCandidate {
                 weight: view.weight,
                 outstanding: view.outstanding(),
-                free: room(view),
+                free: free_slots(view),
             })
             .collect();
         let index =
             choose_replica(self.config.policy, &candidates, &mut self.cursor, &mut self.random)?;
-        Some(chosen[index].0.clone())
+        Some(preferred[index].0.clone())
     }
 
+    /// Sends a request to the first stage of a path, as a new attempt.
     fn dispatch(&mut self, now: Millis, id: RequestId, path: ChosenPath) -> Vec<DispatchAction> {
         for process in &path.processes {
             if let Some(replica) = self.replicas.get_mut(process) {
@@ -176,7 +187,7 @@
         request.last_progress = now;
         let mut pipeline = path.pipeline;
         if let Some(pipeline) = &mut pipeline {
-            join_all(pipeline, request.attempt);
+            set_joined_attempt(pipeline, request.attempt);
         }
         let first = path.processes[0].clone();
         request.phase = RequestPhase::Running(RequestRun {
@@ -185,7 +196,7 @@
             missing: BTreeSet::new(),
             missing_since: 0,
             lineage: request.attempt,
-            nudges: 0,
+            resend_requests: 0,
         });
         let body = match &request.submission.work {
             Work::Completion { .. } => request.start(&self.config).map(Body::Start),
@@ -204,7 +215,8 @@
         actions
     }
 
-    /// Begins a request anew on a fresh path, with its delivered tokens as a prefix.
+    /// Restarts a request on a new path, with its delivered tokens as a prefix. Returns `None` if
+    /// no path is free.
     pub(super) fn redispatch(&mut self, now: Millis, id: RequestId) -> Option<Vec<DispatchAction>> {
         let target = self.requests.get(&id)?.submission.target.clone();
         let path = self.choose_path(now, &target)?;
@@ -215,24 +227,27 @@
         Some(self.dispatch(now, id, path))
     }
 
-    /// A replica with the same layers that could take a stage of a running request.
+    /// Chooses a replica that holds the layers of `stage` and has a slot for replacements. Replicas
+    /// at the addresses of the `excluded` processes are not considered.
     pub(super) fn choose_replacement(
         &mut self,
         now: Millis,
         target: &str,
-        place: &RouteStage,
-        not: &[String],
+        stage: &RouteStage,
+        excluded: &[String],
     ) -> Option<String> {
-        let used: BTreeSet<String> =
-            not.iter().filter_map(|name| Some(self.replicas.get(name)?.address.clone())).collect();
-        let suits = |view: &ReplicaView| {
-            let is_same = view.target == target && view.layers() == Some(place.layers);
-            is_same && !used.contains(&view.address)
+        let excluded_addresses: BTreeSet<String> = excluded
+            .iter()
+            .filter_map(|name| Some(self.replicas.get(name)?.address.clone()))
+            .collect();
+        let is_candidate = |view: &ReplicaView| {
+            let has_layers = view.target == target && view.layers() == Some(stage.layers);
+            has_layers && !excluded_addresses.contains(&view.address)
         };
-        self.choose_free(now, ReplicaView::free_replacement_slots, suits)
+        self.choose_with_slots(now, ReplicaView::free_replacement_slots, is_candidate)
     }
 
-    /// Shares of the maximum flow, computed anew when replicas came, went or changed.
+    /// Recomputes the weights of all replicas if any of them joined, left or changed.
     fn refresh_weights(&mut self) {
         if !self.weights_stale {
             return;
@@ -254,11 +269,14 @@
         }
     }
 
+    /// Returns the names of the usable replicas of a model and, in the same order, their properties
+    /// in the flow network.
     fn flow_replicas(&self, model: &str) -> (Vec<String>, Vec<FlowReplica>) {
-        let usable = |view: &&ReplicaView| view.connected && !view.draining && view.target == model;
+        let is_usable =
+            |view: &&ReplicaView| view.connected && !view.draining && view.target == model;
         let (mut names, mut replicas) = (Vec::new(), Vec::new());
         for (name, view) in &self.replicas {
-            let Some(layers) = Some(view).filter(usable).and_then(ReplicaView::layers) else {
+            let Some(layers) = Some(view).filter(is_usable).and_then(ReplicaView::layers) else {
                 continue;
             };
             names.push(name.clone());
@@ -269,11 +287,12 @@
     }
 }
 
-fn join_all(pipeline: &mut PipelineRoute, attempt: u32) {
+/// Marks all stages of a pipeline as joined in `attempt`.
+fn set_joined_attempt(pipeline: &mut PipelineRoute, attempt: u32) {
     for position in 0..pipeline.stages().len() {
-        let mut place = pipeline.stages()[position].clone();
-        place.joined_attempt = attempt;
-        // The place is the stage's own, so it fits.
-        let _fits = pipeline.replace(position, place);
+        let mut stage = pipeline.stages()[position].clone();
+        stage.joined_attempt = attempt;
+        // The stage keeps its layers, so this cannot fail.
+        let _same_layers = pipeline.replace(position, stage);
     }
 }
--- a/crates/entry/src/dispatch/submission.rs
+++ b/crates/entry/src/dispatch/submission.rs
@@ -1,4 +1,4 @@
-//! What a request is, and what its caller is told.
+//! Requests, their outcomes, and the events that callers receive.
 
 use std::sync::Arc;
 
@@ -8,70 +8,70 @@
 use switchfold_core::{Millis, id::RequestId, queue::QueueEntry};
 use switchfold_proto::link::Header;
 
-/// A request, after the caller's rights were checked.
+/// An authorised request.
 #[derive(Clone, Debug)]
 pub struct Submission {
-    /// Its identifier.
+    /// Identifier, from [`DispatchState::issue_id`](super::DispatchState::issue_id).
     pub id: RequestId,
     /// Organisation that sent it.
     pub organisation: Arc<str>,
-    /// Share of the organisation.
+    /// Weight of the organisation in the queue.
     pub weight: u64,
-    /// Class within its event.
+    /// Class of the request within its event.
     pub class: Arc<str>,
-    /// Model or service.
+    /// Name of the model or service.
     pub target: String,
-    /// Priority of its class.
+    /// Priority of its class; a higher one goes first.
     pub priority: u8,
-    /// When it must have started.
+    /// Time by which the request must be dispatched.
     pub deadline: Millis,
-    /// Must never run twice.
+    /// Whether the request must not be repeated.
     pub once: bool,
-    /// What to run.
+    /// Work to run.
     pub work: Work,
 }
 
-/// What a request runs.
+/// Work of a request.
 #[derive(Clone, Debug)]
 pub enum Work {
-    /// Tokens of a model.
+    /// Completion of a prompt by a model.
     Completion {
-        /// The prompt.
+        /// Token ids of the prompt.
         prompt: Vec<u32>,
-        /// Tokens to make.
+        /// Maximum number of tokens to generate.
         max_tokens: u32,
     },
-    /// A call of a plain service.
+    /// HTTP call of a plain service, one that runs no model.
     Call {
         /// HTTP method.
         method: String,
         /// Path and query at the service.
         path: String,
-        /// Headers to pass on.
+        /// Headers to forward.
         headers: Vec<Header>,
-        /// Body.
+        /// Request body.
         body: Bytes,
     },
 }
 
-/// Positions of a prompt that cost as much as one token.
-const PROMPT_DISCOUNT: u64 = 16;
+/// Number of prompt tokens that cost as much as one generated token.
+const PROMPT_TOKENS_PER_UNIT: u64 = 16;
 
-/// What a call of a service costs, in tokens.
-const CALL_COST: u64 = 16;
+/// Cost of a service call, in generated tokens.
+const CALL_COST_TOKENS: u64 = 16;
 
 impl Submission {
-    /// Expected work, in tokens.
+    /// Returns the expected work, in generated tokens.
     pub fn cost(&self) -> u64 {
         match &self.work {
             Work::Completion { prompt, max_tokens } => {
-                u64::from(*max_tokens) + prompt.len() as u64 / PROMPT_DISCOUNT
+                u64::from(*max_tokens) + prompt.len() as u64 / PROMPT_TOKENS_PER_UNIT
             }
-            Work::Call { .. } => CALL_COST,
+            Work::Call { .. } => CALL_COST_TOKENS,
         }
     }
 
-    /// Its place in the queue of its target; `queued` is when it arrived.
+    /// Returns the queue entry of the request; `queued` is the time of its arrival.
     pub fn queue_entry(&self, queued: Millis) -> QueueEntry {
         QueueEntry {
             id: self.id,
@@ -84,48 +84,48 @@
         }
     }
 
-    /// Tells whether it is a call of a plain service.
+    /// Returns whether the request is a call of a plain service.
     pub fn is_call(&self) -> bool {
         matches!(self.work, Work::Call { .. })
     }
 }
 
-/// Why a request did not run.
+/// Reason why a request did not run.
 #[derive(
     Clone, Copy, Debug, Deserialize, Display, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum NotRunReason {
-    /// At the present rate its turn comes after its deadline.
+    /// At the current dispatch rate its turn would come after its deadline.
     #[display("deadline-unreachable")]
     DeadlineUnreachable,
-    /// Its deadline passed while it waited.
+    /// Its deadline passed while it was queued.
     #[display("deadline-passed")]
     DeadlinePassed,
-    /// The caller went away while it waited.
+    /// The caller disconnected while it was queued.
     #[display("cancelled")]
     Cancelled,
-    /// Its organisation has used up its rate.
+    /// Its organisation exceeded its rate limit.
     #[display("rate-limit")]
     RateLimit,
-    /// Its event does not take requests now.
+    /// Its event does not accept requests now.
     #[display("event-not-open")]
     EventNotOpen,
     /// The entry is stopping.
     #[display("stopping")]
     Stopping,
-    /// Its key could not be claimed before its deadline.
+    /// Its idempotency key could not be claimed before its deadline.
     #[display("claim-unavailable")]
     ClaimUnavailable,
-    /// Another request holds its key.
+    /// Another request holds its idempotency key.
     #[display("already-claimed")]
     AlreadyClaimed,
-    /// The service cannot be reached, and the budget for further tries is used up.
+    /// The service cannot be reached, and the retry budget is used up.
     #[display("service-unreachable")]
     ServiceUnreachable,
 }
 
-/// Why it is not known whether a request ran whole.
+/// Reason why it is unknown whether a request ran to completion.
 #[derive(
     Clone, Copy, Debug, Deserialize, Display, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
@@ -134,22 +134,23 @@
     /// A stage was lost, and the request must not be repeated.
     #[display("stage-lost")]
     StageLost,
-    /// The service gave no whole answer.
+    /// The service sent no complete response.
     #[display("service-failed")]
     ServiceFailed,
     /// No replacement for a lost stage was found in time.
     #[display("no-replacement")]
     NoReplacement,
-    /// The budget for repeating work is used up.
+    /// The retry budget is used up.
     #[display("retry-budget")]
     RetryBudget,
-    /// It made no progress, and asking again did not help.
+    /// It made no progress, even after its stages were asked to resend their output.
     #[display("stalled")]
     Stalled,
-    /// The caller went away while it ran.
+    /// The caller disconnected while it ran.
     #[display("cancelled")]
     Cancelled,
-    /// Another request holds its key, and that one's outcome is not known here.
+    /// Another request holds its idempotency key, and the outcome of that request is not known
+    /// here.
     #[display("already-claimed")]
     AlreadyClaimed,
     /// The entry stopped.
@@ -157,21 +158,21 @@
     EntryStopped,
 }
 
-/// Where a request stands.
+/// Outcome of a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Outcome {
-    /// It waits or runs.
+    /// The request is queued or running.
     Running,
-    /// It ran whole.
+    /// The request ran to completion.
     Done,
-    /// It did not run, and never will.
+    /// The request did not run and never will, so it is safe to send again.
     NotRun(NotRunReason),
-    /// It may have run.
+    /// The request may have run, in part or whole.
     Unknown(UnknownReason),
 }
 
 impl Outcome {
-    /// Word in the `Switchfold-Outcome` header.
+    /// Returns the value for the `Switchfold-Outcome` header.
     pub fn as_str(&self) -> &'static str {
         match self {
             Self::Running => "running",
@@ -181,7 +182,7 @@
         }
     }
 
-    /// Reason, in a form for machines; empty where there is none.
+    /// Returns the machine-readable reason, or an empty string if there is none.
     pub fn reason(&self) -> String {
         match self {
             Self::Running | Self::Done => String::new(),
@@ -191,35 +192,37 @@
     }
 }
 
-/// What a caller is told. The last event is `Done`, `Answer`, `NotRun` or `Unknown`.
+/// Event for the caller of a request.
+///
+/// The last event is `Done`, `NotRun` or `Unknown`. The response of a service precedes its `Done`.
 #[derive(Clone, Debug)]
 pub enum CallerEvent {
     /// The next tokens, in order.
     Tokens(Vec<u32>),
-    /// All tokens were delivered.
+    /// The request ran to completion.
     Done {
-        /// Count of tokens.
+        /// Number of delivered tokens; 0 for a service call.
         count: u32,
     },
-    /// The service's answer.
+    /// Response of the service to a call.
     Response {
-        /// Status code.
+        /// HTTP status code.
         status: u32,
-        /// Headers.
+        /// Response headers.
         headers: Vec<Header>,
-        /// Body.
+        /// Response body.
         body: Bytes,
     },
-    /// It did not run.
+    /// The request did not run.
     NotRun {
-        /// Why.
+        /// Reason why it did not run.
         reason: NotRunReason,
-        /// Milliseconds after which to try again.
+        /// Time after which to try again.
         retry_after: Millis,
     },
-    /// It may have run.
+    /// The request may have run.
     Unknown {
-        /// Why.
+        /// Reason why this is unknown.
         reason: UnknownReason,
     },
 }
--- a/crates/entry/tests/dispatch.rs
+++ b/crates/entry/tests/dispatch.rs
@@ -368,7 +368,7 @@
     let actions = state.tick(3_000);
     assert!(told(&actions).is_empty());
     assert_eq!(state.counts().replicas_lost, 0);
-    assert_eq!(state.counts().nudges, 0);
+    assert_eq!(state.counts().resend_requests, 0);
 }
 
 /// An idle agent speaks once a second, a busy one is lost after 700 ms: a request that came late in
@@ -403,7 +403,7 @@
             ended = Some(now);
         }
     }
-    assert_eq!(state.counts().nudges, 3);
+    assert_eq!(state.counts().resend_requests, 3);
     assert_eq!(state.outcome(id), Some(Outcome::Unknown(UnknownReason::Stalled)));
     assert!(ended.is_some_and(|at| at < 5_000), "the final answer comes at once: {ended:?}");
 }
