--- a/crates/entry/tests/dispatch.rs
+++ b/crates/entry/tests/dispatch.rs
@@ -1,4 +1,4 @@
-//! The entry's state machine: admission, outcomes, silence, recovery.
+//! Tests of the entry's state machine: admission, outcomes, time-outs and recovery.
 
 use std::sync::Arc;
 
@@ -35,21 +35,21 @@
     }
 }
 
-fn hear(state: &mut DispatchState, now: u64, offer: link::Offer) -> Vec<DispatchAction> {
+fn receive_offer(state: &mut DispatchState, now: u64, offer: link::Offer) -> Vec<DispatchAction> {
     let process = offer.process.clone();
     state.on_message(now, &process, &process, Body::Offer(offer))
 }
 
-/// Two stages with two replicas each.
-fn with_replicas(now: u64) -> DispatchState {
+/// Returns a state with two stages of two replicas each: `a1` and `a2`, `b1` and `b2`.
+fn state_with_replicas(now: u64) -> DispatchState {
     let mut state = state();
     for (process, layers) in [("a1", (0, 2)), ("a2", (0, 2)), ("b1", (2, 4)), ("b2", (2, 4))] {
-        hear(&mut state, now, offer(process, Some(layers), 4));
+        receive_offer(&mut state, now, offer(process, Some(layers), 4));
     }
     state
 }
 
-fn submission(state: &mut DispatchState, deadline: u64, once: bool) -> Submission {
+fn make_submission(state: &mut DispatchState, deadline: u64, once: bool) -> Submission {
     Submission {
         id: state.issue_id(),
         organisation: Arc::from("org"),
@@ -63,17 +63,17 @@
     }
 }
 
-fn call(state: &mut DispatchState, once: bool) -> Submission {
+fn make_call(state: &mut DispatchState, once: bool) -> Submission {
     let work = Work::Call {
         method: "POST".to_owned(),
         path: "/".to_owned(),
         headers: Vec::new(),
         body: bytes::Bytes::new(),
     };
-    Submission { target: "bidding".to_owned(), work, ..submission(state, 10_000, once) }
+    Submission { target: "bidding".to_owned(), work, ..make_submission(state, 10_000, once) }
 }
 
-fn started(actions: &[DispatchAction]) -> Option<(&str, &link::Start)> {
+fn sent_start(actions: &[DispatchAction]) -> Option<(&str, &link::Start)> {
     actions.iter().find_map(|action| match action {
         DispatchAction::Send { process, body: Body::Start(start) } => {
             Some((process.as_str(), start))
@@ -82,7 +82,7 @@
     })
 }
 
-fn told(actions: &[DispatchAction]) -> Vec<&CallerEvent> {
+fn caller_events(actions: &[DispatchAction]) -> Vec<&CallerEvent> {
     let mut events = Vec::new();
     for action in actions {
         if let DispatchAction::Notify { event, .. } = action {
@@ -103,7 +103,7 @@
     })
 }
 
-fn refuse(id: RequestId, attempt: u32, reason: RefusalReason, about: &str) -> Body {
+fn refusal(id: RequestId, attempt: u32, reason: RefusalReason, about: &str) -> Body {
     Body::Refusal(link::Refusal {
         request: Some(id.into()),
         attempt,
@@ -112,37 +112,43 @@
     })
 }
 
-/// Submits a request to a state with replicas; gives its id and the processes of its stages.
-fn begin(state: &mut DispatchState, now: u64, once: bool) -> (RequestId, Vec<String>) {
-    let asked = submission(state, now + 5_000, once);
-    let id = asked.id;
-    let actions = state.submit(now, asked);
-    let (_, start) = started(&actions).expect("a path is free");
-    let stages = &start.route.as_ref().expect("it carries its route").stages;
+/// Submits a request that is dispatched at once. Returns its id and the processes of its stages.
+fn submit_dispatched(state: &mut DispatchState, now: u64, once: bool) -> (RequestId, Vec<String>) {
+    let submission = make_submission(state, now + 5_000, once);
+    let id = submission.id;
+    let actions = state.submit(now, submission);
+    let (_, start) = sent_start(&actions).expect("a path is free");
+    let stages = &start.route.as_ref().expect("a start carries the route").stages;
     (id, stages.iter().map(|stage| stage.process.clone()).collect())
 }
 
 #[test]
-fn tokens_reach_the_caller_once_in_order_and_the_outcome_is_kept() {
-    let mut state = with_replicas(0);
-    let (id, stages) = begin(&mut state, 10, false);
+fn tokens_are_delivered_once_in_order_and_the_outcome_is_recorded() {
+    let mut state = state_with_replicas(0);
+    let (id, stages) = submit_dispatched(&mut state, 10, false);
     assert_eq!(state.outcome(id), Some(Outcome::Running));
     assert!(
-        told(&state.on_message(20, &stages[1], "", token(id, 1, 1, false))).is_empty(),
-        "0 is missing"
+        caller_events(&state.on_message(20, &stages[1], "", token(id, 1, 1, false))).is_empty(),
+        "token 0 is missing"
     );
     let actions = state.on_message(21, &stages[1], "", token(id, 1, 0, false));
-    assert_matches!(told(&actions)[..], [CallerEvent::Tokens(tokens)] if tokens == &[40, 41]);
+    assert_matches!(
+        caller_events(&actions)[..],
+        [CallerEvent::Tokens(tokens)] if tokens == &[40, 41]
+    );
     assert!(
-        told(&state.on_message(22, &stages[1], "", token(id, 1, 1, false))).is_empty(),
-        "twice"
+        caller_events(&state.on_message(22, &stages[1], "", token(id, 1, 1, false))).is_empty(),
+        "a repeated token is not delivered again"
     );
     assert!(
-        told(&state.on_message(22, &stages[0], "", token(id, 1, 2, true))).is_empty(),
-        "not the last stage"
+        caller_events(&state.on_message(22, &stages[0], "", token(id, 1, 2, true))).is_empty(),
+        "only the last stage sends tokens"
     );
     let actions = state.on_message(23, &stages[1], "", token(id, 1, 2, true));
-    assert_matches!(told(&actions)[..], [CallerEvent::Tokens(_), CallerEvent::Done { count: 3 }]);
+    assert_matches!(
+        caller_events(&actions)[..],
+        [CallerEvent::Tokens(_), CallerEvent::Done { count: 3 }]
+    );
     let released = actions
         .iter()
         .filter(|action| matches!(action, DispatchAction::Send { body: Body::Release(_), .. }));
@@ -151,19 +157,19 @@
 }
 
 #[test]
-fn what_never_left_is_not_run() {
+fn requests_that_were_not_sent_out_end_as_not_run() {
     let mut state = state();
-    let asked = submission(&mut state, 100, false);
-    let id = asked.id;
-    assert!(told(&state.submit(0, asked)).is_empty());
+    let submission = make_submission(&mut state, 100, false);
+    let id = submission.id;
+    assert!(caller_events(&state.submit(0, submission)).is_empty());
     assert_eq!(state.queue_depths()[0].waiting, 1);
     let actions = state.tick(150);
     assert_matches!(
-        told(&actions)[..],
+        caller_events(&actions)[..],
         [CallerEvent::NotRun { reason: NotRunReason::DeadlinePassed, .. }]
     );
     assert_eq!(state.outcome(id), Some(Outcome::NotRun(NotRunReason::DeadlinePassed)));
-    let cancelled = submission(&mut state, 5_000, false);
+    let cancelled = make_submission(&mut state, 5_000, false);
     let id = cancelled.id;
     state.submit(200, cancelled);
     state.cancel(201, id);
@@ -171,55 +177,55 @@
 }
 
 #[test]
-fn a_deadline_that_cannot_be_met_is_refused_at_once_with_a_time_to_come_back() {
+fn an_unreachable_deadline_is_refused_at_once_with_a_retry_time() {
     let mut state = state();
-    hear(&mut state, 0, offer("a", Some((0, 4)), 1));
+    receive_offer(&mut state, 0, offer("a", Some((0, 4)), 1));
     let mut now = 0;
-    // One request each 100 ms is what the replica does.
+    // The replica finishes one request every 100 ms.
     for _ in 0..20 {
-        let (id, stages) = begin(&mut state, now, false);
+        let (id, stages) = submit_dispatched(&mut state, now, false);
         now += 100;
         state.tick(now);
         for index in 0..3 {
             state.on_message(now, &stages[0], "", token(id, 1, index, index == 2));
         }
-        hear(&mut state, now, offer("a", Some((0, 4)), 1));
+        receive_offer(&mut state, now, offer("a", Some((0, 4)), 1));
     }
-    begin(&mut state, now, false);
+    submit_dispatched(&mut state, now, false);
     for _ in 0..30 {
-        let waiting = submission(&mut state, now + 60_000, false);
+        let waiting = make_submission(&mut state, now + 60_000, false);
         state.submit(now, waiting);
     }
-    let hopeless = submission(&mut state, now + 500, false);
+    let hopeless = make_submission(&mut state, now + 500, false);
     let actions = state.submit(now, hopeless);
     assert_matches!(
-        told(&actions)[..],
+        caller_events(&actions)[..],
         [CallerEvent::NotRun { reason: NotRunReason::DeadlineUnreachable, retry_after }] if *retry_after > 1_000
     );
 }
 
 #[test]
-fn refusals_before_running_cost_nothing() {
+fn a_request_refused_before_it_ran_is_sent_to_another_replica() {
     for reason in [
         RefusalReason::Draining,
         RefusalReason::NoSlot,
         RefusalReason::TooOld,
         RefusalReason::WrongLayer,
     ] {
-        let mut state = with_replicas(0);
-        let (id, stages) = begin(&mut state, 10, true);
-        let actions = state.on_message(20, &stages[0], "", refuse(id, 1, reason, &stages[0]));
-        let (process, start) = started(&actions).expect("sent to the other replica");
+        let mut state = state_with_replicas(0);
+        let (id, stages) = submit_dispatched(&mut state, 10, true);
+        let actions = state.on_message(20, &stages[0], "", refusal(id, 1, reason, &stages[0]));
+        let (process, start) = sent_start(&actions).expect("sent to the other replica");
         assert_ne!(process, stages[0], "{reason:?}");
         assert_eq!(start.attempt, 2, "{reason:?}");
-        assert!(told(&actions).is_empty(), "{reason:?}");
+        assert!(caller_events(&actions).is_empty(), "{reason:?}");
     }
 }
 
 #[test]
-fn a_lost_stage_is_replaced_alone_and_the_others_are_told() {
-    let mut state = with_replicas(0);
-    let (id, stages) = begin(&mut state, 10, false);
+fn only_the_lost_stage_is_replaced_and_the_others_are_rerouted() {
+    let mut state = state_with_replicas(0);
+    let (id, stages) = submit_dispatched(&mut state, 10, false);
     state.on_message(20, &stages[1], "", token(id, 1, 0, false));
     let actions = state.on_link_lost(30, &stages[1]);
     let rerouted: Vec<&str> = actions
@@ -234,62 +240,69 @@
         })
         .collect();
     assert_eq!(rerouted, [stages[0].as_str()]);
-    assert!(started(&actions).is_none(), "the first stage begins nothing anew");
+    assert!(sent_start(&actions).is_none(), "the first stage is not restarted");
     let late = state.on_message(31, &stages[1], "", token(id, 1, 1, false));
-    assert!(told(&late).is_empty(), "the lost stage speaks for itself no more");
+    assert!(caller_events(&late).is_empty(), "tokens of the lost stage are ignored");
     let other = if stages[1] == "b1" { "b2" } else { "b1" };
     assert_matches!(
-        told(&state.on_message(40, other, "", token(id, 2, 1, false)))[..],
+        caller_events(&state.on_message(40, other, "", token(id, 2, 1, false)))[..],
         [CallerEvent::Tokens(_)]
     );
     assert_eq!(state.counts().stages_replaced, 1);
 }
 
 #[test]
-fn a_lost_first_stage_starts_from_what_was_delivered() {
-    let mut state = with_replicas(0);
-    let (id, stages) = begin(&mut state, 10, false);
+fn a_replaced_first_stage_starts_with_the_delivered_tokens() {
+    let mut state = state_with_replicas(0);
+    let (id, stages) = submit_dispatched(&mut state, 10, false);
     state.on_message(20, &stages[1], "", token(id, 1, 0, false));
     let actions = state.on_link_lost(30, &stages[0]);
-    let (process, start) = started(&actions).expect("the other first stage");
+    let (process, start) = sent_start(&actions).expect("sent to the other first stage");
     assert_ne!(process, stages[0]);
     assert_eq!((start.tokens.as_slice(), start.index), (&[1, 2, 40][..], 1));
 }
 
 #[test]
-fn once_only_requests_end_as_unknown_unless_their_agent_says_never() {
+fn a_once_only_request_with_a_lost_agent_is_retried_only_if_it_never_ran() {
     let table = [
         (VoidOutcome::NeverRan, None),
         (VoidOutcome::Ran, Some(Outcome::Unknown(UnknownReason::StageLost))),
         (VoidOutcome::Unknown, Some(Outcome::Unknown(UnknownReason::StageLost))),
     ];
     for (outcome, expected) in table {
-        let mut state = with_replicas(0);
-        let (id, stages) = begin(&mut state, 10, true);
-        assert!(told(&state.on_link_lost(20, &stages[0])).is_empty(), "it waits for word");
-        let back = hear(&mut state, 30, offer(&stages[0], Some((0, 2)), 4));
+        let mut state = state_with_replicas(0);
+        let (id, stages) = submit_dispatched(&mut state, 10, true);
         assert!(
-            back.iter()
+            caller_events(&state.on_link_lost(20, &stages[0])).is_empty(),
+            "it waits for the lost agent"
+        );
+        let actions = receive_offer(&mut state, 30, offer(&stages[0], Some((0, 2)), 4));
+        assert!(
+            actions
+                .iter()
                 .any(|action| matches!(action, DispatchAction::Send { body: Body::Void(_), .. }))
         );
         let answer = link::VoidAnswer { request: Some(id.into()), outcome: outcome.into() };
         let actions = state.on_message(40, &stages[0], "", Body::VoidAnswer(answer));
         match expected {
-            None => assert!(started(&actions).is_some(), "it runs elsewhere"),
+            None => assert!(sent_start(&actions).is_some(), "it is sent to another replica"),
             Some(expected) => assert_eq!(state.outcome(id), Some(expected)),
         }
     }
 }
 
 #[test]
-fn an_agent_that_comes_back_as_another_run_settles_nothing() {
-    let mut state = with_replicas(0);
-    let (id, stages) = begin(&mut state, 10, true);
+fn a_restarted_agent_is_not_sent_a_void_request() {
+    let mut state = state_with_replicas(0);
+    let (id, stages) = submit_dispatched(&mut state, 10, true);
     state.on_link_lost(20, &stages[0]);
-    let back =
-        hear(&mut state, 30, link::Offer { incarnation: 2, ..offer(&stages[0], Some((0, 2)), 4) });
+    let actions = receive_offer(
+        &mut state,
+        30,
+        link::Offer { incarnation: 2, ..offer(&stages[0], Some((0, 2)), 4) },
+    );
     assert!(
-        !back
+        !actions
             .iter()
             .any(|action| matches!(action, DispatchAction::Send { body: Body::Void(_), .. }))
     );
@@ -299,7 +312,11 @@
                 if process.starts_with('a') { (0, 2) } else { (2, 4) },
                 1 + u64::from(process == stages[0]),
             );
-            hear(&mut state, now, link::Offer { incarnation, ..offer(process, Some(layers), 4) });
+            receive_offer(
+                &mut state,
+                now,
+                link::Offer { incarnation, ..offer(process, Some(layers), 4) },
+            );
         }
         state.tick(now);
     }
@@ -315,25 +332,25 @@
     ];
     for (reason, once, expected) in table {
         let mut state = state();
-        hear(&mut state, 0, offer("s1", None, 4));
-        hear(&mut state, 0, offer("s2", None, 4));
-        let asked = call(&mut state, once);
-        let id = asked.id;
-        let actions = state.submit(1, asked);
+        receive_offer(&mut state, 0, offer("s1", None, 4));
+        receive_offer(&mut state, 0, offer("s2", None, 4));
+        let submission = make_call(&mut state, once);
+        let id = submission.id;
+        let actions = state.submit(1, submission);
         let Some(DispatchAction::Send { process, body: Body::Call(_) }) = actions
             .iter()
             .find(|action| matches!(action, DispatchAction::Send { body: Body::Call(_), .. }))
         else {
             panic!("a call was sent: {actions:?}");
         };
-        let actions = state.on_message(2, process, "", refuse(id, 1, reason, process));
-        let sent_again = actions
+        let actions = state.on_message(2, process, "", refusal(id, 1, reason, process));
+        let is_sent_again = actions
             .iter()
             .any(|action| matches!(action, DispatchAction::Send { body: Body::Call(_), .. }));
         match expected {
-            None => assert!(sent_again, "{reason:?} once {once}"),
+            None => assert!(is_sent_again, "{reason:?} once {once}"),
             Some(expected) => {
-                assert!(!sent_again);
+                assert!(!is_sent_again);
                 assert_eq!(state.outcome(id), Some(expected));
             }
         }
@@ -341,13 +358,13 @@
 }
 
 #[test]
-fn silent_agents_are_lost_and_their_links_reset() {
-    let mut state = with_replicas(0);
-    let (_, stages) = begin(&mut state, 10, false);
+fn silent_agents_count_as_lost_and_their_links_are_reset() {
+    let mut state = state_with_replicas(0);
+    let (_, stages) = submit_dispatched(&mut state, 10, false);
     for now in (50..1_500).step_by(50) {
         for (process, layers) in [("a1", (0, 2)), ("a2", (0, 2)), ("b1", (2, 4)), ("b2", (2, 4))] {
             if process != stages[0] {
-                hear(&mut state, now, offer(process, Some(layers), 4));
+                receive_offer(&mut state, now, offer(process, Some(layers), 4));
             }
         }
         let actions = state.tick(now);
@@ -359,44 +376,44 @@
     assert_eq!(state.counts().replicas_lost, 1);
 }
 
-/// A paused entry heard nobody; it was not they who were silent.
+/// A paused entry handles no messages, so all agents appear to have been silent when it resumes.
 #[test]
-fn an_entry_forgives_the_silence_of_its_own_pause() {
-    let mut state = with_replicas(0);
-    begin(&mut state, 10, true);
+fn a_pause_of_the_entry_does_not_count_as_silence_of_its_agents() {
+    let mut state = state_with_replicas(0);
+    submit_dispatched(&mut state, 10, true);
     state.tick(50);
     let actions = state.tick(3_000);
-    assert!(told(&actions).is_empty());
+    assert!(caller_events(&actions).is_empty());
     assert_eq!(state.counts().replicas_lost, 0);
     assert_eq!(state.counts().resend_requests, 0);
 }
 
-/// An idle agent speaks once a second, a busy one is lost after 700 ms: a request that came late in
-/// the second found its agent silent already, and lost it (one once-only request in a run without a
-/// fault ended as unknown).
+/// Idle agents send one heartbeat per second, and busy ones time out after 700 ms. A request sent to
+/// an agent that had been silent for most of a second made it time out before its next heartbeat.
+/// In a run without faults, a once-only request ended as unknown for that reason.
 #[test]
-fn the_silence_of_an_idle_agent_is_not_held_against_it_when_work_comes() {
-    let mut state = with_replicas(0);
+fn the_busy_timeout_of_an_idle_agent_starts_with_its_first_request() {
+    let mut state = state_with_replicas(0);
     for now in (50..=950).step_by(50) {
         state.tick(now);
     }
-    begin(&mut state, 960, true);
+    submit_dispatched(&mut state, 960, true);
     for now in (1_000..=1_600).step_by(50) {
         state.tick(now);
     }
     assert_eq!(state.counts().replicas_lost, 0);
     state.tick(1_700);
-    assert_eq!(state.counts().replicas_lost, 2, "both stages have had their time by now");
+    assert_eq!(state.counts().replicas_lost, 2, "both stages exceeded the busy timeout");
 }
 
 #[test]
-fn stalled_requests_are_asked_for_again_and_then_given_up() {
-    let mut state = with_replicas(0);
-    let (id, _) = begin(&mut state, 10, false);
+fn stalled_requests_end_as_unknown_after_several_resend_requests() {
+    let mut state = state_with_replicas(0);
+    let (id, _) = submit_dispatched(&mut state, 10, false);
     let mut ended = None;
     for now in (50..8_000).step_by(50) {
         for (process, layers) in [("a1", (0, 2)), ("a2", (0, 2)), ("b1", (2, 4)), ("b2", (2, 4))] {
-            hear(&mut state, now, offer(process, Some(layers), 4));
+            receive_offer(&mut state, now, offer(process, Some(layers), 4));
         }
         state.tick(now);
         if ended.is_none() && state.outcome(id) != Some(Outcome::Running) {
@@ -405,32 +422,32 @@
     }
     assert_eq!(state.counts().resend_requests, 3);
     assert_eq!(state.outcome(id), Some(Outcome::Unknown(UnknownReason::Stalled)));
-    assert!(ended.is_some_and(|at| at < 5_000), "the final answer comes at once: {ended:?}");
+    assert!(ended.is_some_and(|at| at < 5_000), "it did not end within 5 s: {ended:?}");
 }
 
 #[test]
-fn calls_without_an_answer_end_too() {
+fn calls_without_a_response_time_out() {
     let mut state = state();
-    hear(&mut state, 0, offer("s1", None, 4));
-    let asked = call(&mut state, false);
-    let id = asked.id;
-    state.submit(1, asked);
+    receive_offer(&mut state, 0, offer("s1", None, 4));
+    let submission = make_call(&mut state, false);
+    let id = submission.id;
+    state.submit(1, submission);
     for now in (50..70_000).step_by(100) {
-        hear(&mut state, now, offer("s1", None, 4));
+        receive_offer(&mut state, now, offer("s1", None, 4));
         state.tick(now);
     }
     assert_eq!(state.outcome(id), Some(Outcome::Unknown(UnknownReason::Stalled)));
 }
 
 #[test]
-fn a_dead_data_centre_does_not_multiply_the_work() {
+fn the_retry_budget_limits_resends_when_many_replicas_are_lost() {
     let mut state = state();
     for number in 0..30 {
-        hear(&mut state, 0, offer(&format!("s{number}"), None, 10));
+        receive_offer(&mut state, 0, offer(&format!("s{number}"), None, 10));
     }
     for _ in 0..300 {
-        let asked = call(&mut state, false);
-        state.submit(1, asked);
+        let submission = make_call(&mut state, false);
+        state.submit(1, submission);
     }
     assert_eq!(state.counts().dispatched, 300);
     for number in 0..10 {
