--- a/crates/agent/src/admin.rs
+++ b/crates/agent/src/admin.rs
@@ -1,4 +1,4 @@
-//! `/healthz` and `/metrics` of an agent.
+//! HTTP server for `/healthz` and `/metrics` of an agent.
 
 use http::{Request, StatusCode};
 use hyper::body::Incoming;
@@ -9,9 +9,9 @@
 use tokio::net::TcpListener;
 use xtra::Address;
 
-use crate::service::{GateService, GateStatus, ReadCounts};
+use crate::service::{GateService, GateStatus, ReadStatus};
 
-/// Serves until the signal is raised.
+/// Serves the admin socket until the signal is raised.
 pub(crate) async fn serve_admin(
     listener: TcpListener,
     gate: Address<GateService>,
@@ -27,17 +27,21 @@
 async fn respond(request: &Request<Incoming>, gate: &Address<GateService>) -> HttpResponse {
     match request.uri().path() {
         "/healthz" => full_response(StatusCode::OK, "text/plain", "ok\n"),
-        "/metrics" => match gate.send(ReadCounts).await {
+        "/metrics" => match gate.send(ReadStatus).await {
             Ok(status) => {
                 full_response(StatusCode::OK, "text/plain; version=0.0.4", render(&status))
             }
             Err(_) => full_response(StatusCode::SERVICE_UNAVAILABLE, "text/plain", "stopping\n"),
         },
-        _ => full_response(StatusCode::NOT_FOUND, "text/plain", "one of /healthz, /metrics\n"),
+        _ => full_response(
+            StatusCode::NOT_FOUND,
+            "text/plain",
+            "not found; available paths are /healthz and /metrics\n",
+        ),
     }
 }
 
-/// Counters as Prometheus text.
+/// Returns the metrics in the Prometheus text format.
 pub fn render(status: &GateStatus) -> String {
     let counts = &status.counts;
     let counters = [
--- a/crates/agent/src/bin/switchfold-agent.rs
+++ b/crates/agent/src/bin/switchfold-agent.rs
@@ -1,4 +1,4 @@
-//! The agent as a program.
+//! Command-line program of the agent.
 
 use std::{path::PathBuf, process::ExitCode};
 
@@ -13,9 +13,10 @@
     shutdown::shutdown_on_signal,
 };
 
-/// Gate in front of one endpoint: a model engine or a plain service.
+/// Agent that controls access to one endpoint: a model engine or a plain service.
 ///
-/// Exit codes: 0 stopped in order; 2 wrong settings; 3 the engine or an address is not to be had.
+/// Exit codes: 0 clean shutdown; 2 invalid settings; 3 the engine cannot be reached or an address
+/// cannot be bound.
 #[derive(Debug, Parser)]
 #[command(
     version,
@@ -28,7 +29,7 @@
     /// Level of the log: off, error, warn, info, debug, trace.
     #[arg(long, default_value = "info")]
     log_level: LevelFilter,
-    /// Check the settings, print every fault, and stop.
+    /// Check the settings, print all errors, and exit.
     #[arg(long)]
     check: bool,
 }
--- a/crates/agent/src/calls.rs
+++ b/crates/agent/src/calls.rs
@@ -1,4 +1,4 @@
-//! Calls of the plain service beside the agent, by `hyper`.
+//! HTTP calls of the plain service on the agent's VM.
 
 use std::time::Duration;
 
@@ -13,11 +13,11 @@
     service::{CallEnded, GateService},
 };
 
-/// Largest response of a service, in bytes.
+/// Maximum size of a service's response, in bytes.
 const MAX_RESPONSE_BYTES: usize = 4 << 20;
 
-/// Headers that belong to one connection and are not passed on.
-const CONNECTION_HEADERS: &[&str] = &[
+/// Headers that apply to a single connection or message and are not forwarded.
+const UNFORWARDED_HEADERS: &[&str] = &[
     "connection",
     "keep-alive",
     "transfer-encoding",
@@ -28,7 +28,7 @@
     "host",
 ];
 
-/// Calls the service.
+/// HTTP client of the service.
 #[derive(Clone, Debug)]
 pub(crate) struct ServiceCaller {
     address: String,
@@ -36,39 +36,42 @@
 }
 
 impl ServiceCaller {
-    /// Makes a caller that waits `timeout` for each response.
+    /// Creates a caller that waits up to `timeout` for each response.
     pub(crate) fn new(address: String, timeout: Duration) -> Self {
         Self { address, http: HttpClient::new(timeout, MAX_RESPONSE_BYTES) }
     }
 
-    /// Starts a call; its end goes to the gate.
+    /// Starts a call, whose outcome is sent to the gate.
     pub(crate) fn start(&self, call: ServiceCall, gate: Address<GateService>) {
         let caller = self.clone();
         tokio::spawn(async move {
-            let end = caller.call(&call).await;
-            let _gate_may_have_stopped = gate.send(CallEnded { call, end }).await;
+            let outcome = caller.call(&call).await;
+            let _gate_may_have_stopped = gate.send(CallEnded { call, outcome }).await;
         });
     }
 
     async fn call(&self, call: &ServiceCall) -> CallOutcome {
-        let Ok(request) = self.request(call) else {
+        let Ok(request) = self.build_request(call) else {
             return CallOutcome::NotSent;
         };
         match self.http.call(request).await {
-            Ok(response) => responded(response),
+            Ok(response) => response_outcome(response),
             Err(CallError::NotConnected { .. }) => CallOutcome::NotSent,
             Err(CallError::NoResponse { .. }) => CallOutcome::Unknown,
         }
     }
 
-    fn request(&self, call: &ServiceCall) -> Result<Request<Full<bytes::Bytes>>, http::Error> {
+    fn build_request(
+        &self,
+        call: &ServiceCall,
+    ) -> Result<Request<Full<bytes::Bytes>>, http::Error> {
         let method = Method::from_bytes(call.method.as_bytes())?;
         let uri = format!("http://{}{}", self.address, call.path);
         let mut request =
             Request::builder().method(method).uri(uri).body(Full::new(call.body.clone()))?;
         for header in &call.headers {
             let name = HeaderName::from_bytes(header.name.as_bytes())?;
-            if !CONNECTION_HEADERS.contains(&name.as_str()) {
+            if !UNFORWARDED_HEADERS.contains(&name.as_str()) {
                 request.headers_mut().append(name, HeaderValue::from_str(&header.value)?);
             }
         }
@@ -76,10 +79,10 @@
     }
 }
 
-fn responded(response: FullResponse) -> CallOutcome {
-    let kept =
-        response.headers.iter().filter(|(name, _)| !CONNECTION_HEADERS.contains(&name.as_str()));
-    let headers = kept.filter_map(|(name, value)| {
+fn response_outcome(response: FullResponse) -> CallOutcome {
+    let forwarded =
+        response.headers.iter().filter(|(name, _)| !UNFORWARDED_HEADERS.contains(&name.as_str()));
+    let headers = forwarded.filter_map(|(name, value)| {
         Some(Header { name: name.to_string(), value: value.to_str().ok()?.to_owned() })
     });
     CallOutcome::Responded {
--- a/crates/agent/src/engine.rs
+++ b/crates/agent/src/engine.rs
@@ -1,4 +1,4 @@
-//! The kept stream to the engine beside the agent.
+//! Persistent stream to the engine on the agent's VM.
 
 use std::time::Duration;
 
@@ -20,10 +20,10 @@
     service::{EngineCommand, EngineLost, EngineOutputs, EngineReady, EngineReloaded, GateService},
 };
 
-/// Outputs that go to the gate in one message at most.
+/// Maximum number of outputs passed to the gate in one message.
 const MAX_OUTPUTS_PER_MESSAGE: usize = 64;
 
-/// Connects to an engine and asks what it is.
+/// Connects to an engine and requests its description.
 pub(crate) async fn describe_engine(
     address: &str,
 ) -> Result<(EngineClient<Channel>, GateEndpoint), AgentError> {
@@ -54,7 +54,7 @@
     })
 }
 
-/// Keeps a stream to the engine for as long as the gate lives.
+/// Keeps a stream to the engine open, and reopens it with back-off, until the gate stops.
 pub(crate) async fn maintain_engine_stream(address: String, seed: u64, gate: Address<GateService>) {
     let mut backoff = Backoff::new(ChaCha8Rng::seed_from_u64(seed));
     while gate.is_connected() {
@@ -66,6 +66,7 @@
     }
 }
 
+/// Passes steps and outputs between the gate and the engine until the stream ends.
 async fn run_stream(
     mut client: EngineClient<Channel>,
     endpoint: GateEndpoint,
@@ -75,25 +76,26 @@
     let Ok(outputs) = client.run(UnboundedReceiverStream::new(steps)).await else {
         return;
     };
-    let (work, queue) = mpsc::unbounded_channel();
-    if gate.send(EngineReady { endpoint, work }).await.is_err() {
+    let (command_sender, commands) = mpsc::unbounded_channel();
+    if gate.send(EngineReady { endpoint, commands: command_sender }).await.is_err() {
         return;
     }
     tokio::select! {
-        () = execute_commands(queue, step_sender, client, gate) => {}
+        () = execute_commands(commands, step_sender, client, gate) => {}
         () = read_outputs(outputs.into_inner(), gate) => {}
     }
     let _gate_may_have_stopped = gate.send(EngineLost).await;
 }
 
+/// Executes the gate's commands, in order, until the gate or the engine's stream ends.
 async fn execute_commands(
-    mut queue: mpsc::UnboundedReceiver<EngineCommand>,
+    mut commands: mpsc::UnboundedReceiver<EngineCommand>,
     steps: mpsc::UnboundedSender<StepInput>,
     mut client: EngineClient<Channel>,
     gate: &Address<GateService>,
 ) {
-    while let Some(work) = queue.recv().await {
-        match work {
+    while let Some(command) = commands.recv().await {
+        match command {
             EngineCommand::Step(step) => {
                 if steps.send(step).is_err() {
                     return;
@@ -104,6 +106,7 @@
     }
 }
 
+/// Orders the engine to load layers. If it accepts, the gate is sent its new description.
 async fn load_layers(
     client: &mut EngineClient<Channel>,
     order: LoadOrder,
@@ -127,6 +130,7 @@
     }
 }
 
+/// Passes the engine's outputs to the gate until the stream ends or fails.
 async fn read_outputs<S>(outputs: S, gate: &Address<GateService>)
 where
     S: Stream<Item = Result<StepOutput, tonic::Status>> + Unpin,
--- a/crates/agent/src/error.rs
+++ b/crates/agent/src/error.rs
@@ -1,41 +1,41 @@
-//! What stops an agent.
+//! Errors of an agent.
 
 use derive_more::{Display, Error};
 use switchfold_kernel::{listen::ListenError, metrics::MetricsError, registry::RegistryError};
 
-/// Why an agent could not run.
+/// Error that stops an agent.
 #[derive(Debug, Display, Error)]
 pub enum AgentError {
-    /// The engine did not describe itself.
+    /// The engine could not be reached, or its description was invalid.
     #[display("engine at {address}: {detail}")]
     Engine {
         /// Address of the engine.
         address: String,
-        /// What it said.
+        /// Error message.
         detail: String,
     },
-    /// The server for links failed.
-    #[display("server: {source}")]
+    /// The gRPC server for links failed.
+    #[display("link server: {source}")]
     Server {
-        /// What the transport said.
+        /// Error of the transport.
         source: tonic::transport::Error,
     },
-    /// A service could not be registered.
+    /// The gate could not be registered as a service of this process.
     #[display("{source}")]
     Registry {
-        /// Why.
+        /// Error of the registry.
         source: RegistryError,
     },
-    /// Metrics could not be set up.
+    /// The metrics could not be set up.
     #[display("{source}")]
     Metrics {
-        /// Why.
+        /// Error of the metrics.
         source: MetricsError,
     },
-    /// The process cannot listen.
+    /// A listen address could not be bound.
     #[display("{source}")]
     Listen {
-        /// Where and why.
+        /// Error with the address.
         source: ListenError,
     },
 }
--- a/crates/agent/src/gate/action.rs
+++ b/crates/agent/src/gate/action.rs
@@ -1,4 +1,4 @@
-//! What the state machine asks the agent to do.
+//! Effects that the state machine requests.
 
 use switchfold_core::id::RequestId;
 use switchfold_proto::{
@@ -6,68 +6,68 @@
     link::{Assignment, Header, message::Body},
 };
 
-/// One run of an entry.
+/// An instance of an entry: a restarted entry has another incarnation.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct EntryKey {
-    /// Name of the entry.
+    /// Process name of the entry.
     pub name: String,
-    /// Which run of it.
+    /// Incarnation of the process.
     pub incarnation: u64,
 }
 
-/// A call to make of the plain service.
+/// HTTP call of the plain service.
 #[derive(Clone, Debug)]
 pub struct ServiceCall {
-    /// The request.
+    /// Identifier of the request.
     pub request: RequestId,
-    /// Attempt of the call.
+    /// Attempt of the request.
     pub attempt: u32,
-    /// Who gets the answer.
+    /// Entry that gets the response.
     pub entry: EntryKey,
     /// HTTP method.
     pub method: String,
     /// Path and query.
     pub path: String,
-    /// Headers to pass on.
+    /// Headers to forward.
     pub headers: Vec<Header>,
-    /// Body.
+    /// Request body.
     pub body: bytes::Bytes,
 }
 
-/// One thing to do.
+/// An effect for the caller of the state machine to carry out.
 #[derive(Clone, Debug)]
 pub enum GateAction {
     /// Send a message to an entry.
     ToEntry {
-        /// The entry.
+        /// Receiver of the message.
         entry: EntryKey,
-        /// The message.
+        /// Message to send.
         body: Body,
     },
-    /// Send a message to the agent of another stage, or to this one itself.
+    /// Send a message to the agent of a stage. The address may be that of this agent itself.
     ToStage {
-        /// Its address.
+        /// Address of the receiving agent.
         address: String,
-        /// The message.
+        /// Message to send.
         body: Body,
     },
-    /// Give the engine a step.
+    /// Run a step on the engine.
     RunStep(StepInput),
-    /// Tell the engine that a request's cache is free.
+    /// Let the engine free the KV cache of a request.
     ReleaseCache(RequestId),
     /// Call the plain service.
     CallService(ServiceCall),
-    /// Give the engine an order to load.
+    /// Let the engine load the layers that the plan assigns to it.
     LoadLayers(Assignment),
 }
 
 impl GateAction {
-    /// Makes a message to an entry.
+    /// Creates the action that sends `body` to an entry.
     pub fn to_entry(entry: &EntryKey, body: Body) -> Self {
         Self::ToEntry { entry: entry.clone(), body }
     }
 
-    /// Makes a message to a stage.
+    /// Creates the action that sends `body` to the stage at `address`.
     pub fn to_stage(address: &str, body: Body) -> Self {
         Self::ToStage { address: address.to_owned(), body }
     }
--- a/crates/agent/src/gate/calls.rs
+++ b/crates/agent/src/gate/calls.rs
@@ -1,4 +1,4 @@
-//! Calls of plain services.
+//! Admission and outcomes of calls of plain services.
 
 use switchfold_core::id::RequestId;
 use switchfold_proto::link::{self, RefusalReason, message::Body};
@@ -8,21 +8,21 @@
     action::{EntryKey, GateAction, ServiceCall},
 };
 
-/// How a call of the service ended.
+/// Outcome of a service call.
 #[derive(Clone, Debug)]
 pub enum CallOutcome {
-    /// It answered.
+    /// The service sent a complete response.
     Responded {
-        /// Status code.
+        /// HTTP status code.
         status: u32,
-        /// Headers.
+        /// Response headers.
         headers: Vec<link::Header>,
-        /// Body.
+        /// Response body.
         body: bytes::Bytes,
     },
-    /// No connection was made: nothing was sent.
+    /// The call was not sent, as no connection could be made or the request was malformed.
     NotSent,
-    /// Something was sent, and no whole answer came.
+    /// The call was sent, but no complete response arrived. The service may have run it.
     Unknown,
 }
 
@@ -51,11 +51,11 @@
         })]
     }
 
-    /// Notes how a call ended.
-    pub fn on_call_outcome(&mut self, call: &ServiceCall, end: CallOutcome) -> Vec<GateAction> {
+    /// Handles the end of a call: reports its outcome to the entry that sent it.
+    pub fn on_call_outcome(&mut self, call: &ServiceCall, outcome: CallOutcome) -> Vec<GateAction> {
         self.calls.remove(&call.request);
         self.ledger.finish(call.request);
-        let action = match end {
+        let action = match outcome {
             CallOutcome::Responded { status, headers, body } => {
                 let answer = link::CallAnswer {
                     request: Some(call.request.into()),
--- a/crates/agent/src/gate/config.rs
+++ b/crates/agent/src/gate/config.rs
@@ -1,84 +1,84 @@
-//! What an agent stands in front of.
+//! Configuration of the state machine, and the properties of its endpoint.
 
 use switchfold_core::{route::LayerRange, window::WindowConfig};
 
-/// An engine, as it describes itself.
+/// Properties of an engine, as it describes itself.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct EngineDescription {
-    /// Model that it holds.
+    /// Name of the model that it has loaded.
     pub model: String,
-    /// Layers that it holds.
+    /// Layers that it has loaded.
     pub layers: LayerRange,
-    /// Sequences in one batch.
+    /// Maximum number of sequences in a batch.
     pub max_batch: u32,
-    /// Requests whose caches fit its memory.
+    /// Number of requests whose KV caches fit into its memory.
     pub slots: u32,
-    /// Microseconds of a batch, whatever its size.
+    /// Fixed part of the duration of a batch, in microseconds.
     pub fixed_micros: u32,
-    /// Microseconds of a batch for each sequence.
+    /// Part of the duration of a batch per sequence, in microseconds.
     pub item_micros: u32,
     /// Kind of accelerator.
     pub accelerator: String,
 }
 
 impl EngineDescription {
-    /// Microseconds of a full batch.
+    /// Returns the duration of a full batch, in microseconds.
     pub fn step_micros(&self) -> u32 {
         self.fixed_micros + self.item_micros * self.max_batch
     }
 }
 
-/// The endpoint behind the gate.
+/// The endpoint of an agent.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum GateEndpoint {
     /// A model engine.
     Engine(EngineDescription),
-    /// A plain service.
+    /// A plain service, one that runs no model.
     Service {
-        /// Name under which callers know it.
+        /// Name by which callers address it.
         name: String,
-        /// Calls that it takes at once.
+        /// Maximum number of concurrent calls.
         slots: u32,
     },
 }
 
 impl GateEndpoint {
-    /// Requests that it takes at once.
+    /// Returns the maximum number of concurrent requests.
     pub fn slots(&self) -> u32 {
         match self {
-            Self::Engine(shape) => shape.slots,
+            Self::Engine(engine) => engine.slots,
             Self::Service { slots, .. } => *slots,
         }
     }
 }
 
-/// Bounds and identity of an agent.
+/// Identity and limits of an agent's state machine.
 #[derive(Clone, Debug)]
 pub struct GateConfig {
-    /// Name of the process.
+    /// Name of the agent's process.
     pub process: String,
-    /// Run of the process.
+    /// Incarnation of the process, different after each restart.
     pub incarnation: u64,
-    /// Address at which other stages reach it.
+    /// Address at which other stages reach the agent.
     pub address: String,
-    /// Data centre.
+    /// Data centre of its VM.
     pub data_centre: String,
-    /// The endpoint.
+    /// Endpoint of the agent.
     pub endpoint: GateEndpoint,
-    /// Share of an engine's slots, in hundredths, that is kept for replacing lost stages.
+    /// Share of an engine's slots reserved for replacing lost stages, in hundredths.
     pub reserve_hundredths: u32,
-    /// Steps wanted at the engine, in hundredths of a full batch; 0 means that only memory limits.
+    /// Target for the number of steps at the engine, in hundredths of a full batch. With 0 only the
+    /// engine's memory limits the number of requests.
     pub target_hundredths: u32,
-    /// Bytes of activations kept for each request.
+    /// Maximum size of the activation log of each request, in bytes.
     pub log_bytes: usize,
-    /// Requests that the ledger remembers.
+    /// Maximum number of requests in the ledger.
     pub ledger_capacity: usize,
 }
 
 impl GateConfig {
-    /// Requests that may begin here, by memory; the rest of the slots is for replacing lost stages.
-    ///
-    /// A service has no stages to replace.
+    /// Returns the number of slots for new requests, at least 1 for an engine. The rest is reserved
+    /// for replacing lost stages; services have no stages, so nothing is reserved.
     pub fn unreserved_slots(&self) -> u32 {
         let slots = self.endpoint.slots();
         match self.endpoint {
@@ -89,11 +89,11 @@
         }
     }
 
-    /// Bounds of the window on requests that begin here.
+    /// Returns the limits of the window that controls how many requests the endpoint holds.
     pub fn window_config(&self) -> WindowConfig {
         match &self.endpoint {
-            GateEndpoint::Engine(shape) => WindowConfig {
-                max_batch: shape.max_batch,
+            GateEndpoint::Engine(engine) => WindowConfig {
+                max_batch: engine.max_batch,
                 max_requests: self.unreserved_slots(),
                 target_hundredths: self.target_hundredths,
             },
--- a/crates/agent/src/gate/counts.rs
+++ b/crates/agent/src/gate/counts.rs
@@ -1,28 +1,28 @@
-//! What an agent counts.
+//! Counters of an agent.
 
 use serde::Serialize;
 
-/// Counters of an agent since its start.
+/// Counters since the start of an agent.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize)]
 pub struct GateCounts {
-    /// Requests and calls let in.
+    /// Requests and calls admitted.
     pub admitted: u64,
     /// Requests and calls refused.
     pub refused: u64,
     /// Refusals because the VM is draining.
     pub refused_draining: u64,
-    /// Steps run.
+    /// Steps that the engine ran.
     pub steps: u64,
-    /// Steps answered from the last output.
+    /// Repeated steps for which the last output was sent again.
     pub repeated_steps: u64,
-    /// Steps dropped: repeated, late, or of an attempt that was given up.
+    /// Steps dropped: repeated, of an abandoned attempt, or of a request that is not here.
     pub dropped_steps: u64,
-    /// Steps refused for a gap before them.
+    /// Steps refused because earlier positions are missing or the step is for another layer.
     pub gaps: u64,
-    /// Positions sent again to rebuild a stage.
+    /// Positions replayed from the log to a replacement of the next stage.
     pub replayed_positions: u64,
-    /// Orders of an old plan that were not passed on.
+    /// Orders ignored because their plan was not newer than the last one.
     pub stale_orders: u64,
-    /// Messages that do not belong on their link.
+    /// Messages that are malformed or not valid on their link.
     pub unexpected_messages: u64,
 }
--- a/crates/agent/src/gate/mod.rs
+++ b/crates/agent/src/gate/mod.rs
@@ -1,7 +1,7 @@
-//! The agent's state machine: messages in, actions out, no I/O.
+//! State machine of an agent: admission of requests, and the order of their steps.
 //!
-//! It is a plain struct, so that a test can put any order of messages through the very code that runs
-//! in production. Each input returns the actions that follow from it.
+//! [`GateState`] does no I/O: messages, engine outputs and ticks go in, [`GateAction`]s come out.
+//! Tests can thus run any sequence of events through the code that runs in production.
 
 mod action;
 mod calls;
@@ -29,50 +29,65 @@
 pub use counts::GateCounts;
 use request::RequestState;
 
-/// What the agent knows of one entry.
+/// State of one connected entry.
 #[derive(Clone, Copy, Debug, Default)]
 struct EntryState {
+    /// Requests that wait at the entry, as it last reported.
     waiting: u32,
+    /// Whether the entry acknowledged an offer with `draining` set.
     drain_acknowledged: bool,
+    /// Contents of the last offer or heartbeat that was sent.
     last_heartbeat: Option<link::Heartbeat>,
+    /// Number of ticks since the last offer or heartbeat.
     ticks_since_heartbeat: u32,
 }
 
-/// Ticks after which an entry with requests here hears from the agent, changed or not.
+/// Ticks after which an entry with running or waiting requests is sent a heartbeat, even if nothing
+/// changed.
 const BUSY_HEARTBEAT_TICKS: u32 = 2;
 
-/// Ticks after which an idle entry does.
+/// Ticks after which an idle entry is sent a heartbeat.
 const IDLE_HEARTBEAT_TICKS: u32 = 10;
 
-/// What one entry may use now.
+/// Share of the slots of one entry.
 #[derive(Clone, Debug)]
 struct EntryShare {
     entry: EntryKey,
+    /// Requests and calls of the entry in flight here.
     used: u32,
     heartbeat: link::Heartbeat,
 }
 
-/// All state of an agent that decides anything.
+/// State of an agent: its requests, entries and endpoint.
+///
+/// Methods that may have effects return the [`GateAction`]s to carry out, in order.
 #[derive(Debug)]
 pub struct GateState {
     config: GateConfig,
     ledger: RequestLedger,
     requests: HashMap<RequestId, RequestState>,
+    /// Service calls in flight and the entries that sent them.
     calls: HashMap<RequestId, EntryKey>,
+    /// Steps at the engine, by ticket.
     tickets: HashMap<u64, RequestId>,
     window: SlotWindow,
     next_ticket: u64,
     entries: BTreeMap<EntryKey, EntryState>,
+    /// Number of rounds of offers and heartbeats. It rotates the remainder of the credits among the
+    /// entries.
     report_count: u64,
+    /// Whether an entry reported that this VM drains.
     drain_ordered: bool,
+    /// Whether this process was told to stop.
     is_stopping: bool,
     endpoint_up: bool,
+    /// Version of the plan of the last order passed to the engine.
     plan_version: u64,
     counts: GateCounts,
 }
 
 impl GateState {
-    /// Makes the state of an agent that has just started.
+    /// Creates the state of an agent without entries or requests, whose endpoint is up.
     pub fn new(config: GateConfig) -> Self {
         let ledger = LedgerConfig { capacity: config.ledger_capacity, ..LedgerConfig::default() };
         let window = SlotWindow::new(config.window_config());
@@ -94,40 +109,41 @@
         }
     }
 
-    /// What was counted so far.
+    /// Returns the counters since the start of the agent.
     pub fn counts(&self) -> &GateCounts {
         &self.counts
     }
 
-    /// Requests and calls in flight.
+    /// Returns the number of requests and calls in flight.
     pub fn in_flight(&self) -> usize {
         self.requests.len() + self.calls.len()
     }
 
-    /// Tells whether new requests are refused.
+    /// Returns whether new requests are refused.
     pub fn is_draining(&self) -> bool {
         self.drain_ordered || self.is_stopping
     }
 
-    /// Tells whether a planned stop would cut nothing: nothing is in flight here, and no entry can have
-    /// sent anything that has not arrived.
+    /// Returns whether the process can stop without interrupting a request: nothing is in flight,
+    /// and all entries have acknowledged the drain, so that none of their requests is in transit.
     pub fn is_drained(&self) -> bool {
         let all_acknowledged = self.entries.values().all(|state| state.drain_acknowledged);
         self.is_stopping && self.in_flight() == 0 && all_acknowledged
     }
 
-    /// Notes that this process was told to stop.
+    /// Begins to refuse new requests, because this process was told to stop. A later message that
+    /// the VM no longer drains does not end this.
     pub fn begin_drain(&mut self) -> Vec<GateAction> {
         self.is_stopping = true;
         self.make_offers()
     }
 
-    /// Notes that the endpoint cannot be reached: nothing is offered until it is back.
+    /// Marks the endpoint as down. No slots are offered until [`set_endpoint`](Self::set_endpoint).
     pub fn set_endpoint_down(&mut self) {
         self.endpoint_up = false;
     }
 
-    /// Notes the shape of the engine, after it was loaded or came back.
+    /// Marks the endpoint as up, with the properties that it has now.
     pub fn set_endpoint(&mut self, endpoint: GateEndpoint) {
         self.endpoint_up = true;
         if self.config.endpoint != endpoint {
@@ -136,19 +152,20 @@
         }
     }
 
-    /// Ends an interval: adjusts the window and sends the heartbeats that are due.
+    /// Ends an interval: adjusts the concurrency limit and sends the heartbeats that are due.
     pub fn tick(&mut self) -> Vec<GateAction> {
         self.window.adjust(self.in_flight());
         self.heartbeats()
     }
 
-    /// Notes that an entry opened its link.
+    /// Handles the link that an entry opened.
     pub fn entry_connected(&mut self, entry: EntryKey) -> Vec<GateAction> {
         self.entries.insert(entry, EntryState::default());
         self.make_offers()
     }
 
-    /// Notes that an entry's link ended: what it had in flight here is released.
+    /// Handles the end of an entry's link. The entry's requests are released; its service calls run
+    /// to their end.
     pub fn entry_disconnected(&mut self, entry: &EntryKey) -> Vec<GateAction> {
         self.entries.remove(entry);
         let owned = self.requests.iter().filter(|(_, state)| state.entry == *entry);
@@ -156,7 +173,7 @@
         owned.into_iter().flat_map(|id| self.release(id)).collect()
     }
 
-    /// Takes a message of an entry.
+    /// Handles a message from an entry.
     pub fn on_entry_message(&mut self, entry: &EntryKey, body: Body) -> Vec<GateAction> {
         match body {
             Body::Start(start) => self.on_start(entry, start),
@@ -172,7 +189,7 @@
         }
     }
 
-    /// Takes a message of another agent.
+    /// Handles a message from the agent of another stage.
     pub fn on_stage_message(&mut self, body: Body) -> Vec<GateAction> {
         match body {
             Body::Step(step) => self.on_step(step),
@@ -181,7 +198,8 @@
         }
     }
 
-    /// Notes that the link to another stage ended.
+    /// Handles the end of the link to the stage at `address`. Reports the loss to the entries of all
+    /// requests that send to that stage.
     pub fn stage_disconnected(&mut self, address: &str) -> Vec<GateAction> {
         let mut actions = Vec::new();
         for (id, state) in &self.requests {
@@ -193,7 +211,7 @@
         actions
     }
 
-    /// Offers to all entries, with the credits of each: after a change of what is offered.
+    /// Sends an offer to each entry. Called when a property other than load and credits has changed.
     pub fn make_offers(&mut self) -> Vec<GateAction> {
         self.report_count += 1;
         let mut actions = Vec::new();
@@ -208,8 +226,9 @@
         actions
     }
 
-    /// Heartbeats to those entries that are due one: often where requests are in flight, seldom where
-    /// nothing goes on, since at size an agent's idle links are most of its links.
+    /// Sends heartbeats to the entries that are due one. Busy entries are also sent one whenever its
+    /// contents change. Idle entries get fewer, since in a large deployment most of an agent's links
+    /// are idle.
     fn heartbeats(&mut self) -> Vec<GateAction> {
         self.report_count += 1;
         let mut actions = Vec::new();
@@ -230,7 +249,7 @@
         actions
     }
 
-    /// What each entry may use now.
+    /// Divides the current concurrency limit among the entries.
     fn entry_shares(&self) -> Vec<EntryShare> {
         let mut used: BTreeMap<&EntryKey, u32> = BTreeMap::new();
         let running = self.requests.values().map(|state| &state.entry).chain(self.calls.values());
@@ -272,13 +291,13 @@
             ..link::Offer::default()
         };
         match &self.config.endpoint {
-            GateEndpoint::Engine(shape) => {
-                offer.model.clone_from(&shape.model);
-                offer.first_layer = shape.layers.first();
-                offer.end_layer = shape.layers.end();
-                offer.max_batch = shape.max_batch;
-                offer.step_micros = shape.step_micros();
-                offer.accelerator.clone_from(&shape.accelerator);
+            GateEndpoint::Engine(engine) => {
+                offer.model.clone_from(&engine.model);
+                offer.first_layer = engine.layers.first();
+                offer.end_layer = engine.layers.end();
+                offer.max_batch = engine.max_batch;
+                offer.step_micros = engine.step_micros();
+                offer.accelerator.clone_from(&engine.accelerator);
             }
             GateEndpoint::Service { name, .. } => offer.service.clone_from(name),
         }
@@ -312,8 +331,8 @@
         self.make_offers()
     }
 
-    /// Passes on only orders of a larger plan than any before: the version is the fence, also for
-    /// engines that check nothing.
+    /// Passes an order to the engine if its plan is newer than that of every earlier order. The
+    /// engine should check the version too, but not every engine does.
     fn on_assignment(&mut self, assignment: link::Assignment) -> Vec<GateAction> {
         if assignment.plan_version <= self.plan_version {
             self.counts.stale_orders += 1;
@@ -336,7 +355,8 @@
         vec![GateAction::to_entry(entry, Body::VoidAnswer(answer))]
     }
 
-    /// Whether a request that is not here yet may come in, where `slots` are open to its kind.
+    /// Decides whether a request that is not here yet is admitted. `slots` is the maximum number of
+    /// requests in flight for this kind of request.
     fn admit(
         &mut self,
         id: RequestId,
@@ -359,6 +379,7 @@
         }
     }
 
+    /// Releases a request, unless a later attempt than that of the message is running here.
     fn on_release(&mut self, release: link::Release) -> Vec<GateAction> {
         let Some(id) = release.request.map(RequestId::from) else {
             return self.unexpected();
@@ -370,6 +391,7 @@
         self.release(id)
     }
 
+    /// Ends a request and frees its cache at the engine. Outputs of its running steps are ignored.
     fn release(&mut self, id: RequestId) -> Vec<GateAction> {
         self.ledger.finish(id);
         self.tickets.retain(|_, ticket_id| *ticket_id != id);
@@ -379,6 +401,7 @@
         }
     }
 
+    /// Counts a message that is malformed or not valid on its link.
     fn unexpected(&mut self) -> Vec<GateAction> {
         self.counts.unexpected_messages += 1;
         Vec::new()
--- a/crates/agent/src/gate/request.rs
+++ b/crates/agent/src/gate/request.rs
@@ -1,4 +1,4 @@
-//! One request at one stage.
+//! State of one request at this stage.
 
 use std::collections::VecDeque;
 
@@ -12,14 +12,16 @@
 
 use super::action::{EntryKey, GateAction};
 
-/// A step that the engine is running.
+/// A step at the engine, running or queued.
 #[derive(Clone, Debug)]
 pub(super) struct RunningStep {
     pub(super) inputs: Vec<u32>,
+    /// Number of further stages that may resend their last output; see
+    /// [`StepHeader::resend`](switchfold_core::step::StepHeader::resend).
     pub(super) resend: u32,
 }
 
-/// The last token that the last stage made.
+/// Last token that this stage generated, as the last stage of its route.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LastToken {
     pub(super) index: u32,
@@ -32,12 +34,14 @@
     pub(super) entry: EntryKey,
     pub(super) route: Route,
     pub(super) pipeline: PipelineRoute,
+    /// Index of this stage in the pipeline.
     pub(super) stage_index: usize,
     pub(super) step_gate: StepGate,
     pub(super) log: ActivationLog,
+    /// Steps at the engine, in the order in which their outputs are expected.
     pub(super) running: VecDeque<RunningStep>,
     pub(super) last_token: Option<LastToken>,
-    /// Last attempt in which the next stage was sent something, and so the route.
+    /// Last attempt whose route was sent to the next stage, with that attempt's first step.
     pub(super) sent_attempt: u32,
 }
 
@@ -50,16 +54,19 @@
         self.pipeline.stages().get(self.stage_index + 1)
     }
 
-    /// Hops after which a repeated step has gone round the whole pipeline.
+    /// Returns the value of `resend` with which a repeated step passes all stages and returns to
+    /// this one.
     pub(super) fn round_trip(&self) -> u32 {
         2 * self.pipeline.stages().len() as u32
     }
 
-    /// Index of the token that follows from the position before `next_position`.
+    /// Returns the index of the token generated from the position before `next_position`.
     pub(super) fn token_index_at(&self, next_position: u32) -> u32 {
         next_position.saturating_sub(self.route.prompt_len)
     }
 
+    /// Returns whether this stage sends its output to the stage at `address`. The last stage sends
+    /// its tokens to the first one.
     pub(super) fn sends_to(&self, address: &str) -> bool {
         let target = match self.next_stage() {
             Some(next) => &next.address,
@@ -78,12 +85,13 @@
         GateAction::to_entry(&self.entry, Body::Refusal(refusal))
     }
 
-    /// Takes the route of a later attempt.
-    pub(super) fn apply_route(&mut self, attempt: u32, route: &Route, own: &str) {
+    /// Applies the route of a later attempt. A route of the current or an earlier attempt, or one
+    /// without a stage at `own_address`, has no effect.
+    pub(super) fn apply_route(&mut self, attempt: u32, route: &Route, own_address: &str) {
         let Ok(pipeline) = route.pipeline() else {
             return;
         };
-        let Some(stage_index) = pipeline.position(own) else {
+        let Some(stage_index) = pipeline.position(own_address) else {
             return;
         };
         if self.step_gate.raise_attempt(attempt) {
@@ -93,8 +101,9 @@
         }
     }
 
-    /// What to send to the next stage now, and whether it is a replay: the whole log where that stage
-    /// joined in this attempt and was sent nothing yet, otherwise the last output.
+    /// Returns the output to send to the next stage now: the whole log if that stage joined in this
+    /// attempt and was sent nothing yet, otherwise the last output. Returns `None` if there is no
+    /// next stage or no output.
     pub(super) fn span_for_next(&self) -> Option<NextSpan> {
         let next = self.next_stage()?;
         let attempt = self.step_gate.attempt();
@@ -108,11 +117,11 @@
     }
 }
 
-/// What the next stage is to be sent.
+/// Output to send to the next stage.
 #[derive(Debug)]
 pub(super) enum NextSpan {
-    /// A span of the log.
+    /// A span of the log. It is a replay if it repeats output for a replacement of a lost stage.
     Send { span: ActivationSpan, is_replay: bool },
-    /// It needs more than the log holds.
+    /// The next stage needs output that the log no longer holds.
     Truncated,
 }
--- a/crates/agent/src/gate/steps.rs
+++ b/crates/agent/src/gate/steps.rs
@@ -1,4 +1,4 @@
-//! Steps of pipelines: who may run, what goes on to whom.
+//! Handling of the steps of pipelines: which of them run, and where their output goes.
 
 use std::collections::VecDeque;
 
@@ -18,7 +18,7 @@
     request::{LastToken, NextSpan, RequestState, RunningStep},
 };
 
-/// Positions that arrive for a request, from whoever sent them.
+/// Step to run for a request, from an entry's start, the previous stage or the last stage's token.
 struct IncomingStep {
     id: RequestId,
     header: StepHeader,
@@ -76,7 +76,7 @@
         })
     }
 
-    /// A token of the last stage comes back to the first one and starts the next step.
+    /// Handles a token that the last stage sent to this, the first one: it starts the next step.
     pub(super) fn on_token(&mut self, token: &link::Token) -> Vec<GateAction> {
         let Some(id) = token.request.map(RequestId::from) else {
             return self.unexpected();
@@ -96,6 +96,8 @@
         self.process_step(IncomingStep { id, header, inputs, activations: bytes::Bytes::new() })
     }
 
+    /// Applies the route of a later attempt, and replays the log if that attempt replaced the next
+    /// stage.
     pub(super) fn on_reroute(&mut self, reroute: &link::Reroute) -> Vec<GateAction> {
         let (Some(id), Some(route)) = (reroute.request.map(RequestId::from), &reroute.route) else {
             return self.unexpected();
@@ -107,12 +109,12 @@
             return Vec::new();
         }
         state.apply_route(reroute.attempt, route, &self.config.address);
-        let is_fresh =
+        let is_replaced =
             state.next_stage().is_some_and(|next| next.joined_attempt == state.step_gate.attempt());
-        if is_fresh { self.forward(id, 0) } else { Vec::new() }
+        if is_replaced { self.forward(id, 0) } else { Vec::new() }
     }
 
-    /// Takes an output of the engine.
+    /// Handles an output of the engine. Outputs for released requests are ignored.
     pub fn on_output(&mut self, output: &StepOutput) -> Vec<GateAction> {
         let Some(id) = self.tickets.remove(&output.ticket) else {
             return Vec::new();
@@ -132,20 +134,21 @@
         if !state.is_last_stage() {
             return self.forward(id, step.resend.saturating_sub(1));
         }
-        let ran_to = state.step_gate.next_position();
+        let end_position = state.step_gate.next_position();
         let queued: usize = state.running.iter().map(|step| step.inputs.len()).sum();
-        let index = state.token_index_at(ran_to - queued as u32);
+        let index = state.token_index_at(end_position - queued as u32);
         state.last_token = Some(LastToken { index, token: output.token });
         self.emit_token(id, step.resend.saturating_sub(1))
     }
 
-    /// Notes that the engine is gone, and with it the caches of all requests here.
+    /// Handles the loss of the engine: all requests here fail, since their KV caches are lost.
     pub fn engine_lost(&mut self) -> Vec<GateAction> {
         self.set_endpoint_down();
         let ids: Vec<RequestId> = self.requests.keys().copied().collect();
         ids.into_iter().flat_map(|id| self.fail_request(id)).collect()
     }
 
+    /// Reports to the entry that the endpoint failed a request, and releases the request.
     fn fail_request(&mut self, id: RequestId) -> Vec<GateAction> {
         let mut actions = Vec::new();
         if let Some(state) = self.requests.get(&id) {
@@ -156,6 +159,7 @@
         actions
     }
 
+    /// Counts a refusal to admit a request and reports it to the entry.
     fn refuse(
         &mut self,
         entry: &EntryKey,
@@ -173,36 +177,36 @@
         vec![GateAction::to_entry(entry, Body::Refusal(refusal))]
     }
 
-    /// Makes sure that the request is here, with the route of this attempt.
+    /// Admits a request if it is not here yet, and applies the route of `attempt`.
     fn ensure_request(
         &mut self,
         id: RequestId,
         attempt: u32,
         route: &Route,
     ) -> Result<(), RefusalReason> {
-        let own = self.config.address.clone();
+        let own_address = self.config.address.clone();
         if self.requests.get(&id).is_some_and(|state| route.lineage > state.route.lineage) {
-            // The request begins anew: what was run for the former sequence of tokens is void.
+            // The request was restarted: discard the state of the previous sequence of tokens.
             self.tickets.retain(|_, ticket_id| *ticket_id != id);
             self.requests.remove(&id);
         }
         if let Some(state) = self.requests.get_mut(&id) {
-            state.apply_route(attempt, route, &own);
+            state.apply_route(attempt, route, &own_address);
             return Ok(());
         }
-        let GateEndpoint::Engine(shape) = &self.config.endpoint else {
+        let GateEndpoint::Engine(engine) = &self.config.endpoint else {
             return Err(RefusalReason::WrongModel);
         };
-        if shape.model != route.model {
+        if engine.model != route.model {
             return Err(RefusalReason::WrongModel);
         }
-        let layers = shape.layers;
+        let layers = engine.layers;
         let pipeline = route.pipeline().map_err(|_| RefusalReason::WrongLayer)?;
-        let stage_index = pipeline.position(&own).ok_or(RefusalReason::WrongLayer)?;
+        let stage_index = pipeline.position(&own_address).ok_or(RefusalReason::WrongLayer)?;
         if pipeline.stages()[stage_index].layers != layers {
             return Err(RefusalReason::WrongLayer);
         }
-        // A stage that joined after the request began replaces one that was lost.
+        // A stage that joined after the first attempt of the sequence replaces a lost one.
         let is_replacement = pipeline.stages()[stage_index].joined_attempt > route.lineage;
         let slots = match is_replacement {
             true => self.config.endpoint.slots(),
@@ -226,6 +230,7 @@
         Ok(())
     }
 
+    /// Decides on a step, and runs it if the step gate admits it.
     fn process_step(&mut self, step: IncomingStep) -> Vec<GateAction> {
         let id = step.id;
         let Some(state) = self.requests.get_mut(&id) else {
@@ -255,6 +260,7 @@
         actions
     }
 
+    /// Creates the engine's input for a step without its first `skip` positions.
     fn start_step(&mut self, step: IncomingStep, skip: u32) -> GateAction {
         self.next_ticket += 1;
         let ticket = self.next_ticket;
@@ -271,8 +277,8 @@
             tokens: Vec::new(),
             activations: step.activations.slice(skip * width..),
             want_token: false,
-            // Priorities hold where requests wait to be let in. A stream that runs goes on evenly: with
-            // its class's priority here, a full engine never came to the steps of lower classes.
+            // Priorities apply in the queues of the entries only. If steps had the priority of their class, a
+            // full engine would never run the steps of lower classes.
             priority: 0,
             release: false,
             ticket,
@@ -288,13 +294,14 @@
         GateAction::RunStep(input)
     }
 
+    /// Sends the last output of this stage again.
     fn resend_output(&mut self, id: RequestId, resend: u32) -> Vec<GateAction> {
         self.counts.repeated_steps += 1;
         let is_last = self.requests.get(&id).is_some_and(RequestState::is_last_stage);
         if is_last { self.emit_token(id, resend) } else { self.forward(id, resend) }
     }
 
-    /// Sends the next stage what it needs.
+    /// Sends the next stage the last output, or the whole log if that stage is a replacement.
     fn forward(&mut self, id: RequestId, resend: u32) -> Vec<GateAction> {
         let Some(state) = self.requests.get_mut(&id) else {
             return Vec::new();
@@ -330,7 +337,7 @@
         vec![GateAction::to_stage(&address, Body::Step(step))]
     }
 
-    /// Sends the last token to the entry and, where it is not the final one, to the first stage.
+    /// Sends the last token to the entry and, unless it ends the completion, to the first stage.
     fn emit_token(&mut self, id: RequestId, resend: u32) -> Vec<GateAction> {
         let Some(state) = self.requests.get(&id) else {
             return Vec::new();
@@ -350,7 +357,8 @@
     }
 }
 
-/// A replay shows the last stage which tokens were made before: the entry may have missed some.
+/// Returns the actions that send the generated tokens among the inputs of a step to the entry, which
+/// may have missed some of them.
 fn replayed_tokens(id: RequestId, state: &RequestState, step: &IncomingStep) -> Vec<GateAction> {
     let first = step.header.first_position;
     let positions = step.inputs.iter().enumerate();
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,17 +1,17 @@
-//! The agent: the gate in front of one endpoint.
+//! Agent: controls access to one endpoint, a model engine or a plain service.
 //!
-//! Every request that reaches an engine or a plain service goes through the agent beside it. The agent
-//! decides whether it may run (the ledger, the slots, the drain), in which order its steps run (the
-//! step gate), and where the output goes (the next stage, or the entry). [`gate::GateState`] holds all
-//! of that as a state machine without I/O; [`service::GateService`] is the actor around it; the rest
-//! moves bytes.
+//! An agent runs on the VM of its endpoint, and every request to the endpoint passes through it. It
+//! decides whether a request is admitted (by its ledger, slots and drain state), in which order the
+//! request's steps run (with a step gate), and where their output goes (to the next stage or the
+//! entry). [`gate::GateState`] implements this as a state machine without I/O, and
+//! [`service::GateService`] is the actor that drives it. The other modules do the I/O.
 //!
 //! # Guarantees
 //!
-//! - A step runs only where the one before it ran, and only once.
-//! - A refused request did not run here, and a voided one never will.
-//! - From the moment the agent knows that it is to drain, it takes no new request.
-//! - A planned stop waits for what is in flight.
+//! - A step runs only after the step before it, and only once.
+//! - A refused request did not run here, and a voided request never will.
+//! - Once told to drain, the agent admits no new request.
+//! - A graceful shutdown waits for the requests in flight.
 
 pub mod admin;
 mod calls;
--- a/crates/agent/src/links.rs
+++ b/crates/agent/src/links.rs
@@ -1,4 +1,4 @@
-//! Links with entries and other agents.
+//! Links to entries and other agents.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -15,12 +15,13 @@
     },
 };
 
-/// One connection. What an earlier one still reports is not about the present one.
+/// Identifier of a connection. It tells late events of an earlier connection to the same process
+/// from those of the current one.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) struct LinkId(u64);
 
 impl LinkId {
-    /// Makes an id that no other connection of this process has.
+    /// Returns an identifier that is unique in this process.
     pub(crate) fn next() -> Self {
         static NEXT: AtomicU64 = AtomicU64::new(0);
         Self(NEXT.fetch_add(1, Ordering::Relaxed))
@@ -37,7 +38,7 @@
 }
 
 impl StageConnector {
-    /// Opens a link and reports it to the gate, and later its end.
+    /// Opens a link in a new task, which reports to the gate that the link is open and when it ends.
     pub(crate) fn connect(&self, id: LinkId, address: String, gate: Address<GateService>) {
         let hello = Hello {
             protocol: PROTOCOL_VERSION,
@@ -63,7 +64,7 @@
     }
 }
 
-/// Reads a link that another process opened, until it ends.
+/// Reads a link that another process opened, and passes its frames to the gate, until it ends.
 pub(crate) async fn read_link(link: ServerLink, gate: Address<GateService>) {
     let ServerLink { hello, sender, mut frames } = link;
     if !hello.entry {
@@ -89,7 +90,7 @@
     let _gate_may_have_stopped = gate.send(EntryDisconnected { id, entry }).await;
 }
 
-/// Tasks that end with their owner.
+/// Tasks that are aborted when the group is dropped.
 #[derive(Debug, Default)]
 pub(crate) struct TaskGroup {
     tasks: JoinSet<()>,
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -1,4 +1,4 @@
-//! Starting and stopping an agent.
+//! Start and graceful shutdown of an agent.
 
 use std::time::Duration;
 
@@ -20,26 +20,26 @@
     settings::AgentSettings,
 };
 
-/// Tries to reach the engine before the agent gives up at its start.
+/// Number of attempts to reach the engine at the start before the agent fails.
 const MAX_CONNECT_ATTEMPTS: u32 = 50;
 
-/// Wait between these tries.
+/// Time between these attempts.
 const CONNECT_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Sockets of an agent, bound before it starts.
+/// Listening sockets of an agent, bound before it starts.
 #[derive(Debug)]
 pub struct AgentSockets {
-    /// For entries and other agents.
+    /// Socket for links from entries and other agents.
     pub link: TcpListener,
-    /// For `/healthz` and `/metrics`.
+    /// Socket for `/healthz` and `/metrics`; they are not served without it.
     pub admin: Option<TcpListener>,
 }
 
-/// Runs an agent until the signal is raised and what is in flight has finished.
+/// Runs an agent until the signal is raised and the requests in flight have finished.
 ///
 /// # Errors
 ///
-/// Fails where the engine cannot be reached at the start, or the server fails.
+/// Returns an error if the engine cannot be reached at the start, or if the link server fails.
 pub async fn run_agent(
     settings: AgentSettings,
     sockets: AgentSockets,
@@ -75,22 +75,24 @@
     }
 }
 
+/// Returns the properties of the endpoint. Those of an engine are requested from it.
 async fn describe_endpoint(settings: &AgentSettings) -> Result<GateEndpoint, AgentError> {
     if let Some(service) = &settings.service {
         return Ok(GateEndpoint::Service { name: service.name.clone(), slots: service.slots });
     }
     let address = settings.engine.as_deref().unwrap_or_default();
-    let mut tries = 0;
+    let mut attempts = 0;
     loop {
-        tries += 1;
+        attempts += 1;
         match describe_engine(address).await {
             Ok((_, endpoint)) => return Ok(endpoint),
-            Err(error) if tries >= MAX_CONNECT_ATTEMPTS => return Err(error),
+            Err(error) if attempts >= MAX_CONNECT_ATTEMPTS => return Err(error),
             Err(_) => sleep(CONNECT_RETRY_INTERVAL).await,
         }
     }
 }
 
+/// Starts the gate's actor and returns its address.
 async fn start_gate(
     settings: &AgentSettings,
     endpoint: GateEndpoint,
@@ -131,11 +133,12 @@
     }
 }
 
-/// How long a drained agent goes on refusing: a request that an entry sent to an earlier stage before
-/// it saw the drain may still arrive, and must be told that it did not run here.
+/// Time for which a drained agent continues to refuse requests. A request that an entry sent to an
+/// earlier stage before it saw the drain may still arrive here, and its entry must learn that it did
+/// not run.
 const DRAIN_LINGER: Duration = Duration::from_secs(1);
 
-/// Waits for the signal, then until nothing is in flight and every entry knows.
+/// Waits for the signal, then until nothing is in flight and every entry has acknowledged the drain.
 async fn drain(gate: &Address<GateService>, shutdown: &ShutdownSignal) {
     shutdown.raised().await;
     let work = ShutdownSignal::new();
--- a/crates/agent/src/service.rs
+++ b/crates/agent/src/service.rs
@@ -1,7 +1,7 @@
-//! The actor around the state machine.
+//! Actor that drives the state machine.
 //!
-//! It turns messages into calls of [`GateState`] and carries out the actions that come back. It
-//! decides nothing.
+//! It passes messages to [`GateState`] and executes the returned actions. All decisions are made by
+//! the state machine.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
@@ -23,10 +23,10 @@
     links::{LinkId, StageConnector},
 };
 
-/// Name of the service in the agent's registry.
+/// Name of the gate in the agent's service registry.
 pub const GATE: ServiceName = ServiceName("gate");
 
-/// The gate of an agent as a service.
+/// Actor for the gate of an agent.
 #[derive(Actor)]
 pub struct GateService {
     state: GateState,
@@ -40,52 +40,53 @@
     own_handle: Option<Address<GateService>>,
 }
 
-/// The connection of an entry that is in use.
+/// Current connection of an entry.
 struct EntryLink {
     id: LinkId,
     sender: LinkSender,
 }
 
-/// A link to another stage.
+/// Link to another stage.
 struct StageLink {
     id: LinkId,
     state: StageLinkState,
 }
 
-/// An open link, or what waits for it.
+/// State of a link to another stage.
 enum StageLinkState {
+    /// The link is being opened; the messages are sent once it is open.
     Connecting(Vec<Body>),
     Open(LinkSender),
 }
 
-/// What the engine is to do.
+/// Command to the engine's task.
 #[derive(Debug)]
 pub(crate) enum EngineCommand {
     Step(StepInput),
     Load(LoadOrder),
 }
 
-/// An entry opened its link.
+/// An entry opened a link.
 pub(crate) struct EntryConnected {
     pub(crate) id: LinkId,
     pub(crate) entry: EntryKey,
     pub(crate) sender: LinkSender,
 }
 
-/// An entry's link ended.
+/// A link of an entry ended.
 pub(crate) struct EntryDisconnected {
     pub(crate) id: LinkId,
     pub(crate) entry: EntryKey,
 }
 
-/// A frame of an entry.
+/// A frame from an entry.
 pub(crate) struct EntryFrame {
     pub(crate) id: LinkId,
     pub(crate) entry: EntryKey,
     pub(crate) frame: Frame,
 }
 
-/// A frame of another stage.
+/// A frame from another stage.
 pub(crate) struct StageFrame(pub(crate) Frame);
 
 /// A link to another stage is open.
@@ -95,48 +96,48 @@
     pub(crate) sender: LinkSender,
 }
 
-/// A link to another stage ended, or was not made.
+/// A link to another stage ended or could not be opened.
 pub(crate) struct StageDisconnected {
     pub(crate) id: LinkId,
     pub(crate) address: String,
 }
 
-/// The engine is there, with this engine.
+/// The stream to the engine is open.
 pub(crate) struct EngineReady {
     pub(crate) endpoint: GateEndpoint,
-    pub(crate) work: mpsc::UnboundedSender<EngineCommand>,
+    pub(crate) commands: mpsc::UnboundedSender<EngineCommand>,
 }
 
-/// The engine is gone.
+/// The stream to the engine ended.
 pub(crate) struct EngineLost;
 
-/// The engine loaded something else.
+/// The engine loaded other layers.
 pub(crate) struct EngineReloaded(pub(crate) GateEndpoint);
 
-/// Outputs of the engine.
+/// Outputs of steps from the engine.
 pub(crate) struct EngineOutputs(pub(crate) Vec<StepOutput>);
 
-/// A call of the service ended.
+/// A service call ended.
 pub(crate) struct CallEnded {
     pub(crate) call: ServiceCall,
-    pub(crate) end: CallOutcome,
+    pub(crate) outcome: CallOutcome,
 }
 
-/// Time to make offers.
+/// An interval of the gate ended; sent every `offer_ms` milliseconds.
 pub(crate) struct GateTick;
 
-/// The process was told to stop: the guard is dropped once nothing is in flight.
+/// The process was told to stop. The guard is dropped once the gate is drained.
 pub struct BeginDrain(pub WorkGuard);
 
-/// Asks for what was counted.
-pub struct ReadCounts;
+/// Requests the status and counters of the gate.
+pub struct ReadStatus;
 
-/// What [`ReadCounts`] gives.
+/// Reply to [`ReadStatus`].
 #[derive(Clone, Copy, Debug)]
 pub struct GateStatus {
-    /// Counters.
+    /// Counters since the start of the agent.
     pub counts: GateCounts,
-    /// Requests and calls in flight.
+    /// Number of requests and calls in flight.
     pub in_flight: usize,
     /// Whether new requests are refused.
     pub draining: bool,
@@ -152,7 +153,7 @@
         let has_engine = matches!(config.endpoint, GateEndpoint::Engine(_));
         let mut state = GateState::new(config);
         if has_engine {
-            // Steps need the engine's stream, which comes with `EngineReady`.
+            // Steps can only be run after `EngineReady` has passed the engine's stream.
             state.set_endpoint_down();
         }
         Self {
@@ -168,16 +169,18 @@
         }
     }
 
+    /// Executes actions and those that follow from them, in order. Drops the drain guard once the
+    /// gate is drained.
     fn execute(&mut self, actions: Vec<GateAction>) {
-        let mut waiting = VecDeque::from(actions);
-        while let Some(action) = waiting.pop_front() {
+        let mut pending = VecDeque::from(actions);
+        while let Some(action) = pending.pop_front() {
             match action {
                 GateAction::ToEntry { entry, body } => self.send_entry(&entry, body),
                 GateAction::ToStage { address, body } if address == self.own_address => {
-                    waiting.extend(self.state.on_stage_message(body));
+                    pending.extend(self.state.on_stage_message(body));
                 }
                 GateAction::ToStage { address, body } => {
-                    waiting.extend(self.send_stage(address, body))
+                    pending.extend(self.send_stage(address, body))
                 }
                 GateAction::RunStep(step) => self.send_engine(EngineCommand::Step(step)),
                 GateAction::ReleaseCache(id) => {
@@ -199,20 +202,22 @@
         }
     }
 
-    /// A link that takes nothing any more is about to be reported as closed by its reader.
+    /// Sends a message to an entry. A failure is ignored, since the reader of a closed link reports
+    /// its end.
     fn send_entry(&mut self, entry: &EntryKey, body: Body) {
         if let Some(link) = self.entries.get(entry) {
             link.sender.send(body);
         }
     }
 
+    /// Sends a message to another stage, and opens a link to it if there is none.
     fn send_stage(&mut self, address: String, body: Body) -> Vec<GateAction> {
         let Some(link) = self.stages.get_mut(&address) else {
             self.connect_stage(address, body);
             return Vec::new();
         };
         match &mut link.state {
-            StageLinkState::Connecting(waiting) => waiting.push(body),
+            StageLinkState::Connecting(queued) => queued.push(body),
             StageLinkState::Open(sender) => {
                 if !sender.send(body) {
                     self.stages.remove(&address);
@@ -223,26 +228,27 @@
         Vec::new()
     }
 
-    fn connect_stage(&mut self, address: String, first: Body) {
+    fn connect_stage(&mut self, address: String, first_message: Body) {
         let id = LinkId::next();
         if let Some(handle) = self.own_handle.clone() {
             self.connector.connect(id, address.clone(), handle);
         }
-        let state = StageLinkState::Connecting(vec![first]);
+        let state = StageLinkState::Connecting(vec![first_message]);
         self.stages.insert(address, StageLink { id, state });
     }
 
-    /// Ends what an entry's former connection left behind.
+    /// Removes the link of an entry and releases its requests.
     fn close_entry(&mut self, entry: &EntryKey) {
         self.entries.remove(entry);
         let actions = self.state.entry_disconnected(entry);
         self.execute(actions);
     }
 
-    /// Steps for an engine that is gone are lost with it; [`EngineLost`] tells the entries.
-    fn send_engine(&mut self, work: EngineCommand) {
+    /// Sends a command to the engine's task. If the engine is lost, so is the command, and
+    /// [`EngineLost`] reports the affected requests to their entries.
+    fn send_engine(&mut self, command: EngineCommand) {
         if let Some(engine) = &self.engine {
-            let _lost_with_engine = engine.send(work);
+            let _lost_with_engine = engine.send(command);
         }
     }
 
@@ -253,7 +259,7 @@
     }
 }
 
-/// Tells the service its own address, so that tasks it starts can answer.
+/// Passes the actor its own address, for the tasks that it starts.
 pub(crate) struct SetAddress(pub(crate) Address<GateService>);
 
 impl Handler<SetAddress> for GateService {
@@ -326,8 +332,8 @@
             return;
         };
         let opened = StageLinkState::Open(message.sender);
-        if let StageLinkState::Connecting(waiting) = std::mem::replace(&mut link.state, opened) {
-            for body in waiting {
+        if let StageLinkState::Connecting(queued) = std::mem::replace(&mut link.state, opened) {
+            for body in queued {
                 let actions = self.send_stage(message.address.clone(), body);
                 self.execute(actions);
             }
@@ -354,7 +360,7 @@
     async fn handle(&mut self, message: EngineReady, _: &mut Context<Self>) {
         log::info!("endpoint=engine state=ready");
         self.state.set_endpoint(message.endpoint);
-        self.engine = Some(message.work);
+        self.engine = Some(message.commands);
         let actions = self.state.make_offers();
         self.execute(actions);
     }
@@ -399,7 +405,7 @@
     type Return = ();
 
     async fn handle(&mut self, message: CallEnded, _: &mut Context<Self>) {
-        let actions = self.state.on_call_outcome(&message.call, message.end);
+        let actions = self.state.on_call_outcome(&message.call, message.outcome);
         self.execute(actions);
     }
 }
@@ -424,10 +430,10 @@
     }
 }
 
-impl Handler<ReadCounts> for GateService {
+impl Handler<ReadStatus> for GateService {
     type Return = GateStatus;
 
-    async fn handle(&mut self, _: ReadCounts, _: &mut Context<Self>) -> GateStatus {
+    async fn handle(&mut self, _: ReadStatus, _: &mut Context<Self>) -> GateStatus {
         GateStatus {
             counts: *self.state.counts(),
             in_flight: self.state.in_flight(),
--- a/crates/agent/src/settings.rs
+++ b/crates/agent/src/settings.rs
@@ -8,51 +8,53 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct AgentSettings {
-    /// Name of the VM, as in the platform's list.
+    /// Name of the VM, as in the platform's VM list. Also the name of the process.
     pub name: String,
     /// Data centre of the VM.
     pub data_centre: String,
-    /// Where to listen for entries and other agents; also how they reach it.
+    /// Address for links from entries and other agents: it is bound, and they connect to it.
     pub listen: String,
-    /// Where to serve `/healthz` and `/metrics`.
+    /// Address for `/healthz` and `/metrics`; they are not served without it.
     #[serde(default)]
     pub admin: Option<String>,
-    /// Token that every process of the cluster shows.
+    /// Shared secret by which the processes of the cluster authenticate.
     pub cluster_token: String,
-    /// Address of the engine beside it.
+    /// Address of the engine on this VM. Exactly one of `engine` and `service` is set.
     #[serde(default)]
     pub engine: Option<String>,
-    /// The plain service beside it.
+    /// The plain service on this VM.
     #[serde(default)]
     pub service: Option<ServiceSettings>,
-    /// Bytes of activations kept for each request.
+    /// Maximum size of the activation log of each request, in bytes.
     #[serde(default = "default_log_bytes")]
     pub log_bytes: usize,
-    /// Share of an engine's slots, in hundredths, that is kept for replacing lost stages.
+    /// Share of an engine's slots reserved for replacing lost stages, in hundredths.
     #[serde(default = "default_reserve")]
     pub reserve_hundredths: u32,
-    /// Steps wanted at the engine, in hundredths of a full batch; 0 means that only memory limits.
+    /// Target for the number of steps at the engine, in hundredths of a full batch. With 0 only the
+    /// engine's memory limits the number of requests.
     #[serde(default = "default_target")]
     pub target_hundredths: u32,
-    /// Milliseconds between offers.
+    /// Interval at which heartbeats are considered and the concurrency limit is adjusted, in
+    /// milliseconds.
     #[serde(default = "default_offer_ms")]
     pub offer_ms: u64,
-    /// Requests that the ledger remembers.
+    /// Maximum number of requests in the ledger.
     #[serde(default = "default_ledger")]
     pub ledger: usize,
 }
 
-/// A plain service.
+/// Settings of a plain service, one that runs no model.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceSettings {
-    /// Name under which callers know it.
+    /// Name by which callers address it.
     pub name: String,
-    /// Its address.
+    /// Address at which it listens.
     pub address: String,
-    /// Calls that it takes at once.
+    /// Maximum number of concurrent calls.
     pub slots: u32,
-    /// Milliseconds that a call may take.
+    /// Time-out of a call, in milliseconds.
     #[serde(default = "default_call_ms")]
     pub call_ms: u64,
 }
@@ -87,19 +89,19 @@
         name: "address",
         kind: FieldKind::Address,
         required: true,
-        help: "where the service listens",
+        help: "address of the service",
     },
     FieldRule {
         name: "slots",
         kind: FieldKind::Integer(1, 100_000),
         required: true,
-        help: "calls at once",
+        help: "maximum number of concurrent calls",
     },
     FieldRule {
         name: "call_ms",
         kind: FieldKind::Integer(1, 3_600_000),
         required: false,
-        help: "longest call",
+        help: "time-out of a call in milliseconds",
     },
 ];
 
@@ -116,61 +118,61 @@
             name: "listen",
             kind: FieldKind::Address,
             required: true,
-            help: "for entries and agents",
+            help: "address for links from entries and other agents",
         },
         FieldRule {
             name: "admin",
             kind: FieldKind::Address,
             required: false,
-            help: "for /healthz and /metrics",
+            help: "address for /healthz and /metrics",
         },
         FieldRule {
             name: "cluster_token",
             kind: FieldKind::Text,
             required: true,
-            help: "the same everywhere",
+            help: "shared secret, the same for all processes of the cluster",
         },
         FieldRule {
             name: "engine",
             kind: FieldKind::Address,
             required: false,
-            help: "where the engine listens",
+            help: "address of the engine",
         },
         FieldRule {
             name: "service",
             kind: FieldKind::Object(SERVICE_RULES),
             required: false,
-            help: "a plain service in place of an engine",
+            help: "plain service instead of an engine",
         },
         FieldRule {
             name: "log_bytes",
             kind: FieldKind::Integer(0, 1 << 30),
             required: false,
-            help: "activations kept for each request",
+            help: "maximum size of the activation log of each request in bytes",
         },
         FieldRule {
             name: "reserve_hundredths",
             kind: FieldKind::Integer(0, 90),
             required: false,
-            help: "hundredths of the slots kept for replacing lost stages",
+            help: "share of the slots reserved for replacing lost stages, in hundredths",
         },
         FieldRule {
             name: "target_hundredths",
             kind: FieldKind::Integer(0, 10_000),
             required: false,
-            help: "steps wanted at the engine, in hundredths of a batch",
+            help: "target number of steps at the engine, in hundredths of a full batch",
         },
         FieldRule {
             name: "offer_ms",
             kind: FieldKind::Integer(10, 10_000),
             required: false,
-            help: "milliseconds between offers",
+            help: "interval between heartbeat checks in milliseconds",
         },
         FieldRule {
             name: "ledger",
             kind: FieldKind::Integer(1_000, 10_000_000),
             required: false,
-            help: "requests remembered",
+            help: "maximum number of requests in the ledger",
         },
     ];
 
@@ -180,8 +182,8 @@
         }
         vec![FieldError {
             path: "engine".to_owned(),
-            problem: "neither or both of engine and service are set".to_owned(),
-            expected: "exactly one of them".to_owned(),
+            problem: "both or neither of engine and service are set".to_owned(),
+            expected: "exactly one of engine and service".to_owned(),
         }]
     }
 }
--- a/crates/agent/tests/gate.rs
+++ b/crates/agent/tests/gate.rs
@@ -1,4 +1,4 @@
-//! The agent's gate: who is let in, what is refused, what is passed on.
+//! Tests of the agent's state machine: admission, refusals, steps, drain and heartbeats.
 
 use assert_matches::assert_matches;
 use switchfold_agent::gate::{
@@ -29,7 +29,7 @@
     }
 }
 
-/// A gate before the middle one of three stages.
+/// Returns a gate in front of an engine with layers 2 and 3, the middle one of three stages.
 fn engine_gate(slots: u32) -> GateState {
     let mut gate = GateState::new(config(GateEndpoint::Engine(EngineDescription {
         model: "m".to_owned(),
@@ -96,7 +96,7 @@
     }
 }
 
-fn runs(actions: &[GateAction]) -> Vec<&StepInput> {
+fn engine_steps(actions: &[GateAction]) -> Vec<&StepInput> {
     let mut steps = Vec::new();
     for action in actions {
         if let GateAction::RunStep(step) = action {
@@ -113,7 +113,7 @@
     })
 }
 
-fn forwarded(actions: &[GateAction]) -> Option<(&str, &link::Step)> {
+fn forwarded_step(actions: &[GateAction]) -> Option<(&str, &link::Step)> {
     actions.iter().find_map(|action| match action {
         GateAction::ToStage { address, body: Body::Step(step) } => Some((address.as_str(), step)),
         _ => None,
@@ -129,30 +129,30 @@
     }
 }
 
-/// Lets a request in and runs its first step.
-fn run_first(gate: &mut GateState, counter: u64) -> Vec<GateAction> {
+/// Sends the first step of a request to the gate and runs it on the engine.
+fn run_first_step(gate: &mut GateState, counter: u64) -> Vec<GateAction> {
     let actions = gate.on_stage_message(Body::Step(step(counter, 1, 0, 2, Some(route([1, 1, 1])))));
-    let done = output(runs(&actions)[0]);
+    let done = output(engine_steps(&actions)[0]);
     gate.on_output(&done)
 }
 
 #[test]
-fn a_step_runs_once_and_goes_on_to_the_next_stage() {
+fn a_step_runs_once_and_its_output_goes_to_the_next_stage() {
     let mut gate = engine_gate(8);
-    let actions = run_first(&mut gate, 1);
-    let (address, sent) = forwarded(&actions).expect("passed on");
+    let actions = run_first_step(&mut gate, 1);
+    let (address, sent) = forwarded_step(&actions).expect("sent to the next stage");
     assert_eq!((address, sent.layer, sent.first_position, sent.inputs.len()), ("c", 4, 0, 2));
     assert!(sent.route.is_some(), "the first step of an attempt carries the route");
     let again = gate.on_stage_message(Body::Step(step(1, 1, 0, 2, None)));
     assert!(again.is_empty());
     assert_eq!(gate.counts().dropped_steps, 1);
     let next = gate.on_stage_message(Body::Step(step(1, 1, 2, 1, None)));
-    let sent = gate.on_output(&output(runs(&next)[0]));
-    assert!(forwarded(&sent).expect("passed on").1.route.is_none());
+    let sent = gate.on_output(&output(engine_steps(&next)[0]));
+    assert!(forwarded_step(&sent).expect("sent to the next stage").1.route.is_none());
 }
 
 #[test]
-fn refusals_by_the_table() {
+fn misrouted_requests_and_gaps_are_refused() {
     let with = |change: fn(&mut link::Route)| {
         let mut route = route([1, 1, 1]);
         change(&mut route);
@@ -183,16 +183,16 @@
         let mut gate = engine_gate(8);
         let actions = gate.on_stage_message(Body::Step(step(1, 1, 0, 2, Some(route))));
         assert_eq!(refusal(&actions), Some(expected), "{name}");
-        assert!(runs(&actions).is_empty() && gate.in_flight() == 0, "{name}");
+        assert!(engine_steps(&actions).is_empty() && gate.in_flight() == 0, "{name}");
     }
     let mut gate = engine_gate(8);
-    run_first(&mut gate, 1);
+    run_first_step(&mut gate, 1);
     let gap = gate.on_stage_message(Body::Step(step(1, 1, 5, 1, None)));
     assert_eq!(refusal(&gap), Some(RefusalReason::Gap));
 }
 
 #[test]
-fn the_reserve_is_for_replacements_only() {
+fn only_replacements_use_the_reserved_slots() {
     let mut gate = engine_gate(4);
     let begin = |gate: &mut GateState, counter, route| {
         gate.on_stage_message(Body::Step(step(counter, 2, 0, 1, Some(route))))
@@ -206,15 +206,15 @@
 }
 
 #[test]
-fn a_draining_gate_takes_nothing_new_and_finishes_what_it_has() {
+fn a_draining_gate_refuses_new_requests_and_finishes_running_ones() {
     let mut gate = engine_gate(8);
-    run_first(&mut gate, 1);
+    run_first_step(&mut gate, 1);
     let offers = gate.on_entry_message(&entry("e"), Body::Drain(link::Drain { draining: true }));
     assert_matches!(&offers[0], GateAction::ToEntry { body: Body::Offer(offer), .. } if offer.draining);
     let refused = gate.on_stage_message(Body::Step(step(2, 1, 0, 2, Some(route([1, 1, 1])))));
     assert_eq!(refusal(&refused), Some(RefusalReason::Draining));
-    let goes_on = gate.on_stage_message(Body::Step(step(1, 1, 2, 1, None)));
-    assert_eq!(runs(&goes_on).len(), 1);
+    let continued = gate.on_stage_message(Body::Step(step(1, 1, 2, 1, None)));
+    assert_eq!(engine_steps(&continued).len(), 1);
     gate.on_entry_message(&entry("e"), Body::Drain(link::Drain { draining: false }));
     assert!(!gate.is_draining());
     assert!(!gate.is_drained());
@@ -222,7 +222,7 @@
     gate.on_entry_message(&entry("e"), Body::Drain(link::Drain { draining: false }));
     assert!(
         gate.is_draining(),
-        "a process that was told to stop takes nothing, whatever others say"
+        "a stopping process refuses requests even if its VM no longer drains"
     );
     let released = link::Release { request: id(1), cancelled: false, attempt: 1 };
     gate.on_entry_message(&entry("e"), Body::Release(released));
@@ -233,17 +233,17 @@
 }
 
 #[test]
-fn voids_are_kept_and_told_truly() {
+fn a_voided_request_is_refused_and_its_outcome_is_reported() {
     let mut gate = engine_gate(8);
-    run_first(&mut gate, 1);
+    run_first_step(&mut gate, 1);
     let void = |gate: &mut GateState, counter| {
         let actions =
             gate.on_entry_message(&entry("f"), Body::Void(link::Void { request: id(counter) }));
-        let told = actions.into_iter().find_map(|action| match action {
+        let reported = actions.into_iter().find_map(|action| match action {
             GateAction::ToEntry { body: Body::VoidAnswer(answer), .. } => Some(answer.outcome()),
             _ => None,
         });
-        told.expect("answered")
+        reported.expect("answered")
     };
     assert_eq!(void(&mut gate, 1), VoidOutcome::Ran);
     assert_eq!(void(&mut gate, 2), VoidOutcome::NeverRan);
@@ -252,71 +252,75 @@
 }
 
 #[test]
-fn a_replaced_next_stage_is_played_the_whole_log() {
+fn the_whole_log_is_replayed_to_a_replaced_next_stage() {
     let mut gate = engine_gate(8);
-    run_first(&mut gate, 1);
+    run_first_step(&mut gate, 1);
     let next = gate.on_stage_message(Body::Step(step(1, 1, 2, 1, None)));
-    gate.on_output(&output(runs(&next)[0]));
+    gate.on_output(&output(engine_steps(&next)[0]));
     let mut moved = route([1, 1, 2]);
     moved.stages[2].address = "d".to_owned();
     let reroute = link::Reroute { request: id(1), attempt: 2, route: Some(moved.clone()) };
     let actions = gate.on_entry_message(&entry("e"), Body::Reroute(reroute.clone()));
-    let (address, replay) = forwarded(&actions).expect("played");
+    let (address, replay) = forwarded_step(&actions).expect("log replayed");
     assert_eq!((address, replay.first_position, replay.inputs.len()), ("d", 0, 3));
     assert!(replay.resend > 0 && replay.route.is_some());
     assert_eq!(gate.counts().replayed_positions, 3);
     assert!(
         gate.on_entry_message(&entry("e"), Body::Reroute(reroute)).is_empty(),
-        "once is enough"
+        "a repeated reroute has no effect"
     );
     let stale = gate.on_stage_message(Body::Step(step(1, 1, 3, 1, None)));
-    assert!(runs(&stale).is_empty(), "the former attempt is over");
+    assert!(engine_steps(&stale).is_empty(), "steps of an earlier attempt are dropped");
 }
 
 #[test]
-fn a_log_past_its_bound_is_said_so() {
+fn a_replay_of_a_truncated_log_is_refused() {
     let mut gate = engine_gate(8);
     let actions = gate.on_stage_message(Body::Step(step(1, 1, 0, 9, Some(route([1, 1, 1])))));
-    gate.on_output(&output(runs(&actions)[0]));
+    gate.on_output(&output(engine_steps(&actions)[0]));
     let reroute = link::Reroute { request: id(1), attempt: 2, route: Some(route([1, 1, 2])) };
     let actions = gate.on_entry_message(&entry("e"), Body::Reroute(reroute));
     assert_eq!(refusal(&actions), Some(RefusalReason::LogTruncated));
 }
 
 #[test]
-fn what_an_entry_leaves_behind_is_released() {
+fn requests_of_a_disconnected_entry_are_released() {
     let mut gate = engine_gate(8);
-    run_first(&mut gate, 1);
-    let later = link::Release { request: id(1), cancelled: false, attempt: 0 };
+    run_first_step(&mut gate, 1);
+    let stale = link::Release { request: id(1), cancelled: false, attempt: 0 };
     assert!(
-        gate.on_entry_message(&entry("e"), Body::Release(later)).is_empty(),
-        "an earlier attempt was meant"
+        gate.on_entry_message(&entry("e"), Body::Release(stale)).is_empty(),
+        "a release of an earlier attempt has no effect"
     );
     let actions = gate.entry_disconnected(&entry("e"));
     assert_matches!(&actions[..], [GateAction::ReleaseCache(_)]);
     assert_eq!(gate.in_flight(), 0);
     gate.entry_connected(entry("e"));
     let again = gate.on_stage_message(Body::Step(step(1, 1, 0, 2, Some(route([1, 1, 1])))));
-    assert_eq!(refusal(&again), Some(RefusalReason::AlreadyKnown), "the ledger remembers");
+    assert_eq!(
+        refusal(&again),
+        Some(RefusalReason::AlreadyKnown),
+        "the ledger keeps the request after its release"
+    );
 }
 
 #[test]
-fn a_lost_engine_is_told_for_every_request() {
+fn the_loss_of_the_engine_is_reported_for_every_request() {
     let mut gate = engine_gate(8);
-    run_first(&mut gate, 1);
-    run_first(&mut gate, 2);
+    run_first_step(&mut gate, 1);
+    run_first_step(&mut gate, 2);
     let actions = gate.engine_lost();
-    let told = actions.iter().filter(|action| {
+    let reported = actions.iter().filter(|action| {
         refusal(std::slice::from_ref(*action)) == Some(RefusalReason::EndpointFailed)
     });
-    assert_eq!(told.count(), 2);
+    assert_eq!(reported.count(), 2);
     assert_eq!(gate.in_flight(), 0);
 }
 
-/// An agent whose engine is gone offered slots all the same; its requests stalled until they were
-/// given up as unknown.
+/// An agent that had lost its engine still offered slots. Requests sent to it stalled until they
+/// ended as unknown.
 #[test]
-fn without_its_engine_an_agent_offers_nothing() {
+fn an_agent_without_its_engine_offers_no_slots() {
     let mut gate = engine_gate(8);
     gate.engine_lost();
     let offers = gate.make_offers();
@@ -329,7 +333,7 @@
 }
 
 #[test]
-fn orders_pass_only_with_a_larger_plan() {
+fn only_orders_of_a_newer_plan_are_passed_on() {
     let mut gate = engine_gate(8);
     let order = |plan_version| {
         Body::Assignment(link::Assignment {
@@ -347,17 +351,17 @@
 }
 
 #[test]
-fn credits_go_where_requests_wait_and_never_above_the_slots() {
+fn entries_with_waiting_requests_get_more_credits_within_the_slots() {
     let mut gate = engine_gate(16);
     gate.entry_connected(entry("f"));
     gate.on_entry_message(&entry("f"), Body::Demand(link::Demand { waiting: 9 }));
-    let mut told = std::collections::BTreeMap::new();
+    let mut credits_by_entry = std::collections::BTreeMap::new();
     for action in (0..10).flat_map(|_| gate.tick()) {
         if let GateAction::ToEntry { entry, body: Body::Heartbeat(heartbeat) } = action {
-            told.insert(entry.name, heartbeat.credits);
+            credits_by_entry.insert(entry.name, heartbeat.credits);
         }
     }
-    let credits: Vec<u32> = told.into_values().collect();
+    let credits: Vec<u32> = credits_by_entry.into_values().collect();
     assert_eq!(credits.iter().sum::<u32>(), 12);
     assert!(credits[1] > credits[0], "{credits:?}");
 }
@@ -375,20 +379,20 @@
     }
 }
 
-fn started(actions: Vec<GateAction>) -> ServiceCall {
+fn started_call(actions: Vec<GateAction>) -> ServiceCall {
     match actions.into_iter().next() {
         Some(GateAction::CallService(call)) => call,
-        other => panic!("a call: {other:?}"),
+        other => panic!("expected a call, got {other:?}"),
     }
 }
 
 #[test]
-fn calls_go_through_the_same_gate() {
+fn service_calls_are_admitted_like_requests() {
     let mut gate = service_gate();
-    let first = started(gate.on_entry_message(&entry("e"), Body::Call(call(1, true))));
+    let first = started_call(gate.on_entry_message(&entry("e"), Body::Call(call(1, true))));
     let again = gate.on_entry_message(&entry("e"), Body::Call(call(1, true)));
     assert_eq!(refusal(&again), Some(RefusalReason::AlreadyKnown));
-    started(gate.on_entry_message(&entry("e"), Body::Call(call(2, false))));
+    started_call(gate.on_entry_message(&entry("e"), Body::Call(call(2, false))));
     let full = gate.on_entry_message(&entry("e"), Body::Call(call(3, false)));
     assert_eq!(refusal(&full), Some(RefusalReason::NoSlot));
     let other = gate.on_entry_message(
@@ -406,20 +410,21 @@
     assert_eq!(gate.in_flight(), 1);
 }
 
-/// With the class's priority on each step, a full engine ran only the highest class, and streams of
-/// lower ones stalled until they were given up.
+/// When steps had the priority of their class, a full engine ran only those of the highest class,
+/// and streams of lower classes stalled until they ended as unknown.
 #[test]
-fn streams_that_run_go_on_evenly_whatever_their_class() {
+fn running_steps_have_the_same_priority_in_all_classes() {
     let mut gate = engine_gate(8);
     let with = |priority| link::Route { priority, ..route([1, 1, 1]) };
     let high = gate.on_stage_message(Body::Step(step(1, 1, 0, 2, Some(with(9)))));
     let low = gate.on_stage_message(Body::Step(step(2, 1, 0, 2, Some(with(1)))));
-    assert_eq!(runs(&high)[0].priority, runs(&low)[0].priority);
+    assert_eq!(engine_steps(&high)[0].priority, engine_steps(&low)[0].priority);
 }
 
-/// At size most links are idle most of the time: they carry one heartbeat in ten ticks.
+/// In a large deployment most links are idle most of the time, so they carry one heartbeat every ten
+/// ticks.
 #[test]
-fn idle_entries_hear_seldom_and_busy_ones_often() {
+fn idle_entries_get_fewer_heartbeats_than_busy_ones() {
     let count = |gate: &mut GateState| {
         let actions = (0..100).flat_map(|_| gate.tick()).collect::<Vec<_>>();
         actions
@@ -429,12 +434,12 @@
     };
     let mut gate = engine_gate(8);
     assert_eq!(count(&mut gate), 10);
-    run_first(&mut gate, 1);
+    run_first_step(&mut gate, 1);
     assert!(count(&mut gate) >= 50);
 }
 
 #[test]
-fn messages_that_do_not_belong_are_counted_and_dropped() {
+fn unexpected_messages_are_counted_and_dropped() {
     let mut gate = engine_gate(8);
     assert!(gate.on_entry_message(&entry("e"), Body::Offer(link::Offer::default())).is_empty());
     assert!(gate.on_stage_message(Body::Void(link::Void { request: id(1) })).is_empty());
--- a/crates/agent/tests/links.rs
+++ b/crates/agent/tests/links.rs
@@ -1,4 +1,5 @@
-//! Links over sockets: strangers, other versions, and connections that overlap.
+//! Tests of links over sockets: authentication, protocol versions, overlapping connections and
+//! shutdown.
 
 use std::time::Duration;
 
@@ -21,7 +22,7 @@
     (listener, address)
 }
 
-async fn start() -> (String, ServiceStandin, ShutdownSignal) {
+async fn start_agent() -> (String, ServiceStandin, ShutdownSignal) {
     let (service_listener, service_address) = bind().await;
     let (link, address) = bind().await;
     let service = ServiceStandin::new(Duration::from_millis(100));
@@ -60,10 +61,10 @@
     }
 }
 
-async fn next(link: &mut ClientLink, wanted: impl Fn(&Body) -> bool) -> Option<Body> {
+async fn next_body(link: &mut ClientLink, matches: impl Fn(&Body) -> bool) -> Option<Body> {
     while let Ok(Some(frame)) = link.frames.message().await {
         for body in frame.messages.into_iter().filter_map(|message| message.body) {
-            if wanted(&body) {
+            if matches(&body) {
                 return Some(body);
             }
         }
@@ -85,56 +86,59 @@
 }
 
 #[tokio::test]
-async fn strangers_and_other_versions_are_refused() {
-    let (address, ..) = start().await;
-    let stranger = connect_link(&address, "wrong", hello(PROTOCOL_VERSION)).await;
+async fn wrong_tokens_and_other_protocol_versions_are_refused() {
+    let (address, ..) = start_agent().await;
+    let wrong_token = connect_link(&address, "wrong", hello(PROTOCOL_VERSION)).await;
     assert!(
-        matches!(&stranger, Err(LinkError::Refused { detail }) if detail.contains("cluster token")),
-        "{stranger:?}"
+        matches!(&wrong_token, Err(LinkError::Refused { detail }) if detail.contains("cluster token")),
+        "{wrong_token:?}"
     );
-    let other = connect_link(&address, "secret", hello(PROTOCOL_VERSION + 1)).await;
+    let other_version = connect_link(&address, "secret", hello(PROTOCOL_VERSION + 1)).await;
     assert!(
-        matches!(&other, Err(LinkError::Refused { detail }) if detail.contains("upgrade")),
-        "{other:?}"
+        matches!(&other_version, Err(LinkError::Refused { detail }) if detail.contains("upgrade")),
+        "{other_version:?}"
     );
-    let bad = connect_link("not an address", "secret", hello(PROTOCOL_VERSION)).await;
-    assert!(matches!(bad, Err(LinkError::BadAddress { .. } | LinkError::Unreachable { .. })));
+    let bad_address = connect_link("not an address", "secret", hello(PROTOCOL_VERSION)).await;
+    assert!(matches!(
+        bad_address,
+        Err(LinkError::BadAddress { .. } | LinkError::Unreachable { .. })
+    ));
     assert!(matches!(connect_link(&address, "a\nb", hello(1)).await, Err(LinkError::BadToken)));
 }
 
-/// An entry opens a new connection before its former one is seen to end: the late end of the former
-/// one must not close the new one, nor release what came over it.
+/// An entry may open a new connection before the agent notices the end of the earlier one. The late
+/// end of the earlier connection must not close the new one or release its requests.
 #[tokio::test]
-async fn the_end_of_a_former_connection_leaves_the_new_one_open() {
-    let (address, service, _signal) = start().await;
-    let mut former =
+async fn a_late_end_of_an_earlier_connection_leaves_the_new_one_open() {
+    let (address, service, _signal) = start_agent().await;
+    let mut earlier =
         connect_link(&address, "secret", hello(PROTOCOL_VERSION)).await.expect("linked");
-    assert!(next(&mut former, |body| matches!(body, Body::Offer(_))).await.is_some());
-    let mut present =
+    assert!(next_body(&mut earlier, |body| matches!(body, Body::Offer(_))).await.is_some());
+    let mut current =
         connect_link(&address, "secret", hello(PROTOCOL_VERSION)).await.expect("linked");
-    assert!(next(&mut present, |body| matches!(body, Body::Offer(_))).await.is_some());
-    assert!(present.sender.send(call(1)));
-    drop(former);
-    let answer = next(&mut present, |body| matches!(body, Body::CallAnswer(_))).await;
-    assert!(matches!(answer, Some(Body::CallAnswer(answer)) if answer.status == 200));
-    assert!(present.sender.send(call(2)));
-    assert!(next(&mut present, |body| matches!(body, Body::CallAnswer(_))).await.is_some());
+    assert!(next_body(&mut current, |body| matches!(body, Body::Offer(_))).await.is_some());
+    assert!(current.sender.send(call(1)));
+    drop(earlier);
+    let response = next_body(&mut current, |body| matches!(body, Body::CallAnswer(_))).await;
+    assert!(matches!(response, Some(Body::CallAnswer(answer)) if answer.status == 200));
+    assert!(current.sender.send(call(2)));
+    assert!(next_body(&mut current, |body| matches!(body, Body::CallAnswer(_))).await.is_some());
     assert_eq!((service.runs("call 1"), service.runs("call 2")), (1, 1));
 }
 
 #[tokio::test]
-async fn a_planned_stop_finishes_the_call_in_flight() {
-    let (address, service, signal) = start().await;
+async fn a_graceful_shutdown_finishes_the_call_in_flight() {
+    let (address, service, signal) = start_agent().await;
     let mut link = connect_link(&address, "secret", hello(PROTOCOL_VERSION)).await.expect("linked");
     assert!(link.sender.send(call(7)));
     let is_busy =
         |body: &Body| matches!(body, Body::Heartbeat(heartbeat) if heartbeat.running == 1);
-    assert!(next(&mut link, is_busy).await.is_some());
+    assert!(next_body(&mut link, is_busy).await.is_some());
     signal.raise();
-    let drains = |body: &Body| matches!(body, Body::Offer(offer) if offer.draining);
-    assert!(next(&mut link, drains).await.is_some());
+    let is_draining = |body: &Body| matches!(body, Body::Offer(offer) if offer.draining);
+    assert!(next_body(&mut link, is_draining).await.is_some());
     assert!(link.sender.send(Body::DrainSeen(DrainSeen {})));
-    let answer = next(&mut link, |body| matches!(body, Body::CallAnswer(_))).await;
-    assert!(answer.is_some(), "the call in flight is answered");
+    let response = next_body(&mut link, |body| matches!(body, Body::CallAnswer(_))).await;
+    assert!(response.is_some(), "the call in flight gets its response");
     assert_eq!(service.runs("call 7"), 1);
 }
