--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -1,4 +1,4 @@
-//! Starting and stopping an agent.
+//! Start and graceful shutdown of an agent.
 
 use std::time::Duration;
 
@@ -13,39 +13,39 @@
     AgentError,
     admin::serve_admin,
     calls::ServiceCaller,
-    engine::{describe_engine, keep_engine},
+    engine::{describe_engine, maintain_engine_stream},
     gate::{GateConfig, GateEndpoint},
     links::{StageConnector, TaskGroup, read_link},
     service::{BeginDrain, GATE, GateService, GateTick, SetAddress},
     settings::AgentSettings,
 };
 
-/// Tries to reach the engine before the agent gives up at its start.
-const START_TRIES: u32 = 50;
+/// Number of attempts to reach the engine at the start before the agent fails.
+const MAX_CONNECT_ATTEMPTS: u32 = 50;
 
-/// Wait between these tries.
-const START_WAIT: Duration = Duration::from_millis(100);
+/// Time between these attempts.
+const CONNECT_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Sockets of an agent, bound before it starts.
+/// Listening sockets of an agent, bound before it starts.
 #[derive(Debug)]
 pub struct AgentSockets {
-    /// For entries and other agents.
+    /// Socket for links from entries and other agents.
     pub link: TcpListener,
-    /// For `/healthz` and `/metrics`.
+    /// Socket for `/healthz` and `/metrics`; they are not served without it.
     pub admin: Option<TcpListener>,
 }
 
-/// Runs an agent until the signal is raised and what is in flight has finished.
+/// Runs an agent until the signal is raised and the requests in flight have finished.
 ///
 /// # Errors
 ///
-/// Fails where the engine cannot be reached at the start, or the server fails.
+/// Returns an error if the engine cannot be reached at the start, or if the link server fails.
 pub async fn run_agent(
     settings: AgentSettings,
     sockets: AgentSockets,
     shutdown: ShutdownSignal,
 ) -> Result<(), AgentError> {
-    let endpoint = endpoint_of(&settings).await?;
+    let endpoint = describe_endpoint(&settings).await?;
     let incarnation = process_incarnation(&settings.name, epoch_millis());
     let registry = ServiceRegistry::new();
     let gate = start_gate(&settings, endpoint, incarnation).await;
@@ -54,7 +54,7 @@
     let mut tasks = TaskGroup::default();
     if let Some(address) = settings.engine.clone() {
         let seed = hash_bytes(incarnation, settings.name.as_bytes());
-        tasks.spawn(keep_engine(address, seed, gate.clone()));
+        tasks.spawn(maintain_engine_stream(address, seed, gate.clone()));
     }
     tasks.spawn(tick(Duration::from_millis(settings.offer_ms), gate.clone()));
     if let Some(listener) = sockets.admin {
@@ -75,22 +75,24 @@
     }
 }
 
-async fn endpoint_of(settings: &AgentSettings) -> Result<GateEndpoint, AgentError> {
+/// Returns the properties of the endpoint. Those of an engine are requested from it.
+async fn describe_endpoint(settings: &AgentSettings) -> Result<GateEndpoint, AgentError> {
     if let Some(service) = &settings.service {
         return Ok(GateEndpoint::Service { name: service.name.clone(), slots: service.slots });
     }
     let address = settings.engine.as_deref().unwrap_or_default();
-    let mut tries = 0;
+    let mut attempts = 0;
     loop {
-        tries += 1;
+        attempts += 1;
         match describe_engine(address).await {
             Ok((_, endpoint)) => return Ok(endpoint),
-            Err(error) if tries >= START_TRIES => return Err(error),
-            Err(_) => sleep(START_WAIT).await,
+            Err(error) if attempts >= MAX_CONNECT_ATTEMPTS => return Err(error),
+            Err(_) => sleep(CONNECT_RETRY_INTERVAL).await,
         }
     }
 }
 
+/// Starts the gate's actor and returns its address.
 async fn start_gate(
     settings: &AgentSettings,
     endpoint: GateEndpoint,
@@ -131,16 +133,17 @@
     }
 }
 
-/// How long a drained agent goes on refusing: a request that an entry sent to an earlier stage before
-/// it saw the drain may still arrive, and must be told that it did not run here.
-const LINGER: Duration = Duration::from_secs(1);
+/// Time for which a drained agent continues to refuse requests. A request that an entry sent to an
+/// earlier stage before it saw the drain may still arrive here, and its entry must learn that it did
+/// not run.
+const DRAIN_LINGER: Duration = Duration::from_secs(1);
 
-/// Waits for the signal, then until nothing is in flight and every entry knows.
+/// Waits for the signal, then until nothing is in flight and every entry has acknowledged the drain.
 async fn drain(gate: &Address<GateService>, shutdown: &ShutdownSignal) {
     shutdown.raised().await;
     let work = ShutdownSignal::new();
     if gate.send(BeginDrain(work.guard())).await.is_ok() {
         work.drained().await;
     }
-    sleep(LINGER).await;
+    sleep(DRAIN_LINGER).await;
 }
