--- a/crates/relay/src/messages.rs
+++ b/crates/relay/src/messages.rs
@@ -249,6 +249,7 @@
     request: (u32, Millis, Millis),
     /// Number of grants.
     count: u32,
+    /// Grants per second that the receiver can expect.
     share: f64,
 }
 
@@ -308,7 +309,7 @@
         Self {
             fingerprint: report.fingerprint.bytes(),
             remaining_ms: report.remaining.map(|remaining| remaining as u32),
-            runs: report.runs.iter().map(|run| CrashRunRecord::of(run, now)).collect(),
+            runs: report.runs.iter().map(|run| CrashRunRecord::new(run, now)).collect(),
         }
     }
 
@@ -317,13 +318,13 @@
         CrashReport {
             fingerprint: RequestFingerprint::from_bytes(self.fingerprint),
             remaining: self.remaining_ms.map(Millis::from),
-            runs: self.runs.iter().map(|run| run.run(now)).collect(),
+            runs: self.runs.iter().map(|run| run.crash_run(now)).collect(),
         }
     }
 }
 
 impl CrashRunRecord {
-    fn of(run: &CrashRun, now: Millis) -> Self {
+    fn new(run: &CrashRun, now: Millis) -> Self {
         let age = |at: i64| u32::try_from(now as i64 - at).unwrap_or_default();
         Self {
             instance: (&run.instance).into(),
@@ -333,7 +334,7 @@
         }
     }
 
-    fn run(&self, now: Millis) -> CrashRun {
+    fn crash_run(&self, now: Millis) -> CrashRun {
         CrashRun {
             instance: (&self.instance).into(),
             sent: now as i64 - i64::from(self.sent_age),
--- a/crates/relay/src/registry.rs
+++ b/crates/relay/src/registry.rs
@@ -2,8 +2,8 @@
 //!
 //! A relay writes its address to the store once, and learns those of the others. The first relay of
 //! a data centre lists them from time to time; the others, and relays that restart, ask that one.
-//! So a hundred simultaneous restarts cause no call each, provided that one relay of each data
-//! centre stayed up.
+//! So a hundred relays that restart together make no calls of their own, provided that one relay
+//! of each data centre stayed up.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
--- a/crates/relay/src/snapshot/mod.rs
+++ b/crates/relay/src/snapshot/mod.rs
@@ -1,4 +1,5 @@
-//! Snapshots of what a relay read from the store, for its neighbours.
+//! Snapshots of what a relay read from the store, for its neighbours: the relays of its data
+//! centre.
 //!
 //! If a hundred relays each read every version of the configuration, and listed all replicas at
 //! each start and each return of the store, they would make thousands of calls a minute, each with
