--- a/crates/relay/src/gossip.rs
+++ b/crates/relay/src/gossip.rs
@@ -87,7 +87,7 @@
     }
 }
 
-/// Makes [`run_sender`] send this relay's state after [`SEND_DELAY`] instead of in the next round.
+/// Makes [`run_sender`] send this relay's state after a short delay instead of in the next round.
 pub fn send_state_soon(relay: &Relay, scope: SendScope) {
     relay.pending_send.set(relay.pending_send.get().max(Some(scope)));
     relay.send_notify.notify_one();
--- a/crates/relay/src/messages.rs
+++ b/crates/relay/src/messages.rs
@@ -221,7 +221,7 @@
 }
 
 impl GrantRequestRecord {
-    /// Returns the request as the issuer takes it.
+    /// Converts the record to a request for the issuer.
     pub fn request(&self) -> GrantRequest {
         let (count, valid_for) = (self.count as usize, Millis::from(self.valid_for_ms));
         GrantRequest { id: self.limit.id.clone(), count, valid_for }
