--- a/crates/relay/src/metrics.rs
+++ b/crates/relay/src/metrics.rs
@@ -66,34 +66,31 @@
             builder.with_boundaries(BUCKET_BOUNDS_MS.to_vec()).build()
         };
         Ok(Self {
-            first_byte: histogram(
-                "switchfold_first_byte",
-                "Time from arrival to the head of the response",
-            ),
-            total: histogram("switchfold_total", "Time from arrival to the end of the response"),
+            first_byte: histogram("switchfold_first_byte", "From arrival to the answer's head"),
+            total: histogram("switchfold_total", "From arrival to the answer's end"),
             pause: histogram(
                 "switchfold_longest_pause",
                 "Longest pause between events of a stream",
             ),
             outcomes: meter
                 .u64_counter("switchfold_outcomes")
-                .with_description("Finished requests, by status and reason")
+                .with_description("Ended requests by status and reason")
                 .build(),
             attempts: meter
                 .u64_counter("switchfold_attempts")
-                .with_description("Attempts other than plain successes, by result and next step")
+                .with_description("Attempts that did not simply succeed, by end and next step")
                 .build(),
             store_calls: meter
                 .u64_gauge("switchfold_store_calls")
-                .with_description("Calls to the store, by kind of object, verb, cause and result")
+                .with_description("Calls of the store by kind of object, verb, cause and end")
                 .build(),
             figures: meter
                 .u64_gauge("switchfold_figures")
-                .with_description("Counts since the start and current sizes, by name")
+                .with_description("Counts since the start, and present sizes, by name")
                 .build(),
             ages: meter
                 .u64_gauge("switchfold_belief_age")
-                .with_description("Age of the configuration and of the replica list")
+                .with_description("Age of what the relay believes, by belief")
                 .with_unit("ms")
                 .build(),
             routes: RefCell::new(LabelBudget::new(MAX_ROUTE_LABELS, PROMOTE_AFTER)),
