--- a/crates/entry/src/service.rs
+++ b/crates/entry/src/service.rs
@@ -38,9 +38,12 @@
 pub struct DispatchService {
     state: DispatchState,
     identity: LinkIdentity,
+    /// Largest number of agents to open links to; 0 means all.
     agent_links: usize,
+    /// Open connections, by the agent's process name.
     links: HashMap<String, OpenLink>,
     links_started: u64,
+    /// Tasks that hold the links open, by the agent's process name.
     link_tasks: HashMap<String, AgentLink>,
     callers: HashMap<RequestId, Caller>,
     vms: Vec<VmEntry>,
