--- a/crates/agent/src/gate/mod.rs
+++ b/crates/agent/src/gate/mod.rs
@@ -198,8 +198,8 @@
         }
     }
 
-    /// Handles the end of the link to the stage at `address`. Reports the loss to the entries of all
-    /// requests that send to that stage.
+    /// Handles the end of the link to the stage at `address`. Reports the loss to the entries of
+    /// all requests that send to that stage.
     pub fn stage_disconnected(&mut self, address: &str) -> Vec<GateAction> {
         let mut actions = Vec::new();
         for (id, state) in &self.requests {
@@ -211,7 +211,8 @@
         actions
     }
 
-    /// Sends an offer to each entry. Called when a property other than load and credits has changed.
+    /// Sends an offer to each entry. Called when a property other than load and credits has
+    /// changed.
     pub fn make_offers(&mut self) -> Vec<GateAction> {
         self.report_count += 1;
         let mut actions = Vec::new();
@@ -226,9 +227,9 @@
         actions
     }
 
-    /// Sends heartbeats to the entries that are due one. Busy entries are also sent one whenever its
-    /// contents change. Idle entries get fewer, since in a large deployment most of an agent's links
-    /// are idle.
+    /// Sends heartbeats to the entries that are due one. Busy entries are also sent one whenever
+    /// its contents change. Idle entries get fewer, since in a large deployment most of an agent's
+    /// links are idle.
     fn heartbeats(&mut self) -> Vec<GateAction> {
         self.report_count += 1;
         let mut actions = Vec::new();
--- a/crates/agent/src/gate/request.rs
+++ b/crates/agent/src/gate/request.rs
@@ -54,8 +54,8 @@
         self.pipeline.stages().get(self.stage_index + 1)
     }
 
-    /// Returns the value of `resend` with which a repeated step passes all stages and returns to
-    /// this one.
+    /// Returns the number of hops, as a value for `resend`, within which a repeated step passes the
+    /// whole pipeline and returns to this stage.
     pub(super) fn round_trip(&self) -> u32 {
         2 * self.pipeline.stages().len() as u32
     }
@@ -107,12 +107,12 @@
     pub(super) fn span_for_next(&self) -> Option<NextSpan> {
         let next = self.next_stage()?;
         let attempt = self.step_gate.attempt();
-        let is_fresh = next.joined_attempt == attempt && self.sent_attempt < attempt;
-        let is_replay = is_fresh && attempt > 1;
-        if is_fresh && self.log.is_truncated() {
+        let is_new_stage = next.joined_attempt == attempt && self.sent_attempt < attempt;
+        let is_replay = is_new_stage && attempt > 1;
+        if is_new_stage && self.log.is_truncated() {
             return Some(NextSpan::Truncated);
         }
-        let span = if is_fresh { self.log.full_output() } else { self.log.last_output() };
+        let span = if is_new_stage { self.log.full_output() } else { self.log.last_output() };
         span.map(|span| NextSpan::Send { span, is_replay })
     }
 }
--- a/crates/agent/src/gate/steps.rs
+++ b/crates/agent/src/gate/steps.rs
@@ -277,8 +277,8 @@
             tokens: Vec::new(),
             activations: step.activations.slice(skip * width..),
             want_token: false,
-            // Priorities apply in the queues of the entries only. If steps had the priority of their class, a
-            // full engine would never run the steps of lower classes.
+            // Priorities apply in the queues of the entries only. If steps had the priority of
+            // their class, a full engine would never run the steps of lower classes.
             priority: 0,
             release: false,
             ticket,
@@ -357,8 +357,8 @@
     }
 }
 
-/// Returns the actions that send the generated tokens among the inputs of a step to the entry, which
-/// may have missed some of them.
+/// Returns the actions that send the generated tokens among the inputs of a step to the entry,
+/// which may have missed some of them.
 fn replayed_tokens(id: RequestId, state: &RequestState, step: &IncomingStep) -> Vec<GateAction> {
     let first = step.header.first_position;
     let positions = step.inputs.iter().enumerate();
--- a/crates/agent/src/links.rs
+++ b/crates/agent/src/links.rs
@@ -38,7 +38,8 @@
 }
 
 impl StageConnector {
-    /// Opens a link in a new task, which reports to the gate that the link is open and when it ends.
+    /// Opens a link in a new task, which reports to the gate that the link is open and when it
+    /// ends.
     pub(crate) fn connect(&self, id: LinkId, address: String, gate: Address<GateService>) {
         let hello = Hello {
             protocol: PROTOCOL_VERSION,
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -75,7 +75,8 @@
     }
 }
 
-/// Returns the properties of the endpoint. Those of an engine are requested from it.
+/// Returns the properties of the endpoint. Those of an engine are requested from it, with several
+/// attempts if it cannot be reached.
 async fn describe_endpoint(settings: &AgentSettings) -> Result<GateEndpoint, AgentError> {
     if let Some(service) = &settings.service {
         return Ok(GateEndpoint::Service { name: service.name.clone(), slots: service.slots });
@@ -134,11 +135,12 @@
 }
 
 /// Time for which a drained agent continues to refuse requests. A request that an entry sent to an
-/// earlier stage before it saw the drain may still arrive here, and its entry must learn that it did
-/// not run.
+/// earlier stage before it saw the drain may still arrive here, and its entry must learn that it
+/// did not run.
 const DRAIN_LINGER: Duration = Duration::from_secs(1);
 
-/// Waits for the signal, then until nothing is in flight and every entry has acknowledged the drain.
+/// Waits for the signal, then until nothing is in flight and every entry has acknowledged the
+/// drain.
 async fn drain(gate: &Address<GateService>, shutdown: &ShutdownSignal) {
     shutdown.raised().await;
     let work = ShutdownSignal::new();
--- a/crates/agent/tests/gate.rs
+++ b/crates/agent/tests/gate.rs
@@ -421,8 +421,8 @@
     assert_eq!(engine_steps(&high)[0].priority, engine_steps(&low)[0].priority);
 }
 
-/// In a large deployment most links are idle most of the time, so they carry one heartbeat every ten
-/// ticks.
+/// In a large deployment most links are idle most of the time, so they carry one heartbeat every
+/// ten ticks.
 #[test]
 fn idle_entries_get_fewer_heartbeats_than_busy_ones() {
     let count = |gate: &mut GateState| {
--- a/crates/entry/src/dispatch/messages.rs
+++ b/crates/entry/src/dispatch/messages.rs
@@ -172,10 +172,10 @@
         let is_call = request.submission.is_call();
         let once = request.submission.once;
         match refusal.reason() {
-            RefusalReason::EndpointFailed if is_call => self.call_failed(now, id, process),
+            RefusalReason::EndpointFailed if is_call => self.handle_failed_call(now, id, process),
             RefusalReason::EndpointUnreached => {
                 self.record_failure(process);
-                self.call_unreached(now, id)
+                self.handle_unreached_call(now, id)
             }
             RefusalReason::EndpointFailed => {
                 self.record_failure(process);
@@ -221,7 +221,7 @@
 
     /// Handles a call whose service could not be reached: it did not run, so it may be sent to
     /// another replica.
-    fn call_unreached(&mut self, now: Millis, id: RequestId) -> Vec<DispatchAction> {
+    fn handle_unreached_call(&mut self, now: Millis, id: RequestId) -> Vec<DispatchAction> {
         if self.budget.try_spend() {
             return self.requeue(now, id);
         }
@@ -229,7 +229,12 @@
     }
 
     /// Handles a call that its service may have run without a complete response.
-    fn call_failed(&mut self, now: Millis, id: RequestId, process: &str) -> Vec<DispatchAction> {
+    fn handle_failed_call(
+        &mut self,
+        now: Millis,
+        id: RequestId,
+        process: &str,
+    ) -> Vec<DispatchAction> {
         self.record_failure(process);
         let once = self.requests.get(&id).is_some_and(|request| request.submission.once);
         if once {
--- a/crates/entry/src/dispatch/mod.rs
+++ b/crates/entry/src/dispatch/mod.rs
@@ -263,7 +263,7 @@
         vec![DispatchAction::notify(id, event), DispatchAction::Observe(observation)]
     }
 
-    /// Ends a request as not run. `retry_after` is in milliseconds.
+    /// Ends a request as not run. `retry_after` is the time to wait before it is sent again.
     fn finish_not_run(
         &mut self,
         now: Millis,
--- a/crates/entry/src/dispatch/replica.rs
+++ b/crates/entry/src/dispatch/replica.rs
@@ -62,7 +62,8 @@
 }
 
 impl ReplicaView {
-    /// Creates the view of a replica from its first offer. Returns `None` if the offer is malformed.
+    /// Creates the view of a replica from its first offer. Returns `None` if the offer is
+    /// malformed.
     pub fn new(address: &str, offer: &link::Offer, now: Millis) -> Option<Self> {
         let mut view = Self {
             address: address.to_owned(),
--- a/crates/entry/src/dispatch/request.rs
+++ b/crates/entry/src/dispatch/request.rs
@@ -21,7 +21,7 @@
     pub(super) attempt: u32,
     /// Time of the last dispatch, delivery or recovery step.
     pub(super) last_progress: Millis,
-    /// Time after which the caller may retry if the request ends as not run.
+    /// Time that the caller should wait before a retry if the request ends as not run.
     pub(super) retry_after: Millis,
 }
 
--- a/crates/entry/src/dispatch/scheduling.rs
+++ b/crates/entry/src/dispatch/scheduling.rs
@@ -18,7 +18,7 @@
     submission::Work,
 };
 
-/// Replicas preferred for a request.
+/// Replicas chosen for a request.
 struct ChosenPath {
     /// Process names of the agents, by stage; a single one for a service call.
     processes: Vec<String>,
@@ -139,7 +139,7 @@
         })
     }
 
-    /// Chooses an available replica with a free slot. Ejected replicas are excluded_addresses only if no other
+    /// Chooses an available replica with a free slot. Ejected replicas are used only if no other
     /// has one.
     fn choose_with_slots(
         &mut self,
--- a/crates/entry/src/dispatch/submission.rs
+++ b/crates/entry/src/dispatch/submission.rs
@@ -217,7 +217,7 @@
     NotRun {
         /// Reason why it did not run.
         reason: NotRunReason,
-        /// Time after which to try again.
+        /// Time to wait before the request is sent again.
         retry_after: Millis,
     },
     /// The request may have run.
--- a/crates/entry/tests/dispatch.rs
+++ b/crates/entry/tests/dispatch.rs
@@ -388,9 +388,9 @@
     assert_eq!(state.counts().resend_requests, 0);
 }
 
-/// Idle agents send one heartbeat per second, and busy ones time out after 700 ms. A request sent to
-/// an agent that had been silent for most of a second made it time out before its next heartbeat.
-/// In a run without faults, a once-only request ended as unknown for that reason.
+/// Idle agents send one heartbeat per second, and busy ones time out after 700 ms. A request sent
+/// to an agent that had been silent for most of a second made it time out before its next
+/// heartbeat. In a run without faults, a once-only request ended as unknown for that reason.
 #[test]
 fn the_busy_timeout_of_an_idle_agent_starts_with_its_first_request() {
     let mut state = state_with_replicas(0);
