--- a/crates/soak/src/bin/switchfold-soak.rs
+++ b/crates/soak/src/bin/switchfold-soak.rs
@@ -1,4 +1,4 @@
-//! The fault soak as a program.
+//! The fault soak as a command-line program.
 
 use std::{
     collections::BTreeMap,
@@ -11,36 +11,35 @@
 use clap::{Args, Parser, Subcommand};
 use futures_util::{StreamExt, stream};
 use switchfold_soak::{
-    plan::SiteShape,
+    cluster::ClusterConfig,
+    plan::ClusterSize,
     replica::{ReplicaArguments, run_replica},
     run::{SoakReport, run_seed},
-    site::SiteConfig,
 };
-
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Exit code where a promise was broken.
-const BROKEN: u8 = 1;
+/// Exit code if at least one promise was broken.
+const EXIT_VIOLATION: u8 = 1;
 
-/// Exit code where a run could not be made.
-const NOT_RUN: u8 = 3;
+/// Exit code if a run could not be carried out.
+const EXIT_RUN_FAILED: u8 = 3;
 
-/// Randomized faults on relays that run as processes.
+/// Injects randomized faults into relays that run as processes, and checks the relay's promises.
 ///
-/// Exit codes: 0 no promise broken; 1 some were, and the logs are kept; 2 wrong arguments; 3 a run could not
-/// be made.
+/// Exit codes: 0 no promise broken; 1 at least one promise broken, logs kept; 2 invalid arguments;
+/// 3 a run could not be carried out.
 #[derive(Debug, Parser)]
 #[command(version, after_help = "Example:\n  switchfold-soak run --seed 1 --seeds 50 --jobs 3")]
 struct SoakArguments {
     #[command(subcommand)]
-    verb: SoakVerb,
+    command: SoakCommand,
 }
 
 #[derive(Debug, Subcommand)]
-enum SoakVerb {
-    /// Runs seeds and tells which promises were broken.
+enum SoakCommand {
+    /// Runs seeds and reports which promises were broken.
     Run(RunArguments),
-    /// Runs one stand-in replica; the soak starts these itself.
+    /// Runs one stand-in replica. The soak starts these processes itself.
     Replica(ReplicaArguments),
 }
 
@@ -49,34 +48,34 @@
     /// First seed.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Count of seeds.
+    /// Number of consecutive seeds.
     #[arg(long, default_value_t = 1)]
     seeds: u64,
-    /// File with seeds to run instead, one at the beginning of each line.
+    /// File of seeds to run instead: the first word of each line. Other lines are ignored.
     #[arg(long, value_name = "FILE", conflicts_with_all = ["seed", "seeds"])]
     seed_file: Option<PathBuf>,
-    /// Seconds with faults in each run.
+    /// Seconds during which faults are injected in each run.
     #[arg(long, default_value_t = 15)]
     seconds: u64,
-    /// Runs at the same time.
+    /// Number of runs at the same time.
     #[arg(long, default_value_t = 1)]
     jobs: usize,
-    /// Relays.
+    /// Number of relays.
     #[arg(long, default_value_t = 4)]
     relays: usize,
-    /// Engines.
+    /// Number of engines.
     #[arg(long, default_value_t = 8)]
     engines: usize,
-    /// Replicas of the plain service.
+    /// Number of replicas of the plain (non-streaming) service.
     #[arg(long, default_value_t = 3)]
     desks: usize,
-    /// Callers.
+    /// Number of callers.
     #[arg(long, default_value_t = 16)]
     callers: usize,
-    /// Program of the relay; beside this one where it is not given.
+    /// Relay program. Defaults to `switchfold-relay` in the directory of this program.
     #[arg(long, value_name = "FILE")]
     relay: Option<PathBuf>,
-    /// Folder for settings and logs.
+    /// Directory for settings and logs.
     #[arg(long, value_name = "FOLDER", default_value = "target/soak")]
     folder: PathBuf,
 }
@@ -87,26 +86,27 @@
             return Ok((self.seed..self.seed + self.seeds).collect());
         };
         let text = std::fs::read_to_string(file)?;
-        let first = |line: &str| line.split_whitespace().next().and_then(|word| word.parse().ok());
-        Ok(text.lines().filter_map(first).collect())
+        let parse_seed =
+            |line: &str| line.split_whitespace().next().and_then(|word| word.parse().ok());
+        Ok(text.lines().filter_map(parse_seed).collect())
     }
 
-    async fn run_one(&self, seed: u64, own: &Path) -> io::Result<SoakReport> {
+    async fn run_one(&self, seed: u64, soak_program: &Path) -> io::Result<SoakReport> {
         let folder = self.folder.join(format!("seed-{seed}"));
         if folder.exists() {
             std::fs::remove_dir_all(&folder)?;
         }
         std::fs::create_dir_all(&folder)?;
-        let beside = own.with_file_name("switchfold-relay");
-        let config = SiteConfig {
-            shape: SiteShape {
+        let default_relay = soak_program.with_file_name("switchfold-relay");
+        let config = ClusterConfig {
+            size: ClusterSize {
                 relays: self.relays,
                 engines: self.engines,
                 desks: self.desks,
                 callers: self.callers,
             },
-            relay: self.relay.clone().unwrap_or(beside),
-            replica: own.to_owned(),
+            relay: self.relay.clone().unwrap_or(default_relay),
+            replica: soak_program.to_owned(),
             folder: folder.clone(),
         };
         let report = run_seed(seed, Duration::from_secs(self.seconds), config).await?;
@@ -117,42 +117,45 @@
     }
 }
 
-/// Runs until the end or a signal; dropping the runs ends all their processes.
-async fn run_until_told(arguments: RunArguments) -> io::Result<bool> {
+/// Runs all seeds, or fails on SIGTERM or SIGINT. Dropping the runs kills all their processes.
+async fn run_until_signal(arguments: RunArguments) -> io::Result<bool> {
     let mut term = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     tokio::select! {
         outcome = run(arguments) => outcome,
-        _ = term.recv() => Err(io::Error::other("told to end")),
-        _ = interrupt.recv() => Err(io::Error::other("interrupted")),
+        _ = term.recv() => Err(io::Error::other("stopped by SIGTERM")),
+        _ = interrupt.recv() => Err(io::Error::other("stopped by SIGINT")),
     }
 }
 
 async fn run(arguments: RunArguments) -> io::Result<bool> {
-    let own = std::env::current_exe()?;
+    let soak_program = std::env::current_exe()?;
     let seeds = arguments.seeds()?;
-    let runs = seeds.into_iter().map(|seed| arguments.run_one(seed, &own));
+    let runs = seeds.into_iter().map(|seed| arguments.run_one(seed, &soak_program));
     let mut reports = stream::iter(runs).buffer_unordered(arguments.jobs.max(1));
-    let (mut well, mut broken) = (0, 0);
-    let mut ends: BTreeMap<String, usize> = BTreeMap::new();
+    let (mut passed, mut failed) = (0, 0);
+    let mut outcomes: BTreeMap<String, usize> = BTreeMap::new();
     while let Some(report) = reports.next().await {
         let report = report?;
         print_report(&report, &arguments.folder);
-        report.ends.iter().for_each(|(end, count)| *ends.entry(end.clone()).or_default() += count);
+        report
+            .outcomes
+            .iter()
+            .for_each(|(outcome, count)| *outcomes.entry(outcome.clone()).or_default() += count);
         match report.violations.is_empty() {
-            true => well += 1,
-            false => broken += 1,
+            true => passed += 1,
+            false => failed += 1,
         }
     }
-    for (end, count) in ends {
-        println!("{count:8} {end}");
+    for (outcome, count) in outcomes {
+        println!("{count:8} {outcome}");
     }
-    println!("{well} seeds without a broken promise, {broken} with");
-    Ok(broken == 0)
+    println!("{passed} seeds without a broken promise, {failed} with");
+    Ok(failed == 0)
 }
 
 fn print_report(report: &SoakReport, folder: &Path) {
-    let calls: usize = report.ends.values().sum();
+    let calls: usize = report.outcomes.values().sum();
     let (after, served) = report.after_faults;
     println!(
         "seed {}: {} faults, {calls} calls, {served} of {after} served after them, {} broken",
@@ -170,16 +173,16 @@
 
 #[tokio::main]
 async fn main() -> ExitCode {
-    let outcome = match SoakArguments::parse().verb {
-        SoakVerb::Run(arguments) => run_until_told(arguments).await,
-        SoakVerb::Replica(arguments) => run_replica(arguments).await.map(|()| true),
+    let outcome = match SoakArguments::parse().command {
+        SoakCommand::Run(arguments) => run_until_signal(arguments).await,
+        SoakCommand::Replica(arguments) => run_replica(arguments).await.map(|()| true),
     };
     match outcome {
         Ok(true) => ExitCode::SUCCESS,
-        Ok(false) => ExitCode::from(BROKEN),
+        Ok(false) => ExitCode::from(EXIT_VIOLATION),
         Err(error) => {
             eprintln!("{error}");
-            ExitCode::from(NOT_RUN)
+            ExitCode::from(EXIT_RUN_FAILED)
         }
     }
 }
--- a/crates/soak/src/caller.rs
+++ b/crates/soak/src/caller.rs
@@ -1,4 +1,5 @@
-//! Callers: each makes one call after the other, and keeps its connection until the process is gone.
+//! Callers that send requests to the relays. Each makes one call at a time, and keeps its
+//! connection for as long as the relay does.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -21,185 +22,196 @@
 };
 
 use crate::{
-    record::{CallAnswer, CallEnd, CallKind, CallRecord},
-    replica::{caller_body, caller_path},
+    record::{CallKind, CallOutcome, CallRecord, CallResponse},
+    replica::{request_body, request_path},
 };
 
-/// Time that a caller waits for a whole answer, beyond any route's.
-const CALL_TIME: Duration = Duration::from_secs(12);
+/// Time limit of a call. It is longer than the timeout of any route.
+const CALL_TIMEOUT: Duration = Duration::from_secs(12);
 
-/// Deadline that a caller tells, in milliseconds.
+/// Deadline sent with each request, in milliseconds.
 const DEADLINE_MS: &str = "8000";
 
-/// Time that a connection has to open.
-const CONNECT_TIME: Duration = Duration::from_secs(1);
+/// Time limit for opening a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time between two calls of a caller, in milliseconds.
-const THINK: std::ops::Range<u64> = 2..60;
+/// Range of the pause between two calls of a caller, in milliseconds.
+const THINK_TIME_MS: std::ops::Range<u64> = 2..60;
 
-type Sender = SendRequest<Full<Bytes>>;
+type RequestSender = SendRequest<Full<Bytes>>;
 
-/// A connection to a relay.
-struct CallerLink {
+/// A connection to a relay, with the relay's number.
+struct CallerConnection {
     relay: usize,
-    sender: Sender,
+    sender: RequestSender,
 }
 
-/// A request that ends the replicas which run it.
+/// A request that crashes the replicas that run it.
 #[derive(Clone, Debug)]
-pub struct BadRequest {
-    /// Its kind.
+pub struct CrashRequest {
+    /// Kind of the call.
     pub kind: CallKind,
-    /// Its name, which is its body as well.
+    /// Name of the request, which is also its body.
     pub name: String,
 }
 
-/// What a caller may choose from: relays that the balancer uses, and keys that it knows.
-pub trait CallerView: Send + Sync + 'static {
-    /// A relay that takes new connections, by number, and its address.
+/// What a caller chooses its relay, key and requests from.
+pub trait CallerContext: Send + Sync + 'static {
+    /// Returns the number and address of a relay that the load balancer uses.
     fn choose_relay(&self, random: &mut ChaCha8Rng) -> (usize, SocketAddr);
-    /// A key; it may have been taken away.
+    /// Returns a key, which may have been removed.
     fn choose_key(&self, random: &mut ChaCha8Rng) -> String;
-    /// A bad request that is to come, where there is one.
-    fn choose_bad(&self, random: &mut ChaCha8Rng) -> Option<BadRequest>;
-    /// Whether to go on.
-    fn goes_on(&self) -> bool;
+    /// Returns a request that crashes replicas, or `None` while the run has none.
+    fn choose_crash_request(&self, random: &mut ChaCha8Rng) -> Option<CrashRequest>;
+    /// Whether callers keep calling.
+    fn is_running(&self) -> bool;
 }
 
-/// Calls until the view ends; gives what it saw.
+/// Makes calls until the context stops running, and returns their records.
 pub async fn run_caller(
     name: String,
-    view: Arc<impl CallerView>,
+    context: Arc<impl CallerContext>,
     mut random: ChaCha8Rng,
 ) -> Vec<CallRecord> {
     let mut calls = Vec::new();
-    let mut link: Option<CallerLink> = None;
-    while view.goes_on() {
-        sleep(Duration::from_millis(random.random_range(THINK))).await;
+    let mut idle: Option<CallerConnection> = None;
+    while context.is_running() {
+        sleep(Duration::from_millis(random.random_range(THINK_TIME_MS))).await;
         let kind = CallKind::ALL[random.random_range(0..CallKind::ALL.len())];
         let id = format!("{name}x{}", calls.len());
-        let key = view.choose_key(&mut random);
-        let sent = epoch_micros();
-        let usable = link.take().filter(|link| link.sender.is_ready());
-        let chosen = match usable {
-            Some(link) => Ok(link),
-            None => connect(view.choose_relay(&mut random)).await,
+        let key = context.choose_key(&mut random);
+        let sent_at = epoch_micros();
+        let reusable = idle.take().filter(|connection| connection.sender.is_ready());
+        let connected = match reusable {
+            Some(connection) => Ok(connection),
+            None => connect(context.choose_relay(&mut random)).await,
         };
-        let (relay, end) = match chosen {
-            Err(relay) => (relay, CallEnd::NotConnected),
-            Ok(mut used) => {
-                let body = caller_body(&id);
-                let asked = AskedCall { kind, id: &id, key: &key, name: &id, body };
-                let end = call(&mut used.sender, &asked).await;
-                let relay = used.relay;
-                let (end, keeps) = end.unwrap_or((CallEnd::NoAnswer, false));
-                link = Some(used).filter(|_| keeps);
-                (relay, end)
+        let (relay, outcome) = match connected {
+            Err(relay) => (relay, CallOutcome::NotConnected),
+            Ok(mut connection) => {
+                let body = request_body(&id);
+                let spec = CallSpec { kind, id: &id, key: &key, name: &id, body };
+                let outcome = call(&mut connection.sender, &spec).await;
+                let relay = connection.relay;
+                let (outcome, keep_alive) = outcome.unwrap_or((CallOutcome::NoResponse, false));
+                idle = Some(connection).filter(|_| keep_alive);
+                (relay, outcome)
             }
         };
-        calls.push(CallRecord { id, kind, key, relay, sent, ended: epoch_micros(), end });
+        calls.push(CallRecord { id, kind, key, relay, sent_at, ended_at: epoch_micros(), outcome });
     }
     calls
 }
 
-/// Time between two calls with bad requests, in milliseconds.
-const BAD_THINK: std::ops::Range<u64> = 50..600;
+/// Range of the pause between two requests that crash replicas, in milliseconds.
+const CRASH_THINK_TIME_MS: std::ops::Range<u64> = 50..600;
 
-/// Sends bad requests until the view ends, each time under a new id, on a new connection and to any relay; gives what it saw.
-pub async fn run_bad_caller(
+/// Sends requests that crash replicas until the context stops running, each with a new request id
+/// on a new connection to a randomly chosen relay. Returns the records of these calls.
+pub async fn run_crash_caller(
     name: String,
-    view: Arc<impl CallerView>,
+    context: Arc<impl CallerContext>,
     mut random: ChaCha8Rng,
 ) -> Vec<CallRecord> {
     let mut calls = Vec::new();
-    while view.goes_on() {
-        sleep(Duration::from_millis(random.random_range(BAD_THINK))).await;
-        let Some(BadRequest { kind, name: bad }) = view.choose_bad(&mut random) else { continue };
+    while context.is_running() {
+        sleep(Duration::from_millis(random.random_range(CRASH_THINK_TIME_MS))).await;
+        let Some(CrashRequest { kind, name: crash_name }) =
+            context.choose_crash_request(&mut random)
+        else {
+            continue;
+        };
         let id = format!("{name}x{}", calls.len());
-        let key = view.choose_key(&mut random);
-        let sent = epoch_micros();
-        let (relay, end) = match connect(view.choose_relay(&mut random)).await {
-            Err(relay) => (relay, CallEnd::NotConnected),
-            Ok(mut link) => {
-                let asked = AskedCall { kind, id: &id, key: &key, name: &bad, body: bad.clone() };
-                let end = call(&mut link.sender, &asked).await;
-                (link.relay, end.map_or(CallEnd::NoAnswer, |(end, _)| end))
+        let key = context.choose_key(&mut random);
+        let sent_at = epoch_micros();
+        let (relay, outcome) = match connect(context.choose_relay(&mut random)).await {
+            Err(relay) => (relay, CallOutcome::NotConnected),
+            Ok(mut connection) => {
+                let spec = CallSpec {
+                    kind,
+                    id: &id,
+                    key: &key,
+                    name: &crash_name,
+                    body: crash_name.clone(),
+                };
+                let outcome = call(&mut connection.sender, &spec).await;
+                (connection.relay, outcome.map_or(CallOutcome::NoResponse, |(outcome, _)| outcome))
             }
         };
-        calls.push(CallRecord { id, kind, key, relay, sent, ended: epoch_micros(), end });
+        calls.push(CallRecord { id, kind, key, relay, sent_at, ended_at: epoch_micros(), outcome });
     }
     calls
 }
 
-async fn connect((relay, address): (usize, SocketAddr)) -> Result<CallerLink, usize> {
-    let stream = timeout(CONNECT_TIME, TcpStream::connect(address)).await;
+async fn connect((relay, address): (usize, SocketAddr)) -> Result<CallerConnection, usize> {
+    let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
     let Ok(Ok(stream)) = stream else { return Err(relay) };
-    let Ok((sender, connection)) = http1::handshake(TokioIo::new(stream)).await else {
+    let Ok((sender, driver)) = http1::handshake(TokioIo::new(stream)).await else {
         return Err(relay);
     };
     tokio::spawn(async move {
-        // How it ended is told to the call that was on it.
-        let _ended = connection.await;
+        // A call on this connection gets the error as well.
+        let _closed = driver.await;
     });
-    Ok(CallerLink { relay, sender })
+    Ok(CallerConnection { relay, sender })
 }
 
-/// A call to make.
-struct AskedCall<'a> {
+/// A call to be made.
+struct CallSpec<'a> {
     kind: CallKind,
     id: &'a str,
     key: &'a str,
-    /// Name that its path ends with.
+    /// Last part of the path.
     name: &'a str,
     body: String,
 }
 
-/// Makes one call; gives its end and whether the connection can be kept, and nothing where no answer
-/// came in time.
-async fn call(sender: &mut Sender, asked: &AskedCall<'_>) -> Option<(CallEnd, bool)> {
-    let AskedCall { kind, id, key, name, body } = asked;
-    let request = Request::post(caller_path(kind.prefix(), name))
+/// Makes one call. Returns its outcome and whether the connection can be reused, or `None` if the
+/// connection failed before the response's head or the call timed out.
+async fn call(sender: &mut RequestSender, spec: &CallSpec<'_>) -> Option<(CallOutcome, bool)> {
+    let CallSpec { kind, id, key, name, body } = spec;
+    let request = Request::post(request_path(kind.prefix(), name))
         .header(header::HOST, HOST)
         .header(ATTEMPT_ID, *id)
         .header(DEADLINE, DEADLINE_MS)
         .header(header::AUTHORIZATION, format!("Bearer {key}"))
         .body(Full::new(Bytes::from(body.clone())))
-        .expect("a request of valid parts");
+        .expect("request parts are valid");
     let exchange = async {
-        let answer = sender.send_request(request).await.ok()?;
-        Some(read(answer).await)
+        let response = sender.send_request(request).await.ok()?;
+        Some(read_response(response).await)
     };
-    timeout(CALL_TIME, exchange).await.ok().flatten()
+    timeout(CALL_TIMEOUT, exchange).await.ok().flatten()
 }
 
-async fn read(answer: http::Response<Incoming>) -> (CallEnd, bool) {
-    let (parts, mut body) = answer.into_parts();
+async fn read_response(response: http::Response<Incoming>) -> (CallOutcome, bool) {
+    let (parts, mut body) = response.into_parts();
     let closes = parts.headers.get(header::CONNECTION).is_some_and(|value| value == "close");
     let mut bytes = Vec::new();
-    let whole = loop {
+    let complete = loop {
         match body.frame().await {
             None => break true,
             Some(Ok(frame)) => bytes.extend_from_slice(&frame.into_data().unwrap_or_default()),
             Some(Err(_)) => break false,
         }
     };
-    let answer = CallAnswer {
+    let response = CallResponse {
         status: parts.status.as_u16(),
-        sealed: parts.headers.contains_key(REPLICA_SEAL),
-        whole,
+        signed: parts.headers.contains_key(REPLICA_SEAL),
+        complete,
         body: String::from_utf8_lossy(&bytes).into_owned(),
     };
-    (CallEnd::Answered(answer), whole && !closes)
+    (CallOutcome::Answered(response), complete && !closes)
 }
 
-/// Asks a relay whether it is ready.
+/// Whether a relay reports itself ready within 500 ms.
 pub async fn is_ready(address: SocketAddr) -> bool {
-    const PATIENCE: Duration = Duration::from_millis(500);
-    let ask = async {
-        let mut link = connect((0, address)).await.ok()?;
+    const READY_TIMEOUT: Duration = Duration::from_millis(500);
+    let exchange = async {
+        let mut connection = connect((0, address)).await.ok()?;
         let request = Request::get("/readyz").header(header::HOST, "relay").body(Full::default());
-        let answer = link.sender.send_request(request.ok()?).await.ok()?;
-        Some(answer.status() == StatusCode::OK)
+        let response = connection.sender.send_request(request.ok()?).await.ok()?;
+        Some(response.status() == StatusCode::OK)
     };
-    timeout(PATIENCE, ask).await.ok().flatten().unwrap_or(false)
+    timeout(READY_TIMEOUT, exchange).await.ok().flatten().unwrap_or(false)
 }
--- a/crates/soak/src/checks.rs
+++ b/crates/soak/src/checks.rs
@@ -1,114 +1,122 @@
-//! The promises that a run is held against.
+//! The promises that a run is checked against.
 //!
-//! Each check is a function of what callers and replicas saw. Promises with a time bound count only where
-//! no fault was near; the one on removed keys counts always.
+//! Each check is a function of what callers and replicas recorded. Promises with a time bound are
+//! checked only where no fault was near; the bound on removed keys is checked always.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
 use derive_more::Display;
 
 use crate::record::{
-    CONTACT_TIME, CallAnswer, CallEnd, CallRecord, DisruptionKind, Micros, RunHistory, RunRecord,
+    CallOutcome, CallRecord, CallResponse, DisruptionKind, Micros, RunHistory, RunRecord,
+    SETTLE_TIME,
 };
 
-/// Events of a whole stream.
-pub const EVENTS: u64 = 30;
+/// Number of events in a complete stream.
+pub const EVENT_COUNT: u64 = 30;
 
-/// Time from a key's removal to the last request that may run with it, in microseconds.
+/// Longest time from the removal of a key to the last request that may run with it, in
+/// microseconds.
 pub const REVOKE_TIME: Micros = 5_000_000;
 
-/// Time for which a leaving replica may get requests, in microseconds.
+/// Time for which a leaving replica may still get requests, in microseconds.
 pub const DRAIN_TIME: Micros = 2_000_000;
 
-/// Most memory of a relay, in KB.
-pub const MOST_MEMORY_KB: u64 = 128 * 1_024;
+/// Largest resident memory of a relay, in KB.
+pub const MAX_MEMORY_KB: u64 = 128 * 1_024;
 
-/// Most replicas that one request may run on.
-const MOST_ATTEMPTS: usize = 2;
+/// Largest number of replicas that one request may run on.
+const MAX_ATTEMPTS: usize = 2;
 
-/// Requests that may run on more replicas: those whose replica ended meanwhile are not told apart.
-const EXCUSED_ATTEMPTS: usize = 3;
+/// Number of calls that may exceed that. A replica that fails during a call may cause one more
+/// attempt, and the check cannot tell these calls apart.
+const TOLERATED_CALLS: usize = 3;
 
-/// Time after a replica's asking from which requests count, in microseconds.
-const ON_THE_WAY: Micros = 500_000;
+/// Time that a relay has to act on what a replica's response says, in microseconds. Requests that
+/// arrive earlier may have been sent before.
+const PROPAGATION_TIME: Micros = 500_000;
 
-/// Requests that may reach it after that all the same.
-const MOST_UNWANTED: usize = 2;
+/// Largest number of requests that may arrive while the replica has asked for none.
+const MAX_REQUESTS_IN_BACKOFF: usize = 2;
 
-/// Replicas that a bad request may end before it must be stopped.
-const ENDED_BEFORE: usize = 3;
+/// Number of replicas that a request may crash before relays must quarantine it.
+const CRASHES_BEFORE_QUARANTINE: usize = 3;
 
-/// Replicas that it may end later than the contact time after that.
-const MOST_LATE: usize = 3;
+/// Largest number of replicas that the request may crash later than [`SETTLE_TIME`] after that.
+const MAX_LATE_CRASHES: usize = 3;
 
-/// A promise that may be broken.
+/// A promise of the relay, as a report names it.
 #[derive(Clone, Copy, Debug, Display, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Promise {
-    /// An answer is whole and the replica's own, and belongs to its request.
+    /// A caller gets the response to its own request: signed and as the replica sent it, or an
+    /// error of the relay without a signature.
     #[display("own-answer")]
-    OwnAnswer,
-    /// A stream has each event once, in order.
+    OwnResponse,
+    /// A stream contains each event once, in order.
     #[display("event-order")]
     EventOrder,
-    /// What may run once does.
+    /// A request that is not idempotent runs at most once.
     #[display("at-most-once")]
     AtMostOnce,
-    /// "Not run" is true.
+    /// A request that the relay refuses as not run did not run.
     #[display("true-refusal")]
-    TrueRefusal,
-    /// Only what callers sent runs, unchanged, and for their organisation.
+    AccurateRefusal,
+    /// Replicas run only requests that callers sent, unchanged and for the callers' organisation.
     #[display("as-asked")]
-    AsAsked,
-    /// A removed key runs nothing after its bound.
+    UnchangedRequest,
+    /// No request runs with a key that was removed longer than [`REVOKE_TIME`] before.
     #[display("removed-key")]
     RemovedKey,
-    /// A leaving replica is left alone.
+    /// A replica whose entry in the store says that it is leaving gets no new requests.
     #[display("leaving-replica")]
     LeavingReplica,
-    /// A replica that asks a relay to stay away is left alone by it.
+    /// A replica that rejects a request with `Retry-After` gets no requests from that relay until
+    /// the time has passed.
     #[display("asked-time")]
-    AskedTime,
-    /// A replica that names a limit gets not much more, from all relays together.
+    RetryAfter,
+    /// A replica that sends `Server-Limit` gets about that many requests a second from all relays
+    /// together, and not more.
     #[display("limit")]
     Limit,
-    /// A relay that passed on a replica's word that it is leaving leaves it alone.
+    /// A replica that sends `Server-Leaving` gets no new requests from the relays that passed on
+    /// such a response.
     #[display("leaving-word")]
-    LeavingWord,
-    /// A planned stop cuts nothing.
+    LeavingNotice,
+    /// A planned stop of a relay interrupts no request.
     #[display("planned-stop")]
     PlannedStop,
-    /// A request that ends the replicas which run it is stopped.
+    /// A request that crashes the replicas that run it is quarantined.
     #[display("bad-request")]
-    BadRequest,
-    /// A request goes to a bounded number of replicas.
+    CrashRequest,
+    /// A request is sent to a bounded number of replicas.
     #[display("most-attempts")]
-    MostAttempts,
-    /// No process ends by itself, or stays when told to stop.
+    MaxAttempts,
+    /// No process exits by itself, or keeps running when told to stop.
     #[display("process-end")]
-    ProcessEnd,
-    /// Memory stays within its bound.
+    ProcessExit,
+    /// The memory of each relay does not exceed [`MAX_MEMORY_KB`].
     #[display("memory")]
     Memory,
-    /// Service comes back after the last fault.
+    /// Requests are served again after the last fault.
     #[display("recovery")]
     Recovery,
 }
 
 /// A broken promise.
 #[derive(Clone, Debug, Display, Eq, PartialEq)]
-#[display("{promise}: {what}")]
+#[display("{promise}: {detail}")]
 pub struct Violation {
-    /// The promise.
+    /// The promise that was broken.
     pub promise: Promise,
-    /// What was seen.
-    pub what: String,
+    /// What was observed.
+    pub detail: String,
 }
 
-fn broken(promise: Promise, what: impl Into<String>) -> Violation {
-    Violation { promise, what: what.into() }
+fn violation(promise: Promise, detail: impl Into<String>) -> Violation {
+    Violation { promise, detail: detail.into() }
 }
 
-/// Holds a run against all promises.
+/// Checks a run against all promises.
 pub fn check(history: &RunHistory, organisation: &str) -> Vec<Violation> {
     let mut runs: HashMap<&str, Vec<&RunRecord>> = HashMap::new();
     for run in &history.runs {
@@ -117,57 +125,60 @@
     let ran = |call: &CallRecord| runs.get(call.id.as_str()).map_or(&[][..], Vec::as_slice);
     let mut violations = Vec::new();
     for call in &history.calls {
-        violations.extend(check_answer(call));
+        violations.extend(check_response(call));
         violations.extend(check_runs(call, ran(call)));
-        violations.extend(check_stop(history, call, ran(call)));
+        violations.extend(check_planned_stop(history, call, ran(call)));
     }
     violations.extend(check_attempts(history, &runs));
-    violations.extend(check_asked(history, organisation));
+    violations.extend(check_unchanged_requests(history, organisation));
     violations.extend(check_keys(history, &runs));
-    violations.extend(check_leaving(history));
-    violations.extend(check_asked_times(history));
-    violations.extend(check_leaving_words(history));
+    violations.extend(check_leaving_entries(history));
+    violations.extend(check_retry_after(history));
+    violations.extend(check_leaving_notices(history));
     violations.extend(check_limits(history));
-    violations.extend(check_bad(history));
+    violations.extend(check_crash_requests(history));
     violations.extend(check_processes(history));
     violations
 }
 
-fn check_answer(call: &CallRecord) -> Option<Violation> {
-    let CallEnd::Answered(answer) = &call.end else { return None };
-    if call.kind.is_stream() && answer.status == 200 {
-        return check_events(call, answer);
+fn check_response(call: &CallRecord) -> Option<Violation> {
+    let CallOutcome::Answered(response) = &call.outcome else { return None };
+    if call.kind.is_stream() && response.status == 200 {
+        return check_events(call, response);
     }
-    let wrong = match answer.status {
-        200 => !answer.sealed || answer.whole && answer.body != own_body(&call.id),
-        // A replica fails only in its own words.
-        500 => !answer.sealed,
-        _ => answer.sealed,
+    let is_wrong = match response.status {
+        200 => !response.signed || response.complete && response.body != response_body(&call.id),
+        // Only replicas respond with status 500, and they sign it.
+        500 => !response.signed,
+        _ => response.signed,
     };
-    let what = || format!("{} got status {} with {:?}", call.id, answer.status, answer.body);
-    wrong.then(|| broken(Promise::OwnAnswer, what()))
+    let detail = || format!("{} got status {} with {:?}", call.id, response.status, response.body);
+    is_wrong.then(|| violation(Promise::OwnResponse, detail()))
 }
 
-/// Body of a plain replica's answer.
-pub fn own_body(id: &str) -> String {
+/// Body of a response of the plain service to the request with this id.
+pub fn response_body(id: &str) -> String {
     format!("answer to {id}")
 }
 
-fn check_events(call: &CallRecord, answer: &CallAnswer) -> Option<Violation> {
-    if !answer.sealed {
-        return Some(broken(Promise::OwnAnswer, format!("{}: a stream without seal", call.id)));
+fn check_events(call: &CallRecord, response: &CallResponse) -> Option<Violation> {
+    if !response.signed {
+        return Some(violation(
+            Promise::OwnResponse,
+            format!("{}: a stream without seal", call.id),
+        ));
     }
     let mut expected = 0;
-    for event in answer.body.split_terminator("\n\n") {
-        let own = format!("id: {expected}\ndata: piece {expected} of {}", call.id);
-        if event != own {
-            let what = format!("{}: {event:?} instead of event {expected}", call.id);
-            return Some(broken(Promise::EventOrder, what));
+    for event in response.body.split_terminator("\n\n") {
+        let expected_event = format!("id: {expected}\ndata: piece {expected} of {}", call.id);
+        if event != expected_event {
+            let detail = format!("{}: {event:?} instead of event {expected}", call.id);
+            return Some(violation(Promise::EventOrder, detail));
         }
         expected += 1;
     }
-    let short = answer.whole && expected != EVENTS;
-    short.then(|| broken(Promise::EventOrder, format!("{}: ends after {expected}", call.id)))
+    let is_short = response.complete && expected != EVENT_COUNT;
+    is_short.then(|| violation(Promise::EventOrder, format!("{}: ends after {expected}", call.id)))
 }
 
 fn check_runs(call: &CallRecord, runs: &[&RunRecord]) -> Vec<Violation> {
@@ -177,77 +188,85 @@
     }
     let count = runs.iter().filter(|run| run.ran).count();
     if count > 1 {
-        violations.push(broken(Promise::AtMostOnce, format!("{} ran {count} times", call.id)));
+        violations.push(violation(Promise::AtMostOnce, format!("{} ran {count} times", call.id)));
     }
-    if let CallEnd::Answered(answer) = &call.end
-        && matches!(answer.status, 408 | 421 | 429 | 503)
+    if let CallOutcome::Answered(response) = &call.outcome
+        && matches!(response.status, 408 | 421 | 429 | 503)
         && count > 0
     {
-        let what = format!("{} got status {} and ran", call.id, answer.status);
-        violations.push(broken(Promise::TrueRefusal, what));
+        let detail = format!("{} got status {} and ran", call.id, response.status);
+        violations.push(violation(Promise::AccurateRefusal, detail));
     }
     violations
 }
 
-/// A request that a replica ran, taken by a relay that stops as planned, is answered whole.
-fn check_stop(history: &RunHistory, call: &CallRecord, runs: &[&RunRecord]) -> Option<Violation> {
-    let whole = matches!(&call.end, CallEnd::Answered(answer) if answer.whole);
-    let stops = history.disruptions.iter().any(|disruption| {
+/// A request that a replica ran, taken by a relay that is stopping as planned, gets its complete
+/// response.
+fn check_planned_stop(
+    history: &RunHistory,
+    call: &CallRecord,
+    runs: &[&RunRecord],
+) -> Option<Violation> {
+    let complete = matches!(&call.outcome, CallOutcome::Answered(response) if response.complete);
+    let is_stopped = history.disruptions.iter().any(|disruption| {
         disruption.kind == DisruptionKind::PlannedStop(call.relay)
-            && disruption.from <= call.ended
-            && call.sent <= disruption.to
+            && disruption.from <= call.ended_at
+            && call.sent_at <= disruption.to
     });
     let ran = runs.iter().any(|run| run.ran);
-    let cut = stops && ran && !whole && history.is_calm(call.sent, call.ended);
-    cut.then(|| broken(Promise::PlannedStop, format!("{} was cut: {:?}", call.id, call.end)))
+    let is_cut =
+        is_stopped && ran && !complete && history.is_free_of_faults(call.sent_at, call.ended_at);
+    is_cut
+        .then(|| violation(Promise::PlannedStop, format!("{} was cut: {}", call.id, call.outcome)))
 }
 
 fn check_attempts(
     history: &RunHistory,
     runs: &HashMap<&str, Vec<&RunRecord>>,
 ) -> Option<Violation> {
-    let over = history.calls.iter().filter(|call| {
-        // A replica that the request ended is not counted.
+    let excessive = history.calls.iter().filter(|call| {
+        // A replica that the request crashed is not counted.
         let counts = |run: &&&RunRecord| run.ran && run.bad.is_none();
         let runs = runs.get(call.id.as_str()).into_iter().flatten().filter(counts);
         let replicas: HashSet<&str> = runs.map(|run| run.replica.as_str()).collect();
-        replicas.len() > MOST_ATTEMPTS
+        replicas.len() > MAX_ATTEMPTS
     });
-    let over: Vec<&str> = over.map(|call| call.id.as_str()).collect();
-    let what = || format!("{over:?} ran on more than {MOST_ATTEMPTS} replicas");
-    (over.len() > EXCUSED_ATTEMPTS).then(|| broken(Promise::MostAttempts, what()))
+    let excessive: Vec<&str> = excessive.map(|call| call.id.as_str()).collect();
+    let detail = || format!("{excessive:?} ran on more than {MAX_ATTEMPTS} replicas");
+    (excessive.len() > TOLERATED_CALLS).then(|| violation(Promise::MaxAttempts, detail()))
 }
 
-fn check_asked(history: &RunHistory, organisation: &str) -> Vec<Violation> {
+fn check_unchanged_requests(history: &RunHistory, organisation: &str) -> Vec<Violation> {
     let known: HashSet<&str> = history.calls.iter().map(|call| call.id.as_str()).collect();
     let ran = history.runs.iter().filter(|run| run.ran);
-    let odd = ran.filter(|run| {
+    let changed = ran.filter(|run| {
         !known.contains(run.id.as_str()) || !run.intact || run.organisation != organisation
     });
-    odd.map(|run| broken(Promise::AsAsked, format!("{run:?}"))).collect()
+    changed.map(|run| violation(Promise::UnchangedRequest, format!("{run:?}"))).collect()
 }
 
 fn check_keys(history: &RunHistory, runs: &HashMap<&str, Vec<&RunRecord>>) -> Vec<Violation> {
     let mut violations = Vec::new();
     for (key, at) in &history.revoked {
         let late =
-            history.calls.iter().filter(|call| call.key == *key && call.sent > at + REVOKE_TIME);
+            history.calls.iter().filter(|call| call.key == *key && call.sent_at > at + REVOKE_TIME);
         let ran = late.filter(|call| {
             let runs = runs.get(call.id.as_str());
             runs.is_some_and(|runs| runs.iter().any(|run| run.ran))
         });
         violations.extend(ran.map(|call| {
-            let after_ms = (call.sent - at) / 1_000;
-            let what = format!("{} ran with {key}, sent {after_ms} ms after its removal", call.id);
-            broken(Promise::RemovedKey, what)
+            let after_ms = (call.sent_at - at) / 1_000;
+            let detail =
+                format!("{} ran with {key}, sent {after_ms} ms after its removal", call.id);
+            violation(Promise::RemovedKey, detail)
         }));
     }
     violations
 }
 
-/// A leaving replica is left alone by each relay that is in touch when it sends, whatever was before: one
-/// that did not hear of it must know once it is back in touch.
-fn check_leaving(history: &RunHistory) -> Vec<Violation> {
+/// A leaving replica gets no requests from a relay that is stable when it sends, whatever happened
+/// before: a relay that missed the change must know of it once it follows the store again.
+fn check_leaving_entries(history: &RunHistory) -> Vec<Violation> {
     let relays: HashMap<&str, usize> =
         history.calls.iter().map(|call| (call.id.as_str(), call.relay)).collect();
     let mut violations = Vec::new();
@@ -257,105 +276,113 @@
             run.replica == *replica
                 && run.at > at + DRAIN_TIME
                 && history.is_store_stable(*at)
-                && relay.is_some_and(|relay| history.is_in_touch(*relay, run.at))
+                && relay.is_some_and(|relay| history.is_relay_stable(*relay, run.at))
         });
         violations.extend(late.map(|run| {
             let after_ms = (run.at - at) / 1_000;
-            let what = format!("{} reached {replica} {after_ms} ms after it said so", run.id);
-            broken(Promise::LeavingReplica, what)
+            let detail = format!("{} reached {replica} {after_ms} ms after it said so", run.id);
+            violation(Promise::LeavingReplica, detail)
         }));
     }
     violations
 }
 
-/// Calls by the ids of their requests.
+/// Returns the calls by request id.
 fn calls_by_id(history: &RunHistory) -> HashMap<&str, &CallRecord> {
     history.calls.iter().map(|call| (call.id.as_str(), call)).collect()
 }
 
-/// Number of a replica, which its id names.
+/// Parses the replica's number from its id.
 fn replica_number(id: &str) -> usize {
     let number = id.split('-').nth(1).and_then(|number| number.parse().ok());
-    number.unwrap_or_else(|| panic!("ids of replicas name their number, and not {id}"))
+    number.unwrap_or_else(|| panic!("replica id without a number: {id:?}"))
 }
 
-/// Runs by relay and replica.
-fn runs_by_way<'a>(
+/// Groups the runs by relay and replica.
+fn runs_by_relay_and_replica<'a>(
     history: &'a RunHistory,
     calls: &HashMap<&str, &CallRecord>,
 ) -> BTreeMap<(usize, &'a str), Vec<&'a RunRecord>> {
-    let mut ways: BTreeMap<(usize, &str), Vec<&RunRecord>> = BTreeMap::new();
+    let mut grouped: BTreeMap<(usize, &str), Vec<&RunRecord>> = BTreeMap::new();
     for run in &history.runs {
         let Some(call) = calls.get(run.id.as_str()) else { continue };
-        ways.entry((call.relay, run.replica.as_str())).or_default().push(run);
+        grouped.entry((call.relay, run.replica.as_str())).or_default().push(run);
     }
-    ways
+    grouped
 }
 
-/// Few requests of a relay reach a replica from half a second after it asked that relay to stay away until the end of the
-/// time that it asked for. A start, stop or pause of the relay excuses it, and a harmed link between the two. One that had
-/// given the request up before, and told its caller, hears no answer to it: the replica stood still meanwhile.
-fn check_asked_times(history: &RunHistory) -> Vec<Violation> {
+/// Between [`PROPAGATION_TIME`] after a replica asked a relay for time without requests and the end
+/// of that time, at most [`MAX_REQUESTS_IN_BACKOFF`] of the relay's requests arrive. Excused are a
+/// start, stop or pause of the relay and a fault of the link between the two. A relay that gave up
+/// the request before the replica read it (because the replica was paused) does not get the
+/// response, so that it is excused as well.
+fn check_retry_after(history: &RunHistory) -> Vec<Violation> {
     let mut violations = Vec::new();
     let calls = calls_by_id(history);
-    for ((relay, replica), runs) in runs_by_way(history, &calls) {
-        for asking in &runs {
-            let Some(asked) = asking.asked else { continue };
-            let (from, to) = (asking.at + ON_THE_WAY, asking.at + asked * 1_000);
-            let is_heard = asking.at < calls[asking.id.as_str()].ended;
-            let is_excused = !is_heard
-                || !history.ran_on(relay, asking.at, to)
-                || !history.link_was_well(replica_number(replica), asking.at, to);
-            let came = runs.iter().filter(|run| run.at > from && run.at < to).count();
-            if came > MOST_UNWANTED && !is_excused {
-                let what = format!(
-                    "{replica} asked relay {relay} for {asked} ms ({}), and got {came} requests",
-                    asking.id
+    for ((relay, replica), runs) in runs_by_relay_and_replica(history, &calls) {
+        for rejected in &runs {
+            let Some(wait_ms) = rejected.asked else { continue };
+            let (from, to) = (rejected.at + PROPAGATION_TIME, rejected.at + wait_ms * 1_000);
+            let was_received = rejected.at < calls[rejected.id.as_str()].ended_at;
+            let is_excused = !was_received
+                || !history.ran_throughout(relay, rejected.at, to)
+                || !history.link_was_healthy(replica_number(replica), rejected.at, to);
+            let arrived = runs.iter().filter(|run| run.at > from && run.at < to).count();
+            if arrived > MAX_REQUESTS_IN_BACKOFF && !is_excused {
+                let detail = format!(
+                    "{replica} asked relay {relay} for {wait_ms} ms ({}), and got {arrived} requests",
+                    rejected.id
                 );
-                violations.push(broken(Promise::AskedTime, what));
+                violations.push(violation(Promise::RetryAfter, detail));
             }
         }
     }
     violations
 }
 
-/// A request that was sent later than the drain time after a relay had passed on an answer of a replica that says it is
-/// leaving does not reach that replica from that relay. A start, stop or pause of the relay since excuses it.
-fn check_leaving_words(history: &RunHistory) -> Vec<Violation> {
+/// A request that was sent more than [`DRAIN_TIME`] after a relay passed on a response that says
+/// the replica is leaving does not reach that replica through that relay. A start, stop or pause of
+/// the relay since then excuses it.
+fn check_leaving_notices(history: &RunHistory) -> Vec<Violation> {
     let calls = calls_by_id(history);
     let mut violations = Vec::new();
-    for ((relay, replica), runs) in runs_by_way(history, &calls) {
-        let passed_on = |run: &&&RunRecord| run.leaving && run.ran && run.bad.is_none();
-        let answers = runs.iter().filter(passed_on).filter_map(|run| {
+    for ((relay, replica), runs) in runs_by_relay_and_replica(history, &calls) {
+        let says_leaving = |run: &&&RunRecord| run.leaving && run.ran && run.bad.is_none();
+        let passed_on = runs.iter().filter(says_leaving).filter_map(|run| {
             let call = calls[run.id.as_str()];
-            let answered = matches!(&call.end, CallEnd::Answered(answer) if answer.sealed);
-            answered.then_some(call.ended)
+            let is_signed =
+                matches!(&call.outcome, CallOutcome::Answered(response) if response.signed);
+            is_signed.then_some(call.ended_at)
         });
-        let Some(told) = answers.min() else { continue };
-        // One that started again under its id says so no more.
-        let is_late =
-            |run: &&&RunRecord| run.leaving && calls[run.id.as_str()].sent > told + DRAIN_TIME;
+        let Some(passed_on_at) = passed_on.min() else { continue };
+        // A replica that restarted under its id no longer says so.
+        let is_late = |run: &&&RunRecord| {
+            run.leaving && calls[run.id.as_str()].sent_at > passed_on_at + DRAIN_TIME
+        };
         let late = runs.iter().find(is_late);
-        if let Some(late) = late.filter(|late| history.ran_on(relay, told, late.at)) {
-            let after_ms = (calls[late.id.as_str()].sent - told) / 1_000;
-            let what =
+        if let Some(late) = late.filter(|late| history.ran_throughout(relay, passed_on_at, late.at))
+        {
+            let after_ms = (calls[late.id.as_str()].sent_at - passed_on_at) / 1_000;
+            let detail =
                 format!("{} by relay {relay} reached {replica}, sent {after_ms} ms after", late.id);
-            violations.push(broken(Promise::LeavingWord, what));
+            violations.push(violation(Promise::LeavingNotice, detail));
         }
     }
     violations
 }
 
-/// Time in which requests are counted against a limit, in microseconds.
-const WINDOW: Micros = 4_000_000;
+/// Time span over which requests are counted against a limit, in microseconds.
+const LIMIT_WINDOW: Micros = 4_000_000;
 
-/// How much more than its limit a replica may get in that time: so many times as much, and so many requests.
-const MOST_OVER: f64 = 1.5;
-const MOST_BESIDE: f64 = 5.0;
+/// A replica may get its limit times `LIMIT_TOLERANCE`, plus `LIMIT_ALLOWANCE` requests, in that
+/// time.
+const LIMIT_TOLERANCE: f64 = 1.5;
+const LIMIT_ALLOWANCE: f64 = 5.0;
 
-/// From the contact time after a replica first names a limit on it gets not much more than that from the relays that passed
-/// on such an answer half a second before. A start, stop or pause of a relay excuses that relay; where the replica stood
-/// still or its link was harmed, what was held up comes at once.
+/// From [`SETTLE_TIME`] after a replica first sends a limit, it gets not much more than that from
+/// the relays that passed on a response with a limit at least [`PROPAGATION_TIME`] before. A start,
+/// stop or pause of a relay excuses that relay. Time spans in which the replica was paused or its
+/// link disrupted are skipped, since delayed requests arrive all at once.
 fn check_limits(history: &RunHistory) -> Vec<Violation> {
     let calls = calls_by_id(history);
     let mut replicas: BTreeMap<&str, Vec<&RunRecord>> = BTreeMap::new();
@@ -379,70 +406,77 @@
     runs: &[&RunRecord],
 ) -> Option<Violation> {
     let relay = |run: &RunRecord| calls[run.id.as_str()].relay;
-    let names = |run: &&&RunRecord| run.limit.is_some() && run.ran;
-    let is_bound = |index: usize| {
+    let has_limit = |run: &&&RunRecord| run.limit.is_some() && run.ran;
+    let counts_against_limit = |index: usize| {
         let run = runs[index];
-        let earlier = runs[..index].iter().rev().filter(names);
-        let mut told = earlier.filter(|earlier| earlier.at + ON_THE_WAY <= run.at);
-        let last = told.find(|earlier| relay(earlier) == relay(run));
-        last.is_some_and(|last| history.ran_on(relay(run), last.at, run.at))
+        let earlier = runs[..index].iter().rev().filter(has_limit);
+        let mut known_limits = earlier.filter(|earlier| earlier.at + PROPAGATION_TIME <= run.at);
+        let last = known_limits.find(|earlier| relay(earlier) == relay(run));
+        last.is_some_and(|last| history.ran_throughout(relay(run), last.at, run.at))
     };
-    let mut named_since = None;
+    let mut limited_since = None;
     for (index, run) in runs.iter().enumerate() {
-        named_since = run.limit.and(named_since.or(Some(run.at)));
-        let (from, to) = (run.at, run.at + WINDOW);
-        let counts = named_since.is_some_and(|since| from >= since + CONTACT_TIME);
-        if !counts || !history.came_as_sent(replica_number(replica), from, to) {
+        limited_since = run.limit.and(limited_since.or(Some(run.at)));
+        let (from, to) = (run.at, run.at + LIMIT_WINDOW);
+        let counts = limited_since.is_some_and(|since| from >= since + SETTLE_TIME);
+        if !counts || !history.had_no_delays(replica_number(replica), from, to) {
             continue;
         }
-        let end = runs.partition_point(|run| run.at < to);
-        // Of a limit that was lowered relays know half a second later.
-        let before = runs[..index].iter().rev().find(|run| run.at + ON_THE_WAY <= from);
-        let named = before.into_iter().chain(&runs[index..end]).map(|run| run.limit);
-        let Some(limits) = named.collect::<Option<Vec<f64>>>() else { continue };
-        let most = limits.into_iter().fold(0.0, f64::max) * MOST_OVER * 4.0 + MOST_BESIDE;
-        let came = (index..end).filter(|index| is_bound(*index)).count();
-        if came as f64 > most {
-            let what = format!("{replica} got {came} requests in 4 s from {from}, {most} allowed");
-            return Some(broken(Promise::Limit, what));
+        let window_end = runs.partition_point(|run| run.at < to);
+        // Relays know of a lowered limit only after the propagation time.
+        let before = runs[..index].iter().rev().find(|run| run.at + PROPAGATION_TIME <= from);
+        let limits_in_window =
+            before.into_iter().chain(&runs[index..window_end]).map(|run| run.limit);
+        let Some(limits) = limits_in_window.collect::<Option<Vec<f64>>>() else { continue };
+        let allowed =
+            limits.into_iter().fold(0.0, f64::max) * LIMIT_TOLERANCE * 4.0 + LIMIT_ALLOWANCE;
+        let arrived = (index..window_end).filter(|index| counts_against_limit(*index)).count();
+        if arrived as f64 > allowed {
+            let detail =
+                format!("{replica} got {arrived} requests in 4 s from {from}, {allowed} allowed");
+            return Some(violation(Promise::Limit, detail));
         }
     }
     None
 }
 
-/// A bad request reaches few replicas once it has ended three and the contact time has passed. Only relays in touch count.
-fn check_bad(history: &RunHistory) -> Vec<Violation> {
+/// A request that has crashed [`CRASHES_BEFORE_QUARANTINE`] replicas crashes at most
+/// [`MAX_LATE_CRASHES`] more after [`SETTLE_TIME`]. Only crashes through stable relays count.
+fn check_crash_requests(history: &RunHistory) -> Vec<Violation> {
     let relays: HashMap<&str, usize> =
         history.calls.iter().map(|call| (call.id.as_str(), call.relay)).collect();
-    let mut ends: BTreeMap<&str, Vec<&RunRecord>> = BTreeMap::new();
+    let mut crashes: BTreeMap<&str, Vec<&RunRecord>> = BTreeMap::new();
     for run in &history.runs {
-        let bad = run.bad.as_deref().into_iter();
-        bad.for_each(|name| ends.entry(name).or_default().push(run));
+        let name = run.bad.as_deref().into_iter();
+        name.for_each(|name| crashes.entry(name).or_default().push(run));
     }
     let mut violations = Vec::new();
-    for (name, mut runs) in ends {
+    for (name, mut runs) in crashes {
         runs.sort_by_key(|run| run.at);
-        let Some(third) = runs.get(ENDED_BEFORE - 1) else { continue };
+        let Some(last_allowed) = runs.get(CRASHES_BEFORE_QUARANTINE - 1) else { continue };
         let late = runs.iter().filter(|run| {
             let relay = relays.get(run.id.as_str());
-            let in_touch = relay.is_some_and(|relay| history.is_in_touch(*relay, run.at));
-            run.at > third.at + CONTACT_TIME && in_touch
+            let is_stable = relay.is_some_and(|relay| history.is_relay_stable(*relay, run.at));
+            run.at > last_allowed.at + SETTLE_TIME && is_stable
         });
         let late = late.count();
-        if late > MOST_LATE {
-            let what = format!("{name} ended {} replicas, {late} of them late", runs.len());
-            violations.push(broken(Promise::BadRequest, what));
+        if late > MAX_LATE_CRASHES {
+            let detail = format!("{name} ended {} replicas, {late} of them late", runs.len());
+            violations.push(violation(Promise::CrashRequest, detail));
         }
     }
     violations
 }
 
 fn check_processes(history: &RunHistory) -> Vec<Violation> {
-    let odd = history.odd_ends.iter().map(|end| broken(Promise::ProcessEnd, end.as_str()));
-    let large = history.memory_kb.iter().filter(|kb| **kb > MOST_MEMORY_KB);
-    let large = large.map(|kb| broken(Promise::Memory, format!("a relay holds {kb} KB")));
+    let exits =
+        history.unexpected_exits.iter().map(|exit| violation(Promise::ProcessExit, exit.as_str()));
+    let over_limit = history.memory_kb.iter().filter(|kb| **kb > MAX_MEMORY_KB);
+    let over_limit =
+        over_limit.map(|kb| violation(Promise::Memory, format!("a relay holds {kb} KB")));
     let (calls, served) = history.after_faults;
-    let lost = calls > 0 && served * 4 < calls;
-    let lost = lost.then(|| broken(Promise::Recovery, format!("{served} of {calls} served")));
-    odd.chain(large).chain(lost).collect()
+    let not_recovered = calls > 0 && served * 4 < calls;
+    let not_recovered =
+        not_recovered.then(|| violation(Promise::Recovery, format!("{served} of {calls} served")));
+    exits.chain(over_limit).chain(not_recovered).collect()
 }
--- /dev/null
+++ b/crates/soak/src/cluster.rs
@@ -0,0 +1,584 @@
+//! A cluster under test: a store, relays and replicas as processes, and the links between them.
+
+use std::{
+    collections::BTreeSet,
+    io,
+    net::{Ipv4Addr, SocketAddr, TcpListener},
+    path::{Path, PathBuf},
+    sync::{
+        Arc, Mutex, MutexGuard,
+        atomic::{AtomicBool, Ordering},
+    },
+    time::{Duration, Instant},
+};
+
+use nix::sys::signal::Signal;
+use rand::{RngExt, SeedableRng};
+use rand_chacha::ChaCha8Rng;
+use serde_json::json;
+use switchfold_kernel::clock::epoch_micros;
+use switchfold_platform::{CONFIG_KIND, CONFIG_NAME, REPLICA_KIND};
+use switchfold_platform_standin::{
+    StandinStore,
+    samples::{self, RouteSample},
+};
+use tokio::{
+    io::{BufReader, Lines},
+    process::ChildStdout,
+    time::sleep,
+};
+
+use crate::{
+    caller::{CallerContext, CrashRequest, is_ready},
+    checks::REVOKE_TIME,
+    plan::{ClusterSize, CrashTarget},
+    process::SoakProcess,
+    proxy::LinkProxy,
+    record::{CallKind, Disruption, DisruptionKind, RunHistory, RunRecord},
+    replica::{
+        CRASH_EXIT_CODE, CRASH_PREFIX, CRASH_SECOND_PREFIX, HEARTBEAT, LEAVING_PREFIX, LINGER,
+        LISTENING_PREFIX, LONG_LINGER,
+    },
+    slot::ProcessSlot,
+};
+
+/// Time from SIGTERM to SIGKILL, in seconds.
+pub const GRACE_PERIOD_S: u64 = 8;
+
+/// Number of keys in the first configuration.
+const KEY_COUNT: usize = 12;
+
+/// Number of keys that are never removed.
+const MIN_KEY_COUNT: usize = 3;
+
+/// Data centres that replicas and relays are assigned to in turn.
+const DATA_CENTRES: [&str; 2] = ["hall", "far"];
+
+/// Interval between two checks of processes and expired entries.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+
+/// Number of these checks for each check of the relays' readiness.
+const POLLS_PER_READY_CHECK: u32 = 6;
+
+/// Time for which a crash of a replica counts as a disruption: until it is restarted and has loaded
+/// its layers.
+const CRASH_RECOVERY_TIME: Duration = Duration::from_millis(2_500);
+
+/// Number of missed heartbeats after which a replica's entry expires.
+const MAX_MISSED_HEARTBEATS: u32 = 3;
+
+/// Programs, directory and size of a cluster.
+#[derive(Clone, Debug)]
+pub struct ClusterConfig {
+    /// Size of the cluster.
+    pub size: ClusterSize,
+    /// Relay program.
+    pub relay: PathBuf,
+    /// Program of the stand-in replica.
+    pub replica: PathBuf,
+    /// Directory for settings and logs.
+    pub folder: PathBuf,
+}
+
+#[derive(Debug)]
+struct RelaySlot {
+    slot: Mutex<ProcessSlot>,
+    settings: PathBuf,
+    log: PathBuf,
+    listen: SocketAddr,
+    ready: SocketAddr,
+    failed_ready_checks: Mutex<u32>,
+    store_link: LinkProxy,
+}
+
+#[derive(Debug)]
+struct ReplicaSlot {
+    slot: Mutex<ProcessSlot>,
+    /// Id for the next start; `None` if that gets a new one.
+    reused_id: Mutex<Option<String>>,
+    link: LinkProxy,
+    /// Whether the current process has reported the address that it listens on.
+    is_listening: AtomicBool,
+    service: &'static str,
+    data_centre: &'static str,
+}
+
+#[derive(Debug)]
+struct KeySet {
+    version: u64,
+    valid: Vec<String>,
+    removed: Vec<String>,
+}
+
+/// A running cluster.
+#[derive(Debug)]
+pub struct SoakCluster {
+    config: ClusterConfig,
+    store: StandinStore,
+    relays: Vec<RelaySlot>,
+    replicas: Vec<ReplicaSlot>,
+    keys: Mutex<KeySet>,
+    crash_requests: Mutex<Vec<CrashRequest>>,
+    history: Mutex<RunHistory>,
+    is_running: AtomicBool,
+    is_supervised: AtomicBool,
+}
+
+impl SoakCluster {
+    /// Starts a cluster and waits until every relay is ready.
+    ///
+    /// # Errors
+    ///
+    /// Fails if ports, files or programs are not available, or a relay does not become ready within
+    /// 60 s.
+    pub async fn start(config: ClusterConfig) -> io::Result<Arc<Self>> {
+        let store = StandinStore::start().await;
+        let mut relays = Vec::new();
+        for number in 0..config.size.relays {
+            relays.push(RelaySlot::new(&config.folder, number, store.address()).await?);
+        }
+        let mut replicas = Vec::new();
+        for number in 0..config.size.replicas() {
+            let is_engine = number < config.size.engines;
+            replicas.push(ReplicaSlot {
+                slot: Mutex::default(),
+                reused_id: Mutex::default(),
+                link: LinkProxy::start().await?,
+                is_listening: AtomicBool::default(),
+                service: if is_engine { "engine" } else { "desk" },
+                data_centre: DATA_CENTRES[number % DATA_CENTRES.len()],
+            });
+        }
+        let valid = (0..KEY_COUNT).map(|number| format!("key-{number}")).collect();
+        let keys = Mutex::new(KeySet { version: 0, valid, removed: Vec::new() });
+        let cluster = Arc::new(Self {
+            config,
+            store,
+            relays,
+            replicas,
+            keys,
+            crash_requests: Mutex::default(),
+            history: Mutex::default(),
+            is_running: AtomicBool::new(true),
+            is_supervised: AtomicBool::new(true),
+        });
+        cluster.write_config(1);
+        tokio::spawn(cluster.clone().supervise());
+        cluster.wait_until_ready().await?;
+        Ok(cluster)
+    }
+
+    /// Number of relays.
+    pub fn relay_count(&self) -> usize {
+        self.relays.len()
+    }
+
+    /// Relays in the same data centre as a relay, including that one.
+    pub fn relays_in_same_data_centre(&self, number: usize) -> Vec<usize> {
+        let data_centre = number % DATA_CENTRES.len();
+        (0..self.relays.len()).filter(|other| other % DATA_CENTRES.len() == data_centre).collect()
+    }
+
+    /// Returns a replica of the plain service that takes long to leave.
+    ///
+    /// # Panics
+    ///
+    /// Panics if the cluster has fewer than two replicas of that service.
+    pub fn lingering_desk(&self) -> usize {
+        let mut desks = self.config.size.engines..self.replicas.len();
+        desks.find(|number| lingers_long(*number)).expect("one of two neighbours has an odd number")
+    }
+
+    /// The stand-in store.
+    pub fn store(&self) -> &StandinStore {
+        &self.store
+    }
+
+    /// Link to a replica.
+    pub fn replica_link(&self, number: usize) -> &LinkProxy {
+        &self.replicas[number].link
+    }
+
+    /// Link from a relay to the store.
+    pub fn store_link(&self, number: usize) -> &LinkProxy {
+        &self.relays[number].store_link
+    }
+
+    /// What was recorded so far.
+    ///
+    /// # Panics
+    ///
+    /// Panics if another task panicked while it held the lock.
+    pub fn history(&self) -> MutexGuard<'_, RunHistory> {
+        self.history.lock().expect("no task panics while it holds the history")
+    }
+
+    /// Records a disruption that begins now and lasts for `duration`.
+    pub fn record_disruption(&self, kind: DisruptionKind, duration: Duration) {
+        let from = epoch_micros();
+        let to = from + duration.as_micros() as u64;
+        self.history().disruptions.push(Disruption { kind, from, to });
+    }
+
+    /// Sends a signal to a relay.
+    pub fn signal_relay(&self, number: usize, signal: Signal) {
+        lock(&self.relays[number].slot).signal(signal);
+    }
+
+    /// Pauses a relay until [`Self::unfreeze_relay`]. Meanwhile it is not killed for
+    /// exceeding its grace period, since it cannot react to signals.
+    pub fn freeze_relay(&self, number: usize) {
+        let mut slot = lock(&self.relays[number].slot);
+        slot.is_frozen = true;
+        slot.signal(Signal::SIGSTOP);
+    }
+
+    /// Resumes a relay that was frozen for `duration`, and extends its grace period by that time.
+    pub fn unfreeze_relay(&self, number: usize, duration: Duration) {
+        let mut slot = lock(&self.relays[number].slot);
+        slot.signal(Signal::SIGCONT);
+        slot.is_frozen = false;
+        slot.kill_at = slot.kill_at.map(|at| at + duration);
+    }
+
+    /// Adds a request that crashes replicas to those that are sent from now on.
+    pub fn start_crash_request(&self, kind: CallKind, target: CrashTarget) {
+        let mut crash_requests = lock(&self.crash_requests);
+        let prefix = match target {
+            CrashTarget::First => CRASH_PREFIX,
+            CrashTarget::Second => CRASH_SECOND_PREFIX,
+        };
+        let name = format!("{prefix}{}", crash_requests.len());
+        crash_requests.push(CrashRequest { kind, name });
+    }
+
+    /// Sends a signal to a replica.
+    pub fn signal_replica(&self, number: usize, signal: Signal) {
+        lock(&self.replicas[number].slot).signal(signal);
+    }
+
+    /// Sends a signal to a replica that has installed its handlers. Before that the signal would
+    /// kill it.
+    pub fn notify_replica(&self, number: usize, signal: Signal) {
+        if self.replicas[number].is_listening.load(Ordering::Relaxed) {
+            self.signal_replica(number, signal);
+        }
+    }
+
+    /// Kills a relay, which is restarted after `downtime`.
+    pub fn kill_relay(&self, number: usize, downtime: Duration) {
+        lock(&self.relays[number].slot).kill(downtime);
+    }
+
+    /// Kills a replica, which is restarted after `downtime`.
+    pub fn kill_replica(&self, number: usize, downtime: Duration) {
+        lock(&self.replicas[number].slot).kill(downtime);
+    }
+
+    /// Tells a relay to stop. It is killed after the grace period.
+    pub fn stop_relay(&self, number: usize) {
+        let mut slot = lock(&self.relays[number].slot);
+        if slot.stop_with(Signal::SIGTERM) {
+            slot.kill_at =
+                slot.kill_at.or(Some(Instant::now() + Duration::from_secs(GRACE_PERIOD_S)));
+        }
+    }
+
+    /// Tells a replica to leave and exit.
+    pub fn drain_replica(&self, number: usize) {
+        // A replica that announced that it leaves does not return under the same id.
+        lock(&self.replicas[number].reused_id).take();
+        lock(&self.replicas[number].slot).stop_with(Signal::SIGTERM);
+    }
+
+    /// Writes the configuration to the store, with the last version increased by `step`.
+    pub fn write_config(&self, step: u64) {
+        let mut keys = lock(&self.keys);
+        keys.version += step;
+        let valid: Vec<&str> = keys.valid.iter().map(String::as_str).collect();
+        let config = samples::config(keys.version, &routes(), &valid);
+        self.store.put(CONFIG_KIND, CONFIG_NAME, config);
+    }
+
+    /// Removes the first valid key, unless only `MIN_KEY_COUNT` are left.
+    pub fn remove_key(&self) {
+        let removed = {
+            let mut keys = lock(&self.keys);
+            if keys.valid.len() <= MIN_KEY_COUNT {
+                return;
+            }
+            let removed = keys.valid.remove(0);
+            keys.removed.push(removed.clone());
+            removed
+        };
+        self.write_config(3);
+        self.history().revoked.push((removed, epoch_micros()));
+    }
+
+    /// Whether a key is valid.
+    pub fn is_valid_key(&self, key: &str) -> bool {
+        lock(&self.keys).valid.iter().any(|valid| valid == key)
+    }
+
+    /// Tells the callers to stop.
+    pub fn stop_callers(&self) {
+        self.is_running.store(false, Ordering::Relaxed);
+    }
+
+    /// Records the memory of all relays, stops them one after the other, and ends all processes.
+    pub async fn shut_down(&self) {
+        self.is_supervised.store(false, Ordering::Relaxed);
+        sleep(POLL_INTERVAL * 2).await;
+        for (number, relay) in self.relays.iter().enumerate() {
+            let process = lock(&relay.slot).process.take();
+            let Some(mut process) = process else { continue };
+            self.history().memory_kb.extend(process.memory_kb());
+            process.signal(Signal::SIGTERM);
+            let exit_status = process.wait(Duration::from_secs(GRACE_PERIOD_S)).await;
+            if !exit_status.is_some_and(|exit_status| exit_status.success()) {
+                let detail = format!("relay {number} ended with {exit_status:?} when told to stop");
+                self.history().unexpected_exits.push(detail);
+            }
+        }
+        self.replicas.iter().for_each(|replica| drop(lock(&replica.slot).process.take()));
+    }
+
+    async fn wait_until_ready(&self) -> io::Result<()> {
+        const STARTUP_TIMEOUT: Duration = Duration::from_secs(60);
+        let deadline = Instant::now() + STARTUP_TIMEOUT;
+        for relay in &self.relays {
+            while !is_ready(relay.ready).await {
+                if Instant::now() > deadline {
+                    return Err(io::Error::other("a relay did not become ready within 60 s"));
+                }
+                sleep(POLL_INTERVAL).await;
+            }
+        }
+        Ok(())
+    }
+
+    /// Restarts processes, checks the relays' readiness, and expires the entries of replicas
+    /// without heartbeats.
+    async fn supervise(self: Arc<Self>) {
+        let mut round: u32 = 0;
+        while self.is_supervised.load(Ordering::Relaxed) {
+            for number in 0..self.replicas.len() {
+                self.restart_replica_if_due(number);
+            }
+            for number in 0..self.relays.len() {
+                self.restart_relay_if_due(number);
+            }
+            self.store.expire(REPLICA_KIND, HEARTBEAT * MAX_MISSED_HEARTBEATS);
+            if round.is_multiple_of(POLLS_PER_READY_CHECK) {
+                tokio::spawn(self.clone().check_readiness());
+            }
+            round += 1;
+            sleep(POLL_INTERVAL).await;
+        }
+    }
+
+    async fn check_readiness(self: Arc<Self>) {
+        for relay in &self.relays {
+            let ready = is_ready(relay.ready).await;
+            let mut failed_ready_checks = lock(&relay.failed_ready_checks);
+            *failed_ready_checks = if ready { 0 } else { *failed_ready_checks + 1 };
+        }
+    }
+
+    fn restart_relay_if_due(&self, number: usize) {
+        let relay = &self.relays[number];
+        let mut slot = lock(&relay.slot);
+        if let Some(problem) = slot.poll(None) {
+            self.history().unexpected_exits.push(format!("relay {number} {problem}"));
+        }
+        if slot.is_start_due() {
+            let settings = relay.settings.to_string_lossy().into_owned();
+            let arguments = ["--settings", settings.as_str()];
+            let started = SoakProcess::start_logged(&self.config.relay, &arguments, &relay.log);
+            slot.record_start(started);
+        }
+    }
+
+    fn restart_replica_if_due(self: &Arc<Self>, number: usize) {
+        let replica = &self.replicas[number];
+        let mut slot = lock(&replica.slot);
+        // Unless the soak stopped it, a replica exits only when a request crashed it. Any other
+        // exit is a fault of the stand-in.
+        if let Some(problem) = slot.poll(Some(CRASH_EXIT_CODE)) {
+            self.history().unexpected_exits.push(format!("replica {number} {problem}"));
+        }
+        if !slot.is_start_due() {
+            return;
+        }
+        let reused_id = lock(&replica.reused_id).take();
+        let id = reused_id.unwrap_or_else(|| format!("i-{number}-{}", slot.starts));
+        let advertise = replica.link.address().to_string();
+        let store = self.store.address().to_string();
+        let linger = if lingers_long(number) { LONG_LINGER } else { LINGER };
+        let linger = linger.as_millis().to_string();
+        let arguments = [
+            "replica",
+            "--id",
+            &id,
+            "--service",
+            replica.service,
+            "--advertise",
+            &advertise,
+            "--store",
+            &store,
+            "--data-centre",
+            replica.data_centre,
+            "--linger-ms",
+            &linger,
+        ];
+        replica.link.set_target(None);
+        replica.is_listening.store(false, Ordering::Relaxed);
+        match SoakProcess::start_read(&self.config.replica, &arguments) {
+            Ok((process, lines)) => {
+                *lock(&replica.reused_id) = reuses_id(number).then(|| id.clone());
+                tokio::spawn(self.clone().read_replica_output(number, id, lines));
+                slot.record_start(Ok(process));
+            }
+            Err(error) => slot.record_start(Err(error)),
+        }
+    }
+
+    /// Reads the output of a replica until it exits.
+    async fn read_replica_output(
+        self: Arc<Self>,
+        number: usize,
+        id: String,
+        mut lines: Lines<BufReader<ChildStdout>>,
+    ) {
+        while let Ok(Some(line)) = lines.next_line().await {
+            if let Some(address) = line.strip_prefix(LISTENING_PREFIX) {
+                self.replicas[number].link.set_target(address.parse().ok());
+                self.replicas[number].is_listening.store(true, Ordering::Relaxed);
+            } else if let Some(at) = line.strip_prefix(LEAVING_PREFIX) {
+                let at = at.parse().unwrap_or_else(|_| epoch_micros());
+                self.history().leaving.push((id.clone(), at));
+            } else if let Ok(record) = serde_json::from_str::<RunRecord>(&line) {
+                if record.bad.is_some() {
+                    self.record_disruption(DisruptionKind::ReplicaCrash, CRASH_RECOVERY_TIME);
+                }
+                self.history().runs.push(record);
+            } else {
+                // An incomplete line, since the replica was killed while writing it.
+                eprintln!("unexpected line from replica {id}: {line:?}");
+            }
+        }
+    }
+}
+
+/// Whether a replica keeps its id when it restarts after a crash. Every other one does.
+fn reuses_id(number: usize) -> bool {
+    number.is_multiple_of(2)
+}
+
+impl CallerContext for SoakCluster {
+    fn choose_relay(&self, random: &mut ChaCha8Rng) -> (usize, SocketAddr) {
+        const MAX_FAILED_CHECKS: u32 = 2;
+        let is_ready =
+            |number: &usize| *lock(&self.relays[*number].failed_ready_checks) < MAX_FAILED_CHECKS;
+        let all: Vec<usize> = (0..self.relays.len()).collect();
+        let eligible: Vec<usize> = all.iter().copied().filter(is_ready).collect();
+        let eligible = if eligible.len() * 2 < all.len() { all } else { eligible };
+        let number = eligible[random.random_range(0..eligible.len())];
+        (number, self.relays[number].listen)
+    }
+
+    fn choose_key(&self, random: &mut ChaCha8Rng) -> String {
+        const CALLS_PER_REMOVED_KEY: u32 = 5;
+        let keys = lock(&self.keys);
+        let removed =
+            random.random_range(0..CALLS_PER_REMOVED_KEY) == 0 && !keys.removed.is_empty();
+        let candidates = if removed { &keys.removed } else { &keys.valid };
+        candidates[random.random_range(0..candidates.len())].clone()
+    }
+
+    fn choose_crash_request(&self, random: &mut ChaCha8Rng) -> Option<CrashRequest> {
+        let crash_requests = lock(&self.crash_requests);
+        (!crash_requests.is_empty())
+            .then(|| crash_requests[random.random_range(0..crash_requests.len())].clone())
+    }
+
+    fn is_running(&self) -> bool {
+        self.is_running.load(Ordering::Relaxed)
+    }
+}
+
+impl RelaySlot {
+    async fn new(folder: &Path, number: usize, store: SocketAddr) -> io::Result<Self> {
+        let link = LinkProxy::start().await?;
+        link.set_target(Some(store));
+        let [listen, ready, peers, metrics] = free_ports()?;
+        let settings = json!({
+            "name": format!("relay-{number}"),
+            "data_centre": DATA_CENTRES[number % DATA_CENTRES.len()],
+            "region": "west",
+            "listen": listen, "ready_listen": ready,
+            "peer_listen": peers, "metrics_listen": metrics,
+            "platform": link.address(),
+            "bounds": {
+                "revoke_ms": REVOKE_TIME / 1_000, "grace_s": GRACE_PERIOD_S,
+                "retry_ratio": 0.2, "retry_window_s": 10, "retry_allowance": 200,
+            },
+        });
+        let file = folder.join(format!("relay-{number}.json"));
+        std::fs::write(&file, settings.to_string())?;
+        Ok(Self {
+            slot: Mutex::default(),
+            settings: file,
+            log: folder.join(format!("relay-{number}.log")),
+            listen,
+            ready,
+            failed_ready_checks: Mutex::default(),
+            store_link: link,
+        })
+    }
+}
+
+/// Whether a replica takes long to leave.
+fn lingers_long(number: usize) -> bool {
+    !number.is_multiple_of(2)
+}
+
+/// Returns loopback ports that nothing listens on. They are outside the range of ephemeral ports,
+/// so that a relay can bind them again after a restart. No port is returned twice, also not to runs
+/// at the same time.
+fn free_ports<const COUNT: usize>() -> io::Result<[SocketAddr; COUNT]> {
+    const PORTS: std::ops::Range<u16> = 12_000..30_000;
+    static USED_PORTS: Mutex<BTreeSet<u16>> = Mutex::new(BTreeSet::new());
+    let mut used_ports = lock(&USED_PORTS);
+    let mut random = ChaCha8Rng::seed_from_u64(epoch_micros());
+    let mut found = Vec::new();
+    while found.len() < COUNT {
+        let address = SocketAddr::from((Ipv4Addr::LOCALHOST, random.random_range(PORTS)));
+        if used_ports.insert(address.port()) && TcpListener::bind(address).is_ok() {
+            found.push(address);
+        }
+    }
+    found
+        .try_into()
+        .map_err(|_| io::Error::other("found a different number of ports than requested"))
+}
+
+fn routes() -> Vec<RouteSample> {
+    let route = |kind: CallKind| RouteSample {
+        prefix: kind.prefix(),
+        kind: match kind {
+            CallKind::Safe => "idempotent",
+            CallKind::Once => "non_idempotent",
+            CallKind::Stream | CallKind::StreamOnce => "streaming",
+        },
+        service: if kind.is_stream() { "model" } else { "desk" },
+        timeout_ms: 6_000,
+        max_attempts: 2,
+        resumable: kind == CallKind::Stream,
+    };
+    CallKind::ALL.into_iter().map(route).collect()
+}
+
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().expect("no task panics while it holds the lock")
+}
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,25 +1,27 @@
-//! A randomized fault soak of the relay.
+//! A soak test of the relay under randomized faults.
 //!
-//! Real relay programs and stand-in replicas run as processes of their own on one machine. Faults come
-//! from outside them: signals, loopback proxies that delay, reset, silence or cut a link one way, and a
-//! store that refuses, says nothing or forgets its history. Callers keep their connections until the
-//! process is gone. What callers got and what replicas ran is held against the promises of the platform's
-//! pages; nothing is read from inside a relay.
+//! Relay programs and stand-in replicas run as processes on one machine. Faults come from outside
+//! them: signals, loopback proxies that delay, reset, pause or cut a link in one direction, and a
+//! store that rejects calls, does not respond or loses its history. Callers keep their connections
+//! for as long as the relay does. What callers received and what replicas ran is checked against
+//! the promises in the platform's documentation; no internal state of a relay is read.
 //!
-//! | module | job |
+//! | module | contents |
 //! |---|---|
-//! | [`plan`] | faults of a seed |
-//! | [`site`], [`process`], [`proxy`] | processes and links, and what is done to them; `slot` starts them again |
-//! | [`replica`] | the stand-in replica as a program |
+//! | [`plan`] | the faults of a seed |
+//! | [`cluster`], [`process`], [`proxy`] | processes and links, and the faults injected into them; `slot` restarts processes |
+//! | [`replica`], [`notices`] | the stand-in replica as a program, and what it says about itself in responses |
 //! | [`caller`] | callers |
-//! | [`record`], [`checks`] | what was seen, and the promises that it is held against |
+//! | [`record`], [`checks`] | what was recorded, and the promises it is checked against |
 //! | [`run`] | one run of a seed |
 //!
-//! The trade-off against the tests in paused time: a run depends on how processes are scheduled, so a
-//! seed names a schedule of faults and not an outcome. Its logs are kept whenever a promise was broken.
+//! In contrast to the tests in virtual time, a run depends on how the system schedules its
+//! processes. A seed therefore determines the schedule of faults, but not the outcome. Logs of a
+//! run are kept if it broke a promise.
 
 pub mod caller;
 pub mod checks;
+pub mod cluster;
 pub mod notices;
 pub mod plan;
 pub mod process;
@@ -27,5 +29,4 @@
 pub mod record;
 pub mod replica;
 pub mod run;
-pub mod site;
 mod slot;
--- a/crates/soak/src/notices.rs
+++ b/crates/soak/src/notices.rs
@@ -1,4 +1,4 @@
-//! What a stand-in replica says of itself in its answers, once the soak makes it.
+//! What a stand-in replica says about itself in its responses when the soak signals it to.
 
 use std::{
     sync::{
@@ -12,11 +12,12 @@
 use switchfold_platform_standin::{ReceivedRequest, Reply, reject, with_header};
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Time for which a replica turns requests away once it is made to.
-pub const TURNS_AWAY: Duration = Duration::from_millis(2_500);
+/// Time for which a replica rejects requests after SIGUSR1.
+pub const REJECT_DURATION: Duration = Duration::from_millis(2_500);
 
-/// What it asks for, one after the other: milliseconds that count, and the header's value.
-const ASKED: [(Option<u64>, &str); 8] = [
+/// Values of `Retry-After`, used in turn: the milliseconds that relays should read from them
+/// (`None` if malformed), and the header value.
+const RETRY_AFTER_VALUES: [(Option<u64>, &str); 8] = [
     (Some(1_500), "1.5"),
     (Some(3_000), "3"),
     (Some(0), "0"),
@@ -27,11 +28,12 @@
     (Some(2_000), "2.000"),
 ];
 
-/// Time for which a replica names a limit once it is made to.
-pub const NAMES_LIMIT: Duration = Duration::from_millis(9_000);
+/// Time for which a replica sends a limit after SIGHUP.
+pub const LIMIT_DURATION: Duration = Duration::from_millis(9_000);
 
-/// Limits that it names, one time after the other: requests a second that count, and the header's value.
-const LIMITS: [(Option<f64>, &str); 6] = [
+/// Values of `Server-Limit`, used in turn: the requests a second that relays should read from them
+/// (`None` if malformed), and the header value.
+const LIMIT_VALUES: [(Option<f64>, &str); 6] = [
     (Some(0.5), "0.5"),
     (Some(2.0), "2"),
     (Some(0.0), "0"),
@@ -40,40 +42,41 @@
     (Some(6.2), "6.2"),
 ];
 
-/// What a replica says of itself at the moment.
+/// What a replica currently says about itself.
 #[derive(Clone, Debug, Default)]
 pub struct ReplicaNotices {
-    turns_away_until: Arc<AtomicU64>,
-    asked: Arc<AtomicUsize>,
+    rejects_until: Arc<AtomicU64>,
+    reject_count: Arc<AtomicUsize>,
     is_leaving: Arc<AtomicBool>,
-    names_limit_until: Arc<AtomicU64>,
-    named: Arc<AtomicUsize>,
+    limited_until: Arc<AtomicU64>,
+    limit_count: Arc<AtomicUsize>,
 }
 
 impl ReplicaNotices {
-    /// Hears the soak: SIGUSR1 makes the replica turn requests away for a while, SIGUSR2 makes it say that it is leaving, SIGHUP makes
-    /// it name a limit for a while, another one each time.
+    /// Starts to listen for signals of the soak. SIGUSR1 makes the replica reject requests for
+    /// [`REJECT_DURATION`], SIGUSR2 makes it say that it is leaving, and SIGHUP makes it send the
+    /// next limit for [`LIMIT_DURATION`].
     ///
     /// # Errors
     ///
-    /// Fails where signals are not to be had.
+    /// Fails if the signal handlers cannot be installed.
     pub fn listen(&self) -> std::io::Result<()> {
-        let mut turn_away = signal(SignalKind::user_defined1())?;
-        let mut leave = signal(SignalKind::user_defined2())?;
-        let mut limit = signal(SignalKind::hangup())?;
+        let mut reject_signal = signal(SignalKind::user_defined1())?;
+        let mut leave_signal = signal(SignalKind::user_defined2())?;
+        let mut limit_signal = signal(SignalKind::hangup())?;
         let notices = self.clone();
         tokio::spawn(async move {
             loop {
                 tokio::select! {
-                    _ = turn_away.recv() => {
-                        let until = now_millis() + TURNS_AWAY.as_millis() as u64;
-                        notices.turns_away_until.store(until, Ordering::Relaxed);
+                    _ = reject_signal.recv() => {
+                        let until = now_millis() + REJECT_DURATION.as_millis() as u64;
+                        notices.rejects_until.store(until, Ordering::Relaxed);
                     }
-                    _ = leave.recv() => notices.is_leaving.store(true, Ordering::Relaxed),
-                    _ = limit.recv() => {
-                        let until = now_millis() + NAMES_LIMIT.as_millis() as u64;
-                        notices.names_limit_until.store(until, Ordering::Relaxed);
-                        notices.named.fetch_add(1, Ordering::Relaxed);
+                    _ = leave_signal.recv() => notices.is_leaving.store(true, Ordering::Relaxed),
+                    _ = limit_signal.recv() => {
+                        let until = now_millis() + LIMIT_DURATION.as_millis() as u64;
+                        notices.limited_until.store(until, Ordering::Relaxed);
+                        notices.limit_count.fetch_add(1, Ordering::Relaxed);
                     }
                 }
             }
@@ -81,41 +84,42 @@
         Ok(())
     }
 
-    /// The answer to a request that is turned away, with the milliseconds that it asks for where that can be read.
-    pub fn turn_away(&self, request: &ReceivedRequest) -> Option<(Option<u64>, Reply)> {
-        if now_millis() >= self.turns_away_until.load(Ordering::Relaxed) {
+    /// Returns the response to a request that is rejected and the milliseconds in its `Retry-After`
+    /// header (`None` if malformed), or `None` if the replica does not reject requests now.
+    pub fn reject_request(&self, request: &ReceivedRequest) -> Option<(Option<u64>, Reply)> {
+        if now_millis() >= self.rejects_until.load(Ordering::Relaxed) {
             return None;
         }
-        let number = self.asked.fetch_add(1, Ordering::Relaxed);
-        let (asked, value) = ASKED[number % ASKED.len()];
-        Some((asked, with_header(reject(request, 503, None), "Retry-After", value)))
+        let number = self.reject_count.fetch_add(1, Ordering::Relaxed);
+        let (wait_ms, header_value) = RETRY_AFTER_VALUES[number % RETRY_AFTER_VALUES.len()];
+        Some((wait_ms, with_header(reject(request, 503, None), "Retry-After", header_value)))
     }
 
-    /// Whether the replica says that it is leaving.
+    /// Whether responses say that the replica is leaving.
     pub fn is_leaving(&self) -> bool {
         self.is_leaving.load(Ordering::Relaxed)
     }
 
-    /// The limit that the replica names, and how it writes it.
-    fn names(&self) -> Option<(Option<f64>, &'static str)> {
-        let is_named = now_millis() < self.names_limit_until.load(Ordering::Relaxed);
-        let number = self.named.load(Ordering::Relaxed);
-        is_named.then(|| LIMITS[number.wrapping_sub(1) % LIMITS.len()])
+    /// The current limit in requests a second (`None` if malformed) and its header value.
+    fn current_limit(&self) -> Option<(Option<f64>, &'static str)> {
+        let is_limited = now_millis() < self.limited_until.load(Ordering::Relaxed);
+        let number = self.limit_count.load(Ordering::Relaxed);
+        is_limited.then(|| LIMIT_VALUES[number.wrapping_sub(1) % LIMIT_VALUES.len()])
     }
 
-    /// The limit that the replica names, where that can be read.
+    /// The current limit in requests a second; `None` if there is none or it is malformed.
     pub fn limit(&self) -> Option<f64> {
-        self.names()?.0
+        self.current_limit()?.0
     }
 
-    /// Adds to an answer that the replica is leaving, where it is, and the limit that it names.
-    pub fn mark(&self, reply: Reply) -> Reply {
+    /// Adds the headers `Server-Leaving` and `Server-Limit` to a response, where they apply.
+    pub fn add_headers(&self, reply: Reply) -> Reply {
         let reply = match self.is_leaving() {
             true => with_header(reply, "Server-Leaving", "1"),
             false => reply,
         };
-        match self.names() {
-            Some((_, value)) => with_header(reply, "Server-Limit", value),
+        match self.current_limit() {
+            Some((_, header_value)) => with_header(reply, "Server-Limit", header_value),
             None => reply,
         }
     }
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -1,244 +1,252 @@
-//! Faults of a seed: what is done to the site, and when.
+//! The fault plan of a seed: which faults are injected, and when.
 //!
-//! Faults come in series and overlap. The plan is a pure function of the seed and the site's shape.
+//! Faults follow each other and overlap. A plan is a pure function of the seed and the cluster's
+//! size.
 
 use std::time::Duration;
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::{proxy::LinkMood, record::CallKind};
+use crate::{proxy::LinkCondition, record::CallKind};
 
-/// Counts of what a site has.
+/// Size of a cluster.
 #[derive(Clone, Copy, Debug)]
-pub struct SiteShape {
-    /// Relays.
+pub struct ClusterSize {
+    /// Number of relays.
     pub relays: usize,
-    /// Engines.
+    /// Number of engines.
     pub engines: usize,
-    /// Replicas of the plain service.
+    /// Number of replicas of the plain service.
     pub desks: usize,
-    /// Callers.
+    /// Number of callers.
     pub callers: usize,
 }
 
-impl SiteShape {
-    /// Replicas of both services.
+impl ClusterSize {
+    /// Number of replicas of both services.
     pub fn replicas(&self) -> usize {
         self.engines + self.desks
     }
 }
 
-/// What is done to the site; numbers name relays or replicas.
+/// A fault or planned operation. Numbers are those of relays or replicas.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Fault {
-    /// A relay is killed, and started again at the end.
+    /// A relay is killed, and restarted at the end.
     KillRelay(usize),
     /// All relays are killed at once.
-    KillRelays,
-    /// A relay is told to stop, and started again once it has.
+    KillAllRelays,
+    /// A relay is told to stop, and restarted once it has.
     StopRelay(usize),
-    /// A relay stands still.
+    /// A relay is paused (SIGSTOP).
     PauseRelay(usize),
-    /// A relay is told that its settings file changed.
-    HangUpRelay(usize),
-    /// A replica is killed, and started again, empty, at the end.
+    /// A relay is told to reload its settings file (SIGHUP).
+    ReloadRelay(usize),
+    /// A replica is killed, and restarted without state at the end.
     KillReplica(usize),
-    /// A replica stands still.
+    /// A replica is paused (SIGSTOP).
     PauseReplica(usize),
-    /// A replica says that it leaves, serves on for a while, and ends.
+    /// A replica is drained: it writes to the store that it is leaving, serves for a while longer,
+    /// and exits.
     DrainReplica(usize),
-    /// The link to a replica is disturbed.
-    DisturbReplica(usize, LinkMood),
-    /// The link of a relay to the store is disturbed.
-    DisturbStore(usize, LinkMood),
-    /// The store refuses all calls.
-    StoreBusy,
-    /// The store says nothing.
-    StoreSilent,
-    /// The store forgets its history.
-    StoreForgets,
-    /// The operator writes a new version that changes nothing.
-    NewVersion,
-    /// The operator takes a key away.
+    /// The link to a replica is disrupted.
+    DisruptReplicaLink(usize, LinkCondition),
+    /// The link from a relay to the store is disrupted.
+    DisruptStoreLink(usize, LinkCondition),
+    /// The store rejects all calls.
+    StoreUnavailable,
+    /// The store does not respond.
+    StoreUnresponsive,
+    /// The store compacts its history, so that watches from older revisions fail.
+    CompactStore,
+    /// The operator writes a new configuration version with the same content.
+    NewConfigVersion,
+    /// The operator removes a key.
     RemoveKey,
-    /// From now on a request comes again and again that ends the replicas which run it.
-    BadRequest(CallKind, BadWay),
-    /// A relay stands still for longer than the bound on removed keys; meanwhile a key is taken away, and the store is out of its
-    /// reach for a while after.
+    /// From now on a request that crashes the replicas that run it is sent again and again.
+    CrashRequest(CallKind, CrashTarget),
+    /// A relay is paused for longer than the bound on removed keys. A key is removed meanwhile, and
+    /// the relay cannot reach the store for a while after it resumes.
     FreezeRelay(usize),
-    /// The store is away for a moment, and comes back from the copy that it made at the fault's beginning.
-    StoreCopy,
-    /// A replica turns requests away for a while, and asks for a time without any.
-    TurnAway(usize),
-    /// A replica says in all its answers that it is leaving, and its entry does not; at the end it is killed, and starts again.
-    SayLeaving(usize),
-    /// A replica names a limit for a while.
-    NameLimit(usize),
+    /// The store is down for a moment, and is restored from a backup made when the fault began.
+    RestoreStore,
+    /// A replica rejects requests for a while, with a `Retry-After` header.
+    RejectRequests(usize),
+    /// A replica says in its responses that it is leaving, but not in its entry. It is killed at
+    /// the end, and restarted.
+    AnnounceLeaving(usize),
+    /// A replica sends a request limit for a while.
+    SetLimit(usize),
 }
 
-/// What comes beside a plan's faults of what replicas say of themselves: some turn requests away, one or most of a service,
-/// and one says that it is leaving without its entry saying so. It is drawn by itself, as [`make_harm`] is.
-pub fn make_notices(seed: u64, shape: &SiteShape, length: Duration) -> Vec<PlannedFault> {
-    let mut random = ChaCha8Rng::seed_from_u64(seed.rotate_left(32) ^ NOTICES);
-    let most = length.as_millis() as u64;
+/// Plans faults by which replicas say something about themselves: some reject requests (one replica
+/// or several neighbours), and one says in its responses, but not in its entry, that it is leaving.
+/// Uses a random generator of its own, as [`make_crash_faults`] does.
+pub fn make_notice_faults(seed: u64, size: &ClusterSize, length: Duration) -> Vec<PlannedFault> {
+    let mut random = ChaCha8Rng::seed_from_u64(seed.rotate_left(32) ^ SEED_SALT);
+    let length_ms = length.as_millis() as u64;
     let mut planned = Vec::new();
     for _ in 0..random.random_range(2..5) {
-        planned.extend(some_replicas(&mut random, shape, most, Fault::TurnAway));
+        planned.extend(plan_for_replicas(&mut random, size, length_ms, Fault::RejectRequests));
     }
-    let at = Duration::from_millis(random.random_range(0..=most / 2));
-    let lasts = Duration::from_millis(random.random_range(3_000..6_000)).min(length - at);
-    let fault = Fault::SayLeaving(random.random_range(0..shape.replicas()));
-    planned.push(PlannedFault { at, lasts, fault });
+    let at = Duration::from_millis(random.random_range(0..=length_ms / 2));
+    let duration = Duration::from_millis(random.random_range(3_000..6_000)).min(length - at);
+    let fault = Fault::AnnounceLeaving(random.random_range(0..size.replicas()));
+    planned.push(PlannedFault { at, duration, fault });
     planned
 }
 
-/// The same fault of one replica or of several at a moment up to `most` milliseconds.
-fn some_replicas(
+/// Plans the same fault for one or more neighbouring replicas, at a time of at most `max_at`
+/// milliseconds.
+fn plan_for_replicas(
     random: &mut ChaCha8Rng,
-    shape: &SiteShape,
-    most: u64,
+    size: &ClusterSize,
+    max_at: u64,
     fault: fn(usize) -> Fault,
 ) -> Vec<PlannedFault> {
-    let at = Duration::from_millis(random.random_range(0..=most));
-    let first = random.random_range(0..shape.replicas());
-    let count = if random.random() { 1 } else { random.random_range(1..=shape.engines) };
-    let replicas = (first..first + count).map(|number| number % shape.replicas());
+    let at = Duration::from_millis(random.random_range(0..=max_at));
+    let first = random.random_range(0..size.replicas());
+    let count = if random.random() { 1 } else { random.random_range(1..=size.engines) };
+    let replicas = (first..first + count).map(|number| number % size.replicas());
     let planned = replicas.map(fault);
-    planned.map(|fault| PlannedFault { at, lasts: Duration::ZERO, fault }).collect()
+    planned.map(|fault| PlannedFault { at, duration: Duration::ZERO, fault }).collect()
 }
 
-/// Replicas that name limits, in series and overlapping; drawn by themselves too. The last ones begin well before the end.
-pub fn make_limits(seed: u64, shape: &SiteShape, length: Duration) -> Vec<PlannedFault> {
-    let mut random = ChaCha8Rng::seed_from_u64(seed.rotate_left(48) ^ NOTICES);
-    let most = length.as_millis() as u64 / 2;
+/// Plans limits sent by replicas, which follow each other and overlap. Uses a random generator of
+/// its own. All begin in the first half of the run, so that they end well before it does.
+pub fn make_limit_faults(seed: u64, size: &ClusterSize, length: Duration) -> Vec<PlannedFault> {
+    let mut random = ChaCha8Rng::seed_from_u64(seed.rotate_left(48) ^ SEED_SALT);
+    let max_at = length.as_millis() as u64 / 2;
     let count = random.random_range(2..5);
-    (0..count).flat_map(|_| some_replicas(&mut random, shape, most, Fault::NameLimit)).collect()
+    (0..count).flat_map(|_| plan_for_replicas(&mut random, size, max_at, Fault::SetLimit)).collect()
 }
 
-/// Oldest copy that the store comes back from, in milliseconds: with the time until the operator has written again it stays
-/// below the bound on removed keys, so that a relay which starts meanwhile cannot let one in for too long.
-const OLDEST_COPY: u64 = 3_000;
+/// Largest age of the backup that the store is restored from, in milliseconds. Together with the
+/// time until the operator has written the configuration again it is below the bound on removed
+/// keys: otherwise a relay that starts in between could accept a removed key for too long.
+const MAX_BACKUP_AGE_MS: u64 = 3_000;
 
-/// Returns of the store from a copy, once or twice; drawn by themselves as well.
-pub fn make_copies(seed: u64, length: Duration) -> Vec<PlannedFault> {
-    let mut random = ChaCha8Rng::seed_from_u64(seed.rotate_left(16) ^ NOTICES);
-    let most = length.as_millis() as u64;
+/// Plans one or two restores of the store from a backup. Uses a random generator of its own.
+pub fn make_restore_faults(seed: u64, length: Duration) -> Vec<PlannedFault> {
+    let mut random = ChaCha8Rng::seed_from_u64(seed.rotate_left(16) ^ SEED_SALT);
+    let length_ms = length.as_millis() as u64;
     let count = random.random_range(1..3);
-    let copy = |_| {
-        let lasts = random.random_range(100..OLDEST_COPY.min(most));
-        let at = Duration::from_millis(random.random_range(0..=most - lasts));
-        PlannedFault { at, lasts: Duration::from_millis(lasts), fault: Fault::StoreCopy }
+    let restore = |_| {
+        let duration = random.random_range(100..MAX_BACKUP_AGE_MS.min(length_ms));
+        let at = Duration::from_millis(random.random_range(0..=length_ms - duration));
+        PlannedFault { at, duration: Duration::from_millis(duration), fault: Fault::RestoreStore }
     };
-    (0..count).map(copy).collect()
+    (0..count).map(restore).collect()
 }
 
-/// Tells the draws of [`make_notices`] apart from others of the same seed.
-const NOTICES: u64 = 0x6e6f_7469_6365_7321;
+/// Salt of the seeds of [`make_notice_faults`], [`make_limit_faults`] and [`make_restore_faults`].
+const SEED_SALT: u64 = 0x6e6f_7469_6365_7321;
 
-/// Which replica a bad request ends.
+/// The replica that a request crashes.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum BadWay {
-    /// The one that it is sent to.
+pub enum CrashTarget {
+    /// The replica that it is sent to.
     First,
-    /// The second one of its path.
-    Later,
+    /// The second replica of its path.
+    Second,
 }
 
-/// A fault with its time.
+/// A fault with its time and duration.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct PlannedFault {
-    /// Time from the start of the run.
+    /// Time since the start of the run.
     pub at: Duration,
-    /// How long it lasts.
-    pub lasts: Duration,
-    /// What is done.
+    /// Duration of the fault.
+    pub duration: Duration,
+    /// The fault.
     pub fault: Fault,
 }
 
-/// Shortest and longest time between the beginnings of two faults, in milliseconds.
-const GAPS: std::ops::Range<u64> = 100..1_600;
+/// Range of the time between the beginnings of two faults, in milliseconds.
+const FAULT_GAP_MS: std::ops::Range<u64> = 100..1_600;
 
-/// Shortest and longest time that a fault lasts, in milliseconds: the longest is above the bound on
-/// removed keys, so that a relay wakes with an old configuration.
-const LENGTHS: std::ops::Range<u64> = 100..6_500;
+/// Range of the duration of a fault, in milliseconds. The upper end exceeds the bound on removed
+/// keys, so that some relays resume with an outdated configuration.
+const FAULT_DURATION_MS: std::ops::Range<u64> = 100..6_500;
 
-/// Makes the plan of a seed for a run of `length`.
-pub fn make_plan(seed: u64, shape: &SiteShape, length: Duration) -> Vec<PlannedFault> {
+/// Plans the faults of a seed for a run of `length`.
+pub fn make_plan(seed: u64, size: &ClusterSize, length: Duration) -> Vec<PlannedFault> {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut plan = Vec::new();
     let mut at = 0;
     loop {
-        at += random.random_range(GAPS);
+        at += random.random_range(FAULT_GAP_MS);
         let at = Duration::from_millis(at);
         if at >= length {
             return plan;
         }
-        let lasts = Duration::from_millis(random.random_range(LENGTHS)).min(length - at);
-        plan.push(PlannedFault { at, lasts, fault: draw_fault(&mut random, shape) });
+        let duration =
+            Duration::from_millis(random.random_range(FAULT_DURATION_MS)).min(length - at);
+        plan.push(PlannedFault { at, duration, fault: draw_fault(&mut random, size) });
     }
 }
 
-/// Time from the waking of a frozen relay until the store is in its reach again.
-pub const OUT_OF_REACH: Duration = Duration::from_millis(3_000);
+/// Time from the end of a freeze until the relay can reach the store again.
+pub const STORE_OUTAGE_AFTER_FREEZE: Duration = Duration::from_millis(3_000);
 
-/// Shortest and longest time that a relay is frozen, in milliseconds: above the bound on removed keys, so that what it knew
-/// is too old when it wakes.
-const FREEZES: std::ops::Range<u64> = 5_500..7_500;
+/// Range of the duration of a freeze, in milliseconds. It is above the bound on removed keys, so
+/// that the relay's state is too old when it resumes.
+const FREEZE_DURATION_MS: std::ops::Range<u64> = 5_500..7_500;
 
-/// Makes what comes to the plan of a seed beside its faults: bad requests, and a frozen relay. It is drawn by itself, so that
-/// the plans of earlier seeds stay what they were.
-pub fn make_harm(seed: u64, shape: &SiteShape, length: Duration) -> Vec<PlannedFault> {
+/// Plans a request that crashes replicas, and a freeze of a relay if the run is long enough. Uses a
+/// random generator of its own, so that the plans of [`make_plan`] do not change.
+pub fn make_crash_faults(seed: u64, size: &ClusterSize, length: Duration) -> Vec<PlannedFault> {
     let mut random = ChaCha8Rng::seed_from_u64(!seed);
-    let most = length.as_millis() as u64;
-    let planned = |lasts: u64, fault: Fault, random: &mut ChaCha8Rng| {
-        let at = Duration::from_millis(random.random_range(0..=most.saturating_sub(lasts)));
-        PlannedFault { at, lasts: Duration::from_millis(lasts).min(length), fault }
+    let length_ms = length.as_millis() as u64;
+    let planned = |duration: u64, fault: Fault, random: &mut ChaCha8Rng| {
+        let at = Duration::from_millis(random.random_range(0..=length_ms.saturating_sub(duration)));
+        PlannedFault { at, duration: Duration::from_millis(duration).min(length), fault }
     };
-    let bad = [
-        Fault::BadRequest(CallKind::Stream, BadWay::First),
-        Fault::BadRequest(CallKind::Stream, BadWay::Later),
-        Fault::BadRequest(CallKind::Safe, BadWay::First),
-        Fault::BadRequest(CallKind::Once, BadWay::First),
+    let candidates = [
+        Fault::CrashRequest(CallKind::Stream, CrashTarget::First),
+        Fault::CrashRequest(CallKind::Stream, CrashTarget::Second),
+        Fault::CrashRequest(CallKind::Safe, CrashTarget::First),
+        Fault::CrashRequest(CallKind::Once, CrashTarget::First),
     ];
-    let drawn = bad[random.random_range(0..bad.len())];
-    let mut harm = vec![planned(most / 2, drawn, &mut random)];
-    let lasts = random.random_range(FREEZES);
-    let relay = random.random_range(0..shape.relays);
-    if lasts + OUT_OF_REACH.as_millis() as u64 <= most {
-        harm.push(planned(lasts, Fault::FreezeRelay(relay), &mut random));
+    let crash_request = candidates[random.random_range(0..candidates.len())];
+    let mut faults = vec![planned(length_ms / 2, crash_request, &mut random)];
+    let duration = random.random_range(FREEZE_DURATION_MS);
+    let relay = random.random_range(0..size.relays);
+    if duration + STORE_OUTAGE_AFTER_FREEZE.as_millis() as u64 <= length_ms {
+        faults.push(planned(duration, Fault::FreezeRelay(relay), &mut random));
     }
-    harm
+    faults
 }
 
-fn draw_fault(random: &mut ChaCha8Rng, shape: &SiteShape) -> Fault {
-    let relay = random.random_range(0..shape.relays);
-    let replica = random.random_range(0..shape.replicas());
-    let mood = draw_mood(random);
+fn draw_fault(random: &mut ChaCha8Rng, size: &ClusterSize) -> Fault {
+    let relay = random.random_range(0..size.relays);
+    let replica = random.random_range(0..size.replicas());
+    let condition = draw_link_condition(random);
     match random.random_range(0..18) {
         0 => Fault::KillRelay(relay),
-        1 => Fault::KillRelays,
+        1 => Fault::KillAllRelays,
         2..=4 => Fault::StopRelay(relay),
         5 => Fault::PauseRelay(relay),
-        6 => Fault::HangUpRelay(relay),
+        6 => Fault::ReloadRelay(relay),
         7 => Fault::KillReplica(replica),
         8 => Fault::PauseReplica(replica),
         9 => Fault::DrainReplica(replica),
-        10 | 11 => Fault::DisturbReplica(replica, mood),
-        12 => Fault::DisturbStore(relay, mood),
-        13 => Fault::StoreBusy,
-        14 => Fault::StoreSilent,
-        15 => Fault::StoreForgets,
-        16 => Fault::NewVersion,
+        10 | 11 => Fault::DisruptReplicaLink(replica, condition),
+        12 => Fault::DisruptStoreLink(relay, condition),
+        13 => Fault::StoreUnavailable,
+        14 => Fault::StoreUnresponsive,
+        15 => Fault::CompactStore,
+        16 => Fault::NewConfigVersion,
         _ => Fault::RemoveKey,
     }
 }
 
-fn draw_mood(random: &mut ChaCha8Rng) -> LinkMood {
+fn draw_link_condition(random: &mut ChaCha8Rng) -> LinkCondition {
     match random.random_range(0..4) {
-        0 => LinkMood::Delayed(Duration::from_millis(random.random_range(5..400))),
-        1 => LinkMood::Reset,
-        2 => LinkMood::OneWay,
-        _ => LinkMood::Silent,
+        0 => LinkCondition::Delayed(Duration::from_millis(random.random_range(5..400))),
+        1 => LinkCondition::Reset,
+        2 => LinkCondition::OneWay,
+        _ => LinkCondition::Paused,
     }
 }
--- a/crates/soak/src/process.rs
+++ b/crates/soak/src/process.rs
@@ -1,4 +1,5 @@
-//! Processes of a soak: started, signalled by id, and ended with their guard.
+//! Child processes of a soak. They are signalled by process id, and killed when their guard is
+//! dropped.
 
 use std::{
     fs::File,
@@ -25,11 +26,11 @@
 }
 
 impl SoakProcess {
-    /// Starts a program whose output goes to the end of a file.
+    /// Starts a program that appends its output to a log file.
     ///
     /// # Errors
     ///
-    /// Fails where the program does not start.
+    /// Fails if the program cannot be started.
     pub fn start_logged(program: &Path, arguments: &[&str], log: &Path) -> io::Result<Self> {
         let log = File::options().create(true).append(true).open(log)?;
         let errors = log.try_clone()?;
@@ -38,12 +39,12 @@
         Ok(Self { child: command.spawn()? })
     }
 
-    /// Starts a program whose output is read line by line, and that ends when its input does: also where
-    /// this process is killed and cannot end it.
+    /// Starts a program whose output is read line by line, and that exits when its standard input
+    /// is closed. It therefore exits even if this process is killed.
     ///
     /// # Errors
     ///
-    /// Fails where the program does not start.
+    /// Fails if the program cannot be started.
     pub fn start_read(
         program: &Path,
         arguments: &[&str],
@@ -55,34 +56,34 @@
         Ok((Self { child }, BufReader::new(output).lines()))
     }
 
-    /// Sends a signal. A process that has ended gets none.
+    /// Sends a signal. Does nothing if the process has exited and was reaped.
     pub fn signal(&self, signal: Signal) {
         if let Some(id) = self.child.id() {
-            // It may end at this very moment; whoever waits for it sees that.
-            let _ended = kill(Pid::from_raw(id as i32), signal);
+            // The process may exit at this moment; whoever waits for it sees that.
+            let _already_exited = kill(Pid::from_raw(id as i32), signal);
         }
     }
 
-    /// Ends it at once.
+    /// Kills the process and waits for its exit.
     ///
     /// # Errors
     ///
-    /// Fails where the system does not tell its end.
+    /// Fails if the signal or the wait fails.
     pub async fn kill(&mut self) -> io::Result<()> {
         self.child.kill().await
     }
 
-    /// How it ended, where it has.
-    pub fn ended(&mut self) -> Option<ExitStatus> {
+    /// Returns the exit status, or `None` while the process runs.
+    pub fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 
-    /// Waits for its end; nothing where it did not come in time.
-    pub async fn wait(&mut self, patience: Duration) -> Option<ExitStatus> {
-        timeout(patience, self.child.wait()).await.ok()?.ok()
+    /// Waits for the exit. Returns `None` if the process did not exit in time.
+    pub async fn wait(&mut self, max_wait: Duration) -> Option<ExitStatus> {
+        timeout(max_wait, self.child.wait()).await.ok()?.ok()
     }
 
-    /// Memory that it holds, in KB.
+    /// Returns the resident memory in KB, or `None` if the process has exited.
     pub fn memory_kb(&self) -> Option<u64> {
         let path = format!("/proc/{}/status", self.child.id()?);
         let status = std::fs::read_to_string(path).ok()?;
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy that disturbs a link.
+//! A loopback proxy that disrupts a link.
 
 use std::{
     io,
@@ -18,123 +18,128 @@
     time::sleep,
 };
 
-/// What a link does.
+/// Condition of a link.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub enum LinkMood {
-    /// It carries bytes.
+pub enum LinkCondition {
+    /// Bytes pass.
     #[default]
-    Well,
-    /// It carries them later.
+    Healthy,
+    /// Bytes pass after a delay.
     Delayed(Duration),
-    /// It resets connections.
+    /// Connections are reset.
     Reset,
-    /// Bytes arrive at the other side, and nothing comes back.
+    /// Bytes reach the target, and none come back.
     OneWay,
-    /// Nothing arrives on either side, and what is sent meanwhile arrives later.
-    Silent,
-    /// Nothing arrives on either side, and connections that were used meanwhile never say anything again.
-    Dead,
+    /// No bytes pass in either direction. Those sent meanwhile are delivered later.
+    Paused,
+    /// No bytes pass in either direction, and connections that were used meanwhile never deliver
+    /// any again.
+    Blackholed,
 }
 
 /// Direction of bytes on a link.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum LinkSide {
-    There,
-    Back,
+enum LinkDirection {
+    ToTarget,
+    FromTarget,
 }
 
-/// A proxy in front of an address, which may change.
+/// A proxy in front of an address that may change.
 #[derive(Clone, Debug)]
 pub struct LinkProxy {
     address: SocketAddr,
     target: Arc<Mutex<Option<SocketAddr>>>,
-    mood: watch::Sender<LinkMood>,
+    condition: watch::Sender<LinkCondition>,
 }
 
 impl LinkProxy {
-    /// Starts a proxy without a target; connections are reset until it has one.
+    /// Starts a proxy without a target. Connections are reset until it has one.
     ///
     /// # Errors
     ///
-    /// Fails where no loopback port is to be had.
+    /// Fails if no loopback port can be bound.
     pub async fn start() -> io::Result<Self> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
         let address = listener.local_addr()?;
-        let proxy = Self { address, target: Arc::default(), mood: watch::Sender::default() };
-        let serving = proxy.clone();
+        let proxy = Self { address, target: Arc::default(), condition: watch::Sender::default() };
+        let acceptor = proxy.clone();
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let proxy = serving.clone();
-                tokio::spawn(async move { proxy.carry(stream).await });
+                let proxy = acceptor.clone();
+                tokio::spawn(async move { proxy.forward(stream).await });
             }
         });
         Ok(proxy)
     }
 
-    /// Where it listens.
+    /// Address that the proxy listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Sets where connections go from now on.
+    /// Sets the target of new connections.
     pub fn set_target(&self, target: Option<SocketAddr>) {
         *self.target.lock().expect("no task panics while it holds the target") = target;
     }
 
-    /// Sets what the link does from now on, also to open connections.
-    pub fn set_mood(&self, mood: LinkMood) {
-        self.mood.send_replace(mood);
+    /// Sets the condition of the link, also for open connections.
+    pub fn set_condition(&self, condition: LinkCondition) {
+        self.condition.send_replace(condition);
     }
 
-    async fn carry(&self, stream: TcpStream) {
-        let mut mood = self.mood.subscribe();
-        if *mood.borrow_and_update() == LinkMood::Dead {
+    async fn forward(&self, stream: TcpStream) {
+        let mut condition = self.condition.subscribe();
+        if *condition.borrow_and_update() == LinkCondition::Blackholed {
             return std::future::pending().await;
         }
-        // A connection that opens in silence gets no further before the link is well again.
-        while matches!(*mood.borrow_and_update(), LinkMood::Silent) {
-            if mood.changed().await.is_err() {
+        // A connection that is opened while the link is paused waits until it is not.
+        while matches!(*condition.borrow_and_update(), LinkCondition::Paused) {
+            if condition.changed().await.is_err() {
                 return;
             }
         }
         let target = *self.target.lock().expect("no task panics while it holds the target");
-        let other = match target {
-            Some(target) if *mood.borrow() != LinkMood::Reset => TcpStream::connect(target).await,
+        let target_stream = match target {
+            Some(target) if *condition.borrow() != LinkCondition::Reset => {
+                TcpStream::connect(target).await
+            }
             _ => return reset(&stream),
         };
-        let Ok(other) = other else { return reset(&stream) };
-        let (near_read, near_write) = stream.into_split();
-        let (far_read, far_write) = other.into_split();
-        let there = pump(near_read, far_write, LinkSide::There, mood.clone());
-        let back = pump(far_read, near_write, LinkSide::Back, mood);
-        tokio::join!(there, back);
+        let Ok(target_stream) = target_stream else { return reset(&stream) };
+        let (caller_read, caller_write) = stream.into_split();
+        let (target_read, target_write) = target_stream.into_split();
+        let to_target = pump(caller_read, target_write, LinkDirection::ToTarget, condition.clone());
+        let from_target = pump(target_read, caller_write, LinkDirection::FromTarget, condition);
+        tokio::join!(to_target, from_target);
     }
 }
 
 fn reset(stream: &TcpStream) {
-    // Without lingering, closing sends a reset; where the option cannot be set, the close must do.
-    let _closed_anyway = SockRef::from(stream).set_linger(Some(Duration::ZERO));
+    // With a linger time of zero, closing sends a reset. If the option cannot be set, the
+    // connection is closed without one.
+    let _closes_anyway = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
-/// Carries one direction of a connection until it ends, and passes on how it did.
+/// Forwards one direction of a connection until it ends, and ends the other side in the same way:
+/// closed or reset.
 async fn pump(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
-    side: LinkSide,
-    mut mood: watch::Receiver<LinkMood>,
+    direction: LinkDirection,
+    mut condition: watch::Receiver<LinkCondition>,
 ) {
     let mut buffer = vec![0; 16_384];
     loop {
         let read = tokio::select! {
             read = from.read(&mut buffer) => read,
-            () = reset_asked(&mut mood) => break,
+            () = wait_for_reset(&mut condition) => break,
         };
         match read {
             Ok(0) => {
-                let _closed_before = to.shutdown().await;
+                let _already_closed = to.shutdown().await;
                 return;
             }
-            Ok(len) if pass(side, &mut mood).await => {
+            Ok(len) if wait_for_passage(direction, &mut condition).await => {
                 if to.write_all(&buffer[..len]).await.is_err() {
                     break;
                 }
@@ -146,27 +151,32 @@
     reset(to.as_ref());
 }
 
-async fn reset_asked(mood: &mut watch::Receiver<LinkMood>) {
-    if mood.wait_for(|mood| *mood == LinkMood::Reset).await.is_err() {
+async fn wait_for_reset(condition: &mut watch::Receiver<LinkCondition>) {
+    if condition.wait_for(|condition| *condition == LinkCondition::Reset).await.is_err() {
         std::future::pending::<()>().await;
     }
 }
 
-/// Waits until bytes may pass; tells whether they may at all.
-async fn pass(side: LinkSide, mood: &mut watch::Receiver<LinkMood>) -> bool {
+/// Waits until bytes may pass, and returns whether they may at all.
+async fn wait_for_passage(
+    direction: LinkDirection,
+    condition: &mut watch::Receiver<LinkCondition>,
+) -> bool {
     loop {
-        let now = *mood.borrow_and_update();
-        match (now, side) {
-            (LinkMood::Well, _) | (LinkMood::OneWay, LinkSide::There) => return true,
-            (LinkMood::Delayed(delay), _) => {
+        let current = *condition.borrow_and_update();
+        match (current, direction) {
+            (LinkCondition::Healthy, _) | (LinkCondition::OneWay, LinkDirection::ToTarget) => {
+                return true;
+            }
+            (LinkCondition::Delayed(delay), _) => {
                 sleep(delay).await;
                 return true;
             }
-            (LinkMood::Reset, _) => return false,
-            (LinkMood::Dead, _) => std::future::pending::<()>().await,
-            (LinkMood::OneWay, LinkSide::Back) | (LinkMood::Silent, _) => {}
+            (LinkCondition::Reset, _) => return false,
+            (LinkCondition::Blackholed, _) => std::future::pending::<()>().await,
+            (LinkCondition::OneWay, LinkDirection::FromTarget) | (LinkCondition::Paused, _) => {}
         }
-        if mood.changed().await.is_err() {
+        if condition.changed().await.is_err() {
             return false;
         }
     }
--- a/crates/soak/src/record.rs
+++ b/crates/soak/src/record.rs
@@ -1,20 +1,22 @@
-//! What callers and replicas saw.
+//! What callers and replicas recorded.
 //!
-//! Times are microseconds since the epoch, by the one clock of the machine that a soak runs on.
+//! Times are in microseconds since the Unix epoch. All processes of a soak run on one machine and
+//! share its clock.
 
+use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-/// Microseconds since the epoch.
+/// Microseconds since the Unix epoch, or a time span in microseconds.
 pub type Micros = u64;
 
-/// Kind of a call, by its route.
+/// Kind of a call, which is the kind of its route.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum CallKind {
-    /// May run any number of times.
+    /// Idempotent: may run any number of times.
     Safe,
-    /// Runs at most once.
+    /// Not idempotent: runs at most once.
     Once,
-    /// A stream that may go on at another replica.
+    /// A stream that may be resumed at another replica.
     Stream,
     /// A stream that runs at most once.
     StreamOnce,
@@ -24,7 +26,7 @@
     /// All kinds.
     pub const ALL: [Self; 4] = [Self::Safe, Self::Once, Self::Stream, Self::StreamOnce];
 
-    /// Beginning of the paths of its route.
+    /// Path prefix of the route.
     pub fn prefix(self) -> &'static str {
         match self {
             Self::Safe => "/safe/",
@@ -34,192 +36,202 @@
         }
     }
 
-    /// Whether the answer is a series of events.
+    /// Whether the response is a stream of events.
     pub fn is_stream(self) -> bool {
         matches!(self, Self::Stream | Self::StreamOnce)
     }
 
-    /// Whether a request runs once at most.
+    /// Whether a request may run at most once.
     pub fn runs_once(self) -> bool {
         matches!(self, Self::Once | Self::StreamOnce)
     }
 }
 
-/// How a call ended for its caller.
-#[derive(Clone, Debug, Eq, PartialEq)]
-pub enum CallEnd {
-    /// No connection opened.
+/// Outcome of a call for its caller.
+#[derive(Clone, Debug, Display, Eq, PartialEq)]
+pub enum CallOutcome {
+    /// The connection could not be opened.
     NotConnected,
-    /// The connection ended without an answer, or the caller gave up.
-    NoAnswer,
-    /// An answer came.
-    Answered(CallAnswer),
+    /// The connection was closed without a response, or the call timed out.
+    #[display("NoAnswer")]
+    NoResponse,
+    /// A response arrived, completely or in part.
+    #[display("Answered({_0})")]
+    Answered(CallResponse),
 }
 
-/// An answer, as far as it came.
-#[derive(Clone, Debug, Eq, PartialEq)]
-pub struct CallAnswer {
-    /// Status.
+/// The received part of a response.
+#[derive(Clone, Debug, Display, Eq, PartialEq)]
+#[display("CallAnswer {{ status: {status}, sealed: {signed}, whole: {complete}, body: {body:?} }}")]
+pub struct CallResponse {
+    /// HTTP status.
     pub status: u16,
     /// Whether it carries a replica's signature.
-    pub sealed: bool,
-    /// Whether its body ended as it should.
-    pub whole: bool,
-    /// Body.
+    pub signed: bool,
+    /// Whether its body was received completely.
+    pub complete: bool,
+    /// Received part of the body.
     pub body: String,
 }
 
-/// A call of a caller.
+/// A call, as its caller saw it.
 #[derive(Clone, Debug)]
 pub struct CallRecord {
-    /// Id of the request.
+    /// Request id.
     pub id: String,
-    /// Its kind.
+    /// Kind of the call.
     pub kind: CallKind,
-    /// Key that it was sent with.
+    /// Key that the request was sent with.
     pub key: String,
-    /// Relay that took it, by number.
+    /// Number of the relay that it was sent to.
     pub relay: usize,
-    /// When it was sent.
-    pub sent: Micros,
-    /// When it ended.
-    pub ended: Micros,
-    /// How it ended.
-    pub end: CallEnd,
+    /// Time of sending.
+    pub sent_at: Micros,
+    /// Time of the outcome.
+    pub ended_at: Micros,
+    /// Outcome.
+    pub outcome: CallOutcome,
 }
 
-/// A request as a replica saw it, which it writes as a line before it answers.
+/// A request as a replica saw it. The replica writes it as a line of JSON before it responds.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct RunRecord {
-    /// Id of the request.
+    /// Request id.
     pub id: String,
-    /// Id of this start of the replica.
+    /// Id of the replica instance.
     pub replica: String,
-    /// Whether it ran; otherwise it was rejected.
+    /// Whether the replica ran it; otherwise the replica rejected it.
     pub ran: bool,
-    /// Whether method, path and body are those of the caller.
+    /// Whether method, path and body are as the caller sent them.
     pub intact: bool,
-    /// Organisation that it was handed on for.
+    /// Organisation that the relay forwarded it for.
     pub organisation: String,
-    /// When it arrived.
+    /// Time of arrival.
     pub at: Micros,
-    /// Name of the bad request that it is, where that ended the replica.
+    /// Name of the request, if it crashed the replica.
     #[serde(default)]
     pub bad: Option<String>,
-    /// Milliseconds without requests that the replica asked for as it turned this one away.
+    /// Milliseconds without requests that the replica asked for when it rejected this one; `None`
+    /// if it asked for none or the header was malformed.
     #[serde(default)]
     pub asked: Option<u64>,
-    /// Whether the answer says that the replica is leaving.
+    /// Whether the response says that the replica is leaving.
     #[serde(default)]
     pub leaving: bool,
-    /// Requests a second that the answer says the replica takes from all relays.
+    /// Limit in the response: the requests a second that the replica accepts from all relays
+    /// together.
     #[serde(default)]
     pub limit: Option<f64>,
 }
 
-/// Something done to the site.
+/// Kind of a disruption.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum DisruptionKind {
-    /// A planned stop of a relay, by number.
+    /// Planned stop of a relay, by number.
     PlannedStop(usize),
-    /// Planned work of another sort: a change of the configuration, a replica that leaves.
+    /// Other planned work: a change of the configuration, or a replica that leaves.
     PlannedWork,
-    /// A replica that a bad request ended.
-    ReplicaEnd,
-    /// A fault of one relay, or of its way to the store, by number.
+    /// Crash of a replica by a request.
+    ReplicaCrash,
+    /// Fault of a relay or of its link to the store, by relay number.
     RelayFault(usize),
-    /// A fault of the way to a replica, by number, beside what else it is noted as.
+    /// Fault of the link to a replica, by replica number. Recorded in addition to another kind.
     LinkFault(usize),
-    /// A replica that stands still, by number, beside what else it is noted as.
-    Standstill(usize),
-    /// A fault of the store.
+    /// Pause of a replica, by number. Recorded in addition to another kind.
+    ReplicaPause(usize),
+    /// Fault of the store.
     StoreFault,
-    /// Anything else.
+    /// Any other fault.
     Fault,
 }
 
 impl DisruptionKind {
-    /// Whether it is a fault, of whatever.
+    /// Whether it is a fault of any kind, and not planned work.
     pub fn is_fault(self) -> bool {
         !matches!(self, Self::PlannedStop(_) | Self::PlannedWork)
     }
 
-    /// Whether the store cannot be relied on meanwhile.
-    fn harms_store(self) -> bool {
+    /// Whether it makes the store unreliable.
+    fn affects_store(self) -> bool {
         matches!(self, Self::StoreFault | Self::Fault)
     }
 
-    /// Whether a relay cannot be relied on meanwhile.
-    fn harms_relay(self, relay: usize) -> bool {
-        self.harms_store() || [Self::RelayFault(relay), Self::PlannedStop(relay)].contains(&self)
+    /// Whether it makes a relay, its link to the store, or the store unreliable.
+    fn affects_relay(self, relay: usize) -> bool {
+        self.affects_store() || [Self::RelayFault(relay), Self::PlannedStop(relay)].contains(&self)
     }
 }
 
-/// A time span with a disruption.
+/// A disruption with its time span.
 #[derive(Clone, Copy, Debug)]
 pub struct Disruption {
-    /// What it is.
+    /// Kind.
     pub kind: DisruptionKind,
-    /// Its beginning.
+    /// Time of the beginning.
     pub from: Micros,
-    /// Its end.
+    /// Time of the end.
     pub to: Micros,
 }
 
-/// Everything that was seen in a run.
+/// Everything that was recorded in a run.
 #[derive(Clone, Debug, Default)]
 pub struct RunHistory {
-    /// Calls of callers.
+    /// Calls, as callers saw them.
     pub calls: Vec<CallRecord>,
-    /// Requests at replicas.
+    /// Requests, as replicas saw them.
     pub runs: Vec<RunRecord>,
-    /// Keys taken away, with the time at which the store had it.
+    /// Removed keys, with the time at which the store had the removal.
     pub revoked: Vec<(String, Micros)>,
-    /// Replicas that said they leave, with the time at which the store had it.
+    /// Ids of replicas that announced in the store that they leave, with the time at which the
+    /// store had it.
     pub leaving: Vec<(String, Micros)>,
-    /// Disruptions.
+    /// Faults and planned work.
     pub disruptions: Vec<Disruption>,
-    /// Processes that ended by themselves, or did not end when told to.
-    pub odd_ends: Vec<String>,
-    /// Memory of each relay at the end, in KB.
+    /// Processes that exited by themselves, or did not exit when told to.
+    pub unexpected_exits: Vec<String>,
+    /// Resident memory of each relay at the end, in KB.
     pub memory_kb: Vec<u64>,
-    /// Calls made after all faults were over, and how many of them succeeded.
+    /// Number of calls made after all faults were over, and of those that were served.
     pub after_faults: (usize, usize),
 }
 
 impl RunHistory {
-    /// Whether no fault was near a time span; planned work may have been.
-    pub fn is_calm(&self, from: Micros, to: Micros) -> bool {
+    /// Whether no fault occurred in a time span or within [`SETTLE_TIME`] before it. Planned work
+    /// may have.
+    pub fn is_free_of_faults(&self, from: Micros, to: Micros) -> bool {
         !self.any_near(from, to, DisruptionKind::is_fault)
     }
 
-    /// Whether the store had been well for the contact time.
+    /// Whether the store had no fault at that time or within [`SETTLE_TIME`] before it.
     pub fn is_store_stable(&self, at: Micros) -> bool {
-        !self.any_near(at, at, DisruptionKind::harms_store)
+        !self.any_near(at, at, DisruptionKind::affects_store)
     }
 
-    /// Whether a relay and its way to the store had been well for the contact time.
-    pub fn is_in_touch(&self, relay: usize, at: Micros) -> bool {
-        !self.any_near(at, at, |kind| kind.harms_relay(relay))
+    /// Whether the store, a relay and its link to the store had no fault, and the relay no planned
+    /// stop, at that time or within [`SETTLE_TIME`] before it.
+    pub fn is_relay_stable(&self, relay: usize, at: Micros) -> bool {
+        !self.any_near(at, at, |kind| kind.affects_relay(relay))
     }
 
-    /// Whether a relay ran from one moment to another, without a start, a stop or a pause.
-    pub fn ran_on(&self, relay: usize, from: Micros, to: Micros) -> bool {
+    /// Whether a relay ran throughout a time span, without a start, a stop or a pause.
+    pub fn ran_throughout(&self, relay: usize, from: Micros, to: Micros) -> bool {
         let counts = |kind| {
             [DisruptionKind::RelayFault(relay), DisruptionKind::PlannedStop(relay)].contains(&kind)
         };
         !self.any_between(from, to, counts)
     }
 
-    /// Whether the way to a replica was well from one moment to another.
-    pub fn link_was_well(&self, replica: usize, from: Micros, to: Micros) -> bool {
+    /// Whether the link to a replica had no fault in a time span.
+    pub fn link_was_healthy(&self, replica: usize, from: Micros, to: Micros) -> bool {
         !self.any_between(from, to, |kind| kind == DisruptionKind::LinkFault(replica))
     }
 
-    /// Whether requests reached a replica as they were sent, from one moment to another: what was held up comes all at once.
-    pub fn came_as_sent(&self, replica: usize, from: Micros, to: Micros) -> bool {
-        let held_up = [DisruptionKind::LinkFault(replica), DisruptionKind::Standstill(replica)];
-        !self.any_between(from.saturating_sub(CONTACT_TIME), to, |kind| held_up.contains(&kind))
+    /// Whether requests reached a replica without delay in a time span. Requests that are delayed
+    /// by a fault of the link or a pause arrive all at once after it, so that [`SETTLE_TIME`]
+    /// before the time span is included.
+    pub fn had_no_delays(&self, replica: usize, from: Micros, to: Micros) -> bool {
+        let delaying = [DisruptionKind::LinkFault(replica), DisruptionKind::ReplicaPause(replica)];
+        !self.any_between(from.saturating_sub(SETTLE_TIME), to, |kind| delaying.contains(&kind))
     }
 
     fn any_between(
@@ -228,16 +240,17 @@
         to: Micros,
         counts: impl Fn(DisruptionKind) -> bool,
     ) -> bool {
-        let mut counted = self.disruptions.iter().filter(|one| counts(one.kind));
-        counted.any(|one| one.from <= to && from <= one.to)
+        let mut counted = self.disruptions.iter().filter(|disruption| counts(disruption.kind));
+        counted.any(|disruption| disruption.from <= to && from <= disruption.to)
     }
 
     fn any_near(&self, from: Micros, to: Micros, counts: impl Fn(DisruptionKind) -> bool) -> bool {
-        let counted = self.disruptions.iter().filter(|one| counts(one.kind));
-        let mut near = counted.filter(|one| one.from <= to && from <= one.to + CONTACT_TIME);
+        let counted = self.disruptions.iter().filter(|disruption| counts(disruption.kind));
+        let mut near = counted
+            .filter(|disruption| disruption.from <= to && from <= disruption.to + SETTLE_TIME);
         near.next().is_some()
     }
 }
 
-/// Time after a fault for which time bounds do not count, in microseconds.
-pub const CONTACT_TIME: Micros = 3_000_000;
+/// Time after a fault in which promises with a time bound are not checked, in microseconds.
+pub const SETTLE_TIME: Micros = 3_000_000;
--- a/crates/soak/src/replica.rs
+++ b/crates/soak/src/replica.rs
@@ -1,7 +1,7 @@
-//! The stand-in replica as a program of its own, so that it can be killed and paused.
+//! The stand-in replica as a program, so that it can be killed and paused.
 //!
-//! It writes one line for each request before it answers, and none for the calls of the platform. The
-//! pipe keeps what was written when it is killed.
+//! It writes one line for each request before it responds, and none for calls of the platform. What
+//! was written stays in the pipe if the replica is killed.
 
 use std::{
     net::SocketAddr,
@@ -30,164 +30,175 @@
 };
 
 use crate::{
-    checks::{EVENTS, own_body},
+    checks::{EVENT_COUNT, response_body},
     notices::ReplicaNotices,
     record::RunRecord,
 };
 
-/// Time between two writes of its entry to the store.
+/// Interval between two writes of the replica's entry to the store.
 pub const HEARTBEAT: Duration = Duration::from_millis(300);
 
-/// Time between the events of a stream.
-const PAUSE: Duration = Duration::from_millis(25);
+/// Time between two events of a stream.
+const EVENT_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Time that a plain request takes.
-const WORK: Duration = Duration::from_millis(15);
+/// Time that a request of the plain service takes.
+const PROCESSING_TIME: Duration = Duration::from_millis(15);
 
-/// Of plain requests, one in so many fails.
-const FAILS_ONE_IN: usize = 19;
+/// One in this many requests of the plain service fails.
+const REQUESTS_PER_FAILURE: usize = 19;
 
-/// Time that a leaving replica serves on after the store has it.
+/// Time for which a leaving replica keeps serving once the store has its announcement.
 pub const LINGER: Duration = Duration::from_millis(2_600);
 
-/// The same of a replica that stays for long.
+/// The same, for replicas that take long to leave.
 pub const LONG_LINGER: Duration = Duration::from_millis(8_000);
 
-/// Time after its leaving for which a replica keeps its entry alive.
-const SILENT_AFTER: Duration = Duration::from_millis(600);
+/// Time for which a leaving replica keeps writing its entry. After that the entry expires while the
+/// replica still serves.
+const KEEP_ENTRY_AFTER_LEAVING: Duration = Duration::from_millis(600);
 
-/// Time that the store has for an answer.
+/// Time limit for calls of the store.
 const STORE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Service of a replica.
+/// The service that a replica belongs to.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, ValueEnum)]
 pub enum ServiceKind {
-    /// The plain service.
+    /// The plain (non-streaming) service.
     Desk,
-    /// The model.
+    /// The model's service, with streams.
     Engine,
 }
 
-/// What a replica is started with.
+/// Command-line arguments of a stand-in replica.
 #[derive(Clone, Debug, Args)]
 pub struct ReplicaArguments {
-    /// Id of this start.
+    /// Id of this instance.
     #[arg(long)]
     pub id: String,
-    /// Its service.
+    /// Service of the replica.
     #[arg(long, value_enum)]
     pub service: ServiceKind,
-    /// Address under which others reach it.
+    /// Address under which relays reach the replica.
     #[arg(long)]
     pub advertise: SocketAddr,
     /// Address of the store.
     #[arg(long)]
     pub store: SocketAddr,
-    /// Its data centre.
+    /// Data centre of the replica.
     #[arg(long)]
     pub data_centre: String,
-    /// Time that it serves on after the store has taken that it leaves, in milliseconds.
+    /// Milliseconds for which the replica keeps serving once the store has its announcement that it
+    /// leaves.
     #[arg(long)]
     pub linger_ms: u64,
 }
 
-/// First line that a replica writes: where it listens.
-pub const LISTENS: &str = "listens ";
+/// Prefix of the first line that a replica writes: the address that it listens on follows.
+pub const LISTENING_PREFIX: &str = "listens ";
 
-/// Runs a replica until SIGTERM; then it says that it leaves, serves on for a while, and ends.
+/// Runs a replica until SIGTERM. It then announces in the store that it leaves, keeps serving for a
+/// while, and exits.
 ///
 /// # Errors
 ///
-/// Fails where no port or signal is to be had.
+/// Fails if no port can be bound or the signal handlers cannot be installed.
 pub async fn run_replica(arguments: ReplicaArguments) -> std::io::Result<()> {
-    end_when_abandoned();
+    exit_with_parent();
     let mut term = signal(SignalKind::terminate())?;
     let notices = ReplicaNotices::default();
     notices.listen()?;
-    let born = epoch_millis();
-    let engine = StandinEngine::started_at(born);
+    let start_millis = epoch_millis();
+    let engine = StandinEngine::started_at(start_millis);
     let replica = match arguments.service {
         ServiceKind::Desk => start_desk(&arguments, notices).await?,
         ServiceKind::Engine => start_engine(&arguments, engine.clone(), notices).await?,
     };
-    println!("{LISTENS}{}", replica.address());
-    let running = engine.clone();
-    tokio::spawn(async move { running.run().await });
+    println!("{LISTENING_PREFIX}{}", replica.address());
+    let running_engine = engine.clone();
+    tokio::spawn(async move { running_engine.run().await });
     let store = ObjectStore::new(&arguments.store.to_string(), STORE_TIMEOUT);
-    let mut told: Option<Instant> = None;
-    let mut leaves = false;
+    let mut left_at: Option<Instant> = None;
+    let mut is_leaving = false;
     let linger = Duration::from_millis(arguments.linger_ms);
-    while told.is_none_or(|told| told.elapsed() < linger) {
-        if told.is_some_and(|told| told.elapsed() > SILENT_AFTER) {
+    while left_at.is_none_or(|left_at| left_at.elapsed() < linger) {
+        if left_at.is_some_and(|left_at| left_at.elapsed() > KEEP_ENTRY_AFTER_LEAVING) {
             sleep(HEARTBEAT).await;
             continue;
         }
-        let entry = entry(&arguments, &engine, born, leaves);
-        let written = store.replace(REPLICA_KIND, &arguments.id, &entry).await;
-        if leaves && told.is_none() && written.is_ok() {
-            told = Some(Instant::now());
-            println!("{LEAVES}{}", epoch_micros());
+        let entry = entry(&arguments, &engine, start_millis, is_leaving);
+        let write_result = store.replace(REPLICA_KIND, &arguments.id, &entry).await;
+        if is_leaving && left_at.is_none() && write_result.is_ok() {
+            left_at = Some(Instant::now());
+            println!("{LEAVING_PREFIX}{}", epoch_micros());
         }
         tokio::select! {
-            _ = term.recv() => leaves = true,
+            _ = term.recv() => is_leaving = true,
             () = sleep(HEARTBEAT) => {}
         }
     }
     Ok(())
 }
 
-/// Ends the process once the soak that started it is gone: its end of the input is closed then.
-fn end_when_abandoned() {
+/// Exits when the soak that started this process is gone. The pipe to standard input is closed
+/// then.
+fn exit_with_parent() {
     std::thread::spawn(|| {
-        // A failed read says the same as an end.
-        let _ended = std::io::copy(&mut std::io::stdin(), &mut std::io::sink());
+        // An error means the same as the end of input.
+        let _closed = std::io::copy(&mut std::io::stdin(), &mut std::io::sink());
         std::process::exit(0);
     });
 }
 
-/// Line by which a leaving replica says that the store has it, with the time.
-pub const LEAVES: &str = "leaves ";
+/// Prefix of the line that a leaving replica writes once the store has its announcement: the time
+/// in microseconds since the epoch follows.
+pub const LEAVING_PREFIX: &str = "leaves ";
 
-fn entry(arguments: &ReplicaArguments, engine: &StandinEngine, born: u64, leaves: bool) -> Value {
+fn entry(
+    arguments: &ReplicaArguments,
+    engine: &StandinEngine,
+    start_millis: u64,
+    is_leaving: bool,
+) -> Value {
     let entry = match arguments.service {
-        ServiceKind::Desk => started_at(desk_entry(arguments.advertise), born),
+        ServiceKind::Desk => started_at(desk_entry(arguments.advertise), start_millis),
         ServiceKind::Engine => engine.entry(arguments.advertise),
     };
     let entry = in_data_centre(entry, &arguments.data_centre);
-    if leaves { draining(entry) } else { entry }
+    if is_leaving { draining(entry) } else { entry }
 }
 
-/// Exit code of a replica that a bad request ended.
-pub const BAD_EXIT: i32 = 86;
+/// Exit code of a replica that a request crashed.
+pub const CRASH_EXIT_CODE: i32 = 86;
 
-/// Time from the beginning of a bad request to the end of its replica.
-const BAD_AFTER: Duration = Duration::from_millis(40);
+/// Time from the start of a request to the crash that it causes.
+const CRASH_DELAY: Duration = Duration::from_millis(40);
 
-/// Where a first replica tells the second one of a path of its part in a bad request.
-const BAD_PART: &str = "/bad-part";
+/// Path under which the first replica of a path forwards a request that crashes the second one.
+const CRASH_PATH: &str = "/bad-part";
 
-/// Beginning of the names of bad requests.
-pub const BAD: &str = "bad-";
+/// Prefix of the names of requests that crash replicas.
+pub const CRASH_PREFIX: &str = "bad-";
 
-/// Beginning of the names of those that end the second replica of their paths.
-pub const BAD_LATER: &str = "bad-later-";
+/// Prefix of the names of requests that crash the second replica of their path.
+pub const CRASH_SECOND_PREFIX: &str = "bad-later-";
 
-/// Name of a bad request, which is its body.
-fn bad_name(request: &ReceivedRequest) -> Option<String> {
+/// Returns the name of a request that crashes replicas, which is its body; `None` for any other
+/// request.
+fn crash_request_name(request: &ReceivedRequest) -> Option<String> {
     let body = String::from_utf8_lossy(&request.body);
-    body.starts_with(BAD).then(|| body.into_owned())
+    body.starts_with(CRASH_PREFIX).then(|| body.into_owned())
 }
 
-/// Ends this replica a little later, as a bad request does.
-fn end_soon() {
+/// Crashes this replica after [`CRASH_DELAY`].
+fn crash_soon() {
     tokio::spawn(async {
-        sleep(BAD_AFTER).await;
-        std::process::exit(BAD_EXIT);
+        sleep(CRASH_DELAY).await;
+        std::process::exit(CRASH_EXIT_CODE);
     });
 }
 
-/// Hands the second replica of a path its part of a bad request.
-fn pass_bad_part(request: &ReceivedRequest) {
+/// Forwards a request to the second replica of its path, which it crashes.
+fn forward_crash_request(request: &ReceivedRequest) {
     let path = request.header("path").unwrap_or_default();
     let second = path.split(',').nth(1).and_then(|part| part.split_once('='));
     let Some(address) = second.map(|(address, _)| address.to_owned()) else { return };
@@ -195,13 +206,13 @@
     let body = String::from_utf8_lossy(&request.body).into_owned();
     tokio::spawn(async move {
         let head = format!(
-            "POST {BAD_PART} HTTP/1.1\r\n{ATTEMPT_ID}: {id}\r\n{ORGANISATION}: {organisation}\r\nContent-Length: {}\r\n\r\n",
+            "POST {CRASH_PATH} HTTP/1.1\r\n{ATTEMPT_ID}: {id}\r\n{ORGANISATION}: {organisation}\r\nContent-Length: {}\r\n\r\n",
             body.len()
         );
         let Ok(mut stream) = TcpStream::connect(address).await else { return };
-        // Where the second one is gone already, there is nothing to end.
+        // If the second replica is already gone, there is nothing to crash.
         let _sent = stream.write_all((head + &body).as_bytes()).await;
-        sleep(BAD_AFTER * 2).await;
+        sleep(CRASH_DELAY * 2).await;
     });
 }
 
@@ -210,22 +221,23 @@
     notices: ReplicaNotices,
 ) -> std::io::Result<StandinReplica> {
     let id = arguments.id.clone();
-    let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    StandinReplica::start_at(any, move |request: &ReceivedRequest| {
-        if let Some(reply) = turn_away(&id, request, &notices) {
+    let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
+    StandinReplica::start_at(any_port, move |request: &ReceivedRequest| {
+        if let Some(reply) = reject_request(&id, request, &notices) {
             return reply;
         }
-        let bad = bad_name(request);
-        note(&id, request, RunNote { bad: bad.clone(), ..RunNote::ran(&notices) });
+        let bad = crash_request_name(request);
+        write_record(&id, request, RunDetails { bad: bad.clone(), ..RunDetails::ran(&notices) });
         if bad.is_some() {
-            end_soon();
+            crash_soon();
             return Reply::Silence;
         }
-        let attempt = attempt_id(request);
-        let fails = attempt.bytes().map(usize::from).sum::<usize>().is_multiple_of(FAILS_ONE_IN);
+        let request_id = attempt_id(request);
+        let fails =
+            request_id.bytes().map(usize::from).sum::<usize>().is_multiple_of(REQUESTS_PER_FAILURE);
         let status = if fails { 500 } else { 200 };
-        match notices.mark(signed_response(request, status, &own_body(attempt))) {
-            Reply::Bytes(bytes) => Reply::BytesLater(WORK, bytes),
+        match notices.add_headers(signed_response(request, status, &response_body(request_id))) {
+            Reply::Bytes(bytes) => Reply::BytesLater(PROCESSING_TIME, bytes),
             other => other,
         }
     })
@@ -238,32 +250,33 @@
     notices: ReplicaNotices,
 ) -> std::io::Result<StandinReplica> {
     let id = arguments.id.clone();
-    let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    StandinReplica::start_at(any, move |request: &ReceivedRequest| {
-        let bad = bad_name(request);
-        if request.target == BAD_PART {
-            note(&id, request, RunNote { bad, ..RunNote::ran(&notices) });
-            end_soon();
+    let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
+    StandinReplica::start_at(any_port, move |request: &ReceivedRequest| {
+        let bad = crash_request_name(request);
+        if request.target == CRASH_PATH {
+            write_record(&id, request, RunDetails { bad, ..RunDetails::ran(&notices) });
+            crash_soon();
             return Reply::Silence;
         }
-        if let Some(reply) = turn_away(&id, request, &notices) {
+        if let Some(reply) = reject_request(&id, request, &notices) {
             return reply;
         }
-        let is_later = bad.as_ref().is_some_and(|name| name.starts_with(BAD_LATER));
-        let reply = engine.respond(request, EVENTS, PAUSE, |event| {
-            let began = event == EngineEvent::Started;
-            let ends_here = began && !is_later;
-            let bad_here = bad.clone().filter(|_| ends_here);
-            let noted = RunNote { ran: began, bad: bad_here, ..RunNote::ran(&notices) };
-            note(&id, request, noted);
-            match began && bad.is_some() {
-                true if is_later => pass_bad_part(request),
-                true => end_soon(),
+        let crashes_second = bad.as_ref().is_some_and(|name| name.starts_with(CRASH_SECOND_PREFIX));
+        let reply = engine.respond(request, EVENT_COUNT, EVENT_INTERVAL, |event| {
+            let has_started = event == EngineEvent::Started;
+            let crashes_here = has_started && !crashes_second;
+            let crashed_by = bad.clone().filter(|_| crashes_here);
+            let details =
+                RunDetails { ran: has_started, bad: crashed_by, ..RunDetails::ran(&notices) };
+            write_record(&id, request, details);
+            match has_started && bad.is_some() {
+                true if crashes_second => forward_crash_request(request),
+                true => crash_soon(),
                 false => {}
             }
         });
-        match notices.mark(reply) {
-            // It begins, and has no end: whoever runs it is gone before.
+        match notices.add_headers(reply) {
+            // The stream starts and never ends: the replica that runs it crashes before.
             Reply::Stream { head, pause, owner, gate, .. } if bad.is_some() => {
                 Reply::Stream { head, ids: 0..0, pause, end: StreamEnd::Silence, owner, gate }
             }
@@ -277,13 +290,13 @@
     request.header(ATTEMPT_ID.as_str()).unwrap_or_default()
 }
 
-/// Body that a caller sends with a request.
-pub fn caller_body(id: &str) -> String {
+/// Body of the request with this id.
+pub fn request_body(id: &str) -> String {
     format!("question of {id}")
 }
 
-/// Path that a caller sends a request to.
-pub fn caller_path(prefix: &str, id: &str) -> String {
+/// Path of the request with this id, on the route with this prefix.
+pub fn request_path(prefix: &str, id: &str) -> String {
     format!("{prefix}{id}?of={id}")
 }
 
@@ -291,19 +304,23 @@
     request.header(ORGANISATION.as_str()).unwrap_or_default().to_owned()
 }
 
-/// Turns a caller's request away, where the replica does so at the moment.
-fn turn_away(replica: &str, request: &ReceivedRequest, notices: &ReplicaNotices) -> Option<Reply> {
+/// Rejects a caller's request, if the replica rejects requests now.
+fn reject_request(
+    replica: &str,
+    request: &ReceivedRequest,
+    notices: &ReplicaNotices,
+) -> Option<Reply> {
     if [REPORT_PATH, ORDER_PATH].contains(&request.target.as_str()) {
         return None;
     }
-    let (asked, reply) = notices.turn_away(request)?;
-    note(replica, request, RunNote { ran: false, asked, ..RunNote::ran(notices) });
-    Some(notices.mark(reply))
+    let (asked, reply) = notices.reject_request(request)?;
+    write_record(replica, request, RunDetails { ran: false, asked, ..RunDetails::ran(notices) });
+    Some(notices.add_headers(reply))
 }
 
-/// What a replica notes of a request beside what the request says.
+/// What a record contains besides the request itself.
 #[derive(Debug, Default)]
-struct RunNote {
+struct RunDetails {
     ran: bool,
     bad: Option<String>,
     asked: Option<u64>,
@@ -311,31 +328,32 @@
     limit: Option<f64>,
 }
 
-impl RunNote {
+impl RunDetails {
     fn ran(notices: &ReplicaNotices) -> Self {
         Self { ran: true, leaving: notices.is_leaving(), limit: notices.limit(), ..Self::default() }
     }
 }
 
-fn note(replica: &str, request: &ReceivedRequest, noted: RunNote) {
-    let RunNote { ran, bad, asked: backoff, leaving, limit } = noted;
+fn write_record(replica: &str, request: &ReceivedRequest, details: RunDetails) {
+    let RunDetails { ran, bad, asked: wait_ms, leaving, limit } = details;
     let id = attempt_id(request);
-    let asked = bad_name(request);
-    let name = asked.as_deref().unwrap_or(id);
-    let path = request.target.ends_with(&caller_path("/", name)) || request.target == BAD_PART;
-    let body = asked.is_some() || request.body == caller_body(id).as_bytes();
+    let crash_name = crash_request_name(request);
+    let name = crash_name.as_deref().unwrap_or(id);
+    let same_path =
+        request.target.ends_with(&request_path("/", name)) || request.target == CRASH_PATH;
+    let same_body = crash_name.is_some() || request.body == request_body(id).as_bytes();
     let record = RunRecord {
         id: id.to_owned(),
         replica: replica.to_owned(),
         ran,
-        intact: path && body && request.method == "POST",
+        intact: same_path && same_body && request.method == "POST",
         organisation: organisation(request),
         at: epoch_micros(),
         bad,
-        asked: backoff,
+        asked: wait_ms,
         leaving,
         limit,
     };
-    let line = serde_json::to_string(&record).expect("records are plain data");
+    let line = serde_json::to_string(&record).expect("a record serializes");
     println!("{line}");
 }
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,4 +1,4 @@
-//! One run of a seed.
+//! Runs a seed and reports the result.
 
 use std::{collections::BTreeMap, io, sync::Arc, time::Duration};
 
@@ -11,313 +11,339 @@
 use tokio::time::{Instant, sleep, sleep_until};
 
 use crate::{
-    caller::{run_bad_caller, run_caller},
+    caller::{run_caller, run_crash_caller},
     checks::{Violation, check},
-    notices::{NAMES_LIMIT, TURNS_AWAY},
+    cluster::{ClusterConfig, GRACE_PERIOD_S, SoakCluster},
+    notices::{LIMIT_DURATION, REJECT_DURATION},
     plan::{
-        Fault, OUT_OF_REACH, PlannedFault, make_copies, make_harm, make_limits, make_notices,
-        make_plan,
+        Fault, PlannedFault, STORE_OUTAGE_AFTER_FREEZE, make_crash_faults, make_limit_faults,
+        make_notice_faults, make_plan, make_restore_faults,
     },
-    proxy::LinkMood,
-    record::{CallEnd, CallKind, CallRecord, DisruptionKind},
-    site::{GRACE_S, SiteConfig, SoakSite},
+    proxy::LinkCondition,
+    record::{CallKind, CallOutcome, CallRecord, DisruptionKind},
 };
 
-/// Time after the last fault until service must be back.
+/// Time after the last fault within which requests must be served again.
 const RECOVERY_TIME: Duration = Duration::from_secs(8);
 
-/// Time for which service is counted after that.
-const COUNTED_TIME: Duration = Duration::from_secs(3);
+/// Time after that in which calls are counted.
+const MEASURED_TIME: Duration = Duration::from_secs(3);
 
-/// Time that a killed process is down at least.
-const LEAST_DOWN: Duration = Duration::from_millis(300);
+/// Shortest downtime of a killed process.
+const MIN_DOWNTIME: Duration = Duration::from_millis(300);
 
-/// Time that a restarted process may need until it serves, counted to the fault that ended it.
-const START_TIME: Duration = Duration::from_millis(1_500);
+/// Time that a restarted process may need until it serves. It counts as part of the fault that
+/// ended the process.
+const STARTUP_TIME: Duration = Duration::from_millis(1_500);
 
-/// What a run showed.
+/// Result of a run.
 #[derive(Clone, Debug)]
 pub struct SoakReport {
-    /// Its seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// Broken promises.
+    /// Promises that were broken.
     pub violations: Vec<Violation>,
-    /// How calls ended, by kind and status.
-    pub ends: BTreeMap<String, usize>,
-    /// Faults that were injected.
+    /// Number of calls by kind and outcome.
+    pub outcomes: BTreeMap<String, usize>,
+    /// Number of injected faults.
     pub faults: usize,
-    /// Calls after the last fault, and those that succeeded.
+    /// Number of calls counted after the last fault, and of those that were served.
     pub after_faults: (usize, usize),
 }
 
-/// Runs a seed for `length`, plus the time that service has to come back.
+/// Injects the faults of a seed for `length`, waits until requests must be served again, and checks
+/// what was recorded.
 ///
 /// # Errors
 ///
-/// Fails where the site does not start.
-pub async fn run_seed(seed: u64, length: Duration, config: SiteConfig) -> io::Result<SoakReport> {
-    let shape = config.shape;
-    let site = SoakSite::start(config).await?;
-    let callers: Vec<_> = (0..shape.callers)
+/// Fails if the cluster does not start or a caller panics.
+pub async fn run_seed(
+    seed: u64,
+    length: Duration,
+    config: ClusterConfig,
+) -> io::Result<SoakReport> {
+    let size = config.size;
+    let cluster = SoakCluster::start(config).await?;
+    let callers: Vec<_> = (0..size.callers)
         .map(|number| {
             let random = ChaCha8Rng::seed_from_u64(seed.wrapping_mul(1_000) + number as u64);
-            tokio::spawn(run_caller(format!("s{seed}c{number}"), site.clone(), random))
+            tokio::spawn(run_caller(format!("s{seed}c{number}"), cluster.clone(), random))
         })
         .collect();
-    let random = ChaCha8Rng::seed_from_u64(seed.wrapping_mul(1_000) + shape.callers as u64);
-    let bad_caller = run_bad_caller(format!("s{seed}bad"), site.clone(), random);
-    let bad_caller = tokio::spawn(bad_caller);
-    let mut plan = make_plan(seed, &shape, length);
-    plan.extend(make_harm(seed, &shape, length));
-    plan.extend(make_notices(seed, &shape, length));
-    plan.extend(make_copies(seed, length));
-    plan.extend(make_limits(seed, &shape, length));
+    let random = ChaCha8Rng::seed_from_u64(seed.wrapping_mul(1_000) + size.callers as u64);
+    let crash_caller = run_crash_caller(format!("s{seed}bad"), cluster.clone(), random);
+    let crash_caller = tokio::spawn(crash_caller);
+    let mut plan = make_plan(seed, &size, length);
+    plan.extend(make_crash_faults(seed, &size, length));
+    plan.extend(make_notice_faults(seed, &size, length));
+    plan.extend(make_restore_faults(seed, length));
+    plan.extend(make_limit_faults(seed, &size, length));
     plan.sort_by_key(|planned| planned.at);
-    inject(&site, &plan, length).await;
-    sleep(CALM_TIME).await;
-    leave_unheard(&site, seed).await;
+    inject(&cluster, &plan, length).await;
+    sleep(RECONNECT_TIME).await;
+    drain_during_outage(&cluster, seed).await;
     sleep(RECOVERY_TIME).await;
-    let counted_from = epoch_micros();
-    sleep(COUNTED_TIME).await;
-    site.end_calls();
+    let measured_from = epoch_micros();
+    sleep(MEASURED_TIME).await;
+    cluster.stop_callers();
     let mut calls = Vec::new();
     for caller in callers {
         calls.extend(caller.await.map_err(io::Error::other)?);
     }
-    let bad_calls = bad_caller.await.map_err(io::Error::other)?;
-    site.end().await;
-    Ok(conclude(&site, seed, plan.len(), (calls, bad_calls), counted_from))
+    let crash_calls = crash_caller.await.map_err(io::Error::other)?;
+    cluster.shut_down().await;
+    Ok(build_report(&cluster, seed, plan.len(), (calls, crash_calls), measured_from))
 }
 
-fn conclude(
-    site: &SoakSite,
+fn build_report(
+    cluster: &SoakCluster,
     seed: u64,
     faults: usize,
-    (mut calls, bad_calls): (Vec<CallRecord>, Vec<CallRecord>),
-    counted_from: u64,
+    (mut calls, crash_calls): (Vec<CallRecord>, Vec<CallRecord>),
+    measured_from: u64,
 ) -> SoakReport {
-    let counted = calls.iter().filter(|call| call.sent >= counted_from && site.is_valid(&call.key));
+    let counted = calls
+        .iter()
+        .filter(|call| call.sent_at >= measured_from && cluster.is_valid_key(&call.key));
     let (mut count, mut served) = (0, 0);
     for call in counted {
         count += 1;
         served += usize::from(is_served(call));
     }
-    let mut ends = BTreeMap::new();
+    let mut outcomes = BTreeMap::new();
     for call in &calls {
-        *ends.entry(describe_end(call)).or_default() += 1;
+        *outcomes.entry(describe_outcome(call)).or_default() += 1;
     }
-    for call in &bad_calls {
-        *ends.entry(format!("bad {}", describe_end(call))).or_default() += 1;
+    for call in &crash_calls {
+        *outcomes.entry(format!("bad {}", describe_outcome(call))).or_default() += 1;
     }
-    calls.extend(bad_calls);
-    let mut history = site.history();
+    calls.extend(crash_calls);
+    let mut history = cluster.history();
     history.calls = calls;
     history.after_faults = (count, served);
     let violations = check(&history, ORGANISATION);
-    SoakReport { seed, violations, ends, faults, after_faults: (count, served) }
+    SoakReport { seed, violations, outcomes, faults, after_faults: (count, served) }
 }
 
 fn is_served(call: &CallRecord) -> bool {
-    matches!(&call.end, CallEnd::Answered(answer) if answer.sealed && answer.whole)
+    matches!(&call.outcome, CallOutcome::Answered(response) if response.signed && response.complete)
 }
 
-fn describe_end(call: &CallRecord) -> String {
+fn describe_outcome(call: &CallRecord) -> String {
     let kind = match call.kind {
         CallKind::Safe => "safe",
         CallKind::Once => "once",
         CallKind::Stream => "stream",
         CallKind::StreamOnce => "stream-once",
     };
-    match &call.end {
-        CallEnd::NotConnected => format!("{kind} not connected"),
-        CallEnd::NoAnswer => format!("{kind} no answer"),
-        CallEnd::Answered(answer) if answer.whole => format!("{kind} {}", answer.status),
-        CallEnd::Answered(answer) => format!("{kind} {} cut", answer.status),
+    match &call.outcome {
+        CallOutcome::NotConnected => format!("{kind} not connected"),
+        CallOutcome::NoResponse => format!("{kind} no answer"),
+        CallOutcome::Answered(response) if response.complete => {
+            format!("{kind} {}", response.status)
+        }
+        CallOutcome::Answered(response) => format!("{kind} {} cut", response.status),
     }
 }
 
-/// Injects a plan, and waits until everything is well again.
-async fn inject(site: &Arc<SoakSite>, plan: &[PlannedFault], length: Duration) {
-    let begun = Instant::now();
-    let mut running = Vec::new();
+/// Injects the faults of a plan, and waits until all of them have ended.
+async fn inject(cluster: &Arc<SoakCluster>, plan: &[PlannedFault], length: Duration) {
+    let started_at = Instant::now();
+    let mut injected = Vec::new();
     for planned in plan {
-        sleep_until(begun + planned.at).await;
-        running.push(tokio::spawn(carry_out(site.clone(), *planned)));
+        sleep_until(started_at + planned.at).await;
+        injected.push(tokio::spawn(apply_fault(cluster.clone(), *planned)));
     }
-    sleep_until(begun + length).await;
-    for fault in running {
-        // A fault that panicked has left its mark in the site; the checks go on.
+    sleep_until(started_at + length).await;
+    for fault in injected {
+        // The run is checked even if the task of a fault panicked.
         if let Err(error) = fault.await {
-            eprintln!("a fault was not carried out: {error}");
+            eprintln!("task of a fault failed: {error}");
         }
     }
 }
 
-async fn carry_out(site: Arc<SoakSite>, planned: PlannedFault) {
-    let lasts = planned.lasts;
-    let down = lasts.max(LEAST_DOWN);
+async fn apply_fault(cluster: Arc<SoakCluster>, planned: PlannedFault) {
+    let duration = planned.duration;
+    let downtime = duration.max(MIN_DOWNTIME);
     match planned.fault {
         Fault::KillRelay(number) => {
-            site.note_disruption(DisruptionKind::RelayFault(number), down + START_TIME);
-            site.kill_relay(number, down);
+            cluster.record_disruption(DisruptionKind::RelayFault(number), downtime + STARTUP_TIME);
+            cluster.kill_relay(number, downtime);
         }
-        Fault::KillRelays => {
-            site.note_disruption(DisruptionKind::Fault, LEAST_DOWN + START_TIME);
-            (0..site.relay_count()).for_each(|number| {
-                site.note_disruption(DisruptionKind::RelayFault(number), LEAST_DOWN + START_TIME);
-                site.kill_relay(number, LEAST_DOWN);
+        Fault::KillAllRelays => {
+            cluster.record_disruption(DisruptionKind::Fault, MIN_DOWNTIME + STARTUP_TIME);
+            (0..cluster.relay_count()).for_each(|number| {
+                cluster.record_disruption(
+                    DisruptionKind::RelayFault(number),
+                    MIN_DOWNTIME + STARTUP_TIME,
+                );
+                cluster.kill_relay(number, MIN_DOWNTIME);
             });
         }
         Fault::StopRelay(number) => {
-            let grace = Duration::from_secs(GRACE_S + 1);
-            site.note_disruption(DisruptionKind::PlannedStop(number), grace);
-            site.stop_relay(number);
+            let grace = Duration::from_secs(GRACE_PERIOD_S + 1);
+            cluster.record_disruption(DisruptionKind::PlannedStop(number), grace);
+            cluster.stop_relay(number);
         }
         Fault::PauseRelay(number) => {
-            site.note_disruption(DisruptionKind::RelayFault(number), lasts);
-            site.signal_relay(number, Signal::SIGSTOP);
-            sleep(lasts).await;
-            site.signal_relay(number, Signal::SIGCONT);
+            cluster.record_disruption(DisruptionKind::RelayFault(number), duration);
+            cluster.signal_relay(number, Signal::SIGSTOP);
+            sleep(duration).await;
+            cluster.signal_relay(number, Signal::SIGCONT);
         }
-        Fault::HangUpRelay(number) => {
-            site.note_disruption(DisruptionKind::PlannedWork, lasts);
-            site.signal_relay(number, Signal::SIGHUP);
+        Fault::ReloadRelay(number) => {
+            cluster.record_disruption(DisruptionKind::PlannedWork, duration);
+            cluster.signal_relay(number, Signal::SIGHUP);
         }
         Fault::KillReplica(number) => {
-            site.note_disruption(DisruptionKind::Fault, down + START_TIME);
-            site.kill_replica(number, down);
+            cluster.record_disruption(DisruptionKind::Fault, downtime + STARTUP_TIME);
+            cluster.kill_replica(number, downtime);
         }
         Fault::PauseReplica(number) => {
-            site.note_disruption(DisruptionKind::Fault, lasts);
-            site.note_disruption(DisruptionKind::Standstill(number), lasts);
-            site.signal_replica(number, Signal::SIGSTOP);
-            sleep(lasts).await;
-            site.signal_replica(number, Signal::SIGCONT);
+            cluster.record_disruption(DisruptionKind::Fault, duration);
+            cluster.record_disruption(DisruptionKind::ReplicaPause(number), duration);
+            cluster.signal_replica(number, Signal::SIGSTOP);
+            sleep(duration).await;
+            cluster.signal_replica(number, Signal::SIGCONT);
         }
         Fault::DrainReplica(number) => {
-            site.note_disruption(DisruptionKind::PlannedWork, lasts);
-            site.drain_replica(number);
+            cluster.record_disruption(DisruptionKind::PlannedWork, duration);
+            cluster.drain_replica(number);
+        }
+        Fault::DisruptReplicaLink(number, condition) => {
+            cluster.record_disruption(DisruptionKind::Fault, duration);
+            cluster.record_disruption(DisruptionKind::LinkFault(number), duration);
+            cluster.replica_link(number).set_condition(condition);
+            sleep(duration).await;
+            cluster.replica_link(number).set_condition(LinkCondition::Healthy);
+        }
+        Fault::DisruptStoreLink(number, condition) => {
+            cluster.record_disruption(DisruptionKind::RelayFault(number), duration);
+            cluster.store_link(number).set_condition(condition);
+            sleep(duration).await;
+            cluster.store_link(number).set_condition(LinkCondition::Healthy);
         }
-        Fault::DisturbReplica(number, mood) => {
-            site.note_disruption(DisruptionKind::Fault, lasts);
-            site.note_disruption(DisruptionKind::LinkFault(number), lasts);
-            site.replica_link(number).set_mood(mood);
-            sleep(lasts).await;
-            site.replica_link(number).set_mood(LinkMood::Well);
+        Fault::StoreUnavailable => {
+            disrupt_store(&cluster, StoreBehaviour::Unavailable, duration).await
         }
-        Fault::DisturbStore(number, mood) => {
-            site.note_disruption(DisruptionKind::RelayFault(number), lasts);
-            site.store_link(number).set_mood(mood);
-            sleep(lasts).await;
-            site.store_link(number).set_mood(LinkMood::Well);
+        Fault::StoreUnresponsive => {
+            disrupt_store(&cluster, StoreBehaviour::Unresponsive, duration).await
         }
-        Fault::StoreBusy => disturb_store(&site, StoreBehaviour::Unavailable, lasts).await,
-        Fault::StoreSilent => disturb_store(&site, StoreBehaviour::Unresponsive, lasts).await,
-        Fault::StoreForgets => {
-            site.note_disruption(DisruptionKind::StoreFault, Duration::ZERO);
-            site.store().compact();
+        Fault::CompactStore => {
+            cluster.record_disruption(DisruptionKind::StoreFault, Duration::ZERO);
+            cluster.store().compact();
         }
-        Fault::NewVersion => {
-            site.note_disruption(DisruptionKind::PlannedWork, lasts);
-            site.write_config(2);
+        Fault::NewConfigVersion => {
+            cluster.record_disruption(DisruptionKind::PlannedWork, duration);
+            cluster.write_config(2);
         }
         Fault::RemoveKey => {
-            site.note_disruption(DisruptionKind::PlannedWork, lasts);
-            site.remove_key();
+            cluster.record_disruption(DisruptionKind::PlannedWork, duration);
+            cluster.remove_key();
         }
-        Fault::BadRequest(kind, way) => site.begin_bad(kind, way),
-        Fault::FreezeRelay(number) => freeze_relay(&site, number, lasts).await,
-        Fault::StoreCopy => copy_store(&site, lasts).await,
-        Fault::TurnAway(number) => {
-            // Callers are refused meanwhile, whatever else happens.
-            site.note_disruption(DisruptionKind::Fault, TURNS_AWAY);
-            site.notify_replica(number, Signal::SIGUSR1);
+        Fault::CrashRequest(kind, target) => cluster.start_crash_request(kind, target),
+        Fault::FreezeRelay(number) => freeze_relay(&cluster, number, duration).await,
+        Fault::RestoreStore => restore_store(&cluster, duration).await,
+        Fault::RejectRequests(number) => {
+            // Callers may get refusals meanwhile, so that this counts as a fault.
+            cluster.record_disruption(DisruptionKind::Fault, REJECT_DURATION);
+            cluster.notify_replica(number, Signal::SIGUSR1);
         }
-        Fault::NameLimit(number) => {
-            // Callers are refused meanwhile.
-            site.note_disruption(DisruptionKind::Fault, NAMES_LIMIT);
-            site.notify_replica(number, Signal::SIGHUP);
+        Fault::SetLimit(number) => {
+            // Callers may get refusals meanwhile, so that this counts as a fault.
+            cluster.record_disruption(DisruptionKind::Fault, LIMIT_DURATION);
+            cluster.notify_replica(number, Signal::SIGHUP);
         }
-        Fault::SayLeaving(number) => {
-            site.note_disruption(DisruptionKind::PlannedWork, lasts);
-            site.notify_replica(number, Signal::SIGUSR2);
-            sleep(lasts).await;
-            site.note_disruption(DisruptionKind::Fault, LEAST_DOWN + START_TIME);
-            site.kill_replica(number, LEAST_DOWN);
+        Fault::AnnounceLeaving(number) => {
+            cluster.record_disruption(DisruptionKind::PlannedWork, duration);
+            cluster.notify_replica(number, Signal::SIGUSR2);
+            sleep(duration).await;
+            cluster.record_disruption(DisruptionKind::Fault, MIN_DOWNTIME + STARTUP_TIME);
+            cluster.kill_replica(number, MIN_DOWNTIME);
         }
     }
 }
 
-/// Freezes a relay for longer than the bound on removed keys, takes a key away meanwhile, and keeps the store out of its
-/// reach for a while after: it must know by its own clocks that what it holds is too old.
-async fn freeze_relay(site: &SoakSite, number: usize, lasts: Duration) {
-    site.note_disruption(DisruptionKind::RelayFault(number), lasts + OUT_OF_REACH);
-    site.store_link(number).set_mood(LinkMood::Dead);
-    site.freeze_relay(number);
-    let begun = Instant::now();
-    site.remove_key();
-    sleep(lasts).await;
-    site.thaw_relay(number, begun.elapsed());
-    sleep(OUT_OF_REACH).await;
-    site.store_link(number).set_mood(LinkMood::Well);
+/// Freezes a relay for longer than the bound on removed keys, removes a key meanwhile, and keeps
+/// the store out of its reach for a while after. The relay must find out from its own clocks that
+/// its configuration is too old.
+async fn freeze_relay(cluster: &SoakCluster, number: usize, duration: Duration) {
+    cluster.record_disruption(
+        DisruptionKind::RelayFault(number),
+        duration + STORE_OUTAGE_AFTER_FREEZE,
+    );
+    cluster.store_link(number).set_condition(LinkCondition::Blackholed);
+    cluster.freeze_relay(number);
+    let started_at = Instant::now();
+    cluster.remove_key();
+    sleep(duration).await;
+    cluster.unfreeze_relay(number, started_at.elapsed());
+    sleep(STORE_OUTAGE_AFTER_FREEZE).await;
+    cluster.store_link(number).set_condition(LinkCondition::Healthy);
 }
 
-/// Time that the store is away before it comes back from a copy, and from then until the operator has written again.
-const COPY_AWAY: Duration = Duration::from_millis(300);
-const OPERATOR_TIME: Duration = Duration::from_millis(500);
+/// Downtime of the store before it is restored from a backup, and the time from then until the
+/// operator writes the configuration again.
+const RESTORE_DOWNTIME: Duration = Duration::from_millis(300);
+const REWRITE_DELAY: Duration = Duration::from_millis(500);
 
-/// Objects that others write between the copy and the return, and their kind.
+/// Number and kind of unrelated objects that are written between the backup and the restore.
 const OTHER_WRITES: u64 = 500;
 const OTHER_KIND: &str = "others";
 
-/// Lets the store come back from a copy that is `age` old, and the operator write again. Replicas write anew with each
-/// heartbeat.
-async fn copy_store(site: &SoakSite, age: Duration) {
-    site.store().take_backup();
-    // What others write is lost as well, so that it takes long until revisions have caught up with those that entries had.
+/// Restores the store from a backup of the given age, and lets the operator write the configuration
+/// again. Replicas write their entries again with the next heartbeat.
+async fn restore_store(cluster: &SoakCluster, age: Duration) {
+    cluster.store().take_backup();
+    // Unrelated writes are lost as well. Without them the store's revisions would soon reach those
+    // that relays saw before the restore.
     for number in 0..OTHER_WRITES {
-        site.store().put(OTHER_KIND, &number.to_string(), number.into());
+        cluster.store().put(OTHER_KIND, &number.to_string(), number.into());
     }
-    site.store().touch(REPLICA_KIND);
+    cluster.store().touch(REPLICA_KIND);
     sleep(age).await;
-    site.note_disruption(DisruptionKind::StoreFault, COPY_AWAY + OPERATOR_TIME);
-    disturb_store(site, StoreBehaviour::Unavailable, COPY_AWAY).await;
-    site.store().restore_backup();
-    sleep(OPERATOR_TIME).await;
-    site.write_config(0);
+    cluster.record_disruption(DisruptionKind::StoreFault, RESTORE_DOWNTIME + REWRITE_DELAY);
+    disrupt_store(cluster, StoreBehaviour::Unavailable, RESTORE_DOWNTIME).await;
+    cluster.store().restore_backup();
+    sleep(REWRITE_DELAY).await;
+    cluster.write_config(0);
 }
 
-async fn disturb_store(site: &SoakSite, mood: StoreBehaviour, lasts: Duration) {
-    site.note_disruption(DisruptionKind::StoreFault, lasts);
-    site.store().set_behaviour(mood);
-    sleep(lasts).await;
-    site.store().set_behaviour(StoreBehaviour::Healthy);
+async fn disrupt_store(cluster: &SoakCluster, behaviour: StoreBehaviour, duration: Duration) {
+    cluster.record_disruption(DisruptionKind::StoreFault, duration);
+    cluster.store().set_behaviour(behaviour);
+    sleep(duration).await;
+    cluster.store().set_behaviour(StoreBehaviour::Healthy);
 }
 
-/// Time after the drawn faults until all relays are in touch again, and the store is stable.
-const CALM_TIME: Duration = Duration::from_millis(3_500);
+/// Time after the planned faults until all relays follow the store again and the store is stable.
+const RECONNECT_TIME: Duration = Duration::from_millis(3_500);
 
-/// Time from the relays' loss of the store to a replica's leaving, and from that to the store's loss for all:
-/// a replica says within a heartbeat that it leaves.
-const UNHEARD_STEP: Duration = Duration::from_millis(500);
+/// Time from the relays' loss of the store to the drain of a replica, and from that to the outage
+/// of the store. A replica announces within one heartbeat that it leaves.
+const OUTAGE_STEP: Duration = Duration::from_millis(500);
 
-/// Time for which the store is then away for all: entries lapse after three heartbeats.
-const UNHEARD_OUTAGE: Duration = Duration::from_millis(1_500);
+/// Duration of the outage of the store for all. Entries expire after three heartbeats.
+const STORE_OUTAGE: Duration = Duration::from_millis(1_500);
 
-/// Lets a replica of the plain service leave while the relays of a data centre are turned away by the store, and its entry lapse in
-/// an outage before they are back: they must know once they are in touch.
-async fn leave_unheard(site: &SoakSite, seed: u64) {
+/// Drains a replica of the plain service while the relays of one data centre cannot reach the
+/// store, and lets its entry expire in an outage of the store before they can. They must know of
+/// the drain once they follow the store again.
+async fn drain_during_outage(cluster: &SoakCluster, seed: u64) {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
-    let relays = site.relays_beside(random.random_range(0..site.relay_count()));
-    let replica = site.lingering_desk();
-    let lasts = UNHEARD_STEP * 2 + UNHEARD_OUTAGE;
+    let relays = cluster.relays_in_same_data_centre(random.random_range(0..cluster.relay_count()));
+    let replica = cluster.lingering_desk();
+    let duration = OUTAGE_STEP * 2 + STORE_OUTAGE;
     for relay in &relays {
-        site.note_disruption(DisruptionKind::RelayFault(*relay), lasts);
-        site.store_link(*relay).set_mood(LinkMood::Dead);
+        cluster.record_disruption(DisruptionKind::RelayFault(*relay), duration);
+        cluster.store_link(*relay).set_condition(LinkCondition::Blackholed);
     }
-    sleep(UNHEARD_STEP).await;
-    site.drain_replica(replica);
-    sleep(UNHEARD_STEP).await;
-    disturb_store(site, StoreBehaviour::Unresponsive, UNHEARD_OUTAGE).await;
-    relays.iter().for_each(|relay| site.store_link(*relay).set_mood(LinkMood::Well));
+    sleep(OUTAGE_STEP).await;
+    cluster.drain_replica(replica);
+    sleep(OUTAGE_STEP).await;
+    disrupt_store(cluster, StoreBehaviour::Unresponsive, STORE_OUTAGE).await;
+    relays
+        .iter()
+        .for_each(|relay| cluster.store_link(*relay).set_condition(LinkCondition::Healthy));
 }
--- a/crates/soak/src/slot.rs
+++ b/crates/soak/src/slot.rs
@@ -1,4 +1,4 @@
-//! A process that is started again when it has ended, and what it was told.
+//! A child process that is restarted after it exits, and the stop that was requested of it.
 
 use std::{
     io,
@@ -9,37 +9,38 @@
 
 use crate::process::SoakProcess;
 
-/// Time that a process is down after an excused end.
-const EXCUSED_DOWN: Duration = Duration::from_millis(1_000);
+/// Downtime of a process after an expected exit.
+const EXPECTED_EXIT_DOWNTIME: Duration = Duration::from_millis(1_000);
 
-/// A process that is started again when it has ended.
+/// A child process that is restarted after it exits.
 #[derive(Debug, Default)]
 pub(crate) struct ProcessSlot {
     pub(crate) process: Option<SoakProcess>,
     pub(crate) starts: u32,
-    /// Whether it was told to end.
-    told: bool,
+    /// Whether it was told to exit.
+    stop_requested: bool,
     down_until: Option<Instant>,
-    /// When it is killed where it has not ended by itself.
+    /// Time at which it is killed unless it has exited.
     pub(crate) kill_at: Option<Instant>,
-    /// Whether it stands still, so that it can do nothing it was told.
+    /// Whether it is paused, so that it cannot react to a request to stop.
     pub(crate) is_frozen: bool,
 }
 
 impl ProcessSlot {
-    /// Looks whether the process has ended or must be; tells what was odd about it. One that ended by itself with the code
-    /// `excused` is down for a while.
-    pub(crate) fn look(&mut self, excused: Option<i32>) -> Option<String> {
+    /// Checks whether the process has exited or must be killed. Returns a description if this was
+    /// unexpected. A process that exited by itself with `expected_code` is restarted after
+    /// [`EXPECTED_EXIT_DOWNTIME`].
+    pub(crate) fn poll(&mut self, expected_code: Option<i32>) -> Option<String> {
         let process = self.process.as_mut()?;
-        if let Some(ended) = process.ended() {
-            let is_excused = excused.is_some() && ended.code() == excused;
-            let odd = !self.told && !is_excused;
-            let odd = odd.then(|| format!("ended by itself with {ended}"));
-            if is_excused {
-                self.down_until = Some(Instant::now() + EXCUSED_DOWN);
+        if let Some(exit_status) = process.exit_status() {
+            let is_expected = expected_code.is_some() && exit_status.code() == expected_code;
+            let problem = !self.stop_requested && !is_expected;
+            let problem = problem.then(|| format!("ended by itself with {exit_status}"));
+            if is_expected {
+                self.down_until = Some(Instant::now() + EXPECTED_EXIT_DOWNTIME);
             }
             *self = Self { starts: self.starts, down_until: self.down_until, ..Self::default() };
-            return odd;
+            return problem;
         }
         if !self.is_frozen && self.kill_at.is_some_and(|at| Instant::now() > at) {
             process.signal(Signal::SIGKILL);
@@ -49,38 +50,38 @@
         None
     }
 
-    /// Tells the process to end, where there is one; tells whether there is.
-    pub(crate) fn tell(&mut self, signal: Signal) -> bool {
+    /// Sends a signal that ends the process. Returns whether there is a process.
+    pub(crate) fn stop_with(&mut self, signal: Signal) -> bool {
         let Some(process) = &self.process else { return false };
         process.signal(signal);
-        self.told = true;
+        self.stop_requested = true;
         true
     }
 
-    pub(crate) fn is_due(&self) -> bool {
+    pub(crate) fn is_start_due(&self) -> bool {
         self.process.is_none() && self.down_until.is_none_or(|until| Instant::now() >= until)
     }
 
-    pub(crate) fn take_start(&mut self, started: io::Result<SoakProcess>) {
+    pub(crate) fn record_start(&mut self, started: io::Result<SoakProcess>) {
         match started {
             Ok(process) => {
                 self.starts += 1;
                 self.process = Some(process);
                 self.down_until = None;
-                self.told = false;
+                self.stop_requested = false;
             }
-            Err(error) => eprintln!("a process did not start: {error}"),
+            Err(error) => eprintln!("failed to start a process: {error}"),
         }
     }
 
-    /// Kills the process; it is down for a while.
-    pub(crate) fn kill(&mut self, down: Duration) {
-        if self.tell(Signal::SIGKILL) {
-            self.down_until = Some(Instant::now() + down);
+    /// Kills the process, which is restarted after `downtime`.
+    pub(crate) fn kill(&mut self, downtime: Duration) {
+        if self.stop_with(Signal::SIGKILL) {
+            self.down_until = Some(Instant::now() + downtime);
         }
     }
 
-    /// Sends a signal to the process, where there is one.
+    /// Sends a signal to the process, if there is one.
     pub(crate) fn signal(&self, signal: Signal) {
         if let Some(process) = &self.process {
             process.signal(signal);
