--- a/crates/soak/tests/checks.rs
+++ b/crates/soak/tests/checks.rs
@@ -1,28 +1,28 @@
-//! Each promise can be broken, and is seen to be; what the pages excuse is excused.
+//! Checks that each broken promise is reported, and that excused cases are not.
 
 use switchfold_soak::{
-    checks::{DRAIN_TIME, EVENTS, MOST_MEMORY_KB, Promise, REVOKE_TIME, check, own_body},
+    checks::{DRAIN_TIME, EVENT_COUNT, MAX_MEMORY_KB, Promise, REVOKE_TIME, check, response_body},
     record::{
-        CONTACT_TIME, CallAnswer, CallEnd, CallKind, CallRecord, Disruption, DisruptionKind,
-        RunHistory, RunRecord,
+        CallKind, CallOutcome, CallRecord, CallResponse, Disruption, DisruptionKind, RunHistory,
+        RunRecord, SETTLE_TIME,
     },
 };
 
 const ORGANISATION: &str = "fisher";
 
-fn answer(status: u16, sealed: bool, whole: bool, body: &str) -> CallEnd {
-    CallEnd::Answered(CallAnswer { status, sealed, whole, body: body.to_owned() })
+fn response(status: u16, signed: bool, complete: bool, body: &str) -> CallOutcome {
+    CallOutcome::Answered(CallResponse { status, signed, complete, body: body.to_owned() })
 }
 
-fn call(id: &str, kind: CallKind, end: CallEnd) -> CallRecord {
+fn call(id: &str, kind: CallKind, outcome: CallOutcome) -> CallRecord {
     CallRecord {
         id: id.to_owned(),
         kind,
         key: "key".to_owned(),
         relay: 0,
-        sent: 1_000_000,
-        ended: 1_500_000,
-        end,
+        sent_at: 1_000_000,
+        ended_at: 1_500_000,
+        outcome,
     }
 }
 
@@ -47,43 +47,44 @@
     events.collect()
 }
 
-fn broken(history: &RunHistory) -> Vec<Promise> {
+fn broken_promises(history: &RunHistory) -> Vec<Promise> {
     check(history, ORGANISATION).into_iter().map(|violation| violation.promise).collect()
 }
 
-/// One call with its runs.
+/// A history of one call and its runs.
 fn history(call: CallRecord, runs: Vec<RunRecord>) -> RunHistory {
     RunHistory { calls: vec![call], runs, ..RunHistory::default() }
 }
 
-/// Calls through relay 0 whose runs come at these times, in microseconds; their callers sent them then.
-fn timed(runs: Vec<RunRecord>) -> RunHistory {
+/// A history of calls through relay 0, one for each run, sent when the run arrived.
+fn history_of_runs(runs: Vec<RunRecord>) -> RunHistory {
     let calls = runs.iter().map(|run| CallRecord {
-        sent: run.at,
-        ended: run.at + 1_000,
-        ..call(&run.id, CallKind::Safe, answer(200, true, true, &own_body(&run.id)))
+        sent_at: run.at,
+        ended_at: run.at + 1_000,
+        ..call(&run.id, CallKind::Safe, response(200, true, true, &response_body(&run.id)))
     });
     RunHistory { calls: calls.collect(), runs, ..RunHistory::default() }
 }
 
 #[test]
-fn replicas_that_ask_for_time() {
-    let asking = RunRecord { ran: false, asked: Some(2_000), ..run("a", "i-1-0") };
+fn requests_within_retry_after() {
+    let rejected = RunRecord { ran: false, asked: Some(2_000), ..run("a", "i-1-0") };
     let at = |id: &str, at: u64| RunRecord { at, ..run(id, "i-1-0") };
-    let begun = asking.at;
-    let within = [begun + 600_000, begun + 700_000, begun + 1_900_000];
-    let outside = [begun + 100_000, begun + 499_000, begun + 2_000_001];
+    let rejected_at = rejected.at;
+    let within = [rejected_at + 600_000, rejected_at + 700_000, rejected_at + 1_900_000];
+    let outside = [rejected_at + 100_000, rejected_at + 499_000, rejected_at + 2_000_001];
     let with = |times: &[u64]| {
-        let came = times.iter().enumerate().map(|(number, time)| at(&format!("b{number}"), *time));
-        timed(std::iter::once(asking.clone()).chain(came).collect())
+        let arrivals =
+            times.iter().enumerate().map(|(number, time)| at(&format!("b{number}"), *time));
+        history_of_runs(std::iter::once(rejected.clone()).chain(arrivals).collect())
     };
-    assert_eq!(broken(&with(&within)), [Promise::AskedTime]);
-    assert_eq!(broken(&with(&within[..2])), []);
-    assert_eq!(broken(&with(&outside)), []);
-    // The relay had given the request up before its replica read it.
-    let mut unheard = with(&within);
-    unheard.calls[0].ended = begun - 1;
-    assert_eq!(broken(&unheard), []);
+    assert_eq!(broken_promises(&with(&within)), [Promise::RetryAfter]);
+    assert_eq!(broken_promises(&with(&within[..2])), []);
+    assert_eq!(broken_promises(&with(&outside)), []);
+    // The relay gave up the request before the replica read it.
+    let mut gave_up = with(&within);
+    gave_up.calls[0].ended_at = rejected_at - 1;
+    assert_eq!(broken_promises(&gave_up), []);
     for (kind, excuses) in [
         (DisruptionKind::RelayFault(0), true),
         (DisruptionKind::PlannedStop(0), true),
@@ -94,37 +95,44 @@
         (DisruptionKind::StoreFault, false),
     ] {
         let mut history = with(&within);
-        let from = begun + 650_000;
+        let from = rejected_at + 650_000;
         history.disruptions.push(Disruption { kind, from, to: from + 1 });
-        assert_eq!(broken(&history).is_empty(), excuses, "{kind:?}");
+        assert_eq!(broken_promises(&history).is_empty(), excuses, "{kind:?}");
     }
 }
 
 #[test]
-fn replicas_that_say_they_are_leaving() {
-    let says = |id: &str, at: u64| RunRecord { at, leaving: true, ..run(id, "i-1-0") };
+fn requests_after_server_leaving() {
+    let saying = |id: &str, at: u64| RunRecord { at, leaving: true, ..run(id, "i-1-0") };
     let late = 1_101_000 + DRAIN_TIME + 1;
-    assert_eq!(broken(&timed(vec![says("a", 1_100_000), says("b", late)])), [Promise::LeavingWord]);
-    assert_eq!(broken(&timed(vec![says("a", 1_100_000), says("b", late - 1)])), []);
-    let again = RunRecord { leaving: false, ..says("b", late) };
-    assert_eq!(broken(&timed(vec![says("a", 1_100_000), again])), []);
-    let mut history = timed(vec![says("a", 1_100_000), says("b", late)]);
+    assert_eq!(
+        broken_promises(&history_of_runs(vec![saying("a", 1_100_000), saying("b", late)])),
+        [Promise::LeavingNotice]
+    );
+    assert_eq!(
+        broken_promises(&history_of_runs(vec![saying("a", 1_100_000), saying("b", late - 1)])),
+        []
+    );
+    let restarted = RunRecord { leaving: false, ..saying("b", late) };
+    assert_eq!(broken_promises(&history_of_runs(vec![saying("a", 1_100_000), restarted])), []);
+    let mut history = history_of_runs(vec![saying("a", 1_100_000), saying("b", late)]);
     let kind = DisruptionKind::RelayFault(0);
     history.disruptions.push(Disruption { kind, from: 1_200_000, to: 1_300_000 });
-    assert_eq!(broken(&history), []);
+    assert_eq!(broken_promises(&history), []);
 }
 
-/// A replica that names a limit of one a second may get eleven in four seconds, from three seconds after its first naming on.
+/// A replica that limits itself to one request a second may get eleven in four seconds, counted
+/// from three seconds after it first sent the limit.
 #[test]
-fn replicas_that_name_limits() {
-    let begun = 1_100_000;
-    let with = |limit: Option<f64>, every: u64, count: u64| {
-        let named = (0..count).map(|number| RunRecord {
-            at: begun + number * every,
+fn requests_over_server_limit() {
+    let first_at = 1_100_000;
+    let with = |limit: Option<f64>, interval: u64, count: u64| {
+        let limited_runs = (0..count).map(|number| RunRecord {
+            at: first_at + number * interval,
             limit,
             ..run(&format!("a{number}"), "i-1-0")
         });
-        timed(named.collect())
+        history_of_runs(limited_runs.collect())
     };
     let rows = [
         (Some(1.0), 370_000, vec![]),
@@ -132,92 +140,97 @@
         (Some(2.0), 320_000, vec![]),
         (None, 320_000, vec![]),
     ];
-    for (limit, every, expected) in rows {
-        assert_eq!(broken(&with(limit, every, 40)), expected, "{limit:?} {every}");
+    for (limit, interval, expected) in rows {
+        assert_eq!(broken_promises(&with(limit, interval, 40)), expected, "{limit:?} {interval}");
     }
-    assert_eq!(broken(&with(Some(1.0), 20_000, 100)), [], "within the contact time");
+    assert_eq!(broken_promises(&with(Some(1.0), 20_000, 100)), [], "within the settle time");
     for (kind, excuses) in [
         (DisruptionKind::LinkFault(1), true),
-        (DisruptionKind::Standstill(1), true),
-        (DisruptionKind::Standstill(2), false),
+        (DisruptionKind::ReplicaPause(1), true),
+        (DisruptionKind::ReplicaPause(2), false),
         (DisruptionKind::RelayFault(1), false),
         (DisruptionKind::Fault, false),
     ] {
         let mut history = with(Some(1.0), 320_000, 26);
-        let at = begun + CONTACT_TIME;
+        let at = first_at + SETTLE_TIME;
         history.disruptions.push(Disruption { kind, from: at, to: at + 1 });
-        assert_eq!(broken(&history).is_empty(), excuses, "{kind:?}");
+        assert_eq!(broken_promises(&history).is_empty(), excuses, "{kind:?}");
     }
 }
 
 #[test]
-fn answers() {
+fn wrong_responses() {
     use CallKind::{Safe, Stream};
-    let own = own_body("a");
+    let own = response_body("a");
     let rows = [
-        (Safe, answer(200, true, true, &own), None),
-        (Safe, answer(200, true, false, "answer"), None),
-        (Safe, answer(500, true, true, &own), None),
-        (Safe, answer(502, false, true, ""), None),
-        (Safe, answer(200, false, true, &own), Some(Promise::OwnAnswer)),
-        (Safe, answer(200, true, true, &own_body("b")), Some(Promise::OwnAnswer)),
-        (Safe, answer(500, false, true, ""), Some(Promise::OwnAnswer)),
-        (Safe, answer(503, true, true, ""), Some(Promise::OwnAnswer)),
-        (Stream, answer(200, true, true, &stream("a", 0..EVENTS)), None),
-        (Stream, answer(200, true, false, &stream("a", 0..3)), None),
-        (Stream, answer(200, false, true, &stream("a", 0..EVENTS)), Some(Promise::OwnAnswer)),
-        (Stream, answer(200, true, true, &stream("a", 0..3)), Some(Promise::EventOrder)),
-        (Stream, answer(200, true, false, &stream("a", [0, 2])), Some(Promise::EventOrder)),
-        (Stream, answer(200, true, false, &stream("a", [0, 0])), Some(Promise::EventOrder)),
-        (Stream, answer(200, true, false, &stream("b", 0..3)), Some(Promise::EventOrder)),
+        (Safe, response(200, true, true, &own), None),
+        (Safe, response(200, true, false, "answer"), None),
+        (Safe, response(500, true, true, &own), None),
+        (Safe, response(502, false, true, ""), None),
+        (Safe, response(200, false, true, &own), Some(Promise::OwnResponse)),
+        (Safe, response(200, true, true, &response_body("b")), Some(Promise::OwnResponse)),
+        (Safe, response(500, false, true, ""), Some(Promise::OwnResponse)),
+        (Safe, response(503, true, true, ""), Some(Promise::OwnResponse)),
+        (Stream, response(200, true, true, &stream("a", 0..EVENT_COUNT)), None),
+        (Stream, response(200, true, false, &stream("a", 0..3)), None),
+        (
+            Stream,
+            response(200, false, true, &stream("a", 0..EVENT_COUNT)),
+            Some(Promise::OwnResponse),
+        ),
+        (Stream, response(200, true, true, &stream("a", 0..3)), Some(Promise::EventOrder)),
+        (Stream, response(200, true, false, &stream("a", [0, 2])), Some(Promise::EventOrder)),
+        (Stream, response(200, true, false, &stream("a", [0, 0])), Some(Promise::EventOrder)),
+        (Stream, response(200, true, false, &stream("b", 0..3)), Some(Promise::EventOrder)),
     ];
-    for (kind, end, expected) in rows {
-        let history = history(call("a", kind, end.clone()), vec![run("a", "i-1")]);
-        assert_eq!(broken(&history), Vec::from_iter(expected), "{kind:?} {end:?}");
+    for (kind, outcome, expected) in rows {
+        let history = history(call("a", kind, outcome.clone()), vec![run("a", "i-1")]);
+        assert_eq!(broken_promises(&history), Vec::from_iter(expected), "{kind:?} {outcome:?}");
     }
 }
 
 #[test]
-fn runs() {
+fn repeated_and_refused_runs() {
     use CallKind::{Once, Safe, StreamOnce};
-    let twice = || vec![run("a", "i-1"), run("a", "i-2")];
-    let refused = || answer(503, false, true, "");
+    let two_runs = || vec![run("a", "i-1"), run("a", "i-2")];
+    let refused = || response(503, false, true, "");
     let rows = [
-        (Safe, answer(200, true, true, &own_body("a")), twice(), None),
+        (Safe, response(200, true, true, &response_body("a")), two_runs(), None),
         (Safe, refused(), vec![run("a", "i-1")], None),
-        (Once, CallEnd::NoAnswer, vec![run("a", "i-1")], None),
+        (Once, CallOutcome::NoResponse, vec![run("a", "i-1")], None),
         (Once, refused(), vec![], None),
-        (Once, CallEnd::NoAnswer, twice(), Some(Promise::AtMostOnce)),
-        (StreamOnce, CallEnd::NoAnswer, twice(), Some(Promise::AtMostOnce)),
-        (Once, refused(), vec![run("a", "i-1")], Some(Promise::TrueRefusal)),
+        (Once, CallOutcome::NoResponse, two_runs(), Some(Promise::AtMostOnce)),
+        (StreamOnce, CallOutcome::NoResponse, two_runs(), Some(Promise::AtMostOnce)),
+        (Once, refused(), vec![run("a", "i-1")], Some(Promise::AccurateRefusal)),
         (Once, refused(), vec![RunRecord { ran: false, ..run("a", "i-1") }], None),
     ];
-    for (kind, end, runs, expected) in rows {
-        let history = history(call("a", kind, end), runs);
-        assert_eq!(broken(&history), Vec::from_iter(expected), "{history:?}");
+    for (kind, outcome, runs, expected) in rows {
+        let history = history(call("a", kind, outcome), runs);
+        assert_eq!(broken_promises(&history), Vec::from_iter(expected), "{history:?}");
     }
 }
 
 #[test]
-fn what_was_not_asked() {
-    let call = call("a", CallKind::Safe, CallEnd::NoAnswer);
-    let odd = [
+fn requests_that_no_caller_sent() {
+    let call = call("a", CallKind::Safe, CallOutcome::NoResponse);
+    let wrong = [
         run("b", "i-1"),
         RunRecord { intact: false, ..run("a", "i-1") },
         RunRecord { organisation: "other".to_owned(), ..run("a", "i-1") },
     ];
-    for run in odd {
+    for run in wrong {
         let history = history(call.clone(), vec![run]);
-        assert_eq!(broken(&history), [Promise::AsAsked], "{history:?}");
+        assert_eq!(broken_promises(&history), [Promise::UnchangedRequest], "{history:?}");
     }
 }
 
-/// The bound on removed keys holds whatever happens; the one on leaving replicas only in calm.
+/// The bound on removed keys holds under any fault; the one on leaving replicas only without faults
+/// nearby.
 #[test]
-fn bounds_in_time() {
-    let sent = 20_000_000;
-    let late_call = |at: u64| {
-        let call = CallRecord { sent, ..call("a", CallKind::Safe, CallEnd::NoAnswer) };
+fn time_bounds_of_keys_and_drains() {
+    let sent_at = 20_000_000;
+    let call_after_removal = |at: u64| {
+        let call = CallRecord { sent_at, ..call("a", CallKind::Safe, CallOutcome::NoResponse) };
         let mut history = history(call, vec![run("a", "i-1")]);
         history.revoked.push(("key".to_owned(), at));
         history.disruptions.push(Disruption {
@@ -227,113 +240,130 @@
         });
         history
     };
-    assert_eq!(broken(&late_call(sent - REVOKE_TIME)), []);
-    assert_eq!(broken(&late_call(sent - REVOKE_TIME - 1)), [Promise::RemovedKey]);
+    assert_eq!(broken_promises(&call_after_removal(sent_at - REVOKE_TIME)), []);
+    assert_eq!(
+        broken_promises(&call_after_removal(sent_at - REVOKE_TIME - 1)),
+        [Promise::RemovedKey]
+    );
 
     let leaving = |at: u64, fault: Option<u64>| {
-        let call = call("a", CallKind::Safe, CallEnd::NoAnswer);
-        let mut history = history(call, vec![RunRecord { at: sent, ..run("a", "i-1") }]);
+        let call = call("a", CallKind::Safe, CallOutcome::NoResponse);
+        let mut history = history(call, vec![RunRecord { at: sent_at, ..run("a", "i-1") }]);
         history.leaving.push(("i-1".to_owned(), at));
         let fault = fault.map(|to| Disruption { kind: DisruptionKind::Fault, from: 0, to });
         history.disruptions.extend(fault);
         history
     };
-    let told = sent - DRAIN_TIME - 1;
-    assert_eq!(broken(&leaving(told + 1, None)), []);
-    assert_eq!(broken(&leaving(told, None)), [Promise::LeavingReplica]);
-    assert_eq!(broken(&leaving(told, Some(told - CONTACT_TIME))), []);
-    assert_eq!(broken(&leaving(told, Some(told - CONTACT_TIME - 1))), [Promise::LeavingReplica]);
+    let left_at = sent_at - DRAIN_TIME - 1;
+    assert_eq!(broken_promises(&leaving(left_at + 1, None)), []);
+    assert_eq!(broken_promises(&leaving(left_at, None)), [Promise::LeavingReplica]);
+    assert_eq!(broken_promises(&leaving(left_at, Some(left_at - SETTLE_TIME))), []);
+    assert_eq!(
+        broken_promises(&leaving(left_at, Some(left_at - SETTLE_TIME - 1))),
+        [Promise::LeavingReplica]
+    );
 }
 
-/// A relay that was turned away when a replica said that it leaves must know of it once it is in touch.
+/// A relay that could not reach the store when a replica announced that it leaves must know of it
+/// once it follows the store again.
 #[test]
-fn a_leaving_that_was_not_heard() {
-    let sent = 20_000_000;
-    let told = sent - 12_060_000;
+fn drain_that_a_relay_missed() {
+    let sent_at = 20_000_000;
+    let left_at = sent_at - 12_060_000;
     let with = |kind: DisruptionKind, from: u64, to: u64| {
-        let call = call("a", CallKind::Safe, CallEnd::NoAnswer);
-        let mut history = history(call, vec![RunRecord { at: sent, ..run("a", "i-1") }]);
-        history.leaving.push(("i-1".to_owned(), told));
+        let call = call("a", CallKind::Safe, CallOutcome::NoResponse);
+        let mut history = history(call, vec![RunRecord { at: sent_at, ..run("a", "i-1") }]);
+        history.leaving.push(("i-1".to_owned(), left_at));
         history.disruptions.push(Disruption { kind, from, to });
-        broken(&history)
+        broken_promises(&history)
     };
-    let back = sent - CONTACT_TIME - 1;
+    let last_fault = sent_at - SETTLE_TIME - 1;
     let late = vec![Promise::LeavingReplica];
-    assert_eq!(with(DisruptionKind::RelayFault(0), told - 1, back), late);
-    assert_eq!(with(DisruptionKind::RelayFault(0), told - 1, back + 1), []);
-    assert_eq!(with(DisruptionKind::RelayFault(1), told - 1, sent), late, "another relay's");
-    assert_eq!(with(DisruptionKind::StoreFault, told + 1, back), late);
+    assert_eq!(with(DisruptionKind::RelayFault(0), left_at - 1, last_fault), late);
+    assert_eq!(with(DisruptionKind::RelayFault(0), left_at - 1, last_fault + 1), []);
     assert_eq!(
-        with(DisruptionKind::StoreFault, told - 1, told),
+        with(DisruptionKind::RelayFault(1), left_at - 1, sent_at),
+        late,
+        "fault of another relay"
+    );
+    assert_eq!(with(DisruptionKind::StoreFault, left_at + 1, last_fault), late);
+    assert_eq!(
+        with(DisruptionKind::StoreFault, left_at - 1, left_at),
         [],
-        "the store did not take it well"
+        "the store was failing at that time"
     );
 }
 
 #[test]
-fn planned_stops() {
+fn planned_stop_that_cuts_a_call() {
     let stop =
         |relay| Disruption { kind: DisruptionKind::PlannedStop(relay), from: 0, to: 9_000_000 };
     let fault = Disruption { kind: DisruptionKind::Fault, from: 0, to: 10 };
-    let cut = || history(call("a", CallKind::Once, CallEnd::NoAnswer), vec![run("a", "i-1")]);
+    let interrupted =
+        || history(call("a", CallKind::Once, CallOutcome::NoResponse), vec![run("a", "i-1")]);
     let with = |disruptions: &[Disruption]| {
-        let mut history = cut();
+        let mut history = interrupted();
         history.disruptions.extend_from_slice(disruptions);
-        broken(&history)
+        broken_promises(&history)
     };
     assert_eq!(with(&[stop(0)]), [Promise::PlannedStop]);
     assert_eq!(with(&[stop(1)]), []);
     assert_eq!(with(&[stop(0), fault]), []);
-    let mut not_run = cut();
+    let mut not_run = interrupted();
     not_run.runs.clear();
     not_run.disruptions.push(stop(0));
-    assert_eq!(broken(&not_run), []);
+    assert_eq!(broken_promises(&not_run), []);
 }
 
 #[test]
-fn processes() {
+fn process_exits_memory_and_recovery() {
     let rows = [
         (
-            RunHistory { odd_ends: vec!["relay 0".to_owned()], ..Default::default() },
-            Promise::ProcessEnd,
+            RunHistory { unexpected_exits: vec!["relay 0".to_owned()], ..Default::default() },
+            Promise::ProcessExit,
         ),
-        (RunHistory { memory_kb: vec![MOST_MEMORY_KB + 1], ..Default::default() }, Promise::Memory),
+        (RunHistory { memory_kb: vec![MAX_MEMORY_KB + 1], ..Default::default() }, Promise::Memory),
         (RunHistory { after_faults: (100, 24), ..Default::default() }, Promise::Recovery),
     ];
     for (history, expected) in rows {
-        assert_eq!(broken(&history), [expected]);
+        assert_eq!(broken_promises(&history), [expected]);
     }
-    let well = RunHistory {
-        memory_kb: vec![MOST_MEMORY_KB],
+    let unbroken = RunHistory {
+        memory_kb: vec![MAX_MEMORY_KB],
         after_faults: (100, 25),
         ..RunHistory::default()
     };
-    assert_eq!(broken(&well), []);
+    assert_eq!(broken_promises(&unbroken), []);
 }
 
-/// A bad request that ends one replica after the other, the first three in calm and the rest after the contact time.
+/// A request that crashes one replica after the other: three times before the settle time, and
+/// again after it.
 #[test]
-fn a_bad_request_that_goes_on() {
-    let third = 3_000_000;
+fn crash_request_that_is_not_quarantined() {
+    let third_at = 3_000_000;
     let with = |late: u64, disruptions: &[DisruptionKind]| {
         let mut history = RunHistory::default();
         let at = (0..3).map(|number| number * 1_000_000 + 1_000_000);
-        let after = (0..late).map(|number| third + CONTACT_TIME + 1 + number);
+        let after = (0..late).map(|number| third_at + SETTLE_TIME + 1 + number);
         for (number, at) in at.chain(after).enumerate() {
             let id = format!("a{number}");
-            let ended = format!("i-{number}");
+            let replica = format!("i-{number}");
             let bad = Some("bad-0".to_owned());
-            history.runs.push(RunRecord { at, bad, ..run(&id, &ended) });
-            history.calls.push(call(&id, CallKind::Safe, CallEnd::NoAnswer));
+            history.runs.push(RunRecord { at, bad, ..run(&id, &replica) });
+            history.calls.push(call(&id, CallKind::Safe, CallOutcome::NoResponse));
         }
-        let fault = |kind| Disruption { kind, from: third, to: third + CONTACT_TIME };
+        let fault = |kind| Disruption { kind, from: third_at, to: third_at + SETTLE_TIME };
         history.disruptions.extend(disruptions.iter().copied().map(fault));
-        broken(&history)
+        broken_promises(&history)
     };
     assert_eq!(with(3, &[]), []);
-    assert_eq!(with(4, &[]), [Promise::BadRequest]);
-    assert_eq!(with(4, &[DisruptionKind::ReplicaEnd]), [Promise::BadRequest], "its own doing");
-    assert_eq!(with(4, &[DisruptionKind::RelayFault(0)]), [], "not in touch");
+    assert_eq!(with(4, &[]), [Promise::CrashRequest]);
+    assert_eq!(
+        with(4, &[DisruptionKind::ReplicaCrash]),
+        [Promise::CrashRequest],
+        "a crash by the request itself is no excuse"
+    );
+    assert_eq!(with(4, &[DisruptionKind::RelayFault(0)]), [], "the relay was not stable");
 }
 
 #[test]
@@ -342,10 +372,10 @@
     for number in 0..4 {
         let id = format!("a{number}");
         history.runs.extend(["i-1", "i-2", "i-3"].map(|replica| run(&id, replica)));
-        history.calls.push(call(&id, CallKind::Safe, CallEnd::NoAnswer));
+        history.calls.push(call(&id, CallKind::Safe, CallOutcome::NoResponse));
     }
-    assert_eq!(broken(&history), [Promise::MostAttempts]);
+    assert_eq!(broken_promises(&history), [Promise::MaxAttempts]);
     history.calls.pop();
     history.runs.truncate(9);
-    assert_eq!(broken(&history), []);
+    assert_eq!(broken_promises(&history), []);
 }
--- a/crates/soak/tests/short.rs
+++ b/crates/soak/tests/short.rs
@@ -1,4 +1,4 @@
-//! A short run of one seed, as in CI; longer ones are made by hand with `switchfold-soak run`.
+//! A short run of one seed, as part of CI. Start longer ones by hand with `switchfold-soak run`.
 
 use std::{
     fs,
@@ -7,21 +7,22 @@
     time::Duration,
 };
 
-use switchfold_soak::{plan::SiteShape, run::run_seed, site::SiteConfig};
+use switchfold_soak::{cluster::ClusterConfig, plan::ClusterSize, run::run_seed};
 
 const SEED: u64 = 3;
 
 const LENGTH: Duration = Duration::from_secs(6);
 
-/// A program of the workspace, built where it is not there yet.
+/// Path of a program of the workspace, which is built if it does not exist.
 fn program(name: &str) -> PathBuf {
-    let test = std::env::current_exe().expect("this test's path");
-    let folder = test.parent().and_then(Path::parent).expect("the target folder").to_owned();
+    let test_program = std::env::current_exe().expect("this test's path");
+    let folder =
+        test_program.parent().and_then(Path::parent).expect("the target folder").to_owned();
     let path = folder.join(name);
     if !path.exists() {
         let arguments = ["build", "--workspace", "--bins", "--locked"];
-        let built = Command::new(env!("CARGO")).args(arguments).status().expect("cargo runs");
-        assert!(built.success());
+        let status = Command::new(env!("CARGO")).args(arguments).status().expect("cargo runs");
+        assert!(status.success());
     }
     path
 }
@@ -29,15 +30,15 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_short_run_breaks_no_promise() {
     let folder = std::env::temp_dir().join(format!("switchfold-soak-{}", std::process::id()));
-    fs::create_dir_all(&folder).expect("a folder");
-    let config = SiteConfig {
-        shape: SiteShape { relays: 2, engines: 4, desks: 2, callers: 6 },
+    fs::create_dir_all(&folder).expect("the folder can be created");
+    let config = ClusterConfig {
+        size: ClusterSize { relays: 2, engines: 4, desks: 2, callers: 6 },
         relay: program("switchfold-relay"),
         replica: PathBuf::from(env!("CARGO_BIN_EXE_switchfold-soak")),
         folder: folder.clone(),
     };
-    let report = run_seed(SEED, LENGTH, config).await.expect("the site starts");
+    let report = run_seed(SEED, LENGTH, config).await.expect("the cluster starts");
     assert!(report.violations.is_empty(), "{report:#?}\nlogs in {}", folder.display());
-    assert!(report.ends.values().sum::<usize>() > 0);
-    fs::remove_dir_all(&folder).expect("the folder goes");
+    assert!(report.outcomes.values().sum::<usize>() > 0);
+    fs::remove_dir_all(&folder).expect("the folder can be removed");
 }
