--- a/crates/relay/benches/limits.rs
+++ b/crates/relay/benches/limits.rs
@@ -1,13 +1,13 @@
 //! Rate-limited replicas: the load that reaches them, and what callers get.
 //!
-//! Run it with `cargo bench -p switchfold-relay --bench limits`. Three replicas of a service, one relay
-//! and 30 callers that each make one call after another share one thread. From the first second on, some
-//! replicas name a limit in each response.
+//! Run it with `cargo bench -p switchfold-relay --bench limits`. Three replicas of a service, one
+//! relay and 30 callers that each make one call after another share one thread. From the first
+//! second on, some replicas name a limit in each response.
 //!
-//! The table shows, for the fourth to the eighth second, the requests that reached the limited replica
-//! with the most requests (one and a half times the limit plus five are allowed), the callers served
-//! within 300 ms, and those rejected. "Before" is without support for limits, "after" with it. Measured
-//! on 8 cores with other work running, one run per row:
+//! The table shows, for the fourth to the eighth second, the requests that reached the limited
+//! replica with the most requests (one and a half times the limit plus five are allowed), the
+//! callers served within 300 ms, and those rejected. "Before" is without support for limits,
+//! "after" with it. Measured on 8 cores with other work running, one run per row:
 //!
 //! | service | limited | limit per second | allowed | reached before, after | in time before, after | rejected before, after |
 //! |---|---|---|---|---|---|---|
@@ -18,8 +18,8 @@
 //! | plain | two of three | 20, 100, 200 | as above | 3,278, 2,237, 1,419; 81, 405, 756 | 4,268, 4,380, 4,463; 4,476, 4,608, 4,344 | 0; 0 |
 //! | plain | all | 20, 100, 200 | as above | 1,867, 2,920, 2,288; 80, 402, 800 | 4,405, 4,299, 4,286; 239, 1,201, 2,400 | 0; 3,519, 550, 141 |
 //!
-//! If all replicas are limited, no more requests can be served than they accept. Rejected callers retry at
-//! once here, whatever the response tells them. No caller was served late.
+//! If all replicas are limited, no more requests can be served than they accept. Rejected callers
+//! retry at once here, whatever the response tells them. No caller was served late.
 
 #[path = "../tests/harness/mod.rs"]
 mod harness;
--- a/crates/relay/src/engines.rs
+++ b/crates/relay/src/engines.rs
@@ -46,8 +46,8 @@
 pub enum OrderOutcome {
     /// The engine started to carry it out, or is already in the ordered state.
     Taken,
-    /// The engine rejected it with this status: it does not fit the state of the engine, or that of
-    /// the replica at the address, if one is given.
+    /// The engine rejected it with this status, because of its own state or, if an address is
+    /// given, because of the state of the replica at this address.
     Refused(u16, Option<SocketAddr>),
     /// It was not sent.
     NotSent,
@@ -55,14 +55,14 @@
     Unknown,
 }
 
-/// Time for which a cached report is used instead of a new call, in milliseconds. A report describes a
-/// state some hundred milliseconds old anyway, and each call costs time of the engine.
+/// Time for which a cached report is used instead of a new call, in milliseconds. A report
+/// describes a state some hundred milliseconds old anyway, and each call costs time of the engine.
 const REPORT_TTL: Millis = 80;
 
 /// Interval between two probes of one replica by all relays of a data centre together, in
-/// milliseconds. Under load many streams are silent at once, and each probe costs time of the replica.
-/// A relay that finds a replica lost notifies the others at once, so each relay probes less often the
-/// more relays there are.
+/// milliseconds. Under load many streams are silent at once, and each probe costs time of the
+/// replica. A relay that finds a replica lost notifies the others at once, so each relay probes
+/// less often the more relays there are.
 const PROBE_INTERVAL: Millis = 300;
 
 /// Cache of the latest reports, and the times of the latest probes, by address.
@@ -70,24 +70,24 @@
 pub struct ReportCache {
     reports: RefCell<HashMap<SocketAddr, CachedReport>>,
     last_probe: Cell<Option<Millis>>,
-    probed: RefCell<HashMap<SocketAddr, Millis>>,
+    probe_times: RefCell<HashMap<SocketAddr, Millis>>,
 }
 
 impl ReportCache {
     /// Removes all entries of a replica that is no longer listed.
     pub fn remove(&self, address: SocketAddr) {
         self.reports.borrow_mut().remove(&address);
-        self.probed.borrow_mut().remove(&address);
+        self.probe_times.borrow_mut().remove(&address);
     }
 
     /// Returns whether a replica may be probed, that is if its last probe was at least `interval`
     /// milliseconds ago. Records the probe in that case.
     fn begin_probe(&self, address: SocketAddr, interval: Millis, now: Millis) -> bool {
-        let mut probed = self.probed.borrow_mut();
-        let last = probed.get(&address).copied();
+        let mut probe_times = self.probe_times.borrow_mut();
+        let last = probe_times.get(&address).copied();
         let is_due = last.is_none_or(|last| now.saturating_sub(last) >= interval);
         if is_due {
-            probed.insert(address, now);
+            probe_times.insert(address, now);
         }
         is_due
     }
@@ -98,6 +98,7 @@
     }
 }
 
+/// A state, and when it was last requested.
 #[derive(Clone, Debug)]
 struct CachedReport {
     requested_at: Millis,
@@ -115,8 +116,9 @@
     Received(Rc<EngineReport>),
 }
 
-/// Returns a recent report of an engine: the cached one if it is at most [`REPORT_TTL`] old, otherwise
-/// a new one. While a new one is being fetched, other callers get the previous state.
+/// Returns a recent report of an engine: the cached one if it was requested less than
+/// [`REPORT_TTL`] ago, otherwise a new one. While a new one is being fetched, other callers get the
+/// previous state.
 pub async fn recent_report(relay: &Relay, address: SocketAddr) -> ReportState {
     let now = now_millis();
     let cached = relay.reports.reports.borrow().get(&address).cloned();
@@ -182,8 +184,9 @@
     }
 }
 
-/// Probes replicas that may be lost, in the background. A replica found lost is avoided from then on,
-/// and running streams check their paths. A replica that was probed recently is not probed again.
+/// Probes replicas that may be lost, in the background. A replica found lost is avoided from then
+/// on, and running streams check their paths. A replica that was probed recently is not probed
+/// again.
 pub fn probe_replicas(relay: &Rc<Relay>, addresses: impl Iterator<Item = SocketAddr>) {
     let now = now_millis();
     relay.reports.last_probe.set(Some(now));
@@ -221,7 +224,8 @@
     }
 }
 
-/// Probes a replica and returns whether it may be reachable. An unclear outcome counts as reachable.
+/// Probes a replica and returns whether it may be reachable. An unclear outcome counts as
+/// reachable.
 pub async fn is_reachable(relay: &Relay, address: SocketAddr) -> bool {
     matches!(probe(relay, address).await, ProbeOutcome::Reached | ProbeOutcome::Unclear)
 }
@@ -255,7 +259,7 @@
 ) -> Result<(StatusCode, Bytes), SendError> {
     let request = engine_request(address, method, path, body);
     let sent_at = now_millis();
-    let (response, link) = relay.pool.send(address, request, fresh, || Ok(())).await?;
+    let (response, connection) = relay.pool.send(address, request, fresh, || Ok(())).await?;
     let (parts, body) = response.into_parts();
     let headers = read_response_headers(&parts.headers);
     apply_notices_at(
@@ -266,7 +270,7 @@
     let body = Limited::new(body, MAX_RESPONSE_BYTES).collect().await;
     let body = body.map_err(|error| SendError::NoResponse { detail: error.to_string() })?;
     if !headers.closes_connection {
-        link.return_to(&relay.pool, headers.keep_alive);
+        connection.return_to(&relay.pool, headers.keep_alive);
     }
     Ok((parts.status, body.to_bytes()))
 }
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -1,26 +1,28 @@
 //! The relay: the entry of platforms whose engines chain pipelines themselves.
 //!
-//! A relay accepts requests of callers, chooses the whole path of each over the engines that hold the
-//! layers of the model, sends the request to the first engine of the path and passes the response on.
-//! All decisions are made by `switchfold-router`, and all names of the platform are defined in
-//! `switchfold-platform`; this crate does the I/O between them. It runs on one thread: at the size of
-//! an entry VM a second thread costs more than it gains, and the state needs no locks.
+//! A relay accepts requests of callers, chooses the whole path of each over the engines that hold
+//! the layers of the model, sends the request to the first engine of the path and passes the
+//! response on. All decisions are made by `switchfold-router`, and all names of the platform are
+//! defined in `switchfold-platform`; this crate does the I/O between them. It runs on one thread: at
+//! the size of an entry VM a second thread costs more than it gains, and the state needs no locks.
 //!
 //! | module | purpose |
 //! |---|---|
-//! | [`serve`], [`request`], [`admit`] | requests of callers, and what the configuration permits them |
+//! | [`serve`], [`request`], [`admit`] | requests of callers and their admission |
 //! | [`plain`] | requests to plain services |
-//! | [`stream`], [`response_head`], [`forward`], [`paths`] | requests to engines: opening, forwarding, paths |
+//! | [`stream`], [`response_head`], [`forward`], [`paths`] | streams over engines |
 //! | [`run_tracker`] | runs of requests at replicas, and evidence from lost runs |
 //! | [`pool`], [`engines`], [`probes`] | connections, calls and probes to replicas |
-//! | [`watch`], [`replicas`], [`peers`], [`gossip`], [`messages`], [`snapshot`] | state from the store and from other relays |
+//! | [`watch`], [`replicas`], [`snapshot`] | state from the store |
+//! | [`peers`], [`gossip`], [`messages`] | state exchanged with other relays |
 //! | [`restore`] | writes that the store lost when it was restored from a backup |
 //! | [`notices`] | what replicas report of themselves in response headers |
 //! | [`limits`] | grants for replicas with a rate limit |
 //! | [`quarantine`] | requests that crash the replicas that run them |
 //! | [`engine_poll`] | which engines are slow |
 //! | [`placer`] | orders to engines to load layers |
-//! | [`shutdown`], [`run`], [`reload`], [`settings`], [`logs`], [`counts`], [`metrics`] | the process |
+//! | [`run`], [`shutdown`], [`settings`], [`reload`] | the process and its settings |
+//! | [`logs`], [`counts`], [`metrics`] | logs and metrics |
 
 pub mod admit;
 pub mod counts;
--- a/crates/relay/src/limits.rs
+++ b/crates/relay/src/limits.rs
@@ -3,10 +3,10 @@
 //!
 //! The decisions are made in `switchfold-router`: the current limit of each replica, the relay that
 //! coordinates it, and the relay that gets the next grant. Grant requests and grants are datagrams
-//! between the relay that has requests to send and the coordinator. A lost datagram costs a pause until
-//! the grants are requested again; a lost grant is gone. Relays share changed limits in their state
-//! messages. A relay that missed a change learns it from the first response of the replica, or from the
-//! relays of its data centre, which share all limits in turn.
+//! between the relay that has requests to send and the coordinator. A lost datagram costs a pause
+//! until the grants are requested again; a lost grant is gone. Relays share changed limits in their
+//! state messages. A relay that missed a change learns it from the first response of the replica,
+//! or from the relays of its data centre, which share all limits in turn.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -40,8 +40,8 @@
 /// Interval at which outdated limits are dropped while no grants are pending.
 const IDLE_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Time for which a changed limit is shared, in milliseconds: three messages to other data centres, one
-/// of which may be lost.
+/// Time for which a changed limit is shared, in milliseconds: three messages to other data centres,
+/// one of which may be lost.
 const SHARE_TIME: Millis = 1_300;
 
 /// Maximum number of changed limits in one message.
@@ -53,8 +53,9 @@
 /// Returns whether this relay may coordinate rate limits.
 pub fn can_coordinate_limits(relay: &Relay, state: &RelayState, now: Millis) -> bool {
     let has_others = || state.peers.live_count(now) > 0;
-    // A relay that is shutting down leaves its limits to the others, so that they waiter not wait until
-    // it times out. A member hears of too few relays to tell whether it is partitioned from them.
+    // A relay that is shutting down leaves its limits to the others, so that they need not wait
+    // until it times out. A member hears of too few relays to tell whether it is partitioned from
+    // them.
     let is_speaker = !state.peers.is_member();
     is_speaker && now >= COORDINATES_AFTER && !(relay.shutdown.is_stopping() && has_others())
 }
@@ -77,8 +78,8 @@
     limit_coordinator(&local, &state.peers, id, replica_data_centre, now)
 }
 
-/// Applies the limit that a replica reported. `from` is the relay that shared the report, or `None` if
-/// this relay received it.
+/// Applies the limit that a replica reported. `from` is the relay that shared the report, or `None`
+/// if this relay received it.
 pub fn update_limit(relay: &Relay, id: &str, report: LimitReport, from: Option<&str>) {
     let now = now_millis();
     let changed = relay.state.borrow_mut().limits.update(id, report, now);
@@ -113,15 +114,16 @@
     shared.map(|(id, report)| LimitRecord::new(id, report, now)).collect()
 }
 
-/// Merges the limits in a message that the relay `from` wrote at `written`, by the clock of this relay.
+/// Merges the limits in a message that the relay `from` wrote at `written`, by the clock of this
+/// relay.
 pub fn merge_peer_limits(relay: &Relay, limits: &[LimitRecord], from: &str, written: i64) {
     limits
         .iter()
         .for_each(|limit| update_limit(relay, &limit.id, limit.report(written), Some(from)));
 }
 
-/// Requests a grant for a replica at which a request could have started if this relay had one. Of the
-/// replicas that `can_start` accepts, it is the one with the most free slots.
+/// Requests a grant for a replica at which a request could have started if this relay had one. Of
+/// the replicas that `can_start` accepts, it is the one with the most free slots.
 pub fn request_grant(
     relay: &Rc<Relay>,
     service: &str,
@@ -174,8 +176,8 @@
 }
 
 impl GrantWait {
-    /// Starts to wait for a grant of the replica that is expected to get one first. Returns `None` if no
-    /// rate limit delays the request.
+    /// Starts to wait for a grant of the replica that is expected to get one first. Returns `None`
+    /// if no rate limit delays the request.
     pub fn begin(
         relay: &Rc<Relay>,
         service: &str,
@@ -281,8 +283,8 @@
     issue_grants(relay);
 }
 
-/// Issues the grants that are due. If a replica no longer has a limit, the relay that requested grants
-/// for it is told so.
+/// Issues the grants that are due. If a replica no longer has a limit, the relay that requested
+/// grants for it is told so.
 fn issue_grants(relay: &Relay) {
     let now = now_millis();
     let mut outgoing: Vec<(String, GrantRecord)> = Vec::new();
@@ -298,8 +300,8 @@
         let requested: Vec<String> = state.issuer.requested_replicas().map(str::to_owned).collect();
         for id in requested {
             let Some(report) = state.limits.report(&id) else { continue };
-            // The requesting relay may not know the real coordinator yet. Two issuers would issue twice
-            // the limit.
+            // The requesting relay may not know the real coordinator yet. Two issuers would issue
+            // twice the limit.
             if find_coordinator(relay, state, &id, now) != LimitCoordinator::Local {
                 continue;
             }
--- a/crates/relay/src/logs.rs
+++ b/crates/relay/src/logs.rs
@@ -1,9 +1,9 @@
 //! Structured logs: one JSON object per line, on standard output.
 //!
 //! A separate thread writes the lines. It takes them from a bounded queue that drops what does not
-//! fit, so logging never blocks a request, even if nothing reads the output. The number of lines per
-//! second is limited. Warnings and errors have a limit of their own, so that a flood of other lines
-//! never displaces them. Lines dropped by these limits are counted.
+//! fit, so logging never blocks a request, even if nothing reads the output. The number of lines
+//! per second is limited. Warnings and errors have a limit of their own, so that a flood of other
+//! lines never displaces them. Lines dropped by these limits are counted.
 
 use std::{
     io::{self, Write},
--- a/crates/relay/src/metrics.rs
+++ b/crates/relay/src/metrics.rs
@@ -1,8 +1,8 @@
 //! Metrics of a relay, exported as Prometheus text.
 //!
-//! Histograms are labelled by route and organisation, with a bounded number of label values. Frequent
-//! events are counted in plain cells ([`Counts`](crate::counts::Counts)), which are copied into gauges
-//! when the metrics are read.
+//! Histograms are labelled by route and organisation, with a bounded number of label values.
+//! Frequent events are counted in plain cells ([`Counts`](crate::counts::Counts)), which are copied
+//! into gauges when the metrics are read.
 
 use std::cell::RefCell;
 
--- a/crates/relay/src/notices.rs
+++ b/crates/relay/src/notices.rs
@@ -2,8 +2,8 @@
 //! (`Server-Limit`), or that they are leaving (`Server-Leaving`).
 //!
 //! These notices apply to more than the request that they came with. A back-off or a limit delays
-//! later requests of this relay to the replica. A leaving replica is treated as if the store listed it
-//! as draining, before the store does.
+//! later requests of this relay to the replica. A leaving replica is treated as if the store listed
+//! it as draining, before the store does.
 
 use std::{cell::Cell, net::SocketAddr, rc::Rc};
 
@@ -23,7 +23,7 @@
     state::{Relay, RelayState},
 };
 
-/// The parts of a response that tell something of the replica that sent it.
+/// The parts of a response that contain notices of the replica that sent it.
 #[derive(Clone, Copy, Debug)]
 pub struct ReplicaResponse<'a> {
     /// Status of the response.
@@ -32,8 +32,8 @@
     pub headers: &'a ResponseHeaders,
     /// Time at which the request was sent.
     pub sent_at: Millis,
-    /// Whether it is the response to that request. A response to an earlier request may arrive in its
-    /// place.
+    /// Whether it is the response to that request. A response to an earlier request may arrive in
+    /// its place.
     pub is_own: bool,
 }
 
@@ -52,8 +52,8 @@
     }
 }
 
-/// Applies the notices in the response of an engine's control interface to the replica that is listed
-/// at this address.
+/// Applies the notices in the response of an engine's control interface to the replica that is
+/// listed at this address.
 pub fn apply_notices_at(relay: &Relay, address: SocketAddr, response: ReplicaResponse<'_>) {
     let instance =
         relay.state.borrow().fleet.view.at_address(address).map(|replica| replica.instance.clone());
@@ -62,9 +62,9 @@
     }
 }
 
-/// Applies the notices in the headers of any response of a replica. A missing limit is ignored here: it
-/// means that the replica has none only in responses that would name it, and nothing guarantees that
-/// those of the control interface do.
+/// Applies the notices in the headers of any response of a replica. A missing limit is ignored
+/// here: it means that the replica has none only in responses that would name it, and nothing
+/// guarantees that those of the control interface do.
 fn apply_headers(relay: &Relay, instance: &ReplicaInstance, response: ReplicaResponse<'_>) {
     let ReplicaResponse { status, headers, sent_at, .. } = response;
     if status == StatusCode::SERVICE_UNAVAILABLE {
@@ -99,9 +99,9 @@
     }
 }
 
-/// Decides just before a request is written whether it may be sent to its replica. After the replica
-/// was chosen, a connection had to be opened, and responses to other requests may have brought new
-/// notices. A request to a rate-limited replica spends a grant.
+/// Decides just before a request is written whether it may be sent to its replica. After the
+/// replica was chosen, a connection had to be opened, and responses to other requests may have
+/// brought new notices. A request to a rate-limited replica spends a grant.
 #[derive(Debug)]
 pub struct SendGate<'a> {
     relay: &'a Rc<Relay>,
@@ -137,7 +137,8 @@
         let is_trial = state.backoffs.begin_send(self.instance, self.is_trial.get(), now)?;
         self.is_trial.set(is_trial);
         let is_limited = state.limits.limit(self.instance.id()).is_some();
-        // The gate is passed again after a new connection was opened; the grant is spent only once.
+        // A request that passed before spends no second grant: it passes again once its new
+        // connection is open.
         if is_limited && !self.has_passed.get() {
             let grant = state.grants.spend(self.instance.id(), self.rank, now)?;
             self.grant.set(Some(grant));
@@ -147,7 +148,8 @@
         Ok(())
     }
 
-    /// Records that no byte of the request was sent. Its grant becomes available to another request.
+    /// Records that no byte of the request was sent. Its grant becomes available to another
+    /// request.
     pub fn record_unsent(&self) {
         if let Some(expiry) = self.grant.take() {
             self.relay.state.borrow_mut().grants.give_back(self.instance.id(), expiry);
@@ -155,8 +157,8 @@
     }
 }
 
-/// Returns the rejection of a request that no replica accepts. If all replicas that can start it are
-/// waiting out a back-off or a rate limit, it tells the caller when to retry; otherwise it is
+/// Returns the rejection of a request that no replica accepts. If all replicas that can start it
+/// are waiting out a back-off or a rate limit, it tells the caller when to retry; otherwise it is
 /// `otherwise`. `can_start` tells which replicas can start the request.
 pub fn refusal_without_replica(
     relay: &Relay,
@@ -191,15 +193,16 @@
     can_start: impl Fn(&ReplicaEntry) -> bool,
     now: Millis,
 ) -> f64 {
-    let limited = |replica: &&ReplicaEntry| {
+    let is_limited = |replica: &&ReplicaEntry| {
         can_start(replica) && state.limits.limit(replica.instance.id()).is_some()
     };
-    let replicas = state.fleet.view.of_service(service).filter(limited);
+    let replicas = state.fleet.view.of_service(service).filter(is_limited);
     replicas.filter_map(|replica| state.grants.share(replica.instance.id(), now)).sum()
 }
 
-/// Returns the time in milliseconds until a request with this priority rank may be sent to the first
-/// of the replicas that can start it. Returns `None` if one is available now, or if there is none.
+/// Returns the time in milliseconds until a request with this priority rank may be sent to the
+/// first of the replicas that can start it. Returns `None` if one is available now, or if there is
+/// none.
 pub fn min_send_wait(
     state: &RelayState,
     service: &str,
--- a/crates/relay/src/placer.rs
+++ b/crates/relay/src/placer.rs
@@ -1,10 +1,10 @@
 //! Planning of which layers each engine holds, and the orders that carry out the plan.
 //!
 //! The first healthy relays by name are the planners, each for some of the groups of replicas. One
-//! planner suffices for the largest deployments of today. No plan is stored: each round computes the
-//! orders from the replica list and from the pending orders of this relay. If two relays both plan the
-//! same group, they give the same orders. An order also states how many orders the engine has taken
-//! before, so the engine rejects a late or duplicate one.
+//! planner suffices for the largest deployments of today. No plan is stored: each round computes
+//! the orders from the replica list and from the pending orders of this relay. If two relays both
+//! plan the same group, they give the same orders. An order also states how many orders the engine
+//! has taken before, so the engine rejects a late or duplicate one.
 
 use std::{
     cell::RefCell,
@@ -36,7 +36,7 @@
 
 use self::{
     groups::{
-        GroupName, GroupTotal, PlanGroups, PlanShare, covered_data_centres, retain_share,
+        GroupCount, GroupName, PlanGroups, PlanShare, covered_data_centres, retain_share,
         split_groups,
     },
     searches::LayoutSearches,
@@ -49,8 +49,8 @@
 /// Interval between two planning rounds.
 const ROUND_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Time after the start of the relay before its first orders, in milliseconds. Messages of the other
-/// relays have arrived by then.
+/// Time after the start of the relay before its first orders, in milliseconds. Messages of the
+/// other relays have arrived by then.
 const FIRST_ROUND_DELAY: Millis = 900;
 
 /// Time for which a relay must have had its share of the planning before it gives orders, in
@@ -65,8 +65,8 @@
 /// join, in milliseconds.
 const MAX_SETTLE_TIME: Millis = 4_000;
 
-/// Additional time, beyond that of the load, within which the replica list must show the effect of an
-/// order, in milliseconds: the list lags by a heartbeat and its delay.
+/// Additional time, beyond that of the load, within which the replica list must show the effect of
+/// an order, in milliseconds: the list lags by a heartbeat and its delay.
 const LIST_DELAY: Millis = 3_000;
 
 /// Time for which a replica whose entry was overwritten by another writer remains in the layout, in
@@ -82,7 +82,7 @@
 #[derive(Clone, Copy, Debug)]
 struct PendingOrder {
     range: LayerRange,
-    /// Time at which the order is given up.
+    /// Time at which the order expires.
     until: Millis,
 }
 
@@ -97,8 +97,9 @@
     holds: bool,
 }
 
-/// Maximum number of orders sent at once. Each takes two calls that time out after 300 ms, and a small
-/// VM may have several hundred orders to send after a start of the whole system.
+/// Maximum number of orders sent at once. Each takes two calls that time out after 300 ms. A small
+/// VM may have several hundred orders to send after a start of the whole system, and could not
+/// complete all of these calls in time at once.
 const MAX_CONCURRENT_ORDERS: usize = 16;
 
 /// The planner of this relay: pending orders, and reports of suspected replicas.
@@ -106,6 +107,7 @@
 struct Placer {
     pending: HashMap<ReplicaInstance, PendingOrder>,
     suspects: HashMap<ReplicaInstance, SuspectReport>,
+    /// Replicas whose orders were not sent or were rejected since the last round.
     rejected: Rc<RefCell<Vec<ReplicaInstance>>>,
     /// Limits the number of orders that are sent at once.
     order_permits: Rc<Semaphore>,
@@ -116,7 +118,7 @@
     replica_count: u64,
     /// Time of the last change of `replica_count`.
     fleet_changed: Millis,
-    groups: GroupTotal,
+    group_count: GroupCount,
     /// Current share of the planning, and since when this relay has had it.
     share: Option<(PlanShare, Millis)>,
 }
@@ -134,8 +136,8 @@
         else {
             continue;
         };
-        let settled = now - placer.fleet_changed > SETTLE_TIME;
-        if age < MAX_SETTLE_TIME && !settled {
+        let is_settled = now - placer.fleet_changed > SETTLE_TIME;
+        if age < MAX_SETTLE_TIME && !is_settled {
             continue;
         }
         placer.run_round(&relay, share, now).await;
@@ -153,7 +155,7 @@
             searches: LayoutSearches::default(),
             replica_count: 0,
             fleet_changed: 0,
-            groups: GroupTotal::default(),
+            group_count: GroupCount::default(),
             share: None,
         }
     }
@@ -164,7 +166,7 @@
         let is_fresh = relay.is_fleet_fresh(now);
         let state = relay.state.borrow();
         let rank = state.peers.rank(&relay.settings.name, is_fresh, now)?;
-        let groups = self.groups.update(&config, &state.fleet.view);
+        let groups = self.group_count.update(&config, &state.fleet.view);
         let planners = planner_count(groups, state.peers.live_speaker_count(now) + 1);
         (rank < planners).then_some(PlanShare { rank, planners })
     }
@@ -178,8 +180,8 @@
         self.share.filter(|(_, since)| now - since >= TAKEOVER_DELAY).map(|(share, _)| share)
     }
 
-    /// Records changes of the number of replicas, and drops pending orders that are done, expired or
-    /// rejected.
+    /// Records changes of the number of replicas, and drops pending orders that are done, expired
+    /// or rejected.
     fn observe(&mut self, relay: &Relay, now: Millis) {
         for instance in self.rejected.borrow_mut().drain(..) {
             if let Some(order) = self.pending.get_mut(&instance) {
@@ -218,9 +220,9 @@
         }
     }
 
-    /// Fetches reports of suspected replicas to find out whether they still hold their layers. Those
-    /// that do not are checked again until they do or are no longer listed. A suspicion alone moves no
-    /// layers, since a single bad link may have caused it.
+    /// Fetches reports of suspected replicas to find out whether they still hold their layers.
+    /// Those that do not are checked again until they do or are no longer listed. A suspicion alone
+    /// moves no layers, since a single bad link may have caused it.
     async fn check_suspects(&mut self, relay: &Relay, now: Millis) {
         let due = self.due_checks(relay, now);
         let requests = due.iter().map(|replica| recent_report(relay, replica.address));
@@ -270,9 +272,9 @@
         self.suspects.get(instance).is_some_and(|report| !report.holds)
     }
 
-    /// Plans the groups of this relay, except those that have not changed since they needed no orders.
-    /// Planning takes some milliseconds of a core, so it runs on another thread than the one that
-    /// forwards events.
+    /// Plans the groups of this relay, except those that have not changed since they needed no
+    /// orders. Planning takes some milliseconds of a core, so it runs on another thread than the
+    /// one that forwards events.
     async fn plan(
         &mut self,
         relay: &Relay,
@@ -323,7 +325,8 @@
         all_orders
     }
 
-    /// Returns the orders of the searches that have finished. Drops all searches once requests arrive.
+    /// Returns the orders of the searches that have finished. Drops all searches once requests
+    /// arrive.
     async fn search_orders(
         &mut self,
         relay: &Relay,
@@ -453,7 +456,8 @@
     planned
 }
 
-/// Returns whether no request has arrived yet, neither at this relay nor, as far as it knows, at others.
+/// Returns whether no request has arrived yet, neither at this relay nor, as far as it knows, at
+/// others.
 fn is_unused(relay: &Relay) -> bool {
     relay.counts.requests.get() == 0 && relay.state.borrow().memory_reservations.is_idle()
 }
--- a/crates/relay/src/placer/groups.rs
+++ b/crates/relay/src/placer/groups.rs
@@ -33,18 +33,18 @@
 /// Cached number of groups for a configuration and a replica list, recomputed only when one of them
 /// changes.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub(super) struct GroupTotal {
-    config: u64,
-    fleet: u64,
+pub(super) struct GroupCount {
+    config_version: u64,
+    fleet_digest: u64,
     groups: usize,
 }
 
-impl GroupTotal {
+impl GroupCount {
     /// Returns the number of groups for this configuration and this replica list.
     pub(super) fn update(&mut self, config: &RoutingConfig, fleet: &FleetView) -> usize {
-        if (self.config, self.fleet) != (config.version, fleet.digest()) {
+        if (self.config_version, self.fleet_digest) != (config.version, fleet.digest()) {
             let groups = count_groups(config, fleet);
-            *self = Self { config: config.version, fleet: fleet.digest(), groups };
+            *self = Self { config_version: config.version, fleet_digest: fleet.digest(), groups };
         }
         self.groups
     }
@@ -89,11 +89,11 @@
     });
 }
 
-/// Returns the data centres with several groups that together hold every layer. No request there has
-/// to wait until a gap in one of the groups is closed.
+/// Returns the data centres with several groups that together hold every layer. No request there
+/// has to wait until a gap in one of the groups is closed.
 pub(super) fn covered_data_centres(groups: &PlanGroups, layers: u32) -> BTreeSet<String> {
-    let several = groups.keys().filter(|name| name.number > 0).map(|name| &name.data_centre);
-    let data_centres: BTreeSet<&String> = several.collect();
+    let with_several = groups.keys().filter(|name| name.number > 0).map(|name| &name.data_centre);
+    let data_centres: BTreeSet<&String> = with_several.collect();
     let is_covered = |data_centre: &&String| {
         let holders = groups.iter().filter(|(name, _)| name.data_centre == **data_centre);
         let ranges = holders.flat_map(|(_, holders)| holders).filter_map(|holder| holder.held);
--- a/crates/relay/src/placer/searches.rs
+++ b/crates/relay/src/placer/searches.rs
@@ -1,9 +1,9 @@
 //! Searches for better first layouts, after the greedy ones have been ordered.
 //!
-//! A search uses the whole processor share of a small VM for half a second. Therefore one search runs
-//! at a time, on a thread of its own, and only after the first orders have been sent. Its orders are
-//! used only if no request has arrived by then, since loads cost next to nothing until the first
-//! request.
+//! A search uses the whole processor share of a small VM for half a second. Therefore one search
+//! runs at a time, on a thread of its own, and only after the first orders have been sent. Its
+//! orders are used only if no request has arrived by then, since loads cost next to nothing until
+//! the first request.
 
 use std::collections::BTreeMap;
 
@@ -15,8 +15,8 @@
 
 use super::groups::{GroupName, PlanGroups};
 
-/// Time after the first orders of a group before its search starts, in milliseconds. One order takes a
-/// few milliseconds, and twenty take some ten times as long at a small VM.
+/// Time after the first orders of a group before its search starts, in milliseconds. One order
+/// takes a few milliseconds, and twenty take some ten times as long at a small VM.
 const SEARCH_DELAY: Millis = 400;
 
 /// A search for a better layout of one group.
@@ -80,7 +80,8 @@
         finished
     }
 
-    /// Restarts the searches of groups whose replicas have changed, once all of them hold their layers.
+    /// Restarts the searches of groups whose replicas have changed, once all of them hold their
+    /// layers.
     fn restart_changed(&mut self, groups: &PlanGroups, now: Millis) {
         for (name, search) in &mut self.searches {
             let Some(holders) = groups.get(name) else { continue };
--- a/crates/relay/src/probes.rs
+++ b/crates/relay/src/probes.rs
@@ -9,16 +9,18 @@
 
 use tokio::time::{Instant, timeout};
 
-/// Timeout of each of the two requests of a probe: fifty times the delay of a link, and a quarter of
-/// the usual limit for the pause between events, so that a stream can continue elsewhere in time.
+/// Timeout of each of the two requests of a probe: fifty times the delay of a link, and a quarter
+/// of the usual limit for the pause between events, so that a stream can continue elsewhere in
+/// time.
 pub const PROBE_TIMEOUT: Duration = Duration::from_millis(50);
 
 /// Delay of the probe's own timer beyond which its silence proves nothing, since this process was
 /// paused.
 const MAX_TIMER_DELAY: Duration = Duration::from_millis(10);
 
-/// At most one in this many of the replicas probed together may be silent for their silence to prove
-/// anything; a single silent one always may. If more are silent, this process or its link is slow.
+/// At most one in this many of the replicas probed together may be silent for their silence to
+/// prove anything; a single silent one always may. If more are silent, this process or its link is
+/// slow.
 const MAX_SILENT_ONE_IN: usize = 4;
 
 /// The result of probing a replica.
@@ -35,8 +37,8 @@
 }
 
 /// Returns whether the silence of replicas that were probed together proves that they are lost.
-/// Unclear outcomes count as silent here. When they did not, a relay that was delayed during some of
-/// the requests took the one or two other silent replicas for lost and moved streams away from
+/// Unclear outcomes count as silent here. When they did not, a relay that was delayed during some
+/// of the requests took the one or two other silent replicas for lost and moved streams away from
 /// healthy replicas.
 pub fn silence_is_conclusive(outcomes: &[ProbeOutcome]) -> bool {
     let silent = outcomes
@@ -47,7 +49,8 @@
 }
 
 /// Probes a replica, and if that fails a second time over a new connection: a lost packet is
-/// retransmitted only after 200 ms, and a pooled connection may be dead although the replica is not.
+/// retransmitted only after 200 ms, and a pooled connection may be dead although the replica is
+/// not.
 /// `send` makes one request; its argument says whether to open a new connection.
 pub async fn probe_with_retry<E: Display>(
     send: impl AsyncFn(bool) -> Result<(), E>,
--- a/crates/relay/src/quarantine.rs
+++ b/crates/relay/src/quarantine.rs
@@ -1,10 +1,10 @@
-//! Requests that crash the replicas that run them: rejecting them, and sharing what is known of them
-//! with other relays and with the platform's store.
+//! Requests that crash the replicas that run them: rejecting them, and sharing what is known of
+//! them with other relays and with the platform's store.
 //!
-//! [`switchfold_router::quarantine`] decides which requests these are. Relays of all data centres share
-//! crash reports by datagram. The store keeps them across restarts of all relays, and reaches relays
-//! that are partitioned from each other but not from the store. It is written only after a second crash
-//! in a row, so it gets no calls while there are no crashes.
+//! [`switchfold_router::quarantine`] decides which requests these are. Relays of all data centres
+//! share crash reports by datagram. The store keeps them across restarts of all relays, and reaches
+//! relays that are partitioned from each other but not from the store. It is written only after a
+//! second crash in a row, so it gets no calls while there are no crashes.
 
 use std::{collections::BTreeMap, rc::Rc, time::Duration};
 
@@ -35,8 +35,8 @@
     store_calls::{CallCause, CallKind, CallVerb, CountedStore},
 };
 
-/// Returns the remaining time of the quarantine of a request in milliseconds, or `None` if it is not
-/// quarantined.
+/// Returns the remaining time of the quarantine of a request in milliseconds, or `None` if it is
+/// not quarantined.
 pub fn quarantine_remaining(relay: &Relay, request: &CallerRequest) -> Option<Millis> {
     relay.state.borrow().quarantine.remaining(&request.fingerprint, now_millis())
 }
@@ -58,8 +58,8 @@
     Err(Refusal::Quarantined(remaining))
 }
 
-/// Records that a replica is lost: it is silent, refuses connections, or is no longer listed although it
-/// did not announce that it is leaving.
+/// Records that a replica is lost: it is silent, refuses connections, or is no longer listed
+/// although it did not announce that it is leaving.
 pub fn record_replica_loss(relay: &Relay, instance: &ReplicaInstance) {
     let change = relay.state.borrow_mut().quarantine.record_crash(instance, now_millis());
     apply_change(relay, &change);
@@ -103,8 +103,8 @@
     }
 }
 
-/// Logs the newly quarantined requests. If the change is urgent, writes it to the store and sends it to
-/// other relays at once.
+/// Logs the newly quarantined requests. If the change is urgent, writes it to the store and sends
+/// it to other relays at once.
 pub fn apply_change(relay: &Relay, change: &QuarantineChange) {
     for (fingerprint, weight) in &change.quarantined {
         count(&relay.counts.stopped_requests);
@@ -116,8 +116,8 @@
     }
 }
 
-/// Entry of the store for one request. Times are Unix milliseconds by the writer's wall clock. A step of
-/// that clock only shifts the end of a quarantine.
+/// Entry of the store for one request. Times are Unix milliseconds by the writer's wall clock. A
+/// step of that clock only shifts the end of a quarantine.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 struct StoredRequest {
     /// End of the quarantine; 0 if the request is not quarantined.
@@ -220,16 +220,16 @@
     }
 }
 
-/// Maximum duration of a watch call, in milliseconds: as long as the shortest contact time, so that a
-/// dead connection is detected within twice that time, at a third of a call per second for each data
-/// centre.
+/// Maximum duration of a watch call, in milliseconds: as long as the shortest contact time, so that
+/// a dead connection is detected within twice that time, at a third of a call per second for each
+/// data centre.
 const WATCH_TIMEOUT: Millis = 3_000;
 
 /// Interval between two checks of whether another relay reads the store for this one.
 const READER_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Follows the entries of the store and merges them. One relay of each data centre does this and shares
-/// the entries with the others. Never returns.
+/// Follows the entries of the store and merges them. One relay of each data centre does this and
+/// shares the entries with the others. Never returns.
 pub async fn follow_quarantine(relay: Rc<Relay>) {
     let platform = relay.settings.platform.to_string();
     let timeout = Duration::from_millis(WATCH_TIMEOUT + STORE_TIMEOUT);
@@ -260,14 +260,15 @@
     }
 }
 
-/// Writes the crash reports of this relay to the store again, after it was restored from a backup.
+/// Writes the crash reports of this relay to the store again, after the store was restored from a
+/// backup.
 pub fn store_again(relay: &Relay) {
     relay.state.borrow_mut().quarantine.reset_stored();
     relay.quarantine_notify.notify_one();
 }
 
-/// Returns whether another relay of the data centre reads the store: one that precedes this relay by
-/// name and whose reads succeed.
+/// Returns whether another relay of the data centre reads the store: one that precedes this relay
+/// by name and whose reads succeed.
 fn is_read_by_peer(settings: &RelaySettings, state: &RelayState, now: Millis) -> bool {
     let preceding = state.peers.preceding(&settings.name, &settings.data_centre, now);
     preceding.live > preceding.lost_config
@@ -276,8 +277,8 @@
 /// Unix times in milliseconds at which the entries of the store expire.
 type ExpiryTimes = BTreeMap<RequestFingerprint, u64>;
 
-/// Lists the entries of the store, or watches for changes after `revision`. Returns the revision up to
-/// which the store has been read.
+/// Lists the entries of the store, or watches for changes after `revision`. Returns the revision up
+/// to which the store has been read.
 async fn read_store(
     relay: &Relay,
     store: &CountedStore,
--- a/crates/relay/src/reload.rs
+++ b/crates/relay/src/reload.rs
@@ -1,7 +1,7 @@
 //! Reloads the settings file while the relay runs.
 //!
-//! The platform rewrites the file, with or without sending SIGHUP. Changed bounds take effect at once;
-//! a new name or address requires a restart, which is logged.
+//! The platform rewrites the file, with or without sending SIGHUP. Changed bounds take effect at
+//! once; a new name or address requires a restart, which is logged.
 
 use std::{
     cell::RefCell,
--- a/crates/relay/src/response_head.rs
+++ b/crates/relay/src/response_head.rs
@@ -1,9 +1,9 @@
 //! Waiting for the head of a response to a stream request.
 //!
-//! If the head is late, the replicas of the path are probed, and the report of the first engine shows
-//! which replica holds up the request. A request leaves its path only if that helps. Either it may be
-//! retried at once, or this relay itself found a replica of the path lost, so that the caller gets an
-//! error at once and can retry.
+//! If the head is late, the replicas of the path are probed, and the report of the first engine
+//! shows which replica holds up the request. A request leaves its path only if that helps. Either
+//! it may be retried at once, or this relay itself found a replica of the path lost, so that the
+//! caller gets an error at once and can retry.
 
 use std::{rc::Rc, time::Duration};
 
@@ -23,23 +23,23 @@
     stream::{find_stalled_replica, suspect_at},
 };
 
-/// Time without a response head after which the replicas of the path are probed: twice the usual time
-/// to the first event.
+/// Time without a response head after which the replicas of the path are probed: twice the usual
+/// time to the first event.
 const PROBE_DELAY: Duration = Duration::from_millis(100);
 
-/// Time without a response head after which the report of the first engine is checked: well above the
-/// usual 50 ms to the first event, and early enough for another attempt within the objective.
+/// Time without a response head after which the report of the first engine is checked: well above
+/// the usual 50 ms to the first event, and early enough for another attempt within the objective.
 const REPORT_DELAY: Duration = Duration::from_millis(200);
 
-/// Interval between two checks. Reports describe a state some hundred milliseconds old, and a new one is
-/// fetched at every other check.
+/// Interval between two checks. Reports describe a state some hundred milliseconds old, and a new
+/// one is fetched at every other check.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A response whose body has not been read, and its connection.
 pub type ReceivedHead = (Response<Incoming>, ActiveConnection);
 
-/// Registers a request that waits for a response head with the stall detection of its first replica.
-/// Dropping it without a response records the wait as abandoned.
+/// Registers a request that waits for a response head with the stall detection of its first
+/// replica. Dropping it without a response records the wait as abandoned.
 #[derive(Debug)]
 pub struct PendingHead {
     relay: Rc<Relay>,
@@ -143,8 +143,8 @@
         self.permit.route.is_repeatable()
     }
 
-    /// Checks whether a request that has waited for `waited` is to leave its path, and returns the reason
-    /// as an error if so.
+    /// Checks whether a request that has waited for `waited` is to leave its path, and returns the
+    /// reason as an error if so.
     async fn check(&self, waited: Duration) -> Result<(), HeadError> {
         if self.request.time_remaining(now_millis()) == 0 {
             return Err(HeadError::DeadlinePassed);
@@ -170,8 +170,9 @@
         }
     }
 
-    /// Checks whether the first replica is stalled, and notifies other relays if this relay is the first
-    /// to find it. A stall that another relay found ends the wait as well, if a retry is possible.
+    /// Checks whether the first replica is stalled, and notifies other relays if this relay is the
+    /// first to find it. A stall that another relay found ends the wait as well, if a retry is
+    /// possible.
     fn check_stall(&self, waited: Duration) -> Result<(), HeadError> {
         let now = now_millis();
         let instance = &self.path[0].instance;
@@ -192,8 +193,9 @@
         }
     }
 
-    /// Checks whether a replica of the path is lost. A request without a retry left leaves the path only
-    /// on evidence of this relay, since what another relay observed may be a fault of its link.
+    /// Checks whether a replica of the path is lost. A request without a retry left leaves the path
+    /// only on evidence of this relay, since what another relay observed may be a fault of its
+    /// link.
     fn check_path(&self) -> Result<(), HeadError> {
         let now = now_millis();
         let is_lost = |stage: &&PathStage| self.relay.stage_state(stage) == StageState::Lost;
--- a/crates/relay/src/run.rs
+++ b/crates/relay/src/run.rs
@@ -106,8 +106,8 @@
 /// Interval at which expired idle connections are closed.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Runs a relay until its shutdown is complete. Must be called within a `LocalSet`. If `file` is the
-/// settings file, it is reloaded when it changes or SIGHUP arrives.
+/// Runs a relay until its shutdown is complete. Must be called within a `LocalSet`. If `file` is
+/// the settings file, it is reloaded when it changes or SIGHUP arrives.
 ///
 /// # Errors
 ///
@@ -161,8 +161,8 @@
     Ok(())
 }
 
-/// Maximum number of attempts to find a port that is free for both UDP and TCP if the settings leave
-/// the choice of the port to the system.
+/// Maximum number of attempts to find a port that is free for both UDP and TCP if the settings
+/// leave the choice of the port to the system.
 const MAX_PORT_TRIES: usize = 16;
 
 /// Binds the same port for UDP and TCP.
--- a/crates/relay/src/serve.rs
+++ b/crates/relay/src/serve.rs
@@ -26,8 +26,8 @@
 /// Maximum size of the headers, in bytes, while the configuration is unknown.
 const DEFAULT_MAX_HEADER_BYTES: usize = 16_384;
 
-/// Minimum duration of a shutdown: the load balancer checks readiness once a second and removes a VM
-/// after two failed checks.
+/// Minimum duration of a shutdown: the load balancer checks readiness once a second and removes a
+/// VM after two failed checks.
 const MIN_SHUTDOWN_TIME: Duration = Duration::from_millis(3_000);
 
 /// Serves callers until the shutdown is complete.
@@ -49,8 +49,8 @@
     }
 }
 
-/// Waits until a shutdown is complete: no request is in flight and callers had time to move to other
-/// relays, or the deadline has passed.
+/// Waits until a shutdown is complete: no request is in flight and callers had time to move to
+/// other relays, or the shutdown deadline has passed.
 async fn wait_until_stopped(relay: &Relay) {
     relay.shutdown.wait_until_stopping().await;
     let remaining = relay.shutdown.deadline().saturating_sub(now_millis());
@@ -78,18 +78,18 @@
         .max_buf_size(max_header_bytes.max(8_192))
         .serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
-    let ended = tokio::select! {
-        ended = connection.as_mut() => Some(ended),
+    let result = tokio::select! {
+        result = connection.as_mut() => Some(result),
         () = wait_until_idle_close(&relay) => None,
     };
-    let ended = match ended {
-        Some(ended) => ended,
+    let result = match result {
+        Some(result) => result,
         None => {
             connection.as_mut().graceful_shutdown();
             connection.await
         }
     };
-    if let Err(error) = ended {
+    if let Err(error) = result {
         tracing::debug!(event = "connection-ended", %error);
     }
 }
@@ -147,10 +147,10 @@
     response
 }
 
-/// Returns whether the relay can admit requests: it knows the configuration and the replicas, and is
-/// not shutting down. A relay without contact to the store stays ready for as long as it may admit
-/// keys, unless other relays still have contact: the load balancer needs two seconds to move new
-/// callers to them.
+/// Returns whether the relay can admit requests: it knows the configuration and the replicas, and
+/// is not shutting down. A relay without contact to the store stays ready for as long as it may
+/// admit keys, unless other relays still have contact: the load balancer needs two seconds to move
+/// new callers to them.
 pub fn is_ready(relay: &Relay) -> bool {
     let now = now_millis();
     let aside = relay.should_redirect_callers(now);
--- a/crates/relay/src/settings.rs
+++ b/crates/relay/src/settings.rs
@@ -39,18 +39,19 @@
 }
 
 impl RelaySettings {
-    /// Returns these settings with the name that the relay uses towards other relays. It begins with
-    /// the class of the VM's processor share; each class has half the share of the one before. Work
-    /// that falls to the first relays by name thereby goes to the strongest VMs.
+    /// Returns these settings with the name that the relay uses towards other relays. It begins
+    /// with the class of the VM's processor share; each class has half the share of the one before.
+    /// Work that falls to the first relays by name thereby goes to the strongest VMs.
     pub fn with_ranked_name(self) -> Self {
         let Some(share) = self.processor_share else { return self };
-        let class = (1.0 / share.max(f64::MIN_POSITIVE)).log2().ceil().clamp(0.0, MAX_CLASS);
+        let class =
+            (1.0 / share.max(f64::MIN_POSITIVE)).log2().ceil().clamp(0.0, MAX_PROCESSOR_CLASS);
         Self { name: format!("p{class}-{}", self.name), ..self }
     }
 }
 
 /// The weakest processor class: about a five-hundredth of a core, or less.
-const MAX_CLASS: f64 = 9.0;
+const MAX_PROCESSOR_CLASS: f64 = 9.0;
 
 /// Bounds set by the platform, with their units in the names. All of them may have fractions, since
 /// the platform computes some of them in proportion to the size of a deployment.
@@ -60,13 +61,13 @@
     /// Time after the removal of a key within which requests may still run with it.
     pub revoke_ms: f64,
     /// Time without failures after which a relay counts as being in contact.
-    #[serde(default = "min_contact")]
+    #[serde(default = "least_contact")]
     pub contact_ms: f64,
     /// Time for which a replica continues to serve after it announces that it is leaving.
-    #[serde(default = "min_state_age")]
+    #[serde(default = "least_old_state")]
     pub drain_ms: f64,
     /// Time within which a configuration must take effect.
-    #[serde(default = "min_state_age")]
+    #[serde(default = "least_old_state")]
     pub config_apply_ms: f64,
     /// Time from SIGTERM to SIGKILL.
     pub grace_s: f64,
@@ -79,18 +80,19 @@
 }
 
 /// Default contact time, in milliseconds: the smallest that the platform has set so far.
-fn min_contact() -> f64 {
+fn least_contact() -> f64 {
     3_000.0
 }
 
-/// Default bound on the age of state, in milliseconds: the smallest that the platform has set so far.
-fn min_state_age() -> f64 {
+/// Default bound on the age of state, in milliseconds: the smallest that the platform has set so
+/// far.
+fn least_old_state() -> f64 {
     2_000.0
 }
 
 impl BoundSettings {
-    /// Returns the time after the removal of a key within which requests may still run with it. Like
-    /// the other bounds, it is rounded to the stricter side.
+    /// Returns the time after the removal of a key within which requests may still run with it.
+    /// Like the other bounds, it is rounded to the stricter side.
     pub fn revoke(&self) -> Millis {
         self.revoke_ms.floor() as Millis
     }
@@ -116,8 +118,8 @@
     }
 }
 
-/// Minimum retry window, in seconds. One bucket of the retry budget would be
-/// longer than a shorter window.
+/// Minimum retry window, in seconds. One bucket of the retry budget would be longer than a shorter
+/// window.
 const MIN_RETRY_WINDOW_S: f64 = 0.5;
 
 const BOUND_RULES: &[FieldRule] = &[
--- a/crates/relay/tests/crashes.rs
+++ b/crates/relay/tests/crashes.rs
@@ -1,10 +1,10 @@
 //! Requests that crash each replica that starts to run them.
 //!
-//! Callers sent the same request again and again, each time under a new id, to whichever relay the load
-//! balancer chose. Each replica that started to run it crashed 30 to 120 ms later, before the first
-//! event. Relays remembered nothing of it beyond a single attempt, so each attempt was resumed at
-//! another healthy replica: within eight seconds ten of 39 replicas crashed, with the streams of other
-//! callers on them.
+//! Callers sent the same request again and again, each time under a new id, to whichever relay the
+//! load balancer chose. Each replica that started to run it crashed 30 to 120 ms later, before the
+//! first event. Relays remembered nothing of it beyond a single attempt, so each attempt was
+//! resumed at another healthy replica: within eight seconds ten of 39 replicas crashed, with the
+//! streams of other callers on them.
 
 mod harness;
 
@@ -38,8 +38,8 @@
 /// Pause between two events, and between the response head and the crash.
 const PAUSE: Duration = Duration::from_millis(10);
 
-/// Time between two attempts of a caller: long enough for several messages between relays, and well below
-/// the contact time.
+/// Time between two attempts of a caller: long enough for several messages between relays, and well
+/// below the contact time.
 const ATTEMPT_INTERVAL: Duration = Duration::from_millis(1_000);
 
 /// Time between two attempts at one relay: long enough for it to process a crash.
@@ -112,8 +112,8 @@
     relays
 }
 
-/// Relays of two data centres get the same request in turn, under a new id each time. It crashes three
-/// replicas and no more, and other requests of the caller are served throughout.
+/// Relays of two data centres get the same request in turn, under a new id each time. It crashes
+/// three replicas and no more, and other requests of the caller are served throughout.
 #[test]
 fn a_request_that_crashes_replicas_is_quarantined_at_all_relays() {
     run_test(async {
@@ -132,8 +132,8 @@
     });
 }
 
-/// A later stage of the path crashes when the request reaches it. Moving the running stream to another
-/// path counts as a send, too.
+/// A later stage of the path crashes when the request reaches it. Moving the running stream to
+/// another path counts as a send, too.
 #[test]
 fn a_request_that_crashes_later_stages_is_not_rerouted() {
     run_test(async {
@@ -191,8 +191,8 @@
     }
 }
 
-/// Requests to plain services may crash replicas as well. Those that may run only once are not retried,
-/// but are quarantined in the same way.
+/// Requests to plain services may crash replicas as well. Those that may run only once are not
+/// retried, but are quarantined in the same way.
 #[test]
 fn a_request_that_crashes_plain_replicas_is_quarantined() {
     for path in ["/safe/bad", "/once/bad"] {
@@ -223,7 +223,8 @@
     }
 }
 
-/// All relays end and lose their state. The relays that start next learn of the quarantine from the store.
+/// All relays end and lose their state. The relays that start next learn of the quarantine from the
+/// store.
 #[test]
 fn quarantines_survive_the_end_of_all_relays() {
     run_test(async {
--- a/crates/relay/tests/limits.rs
+++ b/crates/relay/tests/limits.rs
@@ -1,8 +1,8 @@
 //! Replicas whose responses name a rate limit for all relays together (`Server-Limit`).
 //!
-//! Relays once ignored these limits: in four seconds, four relays sent 87 requests to a replica that
-//! allowed 46, while another replica had free slots. A limit enforced by each relay on its own would
-//! not have been enough either, since it applies to all of them together.
+//! Relays once ignored these limits: in four seconds, four relays sent 87 requests to a replica
+//! that allowed 46, while another replica had free slots. A limit enforced by each relay on its own
+//! would not have been enough either, since it applies to all of them together.
 
 mod harness;
 
@@ -51,7 +51,8 @@
 struct RequestTimes(Arc<Mutex<Vec<Instant>>>);
 
 impl RequestTimes {
-    /// Returns the number of requests in the window that starts [`CONTACT_TIME`] after the first one.
+    /// Returns the number of requests in the window that starts [`CONTACT_TIME`] after the first
+    /// one.
     fn in_window(&self) -> usize {
         let times = self.0.lock().expect("no script panics");
         let from = *times.first().expect("a request arrived") + CONTACT_TIME;
--- a/crates/relay/tests/notices.rs
+++ b/crates/relay/tests/notices.rs
@@ -1,9 +1,9 @@
 //! Replicas that ask in their responses for a back-off (`Retry-After`), or announce that they are
 //! leaving (`Server-Leaving`).
 //!
-//! Relays once ignored `Retry-After`: after a rejection they avoided the replica for 250 ms, whatever it
-//! asked for. Two replicas that asked for three seconds each got eight requests of one relay in that
-//! time, and four times a second a caller paid for two sends that could not succeed.
+//! Relays once ignored `Retry-After`: after a rejection they avoided the replica for 250 ms,
+//! whatever it asked for. Two replicas that asked for three seconds each got eight requests of one
+//! relay in that time, and four times a second a caller paid for two sends that could not succeed.
 
 mod harness;
 
@@ -35,13 +35,15 @@
 /// Back-off that a replica asks for.
 const BACKOFF: Duration = Duration::from_millis(3_000);
 
-/// Time after the first rejection from which requests are counted; earlier ones may have been in flight.
+/// Time after the first rejection from which requests are counted; earlier ones may have been in
+/// flight.
 const IN_FLIGHT_TIME: Duration = Duration::from_millis(500);
 
 /// Maximum number of requests of one VM that may reach a replica during its back-off.
 const MAX_UNWANTED: usize = 2;
 
-/// Time over which the retries of callers are spread that were rejected until the same time, in seconds.
+/// Time over which the retries of callers are spread that were rejected until the same time, in
+/// seconds.
 const RETRY_SPREAD_S: f64 = 0.25;
 
 /// Pause between two requests of a caller.
@@ -60,8 +62,8 @@
     [REPORT_PATH, ORDER_PATH].contains(&request.target.as_str())
 }
 
-/// Arrival times of the requests at a replica, and whether the response to each had a notice: a back-off,
-/// or that the replica is leaving.
+/// Arrival times of the requests at a replica, and whether the response to each had a notice: a
+/// back-off, or that the replica is leaving.
 #[derive(Clone, Default)]
 struct RequestTimes(Arc<Mutex<Vec<(Instant, bool)>>>);
 
@@ -84,7 +86,8 @@
     }
 }
 
-/// A replica that rejects requests while `is_closed`, and asks for a back-off of `retry_after` seconds.
+/// A replica that rejects requests while `is_closed`, and asks for a back-off of `retry_after`
+/// seconds.
 fn rejects(
     is_closed: &Arc<AtomicBool>,
     retry_after: &'static str,
@@ -108,8 +111,8 @@
     Arc::new(AtomicBool::new(true))
 }
 
-/// A replica that rejects all requests and asks for a back-off of three seconds gets at most two more in
-/// that time. Another replica serves every caller.
+/// A replica that rejects all requests and asks for a back-off of three seconds gets at most two
+/// more in that time. Another replica serves every caller.
 #[test]
 fn a_backoff_is_respected() {
     for (path, entry) in
@@ -135,8 +138,8 @@
     }
 }
 
-/// While all replicas have asked for a back-off, callers are rejected at once, with the time at which the
-/// first replica accepts requests again. None of these requests is sent.
+/// While all replicas have asked for a back-off, callers are rejected at once, with the time at
+/// which the first replica accepts requests again. None of these requests is sent.
 #[test]
 fn callers_are_rejected_while_all_replicas_back_off() {
     for (path, entry) in
@@ -158,7 +161,8 @@
             assert_eq!(result.status, StatusCode::SERVICE_UNAVAILABLE, "{path}");
             let after = result.headers.get("retry-after").and_then(|value| value.to_str().ok());
             let after: f64 = after.and_then(|value| value.parse().ok()).expect("a time");
-            // Retries are spread over a quarter of a second, so that they do not arrive all at once.
+            // Retries are spread over a quarter of a second, so that they do not arrive all at
+            // once.
             assert!(after > 1.4 && after <= 4.0 + RETRY_SPREAD_S, "{path}: {after}");
             assert_eq!(times.iter().map(RequestTimes::len).sum::<usize>(), sent, "{path}");
         });
@@ -183,8 +187,8 @@
     }
 }
 
-/// After the end of a back-off, the requests that waited for it are not all sent at once. A single trial
-/// request finds out whether the replica accepts requests again.
+/// After the end of a back-off, the requests that waited for it are not all sent at once. A single
+/// trial request finds out whether the replica accepts requests again.
 #[test]
 fn a_backoff_ends_with_a_single_trial_request() {
     for (path, entry) in
@@ -210,8 +214,8 @@
     BoundSettings { drain_ms: 200.0, ..bounds() }
 }
 
-/// A replica that serves all requests and, while `is_leaving`, announces in each response that it is
-/// leaving. Its entry does not say so.
+/// A replica that serves all requests and, while `is_leaving`, announces in each response that it
+/// is leaving. Its entry does not say so.
 fn announces_leaving(
     is_leaving: &Arc<AtomicBool>,
     times: &RequestTimes,
--- a/crates/relay/tests/restarts.rs
+++ b/crates/relay/tests/restarts.rs
@@ -46,8 +46,8 @@
     }
 }
 
-/// The report of a restarted replica takes effect before its entry shows the restart. The layers that it
-/// holds are then unknown, so it gets no requests until its entry lists them.
+/// The report of a restarted replica takes effect before its entry shows the restart. The layers
+/// that it holds are then unknown, so it gets no requests until its entry lists them.
 #[test]
 fn a_report_of_a_restart_takes_effect_at_once() {
     run_test(async {
@@ -93,7 +93,8 @@
     });
 }
 
-/// Malformed entries of other writers, in a list or in a watch, do not affect the entries of replicas.
+/// Malformed entries of other writers, in a list or in a watch, do not affect the entries of
+/// replicas.
 #[test]
 fn entries_of_other_writers_are_ignored() {
     run_test(async {
@@ -111,7 +112,8 @@
             relay.store.put(REPLICA_KIND, &format!("j-{number}"), entry.clone());
         }
         assert!(relay.get("/stream/b", "b").await.is_complete, "in a watch");
-        // In place of the valid entry: it names no replica until the replica writes its entry again.
+        // In place of the valid entry: it names no replica until the replica writes its entry
+        // again.
         let mut attempt = 0;
         for entry in malformed {
             for (spec, expected) in
--- a/crates/relay/tests/settings.rs
+++ b/crates/relay/tests/settings.rs
@@ -18,8 +18,8 @@
     assert_eq!(settings.bounds.revoke_ms, 5_000.0);
 }
 
-/// The name gets the class of the processor share as prefix, so that names sort by it, the strongest
-/// first. Without a processor share the name stays as it is.
+/// The name gets the class of the processor share as prefix, so that names sort by it, the
+/// strongest first. Without a processor share the name stays as it is.
 #[test]
 fn names_sort_by_processor() {
     let named = |share: Option<f64>| {
@@ -97,7 +97,8 @@
     }
 }
 
-/// The platform computes some bounds from the size of a deployment, so any of them may have a fraction.
+/// The platform computes some bounds from the size of a deployment, so any of them may have a
+/// fraction.
 #[test]
 fn every_bound_takes_whole_and_fractional_numbers() {
     for (name, above) in BOUNDS {
