--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -8,13 +8,15 @@
 //!
 //! | module | purpose |
 //! |---|---|
-//! | [`serve`], [`request`], [`admit`] | requests of callers and their admission |
+//! | [`serve`], [`request`], [`admit`], [`responses`] | requests of callers, their admission and responses |
 //! | [`plain`] | requests to plain services |
 //! | [`stream`], [`response_head`], [`forward`], [`paths`] | streams over engines |
 //! | [`run_tracker`] | runs of requests at replicas, and evidence from lost runs |
 //! | [`pool`], [`engines`], [`probes`] | connections, calls and probes to replicas |
-//! | [`watch`], [`replicas`], [`snapshot`] | state from the store |
-//! | [`peers`], [`gossip`], [`messages`] | state exchanged with other relays |
+//! | [`state`] | what a relay knows, shared by its tasks |
+//! | [`watch`], [`replicas`], [`store_calls`] | state from the store |
+//! | [`registry`], [`peers`], [`gossip`], [`messages`] | other relays, and state exchanged with them |
+//! | [`snapshot`] | reads of the store that relays share with each other |
 //! | [`restore`] | writes that the store lost when it was restored from a backup |
 //! | [`notices`] | what replicas report of themselves in response headers |
 //! | [`limits`] | grants for replicas with a rate limit |
