--- a/crates/relay/src/engines.rs
+++ b/crates/relay/src/engines.rs
@@ -117,7 +117,7 @@
 }
 
 /// Returns a recent report of an engine: the cached one if it was requested less than
-/// [`REPORT_TTL`] ago, otherwise a new one. While a new one is being fetched, other callers get the
+/// `REPORT_TTL` ago, otherwise a new one. While a new one is being fetched, other callers get the
 /// previous state.
 pub async fn recent_report(relay: &Relay, address: SocketAddr) -> ReportState {
     let now = now_millis();
