--- a/crates/relay/src/counts.rs
+++ b/crates/relay/src/counts.rs
@@ -22,7 +22,7 @@
     pub quarantined: Cell<u64>,
     /// Rejections in which a replica asked this VM to back off (`Retry-After`).
     pub backoffs_asked: Cell<u64>,
-    /// Sends cancelled just before the write because of a back-off or a missing grant.
+    /// Sends cancelled just before the write because of a backoff or a missing grant.
     pub held_back: Cell<u64>,
     /// Replicas that announced in a response that they are leaving.
     pub leaving_told: Cell<u64>,
--- a/crates/relay/src/notices.rs
+++ b/crates/relay/src/notices.rs
@@ -1,7 +1,7 @@
-//! What replicas report of themselves in response headers: a back-off (`Retry-After`), a rate limit
+//! What replicas report of themselves in response headers: a backoff (`Retry-After`), a rate limit
 //! (`Server-Limit`), or that they are leaving (`Server-Leaving`).
 //!
-//! These notices apply to more than the request that they came with. A back-off or a limit delays
+//! These notices apply to more than the request that they came with. A backoff or a limit delays
 //! later requests of this relay to the replica. A leaving replica is treated as if the store listed
 //! it as draining, before the store does.
 
@@ -158,7 +158,7 @@
 }
 
 /// Returns the rejection of a request that no replica accepts. If all replicas that can start it
-/// are waiting out a back-off or a rate limit, it tells the caller when to retry; otherwise it is
+/// are waiting out a backoff or a rate limit, it tells the caller when to retry; otherwise it is
 /// `otherwise`. `can_start` tells which replicas can start the request.
 pub fn refusal_without_replica(
     relay: &Relay,
--- a/crates/relay/tests/notices.rs
+++ b/crates/relay/tests/notices.rs
@@ -1,4 +1,4 @@
-//! Replicas that ask in their responses for a back-off (`Retry-After`), or announce that they are
+//! Replicas that ask in their responses for a backoff (`Retry-After`), or announce that they are
 //! leaving (`Server-Leaving`).
 //!
 //! Relays once ignored `Retry-After`: after a rejection they avoided the replica for 250 ms,
@@ -32,14 +32,14 @@
 use switchfold_relay::settings::BoundSettings;
 use tokio::time::sleep;
 
-/// Back-off that a replica asks for.
+/// Backoff that a replica asks for.
 const BACKOFF: Duration = Duration::from_millis(3_000);
 
 /// Time after the first rejection from which requests are counted; earlier ones may have been in
 /// flight.
 const IN_FLIGHT_TIME: Duration = Duration::from_millis(500);
 
-/// Maximum number of requests of one VM that may reach a replica during its back-off.
+/// Maximum number of requests of one VM that may reach a replica during its backoff.
 const MAX_UNWANTED: usize = 2;
 
 /// Time over which the retries of callers are spread that were rejected until the same time, in
@@ -63,7 +63,7 @@
 }
 
 /// Arrival times of the requests at a replica, and whether the response to each had a notice: a
-/// back-off, or that the replica is leaving.
+/// backoff, or that the replica is leaving.
 #[derive(Clone, Default)]
 struct RequestTimes(Arc<Mutex<Vec<(Instant, bool)>>>);
 
@@ -72,7 +72,7 @@
         self.0.lock().expect("no script panics").push((Instant::now(), has_notice));
     }
 
-    /// Returns the number of requests during the back-off that the first notice asked for.
+    /// Returns the number of requests during the backoff that the first notice asked for.
     fn unwanted(&self, backoff: Duration) -> usize {
         let times = self.0.lock().expect("no script panics");
         let first = times.iter().find(|(_, has_notice)| *has_notice);
@@ -86,7 +86,7 @@
     }
 }
 
-/// A replica that rejects requests while `is_closed`, and asks for a back-off of `retry_after`
+/// A replica that rejects requests while `is_closed`, and asks for a backoff of `retry_after`
 /// seconds.
 fn rejects(
     is_closed: &Arc<AtomicBool>,
@@ -111,7 +111,7 @@
     Arc::new(AtomicBool::new(true))
 }
 
-/// A replica that rejects all requests and asks for a back-off of three seconds gets at most two
+/// A replica that rejects all requests and asks for a backoff of three seconds gets at most two
 /// more in that time. Another replica serves every caller.
 #[test]
 fn a_backoff_is_respected() {
@@ -138,7 +138,7 @@
     }
 }
 
-/// While all replicas have asked for a back-off, callers are rejected at once, with the time at
+/// While all replicas have asked for a backoff, callers are rejected at once, with the time at
 /// which the first replica accepts requests again. None of these requests is sent.
 #[test]
 fn callers_are_rejected_while_all_replicas_back_off() {
@@ -169,7 +169,7 @@
     }
 }
 
-/// A request waits for the end of a back-off if it can then still be served in time.
+/// A request waits for the end of a backoff if it can then still be served in time.
 #[test]
 fn a_short_backoff_is_waited_for() {
     for (path, entry) in
@@ -187,7 +187,7 @@
     }
 }
 
-/// After the end of a back-off, the requests that waited for it are not all sent at once. A single
+/// After the end of a backoff, the requests that waited for it are not all sent at once. A single
 /// trial request finds out whether the replica accepts requests again.
 #[test]
 fn a_backoff_ends_with_a_single_trial_request() {
@@ -202,7 +202,7 @@
             let before = times.len();
             let paths: Vec<String> = (0..20).map(|number| format!("{path}{number}")).collect();
             join_all(paths.iter().map(|path| relay.get(path, path))).await;
-            // The back-off may end two or three times while they wait.
+            // The backoff may end two or three times while they wait.
             let count = times.len() - before;
             assert!((1..=3).contains(&count), "{path}: {count}");
         });
