--- a/crates/relay/src/peers.rs
+++ b/crates/relay/src/peers.rs
@@ -220,7 +220,7 @@
         config_answer_age: message.config_answer_age,
         fleet_answer_age: message.fleet_answer_age,
         fleet_read_age: message.fleet_read_age,
-        keeps_limits: message.coordinates_limits,
+        coordinates_limits: message.coordinates_limits,
         is_member: message.is_member,
     }
 }
--- a/crates/relay/src/replicas.rs
+++ b/crates/relay/src/replicas.rs
@@ -43,10 +43,10 @@
     }
     let AppliedList { applied, awaited, missed, era_start } =
         relay.state.borrow_mut().fleet.apply_list(list, source, sent, now_millis());
-    if let Some(EraStart { era, doubted }) = era_start {
+    if let Some(EraStart { era, unconfirmed }) = era_start {
         count(&relay.counts.store_copies);
         let (listed, awaited) = (applied.len(), awaited.len());
-        tracing::warn!(event = "store-copy", era, at, %source, listed, awaited, doubted);
+        tracing::warn!(event = "store-copy", era, at, %source, listed, awaited, doubted = unconfirmed);
     }
     for (update, held) in missed {
         count(&relay.counts.passed_changes);
--- a/crates/router/src/membership.rs
+++ b/crates/router/src/membership.rs
@@ -70,7 +70,7 @@
     /// one that reads for it, in milliseconds.
     pub fleet_answer_age: Option<Millis>,
     /// Whether it coordinates rate limits of replicas.
-    pub keeps_limits: bool,
+    pub coordinates_limits: bool,
     /// Whether it reports to speakers (see `gossip`); a member gives no orders.
     pub is_member: bool,
 }
@@ -149,7 +149,7 @@
     /// Returns the peers that coordinate rate limits, by their own report or by that of a relay
     /// that hears them.
     pub fn coordinators(&self, now: Millis) -> impl Iterator<Item = CoordinatorPeer<'_>> {
-        let coordinators = self.peers.iter().filter(move |(_, peer)| peer.keeps_limits(now));
+        let coordinators = self.peers.iter().filter(move |(_, peer)| peer.coordinates_limits(now));
         coordinators.map(|(name, peer)| CoordinatorPeer {
             name,
             address: peer.address,
--- a/crates/router/src/membership/gossip.rs
+++ b/crates/router/src/membership/gossip.rs
@@ -157,7 +157,7 @@
     /// Returns the hashes of the other relays that coordinate rate limits, as far as this relay or
     /// its speakers hear them.
     pub fn coordinator_hashes(&self, now: Millis) -> Vec<u32> {
-        let coordinators = self.peers.values().filter(|peer| peer.keeps_limits(now));
+        let coordinators = self.peers.values().filter(|peer| peer.coordinates_limits(now));
         coordinators.map(|peer| peer.hash).collect()
     }
 
@@ -327,10 +327,10 @@
 
     /// Returns whether relays ask it for grants of rate limits, by its own report or by that of a
     /// relay that hears it.
-    pub(super) fn keeps_limits(&self, now: Millis) -> bool {
+    pub(super) fn coordinates_limits(&self, now: Millis) -> bool {
         let is_reported =
             self.coordinator_reported.is_some_and(|at| now.saturating_sub(at) < PEER_TIMEOUT);
-        self.is_live(now) && self.state.keeps_limits || is_reported
+        self.is_live(now) && self.state.coordinates_limits || is_reported
     }
 
     /// Returns whether nobody has heard it for so long that its VM must be gone.
--- a/crates/router/src/replicas.rs
+++ b/crates/router/src/replicas.rs
@@ -104,26 +104,30 @@
     /// The era.
     pub era: u64,
     /// Number of listed replicas that this relay knows to be gone, and does not add again for now.
-    pub doubted: usize,
+    pub unconfirmed: usize,
 }
 
 /// Time after the first list of an era during which no instance that was known to be gone is added
 /// again, in milliseconds. A backup lists replicas that have ended since, until the store misses
 /// three of their heartbeats, which are 1.2 s apart.
-const DOUBT_PERIOD: Millis = 3_800;
+const CONFIRMATION_PERIOD: Millis = 3_800;
 
 /// Listed replicas that are not added for now, since they come from a backup of the store and were
 /// gone before.
 #[derive(Clone, Debug, Default)]
-struct DoubtedUpdates {
+struct UnconfirmedUpdates {
     until: Millis,
     updates: BTreeMap<String, ReplicaUpdate>,
 }
 
-impl DoubtedUpdates {
-    /// Drops the doubted entry of a replica if the update is newer.
+impl UnconfirmedUpdates {
+    /// Drops the unconfirmed entry of a replica if the update is newer.
     fn record_update(&mut self, update: &ReplicaUpdate) {
-        if self.updates.get(&update.id).is_some_and(|doubted| doubted.revision < update.revision) {
+        if self
+            .updates
+            .get(&update.id)
+            .is_some_and(|unconfirmed| unconfirmed.revision < update.revision)
+        {
             self.updates.remove(&update.id);
         }
     }
@@ -135,7 +139,7 @@
     /// The listed replicas.
     pub view: FleetView,
     missing: MissingEntries,
-    doubted: DoubtedUpdates,
+    unconfirmed: UnconfirmedUpdates,
     lease: FreshnessLease,
     read_up_to: u64,
     /// When the store last answered this relay itself.
@@ -185,11 +189,12 @@
         if is_new_era {
             self.missing.record_restore(sent);
             self.view.pin_draining();
-            self.doubted = DoubtedUpdates { until: now + DOUBT_PERIOD, updates: BTreeMap::new() };
+            self.unconfirmed =
+                UnconfirmedUpdates { until: now + CONFIRMATION_PERIOD, updates: BTreeMap::new() };
         }
-        self.set_aside_doubted(&mut listed, now);
-        result.era_start =
-            is_new_era.then(|| EraStart { era: era_of(at), doubted: self.doubted.updates.len() });
+        self.set_aside_unconfirmed(&mut listed, now);
+        result.era_start = is_new_era
+            .then(|| EraStart { era: era_of(at), unconfirmed: self.unconfirmed.updates.len() });
         for id in self.view.missing_from(&listed, at) {
             match self.missing.should_keep(&id, at, sent) {
                 true => result.awaited.push(id),
@@ -204,15 +209,15 @@
     }
 
     /// Removes from a list those replicas that were gone before the store was restored from a
-    /// backup. Doubted entries of an earlier list that this one lacks have ended.
-    fn set_aside_doubted(&mut self, listed: &mut Vec<ReplicaUpdate>, now: Millis) {
-        self.doubted.updates.clear();
-        if now >= self.doubted.until {
+    /// backup. Unconfirmed entries of an earlier list that this one lacks have ended.
+    fn set_aside_unconfirmed(&mut self, listed: &mut Vec<ReplicaUpdate>, now: Millis) {
+        self.unconfirmed.updates.clear();
+        if now >= self.unconfirmed.until {
             return;
         }
         let was_removed = |update: &mut ReplicaUpdate| self.view.was_removed_before(update);
         for update in listed.extract_if(.., was_removed) {
-            self.doubted.updates.insert(update.id.clone(), update);
+            self.unconfirmed.updates.insert(update.id.clone(), update);
         }
     }
 
@@ -274,7 +279,7 @@
         now: Millis,
     ) -> AppliedUpdate {
         let update = self.check_start(update);
-        self.doubted.record_update(&update);
+        self.unconfirmed.record_update(&update);
         let (id, revision) = (update.id.clone(), update.revision);
         let layers = update.entry.as_ref().and_then(|entry| entry.layers);
         let known = self.view.get(&id).map(|entry| (entry.instance.clone(), entry.address));
@@ -450,21 +455,22 @@
         gone.collect()
     }
 
-    /// Returns whether the store is to be read again, since entries were doubted and the time for
+    /// Returns whether the store is to be read again, since entries were unconfirmed and the time for
     /// that is over. A relay that relies on another one's reads has not heard whether they are
     /// still listed, and may have missed it.
     pub fn needs_full_list(&self, now: Millis) -> bool {
-        !self.doubted.updates.is_empty() && now >= self.doubted.until
+        !self.unconfirmed.updates.is_empty() && now >= self.unconfirmed.until
     }
 
     /// Returns the listed updates that end a doubt. Relays that rely on this one's reads must hear
-    /// of them at once, since doubted entries are not in the digests that they compare.
+    /// of them at once, since unconfirmed entries are not in the digests that they compare.
     pub fn confirmed_by(&self, list: &FleetList, now: Millis) -> Vec<ReplicaUpdate> {
         // The first list of another era belongs to another backup, and starts another doubt.
         if !self.needs_full_list(now) || era_of(list.at) != era_of(self.read_up_to) {
             return Vec::new();
         }
-        let is_confirmed = |update: &&ReplicaUpdate| self.doubted.updates.contains_key(&update.id);
+        let is_confirmed =
+            |update: &&ReplicaUpdate| self.unconfirmed.updates.contains_key(&update.id);
         list.listed.iter().filter(is_confirmed).cloned().collect()
     }
 
--- a/crates/router/tests/gossip_model/mod.rs
+++ b/crates/router/tests/gossip_model/mod.rs
@@ -334,7 +334,7 @@
         let Message { stamp, report, is_member, .. } = *message;
         let own = &mut self.relays[to];
         own.peers.upsert(&name, address(from), &data_centre, now);
-        let state = PeerState { keeps_limits: !is_member, is_member, ..PeerState::default() };
+        let state = PeerState { coordinates_limits: !is_member, is_member, ..PeerState::default() };
         if !own.peers.record_message(&name, state, stamp, now) {
             return;
         }
--- a/crates/router/tests/limit_model/mod.rs
+++ b/crates/router/tests/limit_model/mod.rs
@@ -501,7 +501,8 @@
             rows.iter().map(|(id, report)| (id[2..].parse().expect("a number"), *report)).collect()
         };
         let (changed, page) = (read(&changed), read(&page));
-        let state = PeerState { keeps_limits: clock >= COORDINATES_AFTER, ..PeerState::default() };
+        let state =
+            PeerState { coordinates_limits: clock >= COORDINATES_AFTER, ..PeerState::default() };
         let stamp = PeerStamp { incarnation: local.started_at as u32, time: clock };
         let recent: Vec<(usize, usize)> =
             local.recent_requests.iter().map(|(replica, times)| (*replica, times.len())).collect();
--- a/crates/router/tests/membership.rs
+++ b/crates/router/tests/membership.rs
@@ -25,7 +25,7 @@
             config_answer_age: Some(100),
             fleet_answer_age: Some(100),
             fleet_read_age: None,
-            keeps_limits: false,
+            coordinates_limits: false,
             is_member: false,
         };
         table.record_message(name, state, PeerStamp::default(), now);
--- a/crates/router/tests/model/relay.rs
+++ b/crates/router/tests/model/relay.rs
@@ -538,7 +538,7 @@
             config_answer_age: self.config_lease.answer_age(now),
             fleet_answer_age: self.fleet.answer_age(now),
             fleet_read_age: self.fleet.read_age(now),
-            keeps_limits: false,
+            coordinates_limits: false,
             is_member: false,
         };
         let stamp = PeerStamp { incarnation: self.number as u32, time: now };
