--- a/crates/relay/src/gossip.rs
+++ b/crates/relay/src/gossip.rs
@@ -305,7 +305,7 @@
     let mut state = relay.state.borrow_mut();
     state.memory_reservations.expire(now);
     state.slot_reservations.expire(now);
-    state.quarantine.forget(now);
+    state.quarantine.expire(now);
     let suspects = state.suspects.shared_with(audience, now);
     let stalls = state.stalls.shared_with(audience, now);
     let slowdowns = state.slowdowns.shared_with(audience, now);
--- a/crates/relay/src/limits.rs
+++ b/crates/relay/src/limits.rs
@@ -354,7 +354,7 @@
 fn drop_outdated(relay: &Relay) {
     let mut guard = relay.state.borrow_mut();
     let RelayState { limits, grants, issuer, fleet, .. } = &mut *guard;
-    limits.forget(|id| fleet.view.get(id).is_some(), now_millis());
+    limits.expire(|id| fleet.view.get(id).is_some(), now_millis());
     grants.retain(|id| limits.limit(id).is_some());
     issuer.retain(|id| limits.limit(id).is_some());
 }
--- a/crates/relay/src/registry.rs
+++ b/crates/relay/src/registry.rs
@@ -226,8 +226,8 @@
             }
         }
         let mut state = relay.state.borrow_mut();
-        state.peers.forget(&name);
-        state.clocks.forget(&name);
+        state.peers.remove(&name);
+        state.clocks.remove(&name);
         drop(state);
         tracing::info!(event = "peer-forgotten", name, removes);
     }
--- a/crates/relay/src/replicas.rs
+++ b/crates/relay/src/replicas.rs
@@ -266,9 +266,9 @@
         let mut state = relay.state.borrow_mut();
         state.suspects.clear(instance);
         state.short_of_memory.clear(instance);
-        state.stalls.forget(instance);
+        state.stalls.remove(instance);
         state.service_loads.forget(instance);
-        state.slowdowns.forget(instance);
+        state.slowdowns.remove(instance);
     }
     relay.pool.close_idle(address);
     relay.reports.remove(address);
--- a/crates/router/src/budget.rs
+++ b/crates/router/src/budget.rs
@@ -64,7 +64,7 @@
     /// Returns whether the budget allows one more retry. `relays` is the number of relays that
     /// share the allowance.
     pub fn can_retry(&mut self, config: &BudgetConfig, relays: usize, now: Millis) -> bool {
-        self.forget(config.window, now);
+        self.expire(config.window, now);
         let requests: u32 = self.buckets.iter().map(|bucket| bucket.requests).sum();
         let retries: u32 = self.buckets.iter().map(|bucket| bucket.retries).sum();
         let share = config.allowance / relays.max(1) as f64;
@@ -92,7 +92,7 @@
         self.buckets.back_mut().expect("a bucket was pushed")
     }
 
-    fn forget(&mut self, window: Millis, now: Millis) {
+    fn expire(&mut self, window: Millis, now: Millis) {
         let cutoff = now.saturating_sub(window + BUCKET);
         while self.buckets.front().is_some_and(|bucket| bucket.start < cutoff) {
             self.buckets.pop_front();
--- a/crates/router/src/clocks.rs
+++ b/crates/router/src/clocks.rs
@@ -30,7 +30,7 @@
     }
 
     /// Removes a relay.
-    pub fn forget(&mut self, peer: &str) {
+    pub fn remove(&mut self, peer: &str) {
         self.differences.remove(peer);
     }
 }
--- a/crates/router/src/grants.rs
+++ b/crates/router/src/grants.rs
@@ -93,7 +93,7 @@
 }
 
 impl ReplicaGrants {
-    fn forget(&mut self, now: Millis) {
+    fn expire(&mut self, now: Millis) {
         drop_until(&mut self.expiries, now);
         drop_until(&mut self.misses, now.saturating_sub(GRANT_TTL));
         drop_until(&mut self.sends, now.saturating_sub(RATE_PERIOD));
@@ -170,7 +170,7 @@
     /// If no grant is available, returns the estimated time until there is one, in milliseconds.
     pub fn spend(&mut self, id: &str, rank: u8, now: Millis) -> Result<Millis, Millis> {
         let replica = self.replica(id);
-        replica.forget(now);
+        replica.expire(now);
         if !replica.is_available(rank, now) {
             return Err(replica.estimate_wait(now));
         }
@@ -199,7 +199,7 @@
     /// Records that a request went elsewhere for lack of a grant for this replica.
     pub fn record_miss(&mut self, id: &str, now: Millis) {
         let replica = self.replica(id);
-        replica.forget(now);
+        replica.expire(now);
         if replica.misses.len() < MAX_REQUESTED {
             replica.misses.push_back(now);
         }
@@ -247,7 +247,7 @@
     pub fn due_requests(&mut self, now: Millis) -> Vec<GrantRequest> {
         let mut due = Vec::new();
         for (id, replica) in &mut self.replicas {
-            replica.forget(now);
+            replica.expire(now);
             let count = replica.shortfall(now);
             if count == 0 {
                 replica.retry_pause = MIN_RETRY_PAUSE;
--- a/crates/router/src/issuer.rs
+++ b/crates/router/src/issuer.rs
@@ -80,7 +80,7 @@
         self.requests.retain(|request| request.count > 0);
     }
 
-    fn forget(&mut self, now: Millis) {
+    fn expire(&mut self, now: Millis) {
         self.requests.retain(|request| now.saturating_sub(request.received) < request.valid_for);
         self.requesters.retain(|_, received| now.saturating_sub(*received) < SHARE_PERIOD);
     }
@@ -95,7 +95,7 @@
     }
 
     fn issue(&mut self, rate: f64, reported: i64, now: Millis) -> Vec<IssuedGrants> {
-        self.forget(now);
+        self.expire(now);
         let share = rate / self.requesters.len().max(1) as f64;
         let clock = now as f64;
         // The lag is made up for at the current rate, so that a replica whose limit fell is not
--- a/crates/router/src/limits.rs
+++ b/crates/router/src/limits.rs
@@ -105,7 +105,7 @@
 
     /// Drops expired reports that impose no limit, and expired reports of replicas that are no
     /// longer listed.
-    pub fn forget(&mut self, is_listed: impl Fn(&str) -> bool, now: Millis) {
+    pub fn expire(&mut self, is_listed: impl Fn(&str) -> bool, now: Millis) {
         let cutoff = now as i64 - REPORT_RETENTION;
         let is_in_force =
             |id: &str, entry: &LimitEntry| entry.report.per_second.is_some() && is_listed(id);
--- a/crates/router/src/membership.rs
+++ b/crates/router/src/membership.rs
@@ -33,10 +33,10 @@
 /// Age of its own proof of the configuration from which a relay redirects new callers to peers with
 /// a younger proof, in milliseconds. It is above the age that a relay has whose peers read the
 /// store for it, and one second below the age at which keys are refused under a usual bound of 5 s.
-pub const STEP_ASIDE_AGE: Millis = 2_600;
+pub const REDIRECT_AGE: Millis = 2_600;
 
-/// Like [`STEP_ASIDE_AGE`], for a relay whose last read of the configuration failed.
-pub const STEP_ASIDE_AGE_LOST: Millis = 1_300;
+/// Like [`REDIRECT_AGE`], for a relay whose last read of the configuration failed.
+pub const REDIRECT_AGE_LOST: Millis = 1_300;
 
 /// Silence after which a peer is removed from the table, in milliseconds. It spans several windows
 /// of the shared retry budget, so that a relay that is only cut off keeps its share. The
@@ -207,7 +207,7 @@
     }
 
     /// Removes a peer.
-    pub fn forget(&mut self, name: &str) {
+    pub fn remove(&mut self, name: &str) {
         self.peers.remove(name);
     }
 
@@ -297,7 +297,7 @@
     /// relay hears none of its peers and is cut off itself. If all relays have lost the store, none
     /// redirects its callers.
     pub fn should_redirect(&self, own_age: Millis, is_lost: bool, now: Millis) -> bool {
-        let max_age = if is_lost { STEP_ASIDE_AGE_LOST } else { STEP_ASIDE_AGE };
+        let max_age = if is_lost { REDIRECT_AGE_LOST } else { REDIRECT_AGE };
         if own_age < max_age || self.peers.is_empty() {
             return false;
         }
--- a/crates/router/src/quarantine.rs
+++ b/crates/router/src/quarantine.rs
@@ -371,7 +371,7 @@
     }
 
     /// Drops expired state and ends expired quarantines.
-    pub fn forget(&mut self, now: Millis) {
+    pub fn expire(&mut self, now: Millis) {
         self.pending.retain(|run| now.saturating_sub(run.lost) <= CRASH_DETECTION_TIME);
         self.crashes.retain(|(_, at)| now.saturating_sub(*at) <= CRASH_RETENTION);
         self.cleared.retain(|(_, at)| now.saturating_sub(*at) < SHARE_TIME);
--- a/crates/router/src/slowdown.rs
+++ b/crates/router/src/slowdown.rs
@@ -45,7 +45,7 @@
                 instance,
                 EngineSlowdown { factor, received: now, origin: UpdateOrigin::Local },
             ),
-            false => self.forget(instance),
+            false => self.remove(instance),
         }
         was_slow != is_slow
     }
@@ -85,7 +85,7 @@
     }
 
     /// Removes an engine that is gone.
-    pub fn forget(&mut self, instance: &ReplicaInstance) {
+    pub fn remove(&mut self, instance: &ReplicaInstance) {
         self.slowdowns.remove(instance);
     }
 
--- a/crates/router/src/stall.rs
+++ b/crates/router/src/stall.rs
@@ -226,7 +226,7 @@
     }
 
     /// Removes a replica that has ended.
-    pub fn forget(&mut self, instance: &ReplicaInstance) {
+    pub fn remove(&mut self, instance: &ReplicaInstance) {
         self.stalls.clear(instance);
         self.first_replicas.remove(instance);
     }
--- a/crates/router/tests/crash_model/mod.rs
+++ b/crates/router/tests/crash_model/mod.rs
@@ -201,7 +201,7 @@
                 Step::FinishRun { run } => self.finish_run(run, now),
                 Step::Sync { relay, round } => {
                     self.sync(relay, round.is_multiple_of(2), now);
-                    self.tables[relay].forget(now);
+                    self.tables[relay].expire(now);
                     self.schedule(now + SYNC_INTERVAL, Step::Sync { relay, round: round + 1 });
                 }
                 Step::Restart { replica } => {
--- a/crates/router/tests/crashes.rs
+++ b/crates/router/tests/crashes.rs
@@ -72,7 +72,7 @@
     for (name, runs, is_quarantined) in rows {
         let mut table = QuarantineTable::default();
         for (replica, sent, lost) in runs {
-            table.forget(*sent);
+            table.expire(*sent);
             crash(&mut table, 1, *replica, (*sent, *lost));
         }
         let (_, _, last) = runs[runs.len() - 1];
@@ -163,11 +163,11 @@
     }
     let end = 2_100 + QUARANTINE_TIME;
     assert_eq!(table.remaining(&request(1), end - 1), Some(1));
-    table.forget(end);
+    table.expire(end);
     assert_eq!(table.remaining(&request(1), end), None);
     let mut undisturbed = table.clone();
     assert!(crash(&mut table, 1, 8, (end + 10, end + 100)));
-    undisturbed.forget(end + RUN_RETENTION);
+    undisturbed.expire(end + RUN_RETENTION);
     assert_eq!(undisturbed.tracked_count(), 0);
 }
 
--- a/crates/router/tests/limit_model/mod.rs
+++ b/crates/router/tests/limit_model/mod.rs
@@ -491,9 +491,9 @@
     fn sync(&mut self, relay: usize, round: u64, now: u64) {
         let clock = now - self.relays[relay].started_at;
         let local = &mut self.relays[relay];
-        local.limits.forget(|_| true, clock);
+        local.limits.expire(|_| true, clock);
         for name in local.peers.expired(clock) {
-            local.peers.forget(&name);
+            local.peers.remove(&name);
         }
         let changed: Vec<_> = local.limits.changed_since(clock.saturating_sub(1_300)).collect();
         let page: Vec<_> = local.limits.page(round as usize, 8).collect();
--- a/crates/router/tests/membership.rs
+++ b/crates/router/tests/membership.rs
@@ -6,7 +6,7 @@
     freshness::FreshnessLease,
     membership::{
         MAX_PEER_READ_AGE, PEER_EXPIRY, PEER_TIMEOUT, PeerProof, PeerStamp, PeerState, PeerTable,
-        STEP_ASIDE_AGE, STEP_ASIDE_AGE_LOST, proof_time,
+        REDIRECT_AGE, REDIRECT_AGE_LOST, proof_time,
     },
 };
 
@@ -124,7 +124,7 @@
     assert_eq!(table.expired(999 + PEER_EXPIRY), Vec::<String>::new());
     assert_eq!(table.expired(1_000 + PEER_EXPIRY), ["a"]);
     assert_eq!(table.expired(50_000 + PEER_EXPIRY), ["a", "b", "c"]);
-    table.forget("a");
+    table.remove("a");
     assert_eq!(table.known_count(), 2);
 }
 
@@ -134,19 +134,19 @@
 fn a_relay_that_lost_the_store_alone_redirects_callers() {
     let now = 10_000;
     let peers = table(&[("b", "north"), ("c", "south")], now);
-    assert!(peers.should_redirect(STEP_ASIDE_AGE, false, now));
-    assert!(peers.should_redirect(STEP_ASIDE_AGE_LOST, true, now));
-    assert!(!peers.should_redirect(STEP_ASIDE_AGE_LOST, false, now), "a usual age");
-    assert!(!peers.should_redirect(STEP_ASIDE_AGE_LOST - 1, true, now), "one failed read");
-    assert!(!PeerTable::default().should_redirect(STEP_ASIDE_AGE, true, now), "it is alone");
-    let all_lost = now + STEP_ASIDE_AGE;
+    assert!(peers.should_redirect(REDIRECT_AGE, false, now));
+    assert!(peers.should_redirect(REDIRECT_AGE_LOST, true, now));
+    assert!(!peers.should_redirect(REDIRECT_AGE_LOST, false, now), "a usual age");
+    assert!(!peers.should_redirect(REDIRECT_AGE_LOST - 1, true, now), "one failed read");
+    assert!(!PeerTable::default().should_redirect(REDIRECT_AGE, true, now), "it is alone");
+    let all_lost = now + REDIRECT_AGE;
     let mut old = table(&[("b", "north")], all_lost);
-    let state = PeerState { config_age: Some(STEP_ASIDE_AGE), ..PeerState::default() };
+    let state = PeerState { config_age: Some(REDIRECT_AGE), ..PeerState::default() };
     old.record_message("b", state, PeerStamp::default(), all_lost);
-    assert!(!old.should_redirect(STEP_ASIDE_AGE + 100, true, all_lost), "nobody has the store");
+    assert!(!old.should_redirect(REDIRECT_AGE + 100, true, all_lost), "nobody has the store");
     let silent = now + PEER_TIMEOUT;
-    assert!(peers.should_redirect(STEP_ASIDE_AGE_LOST, true, silent), "it is cut off from all");
-    assert!(!peers.should_redirect(STEP_ASIDE_AGE, false, silent), "the store answers it");
+    assert!(peers.should_redirect(REDIRECT_AGE_LOST, true, silent), "it is cut off from all");
+    assert!(!peers.should_redirect(REDIRECT_AGE, false, silent), "the store answers it");
 }
 
 /// A relay reads on behalf of another one until it reports a failed read, not until its last proof
