--- a/crates/ctl/src/ask.rs
+++ b/crates/ctl/src/ask.rs
@@ -1,4 +1,4 @@
-//! Sending a statement to an entry.
+//! Sends a statement to an entry.
 
 use std::time::Duration;
 
@@ -11,72 +11,72 @@
 
 use crate::table::render_table;
 
-/// Largest answer, in bytes.
-const MOST_ANSWER: usize = 64 << 20;
+/// Largest response, in bytes.
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
-/// What to ask, and whom.
+/// Statement, entry and output format of one call.
 #[derive(Clone, Debug)]
-pub struct AskRequest {
-    /// Address of an entry.
+pub struct AskOptions {
+    /// Address of an entry: host and port.
     pub entry: String,
-    /// The operators' token.
+    /// Bearer token of the operators.
     pub token: String,
-    /// The statement.
+    /// Statement in the operators' language.
     pub statement: String,
-    /// Id of the command; the same id again does not do it twice.
+    /// Id of the command, if it has one. The same id again does not run it twice.
     pub command: Option<String>,
-    /// Print JSON instead of a table.
+    /// Whether to return JSON instead of a table.
     pub json: bool,
-    /// How long to wait.
-    pub patience: Duration,
+    /// Time to wait for the response.
+    pub timeout: Duration,
 }
 
-/// Why a statement gave no result.
+/// Why a statement has no result.
 #[derive(Debug, Display, Error)]
 pub enum AskError {
-    /// The entry's address or the token is not one.
+    /// The entry's address or the token cannot be part of a request.
     #[display("--entry or --token: {source}")]
-    Malformed {
-        /// What is wrong.
+    InvalidArgument {
+        /// Error of the request builder.
         source: http::Error,
     },
-    /// The entry cannot be reached, or gave no answer.
+    /// The entry cannot be reached, or did not respond.
     #[display("{source}")]
     Call {
-        /// What happened.
+        /// Error of the call.
         source: CallError,
     },
     /// The entry refused the statement.
     #[display("{message}")]
     Refused {
-        /// Why.
+        /// Message of the entry.
         message: String,
     },
 }
 
-/// Sends a statement; gives the text to print.
+/// Sends a statement and returns the text to print.
 ///
 /// # Errors
 ///
 /// See [`AskError`].
-pub async fn ask(asked: &AskRequest) -> Result<String, AskError> {
+pub async fn ask(options: &AskOptions) -> Result<String, AskError> {
     let mut request = Request::builder()
         .method("POST")
-        .uri(format!("http://{}/v1/operator", asked.entry))
-        .header("authorization", format!("Bearer {}", asked.token));
-    if let Some(command) = &asked.command {
+        .uri(format!("http://{}/v1/operator", options.entry))
+        .header("authorization", format!("Bearer {}", options.token));
+    if let Some(command) = &options.command {
         request = request.header("switchfold-command", command);
     }
-    let body = Full::new(asked.statement.clone().into());
-    let request = request.body(body).map_err(|source| AskError::Malformed { source })?;
-    let http = HttpClient::new(asked.patience, MOST_ANSWER);
-    let answer = http.call(request).await.map_err(|source| AskError::Call { source })?;
-    let value: Value = serde_json::from_slice(&answer.body).unwrap_or(Value::Null);
-    if answer.status != StatusCode::OK {
-        let message = refusal_text(asked, answer.status, &value);
+    let body = Full::new(options.statement.clone().into());
+    let request = request.body(body).map_err(|source| AskError::InvalidArgument { source })?;
+    let http = HttpClient::new(options.timeout, MAX_RESPONSE_BYTES);
+    let response = http.call(request).await.map_err(|source| AskError::Call { source })?;
+    let value: Value = serde_json::from_slice(&response.body).unwrap_or(Value::Null);
+    if response.status != StatusCode::OK {
+        let message = refusal_text(options, response.status, &value);
         return Err(AskError::Refused { message });
     }
-    if asked.json {
+    if options.json {
         return Ok(value.to_string());
     }
     Ok(match serde_json::from_value::<ResultTable>(value.clone()) {
@@ -86,25 +86,26 @@
 }
 
 fn accepted_text(value: &Value) -> String {
-    let text = |name: &str| value.get(name).map(plain).unwrap_or_default();
+    let text = |name: &str| value.get(name).map(plain_text).unwrap_or_default();
     format!("accepted: {} {:?} is at version {}", text("kind"), text("name"), text("version"))
 }
 
-fn plain(value: &Value) -> String {
+fn plain_text(value: &Value) -> String {
     match value {
         Value::String(text) => text.clone(),
         other => other.to_string(),
     }
 }
 
-/// What the entry said; a mistake in the statement is pointed at.
-fn refusal_text(asked: &AskRequest, status: StatusCode, value: &Value) -> String {
+/// Returns the entry's message. For a syntax error it also shows the line and marks the column.
+fn refusal_text(options: &AskOptions, status: StatusCode, value: &Value) -> String {
     let nested = value.get("error").unwrap_or(value);
-    let message = nested.get("message").map(plain).unwrap_or_else(|| status.to_string());
-    let place = |name: &str| value.get(name).and_then(Value::as_u64).map(|place| place as usize);
-    let (Some(line), Some(column)) = (place("line"), place("column")) else {
+    let message = nested.get("message").map(plain_text).unwrap_or_else(|| status.to_string());
+    let position =
+        |name: &str| value.get(name).and_then(Value::as_u64).map(|position| position as usize);
+    let (Some(line), Some(column)) = (position("line"), position("column")) else {
         return message;
     };
-    let text = asked.statement.lines().nth(line - 1).unwrap_or_default();
+    let text = options.statement.lines().nth(line - 1).unwrap_or_default();
     format!("{message}\n  {text}\n  {}^", " ".repeat(column.saturating_sub(1)))
 }
--- a/crates/ctl/src/bin/switchfold-ctl.rs
+++ b/crates/ctl/src/bin/switchfold-ctl.rs
@@ -1,4 +1,4 @@
-//! The operators' command line as a program.
+//! The operators' command-line program.
 
 use std::{path::PathBuf, process::ExitCode, time::Duration};
 
@@ -6,20 +6,20 @@
 use sha2::{Digest, Sha256};
 use switchfold_ctl::{
     account::account_files,
-    ask::{AskError, AskRequest, ask},
+    ask::{AskError, AskOptions, ask},
     calls::count_call_files,
     check::{SettingsKind, check_settings},
     explain::explain_files,
     inspect::{
-        InspectError, PlacementWay, SubsetSize, describe_bound, describe_placement,
+        InspectError, PlacementMethod, SubsetSize, describe_bound, describe_placement,
         describe_subsets, read_deployment,
     },
 };
 use switchfold_kernel::exit::{FAILED, OK, UNAVAILABLE, USAGE, fail};
 
-/// Asks entries, checks settings, and shows what would be decided.
+/// Sends statements to entries, checks settings, computes decisions and analyses logs.
 ///
-/// Exit codes: 0 well; 1 refused or faulty; 2 wrong arguments; 3 the entry cannot be reached.
+/// Exit codes: 0 success; 1 refused or invalid; 2 invalid arguments; 3 the entry cannot be reached.
 #[derive(Debug, Parser)]
 #[command(
     version,
@@ -40,23 +40,23 @@
         /// The operators' bearer token.
         #[arg(long, env = "SWITCHFOLD_TOKEN", hide_env_values = true)]
         token: String,
-        /// Id of the command: letters, digits and -.
+        /// Id of the command: letters, digits and -. The same id again does not run it twice.
         #[arg(long)]
         command: Option<String>,
         /// Print JSON instead of a table.
         #[arg(long)]
         json: bool,
-        /// Seconds to wait for an answer.
-        #[arg(long, default_value_t = 10)]
-        patience: u64,
-        /// The statement.
+        /// Seconds to wait for the response.
+        #[arg(long = "patience", value_name = "PATIENCE", default_value_t = 10)]
+        timeout_s: u64,
+        /// Statement to run.
         statement: String,
     },
-    /// Check a settings file and print every fault.
+    /// Check a settings file and print every error.
     Check {
-        /// Whose settings.
+        /// Program that the settings are for.
         kind: SettingsKind,
-        /// The file.
+        /// Settings file.
         #[arg(long, value_name = "FILE")]
         settings: PathBuf,
     },
@@ -65,31 +65,31 @@
         #[command(subcommand)]
         subject: InspectSubject,
     },
-    /// Put the log lines of one request in order, and name the one that decided its end.
+    /// Print the log lines of one request in order of time, and the one that decided its outcome.
     Explain {
-        /// Id of the caller's attempt.
+        /// Id of the request, that is of one attempt of the caller.
         request: String,
-        /// Log files, of one process each or of several put together.
+        /// Log files, each of one process or of several combined.
         #[arg(long, value_name = "FILE", num_args = 1.., required = true)]
         logs: Vec<PathBuf>,
     },
     /// Count why requests were late, refused or failed, from the relays' logs.
     Account {
-        /// Log files, of one process each or of several put together.
+        /// Log files, each of one process or of several combined.
         #[arg(long, value_name = "FILE", num_args = 1.., required = true)]
         logs: Vec<PathBuf>,
-        /// Milliseconds of a row of the table by time.
-        #[arg(long, default_value_t = 2_000)]
-        every: u64,
+        /// Milliseconds that a row of the table by time covers.
+        #[arg(long = "every", value_name = "EVERY", default_value_t = 2_000)]
+        step_ms: u64,
     },
-    /// Count the relays' calls of the platform's store by cause and by time, from their logs.
+    /// Count the relays' calls of the platform's store by cause and by time, from the relays' logs.
     Calls {
-        /// Log files, of one process each or of several put together.
+        /// Log files, each of one process or of several combined.
         #[arg(long, value_name = "FILE", num_args = 1.., required = true)]
         logs: Vec<PathBuf>,
-        /// Milliseconds of a row of the table by time.
-        #[arg(long, default_value_t = 1_000)]
-        every: u64,
+        /// Milliseconds that a row of the table by time covers.
+        #[arg(long = "every", value_name = "EVERY", default_value_t = 1_000)]
+        step_ms: u64,
     },
     /// Read a token from standard input and print its SHA-256, for settings and organisations.
     HashToken,
@@ -97,38 +97,39 @@
 
 #[derive(Debug, Subcommand)]
 enum InspectSubject {
-    /// The most that replicas and links can deliver, and what holds it back.
+    /// The highest throughput of replicas and links, and what limits it.
     Bound {
         /// Deployment file.
         #[arg(long, value_name = "FILE")]
         settings: PathBuf,
     },
-    /// Which agents an entry links with: how evenly, and what moves when VMs are replaced.
+    /// Compare ways of choosing which agents an entry connects to: how even the load is, and how
+    /// many links move when VMs are replaced.
     Subsets {
-        /// Entries.
+        /// Number of entries.
         #[arg(long, default_value_t = 370)]
         entries: usize,
-        /// Agents.
+        /// Number of agents.
         #[arg(long, default_value_t = 2_200)]
         agents: usize,
-        /// Agents that each entry links with.
+        /// Number of agents that each entry connects to.
         #[arg(long, default_value_t = 18)]
         links: usize,
-        /// Agents that are replaced.
+        /// Number of agents that are replaced.
         #[arg(long, default_value_t = 193)]
         replaced: usize,
     },
-    /// Which VM holds which layers.
+    /// Assign layers to VMs.
     Placement {
         /// Deployment file.
         #[arg(long, value_name = "FILE")]
         settings: PathBuf,
-        /// Stages of a pipeline.
+        /// Number of pipeline stages.
         #[arg(long, default_value_t = 3)]
         stages: usize,
-        /// How to place.
-        #[arg(long, default_value = "searched")]
-        way: PlacementWay,
+        /// Placement method.
+        #[arg(long = "way", value_name = "WAY", default_value = "searched")]
+        method: PlacementMethod,
     },
 }
 
@@ -144,8 +145,8 @@
             };
             Ok(describe_subsets(size))
         }
-        InspectSubject::Placement { settings, stages, way } => {
-            describe_placement(settings, &read_deployment(settings)?, *stages, *way)
+        InspectSubject::Placement { settings, stages, method } => {
+            describe_placement(settings, &read_deployment(settings)?, *stages, *method)
         }
     }
 }
@@ -159,14 +160,14 @@
 
 #[tokio::main]
 async fn main() -> ExitCode {
-    let done = match CtlArguments::parse().action {
-        CtlAction::Ask { entry, token, command, json, patience, statement } => {
-            let patience = Duration::from_secs(patience);
-            let asked = AskRequest { entry, token, statement, command, json, patience };
-            match ask(&asked).await {
+    let result = match CtlArguments::parse().action {
+        CtlAction::Ask { entry, token, command, json, timeout_s, statement } => {
+            let timeout = Duration::from_secs(timeout_s);
+            let options = AskOptions { entry, token, statement, command, json, timeout };
+            match ask(&options).await {
                 Ok(text) => Ok(text),
                 Err(error @ AskError::Call { .. }) => return fail(UNAVAILABLE, &error),
-                Err(error @ AskError::Malformed { .. }) => return fail(USAGE, &error),
+                Err(error @ AskError::InvalidArgument { .. }) => return fail(USAGE, &error),
                 Err(error) => Err(error.to_string()),
             }
         }
@@ -178,15 +179,15 @@
         CtlAction::Explain { request, logs } => {
             explain_files(&request, &logs).map_err(|error| error.to_string())
         }
-        CtlAction::Account { logs, every } => {
-            account_files(&logs, every).map_err(|error| error.to_string())
+        CtlAction::Account { logs, step_ms } => {
+            account_files(&logs, step_ms).map_err(|error| error.to_string())
         }
-        CtlAction::Calls { logs, every } => {
-            count_call_files(&logs, every).map_err(|error| error.to_string())
+        CtlAction::Calls { logs, step_ms } => {
+            count_call_files(&logs, step_ms).map_err(|error| error.to_string())
         }
         CtlAction::HashToken => hash_token().map_err(|error| error.to_string()),
     };
-    match done {
+    match result {
         Ok(text) => {
             println!("{text}");
             ExitCode::from(OK)
--- a/crates/ctl/src/check.rs
+++ b/crates/ctl/src/check.rs
@@ -1,4 +1,4 @@
-//! Checking settings files.
+//! Checks settings files.
 
 use std::path::Path;
 
@@ -8,22 +8,23 @@
 use switchfold_kernel::settings::{SettingsError, load_settings};
 use switchfold_relay::settings::RelaySettings;
 
-/// Whose settings a file holds.
+/// Program that a settings file is for.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, ValueEnum)]
 pub enum SettingsKind {
-    /// An entry's.
+    /// Entry.
     Entry,
-    /// An agent's.
+    /// Agent.
     Agent,
-    /// A relay's.
+    /// Relay.
     Relay,
 }
 
-/// Checks a settings file.
+/// Checks a settings file, as the program itself does when it starts.
 ///
 /// # Errors
 ///
-/// Lists every fault, with the field's path and what is expected.
+/// Lists every error with the field's path and what is expected, or says why the file cannot be
+/// read.
 pub fn check_settings(kind: SettingsKind, path: &Path) -> Result<(), SettingsError> {
     match kind {
         SettingsKind::Entry => load_settings::<EntrySettings>(path).map(drop),
--- a/crates/ctl/src/explain.rs
+++ b/crates/ctl/src/explain.rs
@@ -1,13 +1,13 @@
-//! From a request's id to its cause, by the logs of all processes.
+//! Finds the cause of a request's outcome in the logs of all processes.
 //!
-//! Reads structured log lines, puts those of one request in order of time, names the line that decided
-//! its end, and shows what the process that wrote it came to believe shortly before.
+//! Sorts the log lines of the request by time, names the line that decided its outcome, and shows
+//! how the state of the process that wrote this line changed shortly before.
 
 use std::path::PathBuf;
 
 use derive_more::{Display, Error, From};
 
-use crate::logs::{LogLine, LogsError, millis, read_logs, sorted_lines};
+use crate::logs::{LogLine, LogsError, millis_of_day, read_logs, sorted_lines};
 
 /// Why a request could not be explained.
 #[derive(Debug, Display, Error, From)]
@@ -15,20 +15,20 @@
     /// A log file cannot be read.
     #[display("{_0}")]
     Unreadable(LogsError),
-    /// No line names the request.
+    /// No log line is about the request.
     #[from(skip)]
     #[display(
-        "no line names request {id:?}: it never arrived, or its lines were left out (see lines_left_out in the lines \"figures\")"
+        "no log line is about request {id:?}: it never arrived, or its lines were dropped (see lines_left_out in the \"figures\" lines)"
     )]
     Unknown {
-        /// The request's id.
+        /// Id of the request.
         id: String,
     },
 }
 
-/// Events that end a request, by how much they say of its cause: the first of these that a request
-/// has is the one that decided.
-const DECIDING: [&str; 7] = [
+/// Events that tell how a request ended, the most specific first. The last line with the first of
+/// these events that the request has is the deciding one.
+const DECIDING_EVENTS: [&str; 7] = [
     "refused",
     "stream-broken",
     "resume-failed",
@@ -38,8 +38,8 @@
     "answered",
 ];
 
-/// Events that change what a process believes.
-const BELIEFS: [&str; 20] = [
+/// Events that change what a process knows of replicas, store and configuration.
+const STATE_CHANGES: [&str; 20] = [
     "suspect",
     "suspect-heard",
     "replica-full",
@@ -62,60 +62,61 @@
     "reload-failed",
 ];
 
-/// Time before the deciding line in which changes of belief are shown, in milliseconds: suspicions last
-/// a second at first, and watches of the store are answered once a second.
-const BEFORE: u64 = 3_000;
+/// Time before the deciding line from which state changes are shown, in milliseconds. A suspicion
+/// lasts one second at first, and watches of the store are answered once a second.
+const LOOKBACK_MS: u64 = 3_000;
 
-/// Changes of belief that are shown at most, the latest ones.
-const MOST_BELIEFS: usize = 12;
+/// Largest number of state changes that are shown. The latest ones are kept.
+const MAX_STATE_CHANGES: usize = 12;
 
-/// Explains a request by the lines of some log files.
+/// Explains a request from log files.
 ///
 /// # Errors
 ///
-/// Fails where a file cannot be read, or no line names the request.
+/// Fails if a file cannot be read, or no line is about the request.
 pub fn explain_files(id: &str, files: &[PathBuf]) -> Result<String, ExplainError> {
     let logs = read_logs(files)?;
     explain(id, &logs)
 }
 
-/// Explains a request by named logs.
+/// Explains a request from logs, given as pairs of name and text.
 ///
 /// # Errors
 ///
-/// Fails where no line names the request.
+/// Fails if no line is about the request.
 pub fn explain(id: &str, logs: &[(String, String)]) -> Result<String, ExplainError> {
     let lines = sorted_lines(logs);
-    let own: Vec<&LogLine> = lines.iter().filter(|line| line.names(id)).collect();
-    let Some(deciding) = deciding_line(&own) else {
+    let request_lines: Vec<&LogLine> = lines.iter().filter(|line| line.is_about(id)).collect();
+    let Some(deciding) = deciding_line(&request_lines) else {
         return Err(ExplainError::Unknown { id: id.to_owned() });
     };
-    let mut text = format!("request {id}, {} lines\n\n", own.len());
-    for line in &own {
+    let mut text = format!("request {id}, {} lines\n\n", request_lines.len());
+    for line in &request_lines {
         let mark = if std::ptr::eq(*line, deciding) { ">" } else { " " };
         text.push_str(&format!("{mark} {}\n", line.render()));
     }
     text.push_str(&format!("\ndecided by {:?} at {}\n", deciding.event, deciding.source));
-    let beliefs = beliefs_before(&lines, deciding);
-    if !beliefs.is_empty() {
+    let changes = state_changes_before(&lines, deciding);
+    if !changes.is_empty() {
         text.push_str("\nwhat that process came to believe shortly before:\n");
-        beliefs.iter().for_each(|line| text.push_str(&format!("  {}\n", line.render())));
+        changes.iter().for_each(|line| text.push_str(&format!("  {}\n", line.render())));
     }
     Ok(text)
 }
 
-fn deciding_line<'a>(own: &[&'a LogLine]) -> Option<&'a LogLine> {
-    let last_of = |event: &&str| own.iter().rev().find(|line| line.event == **event).copied();
-    DECIDING.iter().find_map(last_of).or(own.last().copied())
+fn deciding_line<'a>(request_lines: &[&'a LogLine]) -> Option<&'a LogLine> {
+    let last_of =
+        |event: &&str| request_lines.iter().rev().find(|line| line.event == **event).copied();
+    DECIDING_EVENTS.iter().find_map(last_of).or(request_lines.last().copied())
 }
 
-fn beliefs_before<'a>(lines: &'a [LogLine], deciding: &LogLine) -> Vec<&'a LogLine> {
-    let until = millis(&deciding.time);
+fn state_changes_before<'a>(lines: &'a [LogLine], deciding: &LogLine) -> Vec<&'a LogLine> {
+    let decided_at = millis_of_day(&deciding.time);
     let recent = lines.iter().filter(|line| {
-        let time = millis(&line.time);
-        let near = time <= until && until - time <= BEFORE;
-        near && line.source == deciding.source && BELIEFS.contains(&line.event.as_str())
+        let time = millis_of_day(&line.time);
+        let is_recent = time <= decided_at && decided_at - time <= LOOKBACK_MS;
+        is_recent && line.source == deciding.source && STATE_CHANGES.contains(&line.event.as_str())
     });
     let recent: Vec<&LogLine> = recent.collect();
-    recent[recent.len().saturating_sub(MOST_BELIEFS)..].to_vec()
+    recent[recent.len().saturating_sub(MAX_STATE_CHANGES)..].to_vec()
 }
--- a/crates/ctl/src/inspect.rs
+++ b/crates/ctl/src/inspect.rs
@@ -1,4 +1,5 @@
-//! Decisions computed from a file: the bound with what limits it, and placements.
+//! Computes decisions from a deployment file: the upper bound of the throughput with its
+//! bottleneck, placements of layers, and subsets of agents.
 
 use std::{fs, path::Path};
 
@@ -14,42 +15,42 @@
     subset::{balanced_subset, rendezvous_subset},
 };
 
-/// A deployment, as in a file.
+/// Contents of a deployment file.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct DeploymentFile {
-    /// Model that is served.
+    /// Name of the model.
     pub model: String,
-    /// Its layers.
+    /// Number of the model's layers.
     pub layers: u32,
-    /// Replicas, for the bound.
+    /// Replicas, used for the throughput bound.
     #[serde(default)]
     pub replicas: Vec<ReplicaRow>,
-    /// Links between data centres that are limited.
+    /// Links between data centres with limited bandwidth.
     #[serde(default)]
     pub links: Vec<LinkRow>,
-    /// VMs without a role yet, for placements.
+    /// VMs to which layers are assigned, used for placements.
     #[serde(default)]
     pub vms: Vec<VmRow>,
 }
 
-/// A replica of a deployment.
+/// A replica of the deployment.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ReplicaRow {
-    /// Name of its VM.
+    /// Name of the VM.
     pub name: String,
-    /// Data centre.
+    /// Data centre of the VM.
     pub data_centre: String,
-    /// First layer.
+    /// First layer that it holds.
     pub first_layer: u32,
-    /// Layer after the last one.
+    /// Layer after the last one that it holds.
     pub end_layer: u32,
-    /// Tokens a second at full batches.
+    /// Tokens a second with full batches.
     pub tokens_per_s: f64,
 }
 
-/// A link of a deployment.
+/// A link of the deployment, in one direction.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct LinkRow {
@@ -57,66 +58,67 @@
     pub from: String,
     /// Receiving data centre.
     pub to: String,
-    /// Activations of so many tokens a second.
+    /// Tokens a second whose activations the link can carry.
     pub tokens_per_s: f64,
 }
 
-/// A VM of a deployment.
+/// A VM of the deployment.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct VmRow {
-    /// Name.
+    /// Name of the VM.
     pub name: String,
-    /// Tokens a second through one layer.
+    /// Tokens a second if it held a single layer.
     pub layer_rate: f64,
-    /// Most layers that fit its memory.
-    pub most_layers: u32,
+    /// Largest number of layers that fit into its memory.
+    #[serde(rename = "most_layers")]
+    pub max_layers: u32,
 }
 
-/// How to place.
+/// Placement method.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, ValueEnum)]
-pub enum PlacementWay {
-    /// Even layers, VMs in turn.
+pub enum PlacementMethod {
+    /// Stages with about equal numbers of layers, VMs assigned in turn.
     Even,
-    /// Even layers, the fastest VM to the weakest stage.
+    /// Stages with about equal numbers of layers, the fastest VM assigned to the weakest stage.
     Proportional,
-    /// As proportional, then improved by moves.
+    /// As proportional, then improved by local search.
     Searched,
 }
 
-/// Why a file could not be inspected.
+/// Why a deployment file could not be inspected.
 #[derive(Debug, Display, Error)]
 pub enum InspectError {
     /// The file cannot be read.
     #[display("{path}: {source}")]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// What the system said.
+        /// Error of the system.
         source: std::io::Error,
     },
-    /// The file is not a deployment.
+    /// The file is not a deployment in JSON.
     #[display("{path}: {source}")]
     Malformed {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// Where and why.
+        /// Error with its position.
         source: serde_json::Error,
     },
-    /// A value in it makes no sense.
+    /// A value is out of range or does not fit the others.
     #[display("{path}: {detail}")]
-    Unfit {
-        /// The file.
+    InvalidValue {
+        /// Path of the file.
         path: String,
-        /// Which one, and what is expected.
+        /// Which value, and what is wrong.
         detail: String,
     },
 }
 
-/// Rounds of the search for a placement.
+/// Number of rounds of the search for a placement.
 const SEARCH_ROUNDS: usize = 500;
 
-/// Reads a deployment.
+/// Reads a deployment file.
 ///
 /// # Errors
 ///
@@ -128,11 +130,11 @@
     serde_json::from_slice(&text).map_err(|source| InspectError::Malformed { path: name, source })
 }
 
-/// Text that states the bound and the limiting cut.
+/// Returns a text with the throughput bound and the cut that limits it.
 ///
 /// # Errors
 ///
-/// Fails where a replica has no layers.
+/// Fails if a replica's range of layers is invalid.
 pub fn describe_bound(path: &Path, deployment: &DeploymentFile) -> Result<String, InspectError> {
     let mut names: Vec<&str> =
         deployment.replicas.iter().map(|row| row.data_centre.as_str()).collect();
@@ -143,7 +145,7 @@
     let mut replicas = Vec::new();
     for row in &deployment.replicas {
         let layers = LayerRange::new(row.first_layer, row.end_layer).map_err(|error| {
-            InspectError::Unfit {
+            InspectError::InvalidValue {
                 path: path.display().to_string(),
                 detail: format!("replica {:?}: {error}", row.name),
             }
@@ -174,16 +176,16 @@
     Ok(text)
 }
 
-/// Text that states a placement and its rate.
+/// Returns a text with a placement and its throughput.
 ///
 /// # Errors
 ///
-/// Fails where the VMs cannot hold the model in so many stages.
+/// Fails if the VMs cannot hold the model in this number of stages.
 pub fn describe_placement(
     path: &Path,
     deployment: &DeploymentFile,
     stages: usize,
-    way: PlacementWay,
+    method: PlacementMethod,
 ) -> Result<String, InspectError> {
     let vms: Vec<PlacementVm> = deployment
         .vms
@@ -191,15 +193,15 @@
         .map(|row| PlacementVm {
             name: row.name.clone(),
             layer_rate: row.layer_rate,
-            max_layers: row.most_layers,
+            max_layers: row.max_layers,
         })
         .collect();
-    let placed = match way {
-        PlacementWay::Even => even_split(&vms, deployment.layers, stages),
-        PlacementWay::Proportional => proportional_split(&vms, deployment.layers, stages),
-        PlacementWay::Searched => searched_split(&vms, deployment.layers, stages, SEARCH_ROUNDS),
+    let placement = match method {
+        PlacementMethod::Even => even_split(&vms, deployment.layers, stages),
+        PlacementMethod::Proportional => proportional_split(&vms, deployment.layers, stages),
+        PlacementMethod::Searched => searched_split(&vms, deployment.layers, stages, SEARCH_ROUNDS),
     };
-    let plan: PlacementPlan = placed.map_err(|error| InspectError::Unfit {
+    let plan: PlacementPlan = placement.map_err(|error| InspectError::InvalidValue {
         path: path.display().to_string(),
         detail: format!("vms: {error}"),
     })?;
@@ -211,27 +213,27 @@
     Ok(text)
 }
 
-/// Size of a deployment whose subsets are described.
+/// Numbers of a deployment whose subsets are compared.
 #[derive(Clone, Copy, Debug)]
 pub struct SubsetSize {
-    /// Entries.
+    /// Number of entries.
     pub entries: usize,
-    /// Agents.
+    /// Number of agents.
     pub agents: usize,
-    /// Agents that each entry links with.
+    /// Number of agents that each entry connects to.
     pub links: usize,
-    /// Agents that fail and are replaced by others.
+    /// Number of agents that are replaced by new ones.
     pub replaced: usize,
 }
 
-/// How a way of choosing subsets does.
+/// Properties of a method of choosing subsets.
 struct SubsetResult {
-    most_over_mean: f64,
+    max_over_mean: f64,
     unused: usize,
     moved_share: f64,
 }
 
-/// Text that compares ways of choosing which agents an entry links with.
+/// Returns a table that compares methods of choosing which agents an entry connects to.
 pub fn describe_subsets(size: SubsetSize) -> String {
     let rendezvous = |entry: usize, members: &[&str]| -> Vec<String> {
         let chosen = rendezvous_subset(&format!("entry-{entry}"), members, size.links);
@@ -246,7 +248,7 @@
     {
         text += &format!(
             "{name:<11} {:>9.2}  {:>13}  {:>10.2}%\n",
-            result.most_over_mean,
+            result.max_over_mean,
             result.unused,
             result.moved_share * 100.0
         );
@@ -275,9 +277,9 @@
         }
     }
     let total = (size.entries * size.links) as f64;
-    let most = uses.values().copied().max().unwrap_or(0) as f64;
+    let max_uses = uses.values().copied().max().unwrap_or(0) as f64;
     SubsetResult {
-        most_over_mean: most / (total / size.agents as f64),
+        max_over_mean: max_uses / (total / size.agents as f64),
         unused: size.agents - uses.len(),
         moved_share: moved as f64 / total,
     }
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -1,8 +1,10 @@
-//! The operators' command line: statements, checks, and a look at decisions.
+//! The operators' command line: statements, checks of settings, computed decisions, and analysis of
+//! logs.
 //!
-//! [`ask`] sends a statement to an entry, [`check`] finds every fault of a settings file, [`inspect`]
-//! computes what the system would decide from a file, without any process running; [`explain`] goes from a
-//! request's id to its cause, [`account`] and [`calls`] sum up the causes of a bad hour.
+//! [`ask`] sends a statement to an entry, [`check`] finds all errors of a settings file, and
+//! [`inspect`] computes from a deployment file what the system would decide, without running any
+//! process. [`explain`] finds the cause of one request's outcome in the logs, [`account`] counts
+//! the causes over all requests, and [`calls`] counts the calls of the store.
 
 pub mod account;
 pub mod ask;
--- a/crates/ctl/src/logs.rs
+++ b/crates/ctl/src/logs.rs
@@ -1,11 +1,11 @@
-//! Reading structured log lines of one or more processes.
+//! Reads structured log lines of one or more processes.
 
 use std::{fs, path::PathBuf};
 
 use derive_more::{Display, Error};
 use serde_json::{Map, Value};
 
-/// A log file cannot be read.
+/// A log file could not be read.
 #[derive(Debug, Display, Error)]
 #[display("{}: {source}", path.display())]
 pub struct LogsError {
@@ -13,24 +13,24 @@
     source: std::io::Error,
 }
 
-/// One line of a log.
+/// One structured log line.
 #[derive(Clone, Debug)]
 pub(crate) struct LogLine {
-    /// Process that wrote it.
+    /// Name of the process that wrote it, or of its log.
     pub(crate) source: String,
-    /// When, as written.
+    /// Timestamp, as written.
     pub(crate) time: String,
-    /// What happened.
+    /// Name of the event.
     pub(crate) event: String,
     /// All other fields.
     pub(crate) fields: Map<String, Value>,
 }
 
-/// Reads log files whole, with their names.
+/// Reads log files. Returns pairs of name and text.
 ///
 /// # Errors
 ///
-/// Fails where one cannot be read.
+/// Fails if a file cannot be read.
 pub fn read_logs(files: &[PathBuf]) -> Result<Vec<(String, String)>, LogsError> {
     let read = files.iter().map(|path| {
         let text =
@@ -40,7 +40,7 @@
     read.collect()
 }
 
-/// Lines of named logs in order of time; what is no structured line is passed over.
+/// Returns the lines of all logs, sorted by time. Lines that are not structured are skipped.
 pub(crate) fn sorted_lines(logs: &[(String, String)]) -> Vec<LogLine> {
     let mut lines: Vec<LogLine> = logs
         .iter()
@@ -50,8 +50,8 @@
     lines
 }
 
-/// Reads a line. Whatever stands before the object, such as the process's name where several logs were
-/// put together, tells its source.
+/// Parses a line. The last word before the JSON object, if there is one, is the name of the
+/// process: several logs may be combined in one file.
 fn read_line(source: &str, line: &str) -> Option<LogLine> {
     let start = line.find('{')?;
     let Ok(Value::Object(mut fields)) = serde_json::from_str(&line[start..]) else {
@@ -71,38 +71,39 @@
     }
 }
 
-/// Milliseconds within the day of a time such as `2026-04-09T08:30:09.614305Z`; 0 where it is none.
-pub(crate) fn millis(time: &str) -> u64 {
-    let clock = time.split('T').nth(1).unwrap_or_default().trim_end_matches('Z');
+/// Milliseconds since midnight of a timestamp such as `2026-04-09T08:30:09.614305Z`; 0 if it has no
+/// time.
+pub(crate) fn millis_of_day(time: &str) -> u64 {
+    let time_of_day = time.split('T').nth(1).unwrap_or_default().trim_end_matches('Z');
     let mut seconds = 0.0;
-    for part in clock.split(':') {
+    for part in time_of_day.split(':') {
         seconds = seconds * 60.0 + part.parse::<f64>().unwrap_or(0.0);
     }
     (seconds * 1_000.0) as u64
 }
 
 impl LogLine {
-    /// Id of the request that it is about.
+    /// Id of the request that the line is about, if any.
     pub(crate) fn request(&self) -> Option<&str> {
         self.text("request")
     }
 
-    /// A field that is text.
+    /// Value of a field, if it is a string.
     pub(crate) fn text(&self, name: &str) -> Option<&str> {
         self.fields.get(name).and_then(Value::as_str)
     }
 
-    /// A field that is a whole number.
+    /// Value of a field, if it is an unsigned integer.
     pub(crate) fn number(&self, name: &str) -> Option<u64> {
         self.fields.get(name).and_then(Value::as_u64)
     }
 
-    /// Whether it is about that request.
-    pub(crate) fn names(&self, id: &str) -> bool {
+    /// Whether the line is about this request.
+    pub(crate) fn is_about(&self, id: &str) -> bool {
         self.request() == Some(id)
     }
 
-    /// The line for a person.
+    /// Formats the line for output.
     pub(crate) fn render(&self) -> String {
         let shown = self.fields.iter().filter(|(name, _)| *name != "level" && *name != "request");
         let fields = shown.map(|(name, value)| match value {
--- a/crates/ctl/tests/account.rs
+++ b/crates/ctl/tests/account.rs
@@ -1,4 +1,4 @@
-//! Each attempt gets one cause.
+//! Checks the cause that each kind of attempt gets.
 
 use switchfold_ctl::account::account;
 
@@ -20,7 +20,7 @@
     format!("\"longest_pause_ms\":{longest_pause_ms}")
 }
 
-/// A stream with these lines beside its dispatch.
+/// Log of an attempt: its `dispatch` line and the given lines.
 fn stream(id: &str, dispatch: &str, rest: &[(&str, &str)]) -> String {
     let mut text = line(1, "dispatch", id, dispatch);
     rest.iter().for_each(|(event, fields)| text.push_str(&line(2, event, id, fields)));
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn table_of_causes() {
+fn each_attempt_has_one_cause() {
     let waited = DISPATCH.replace("\"waited_ms\":0", "\"waited_ms\":300");
     let table = [
         (
@@ -92,18 +92,18 @@
         ),
     ];
     for (cause, text) in table {
-        let told = account(&[("relay-1".to_owned(), text)], 2_000);
-        assert!(told.contains(&format!("| {cause}")), "{cause}:\n{told}");
+        let output = account(&[("relay-1".to_owned(), text)], 2_000);
+        assert!(output.contains(&format!("| {cause}")), "{cause}:\n{output}");
     }
 }
 
-/// Attempts are counted by the time at which they began, whichever process saw them.
+/// Attempts are counted by the time of their first line, whichever process wrote it.
 #[test]
 fn attempts_are_counted_by_time() {
     let first = line(1, "refused", "a", "\"reason\":\"no-replica\"");
     let second = line(4, "refused", "b", "\"reason\":\"no-replica\"");
-    let told = account(&[("one".to_owned(), first), ("two".to_owned(), second)], 2_000);
-    assert!(told.contains("| refused: no-replica | 2 "), "{told}");
-    assert!(told.contains("| 2.0 "), "{told}");
+    let output = account(&[("one".to_owned(), first), ("two".to_owned(), second)], 2_000);
+    assert!(output.contains("| refused: no-replica | 2 "), "{output}");
+    assert!(output.contains("| 2.0 "), "{output}");
     assert_eq!(account(&[], 2_000).lines().count(), 5);
 }
--- a/crates/ctl/tests/explain.rs
+++ b/crates/ctl/tests/explain.rs
@@ -1,4 +1,4 @@
-//! From a request's id to the line that decided its end.
+//! Checks the deciding line and the state changes that are shown for a request.
 
 use assert_matches::assert_matches;
 use switchfold_ctl::explain::{ExplainError, explain};
@@ -13,16 +13,16 @@
     (name.to_owned(), lines.join("\n"))
 }
 
-const OF_A: &str = ",\"request\":\"a\"";
+const REQUEST_A: &str = ",\"request\":\"a\"";
 
 #[test]
-fn a_refusal_is_named_with_what_was_believed() {
+fn a_refusal_is_shown_with_recent_state_changes() {
     let logs = [
         log(
             "relay-1",
             &[
                 line("09.100", "store-lost", ",\"kind\":\"config\""),
-                "not a line of ours".to_owned(),
+                "not a structured line".to_owned(),
                 line("12.000", "store-lost", ",\"kind\":\"servers\""),
                 line("13.000", "refused", ",\"request\":\"a\",\"reason\":\"stale-configuration\""),
                 line("13.100", "refused", ",\"request\":\"b\",\"reason\":\"no-route\""),
@@ -34,15 +34,18 @@
     assert!(text.contains("decided by \"refused\" at relay-1"), "{text}");
     assert!(text.contains("kind=servers"), "{text}");
     assert!(!text.contains("kind=config"), "too long before: {text}");
-    assert!(!text.contains("i-1"), "another process's belief: {text}");
+    assert!(!text.contains("i-1"), "a state change of another process: {text}");
     assert!(!text.contains("no-route"), "another request: {text}");
 }
 
 #[test]
-fn lines_of_several_processes_are_put_in_order() {
+fn lines_of_several_processes_are_sorted_by_time() {
     let logs = [
-        log("relay-2", &[line("11.000", "answered", OF_A), line("12.000", "stream-ended", OF_A)]),
-        log("relay-1", &[line("10.000", "attempt-failed", OF_A)]),
+        log(
+            "relay-2",
+            &[line("11.000", "answered", REQUEST_A), line("12.000", "stream-ended", REQUEST_A)],
+        ),
+        log("relay-1", &[line("10.000", "attempt-failed", REQUEST_A)]),
     ];
     let text = explain("a", &logs).expect("explained");
     let position = |word: &str| text.find(word).expect(word);
@@ -52,13 +55,13 @@
 }
 
 #[test]
-fn a_name_before_the_object_tells_the_source() {
-    let logs = [log("all", &[format!("  3.9 edge-1 {}", line("10.000", "refused", OF_A))])];
+fn the_word_before_the_object_is_the_source() {
+    let logs = [log("all", &[format!("  3.9 edge-1 {}", line("10.000", "refused", REQUEST_A))])];
     assert!(explain("a", &logs).expect("explained").contains("at edge-1"));
 }
 
 #[test]
 fn an_unknown_request_is_an_error() {
-    let logs = [log("relay-1", &[line("10.000", "refused", OF_A)])];
+    let logs = [log("relay-1", &[line("10.000", "refused", REQUEST_A)])];
     assert_matches!(explain("z", &logs), Err(ExplainError::Unknown { .. }));
 }
--- a/crates/ctl/tests/inspect.rs
+++ b/crates/ctl/tests/inspect.rs
@@ -1,4 +1,4 @@
-//! What the command line computes from files, and how it refuses faulty ones.
+//! Checks what is computed from files, and the errors for invalid ones.
 
 use std::{fs, path::PathBuf};
 
@@ -6,7 +6,7 @@
 use switchfold_ctl::{
     check::{SettingsKind, check_settings},
     inspect::{
-        InspectError, PlacementWay, SubsetSize, describe_bound, describe_placement,
+        InspectError, PlacementMethod, SubsetSize, describe_bound, describe_placement,
         describe_subsets, read_deployment,
     },
 };
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn all_example_settings_are_without_fault() {
+fn all_example_settings_are_valid() {
     let agents = [
         "northcatch/agent-engine",
         "northcatch/agent-bidding",
@@ -39,23 +39,23 @@
 }
 
 #[test]
-fn bounds_name_what_holds_back_and_placements_only_get_better() {
+fn bounds_name_the_bottleneck_and_better_methods_do_not_lower_the_rate() {
     let path = example("northcatch/deployment.json");
     let deployment = read_deployment(&path).expect("an example");
     let bound = describe_bound(&path, &deployment).expect("layers are there");
     assert!(bound.starts_with("bound: ") && bound.contains("vm engine-"), "{bound}");
-    let rate = |way| {
-        let text = describe_placement(&path, &deployment, 3, way).expect("it fits");
+    let rate = |method| {
+        let text = describe_placement(&path, &deployment, 3, method).expect("it fits");
         let number =
             text.trim_start_matches("rate: ").split(' ').next().expect("a number").to_owned();
         number.parse::<f64>().expect("a number")
     };
-    let (even, proportional) = (rate(PlacementWay::Even), rate(PlacementWay::Proportional));
-    assert!(rate(PlacementWay::Searched) >= proportional && proportional >= even * 0.99);
+    let (even, proportional) = (rate(PlacementMethod::Even), rate(PlacementMethod::Proportional));
+    assert!(rate(PlacementMethod::Searched) >= proportional && proportional >= even * 0.99);
 }
 
 #[test]
-fn faulty_files_are_refused_with_their_place() {
+fn invalid_files_are_rejected_with_the_position() {
     let folder = std::env::temp_dir().join(format!("switchfold-inspect-{}", std::process::id()));
     fs::create_dir_all(&folder).expect("a folder");
     let path = folder.join("deployment.json");
@@ -68,8 +68,8 @@
     let deployment = read_deployment(&path).expect("well-formed");
     assert_matches!(describe_bound(&path, &deployment), Err(error) if error.to_string().contains("\"r\""));
     assert_matches!(
-        describe_placement(&path, &deployment, 3, PlacementWay::Even),
-        Err(InspectError::Unfit { .. })
+        describe_placement(&path, &deployment, 3, PlacementMethod::Even),
+        Err(InspectError::InvalidValue { .. })
     );
     fs::remove_dir_all(&folder).expect("removed");
 }
@@ -78,7 +78,7 @@
 fn ring_subsets_use_every_agent_evenly() {
     let text = describe_subsets(SubsetSize { entries: 40, agents: 120, links: 9, replaced: 12 });
     let ring = text.lines().find(|line| line.starts_with("ring")).expect("a line");
-    let most: f64 =
+    let max_over_mean: f64 =
         ring.split_whitespace().nth(1).and_then(|field| field.parse().ok()).expect("a number");
-    assert!(most <= 1.4, "{text}");
+    assert!(max_over_mean <= 1.4, "{text}");
 }
--- a/crates/soak/src/bin/switchfold-soak.rs
+++ b/crates/soak/src/bin/switchfold-soak.rs
@@ -32,7 +32,7 @@
 #[command(version, after_help = "Example:\n  switchfold-soak run --seed 1 --seeds 50 --jobs 3")]
 struct SoakArguments {
     #[command(subcommand)]
-    command: SoakCommand,
+    verb: SoakCommand,
 }
 
 #[derive(Debug, Subcommand)]
@@ -124,7 +124,7 @@
     tokio::select! {
         outcome = run(arguments) => outcome,
         _ = term.recv() => Err(io::Error::other("stopped by SIGTERM")),
-        _ = interrupt.recv() => Err(io::Error::other("stopped by SIGINT")),
+        _ = interrupt.recv() => Err(io::Error::other("interrupted")),
     }
 }
 
@@ -173,7 +173,7 @@
 
 #[tokio::main]
 async fn main() -> ExitCode {
-    let outcome = match SoakArguments::parse().command {
+    let outcome = match SoakArguments::parse().verb {
         SoakCommand::Run(arguments) => run_until_signal(arguments).await,
         SoakCommand::Replica(arguments) => run_replica(arguments).await.map(|()| true),
     };
--- a/crates/soak/src/record.rs
+++ b/crates/soak/src/record.rs
@@ -47,7 +47,7 @@
     }
 }
 
-/// Outcome of a call for its caller.
+/// Outcome of a call for its caller. `Display` is the form that reports print.
 #[derive(Clone, Debug, Display, Eq, PartialEq)]
 pub enum CallOutcome {
     /// The connection could not be opened.
@@ -60,7 +60,7 @@
     Answered(CallResponse),
 }
 
-/// The received part of a response.
+/// The received part of a response. `Display` is the form that reports print.
 #[derive(Clone, Debug, Display, Eq, PartialEq)]
 #[display("CallAnswer {{ status: {status}, sealed: {signed}, whole: {complete}, body: {body:?} }}")]
 pub struct CallResponse {
