--- a/crates/load/src/caller.rs
+++ b/crates/load/src/caller.rs
@@ -1,4 +1,4 @@
-//! One caller: sends a request, reads the answer as it comes, and checks it.
+//! A caller: sends one request, reads the response as it arrives, and checks it.
 
 use std::time::{Duration, Instant};
 
@@ -13,29 +13,30 @@
 
 use crate::{Arrival, CallRecord, ClassLoad, WorkKind, Workload};
 
-/// Time between two pieces of an answer after which a caller gives up.
-const PIECE_PATIENCE: Duration = Duration::from_secs(20);
+/// Longest time between two frames of a response body, and to read a whole body that is not a stream.
+const BODY_READ_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// How a request ended, as its caller sees it.
+/// Outcome of a request from the caller's view.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum CheckedOutcome {
-    /// It ran whole.
+    /// The request ran to completion.
     Done,
-    /// It did not run.
+    /// The request did not run.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
-    /// The connection was never made, so it did not run; not an answer of the system.
+    /// The connection could not be established, so the request did not run.
     Unreached,
-    /// A repeated key: the answer tells the outcome of the request that holds it.
+    /// The idempotency key was already claimed; the response names the outcome of the request that
+    /// holds it.
     Duplicate,
 }
 
-/// Where and how to send.
+/// Addresses and credentials for sending requests.
 #[derive(Clone, Debug)]
 pub struct CallerTarget {
-    /// Addresses of the entries, as the balancer would choose among them.
+    /// Addresses of the entries; requests are distributed over them in turn.
     pub entries: Vec<String>,
     /// Bearer token of each organisation.
     pub tokens: Vec<String>,
@@ -50,7 +51,7 @@
     stream: bool,
 }
 
-/// One server-sent event that carries tokens.
+/// Data of a server-sent event with tokens.
 #[derive(Debug, Deserialize)]
 struct TokenEvent {
     choices: Vec<TokenChoice>,
@@ -61,27 +62,27 @@
     token_ids: Vec<u32>,
 }
 
-/// The last event.
+/// Data of the last server-sent event of a stream.
 #[derive(Debug, Deserialize)]
 struct OutcomeEvent {
     outcome: String,
     reason: String,
 }
 
-/// Answer of the stand-in service.
+/// Response body of the stand-in service, as far as it is checked.
 #[derive(Debug, Deserialize)]
 struct ServiceBody {
     body: String,
 }
 
-/// Why an answer could not be read to its end.
+/// Error of a stream that failed or timed out before its end.
 #[derive(Clone, Copy, Debug, Display, Error)]
-#[display("the answer broke off")]
-struct BrokenOff;
+#[display("response stream failed or timed out before its end")]
+struct StreamTruncated;
 
-/// What a caller knows of its answer so far.
+/// What a caller has received of a response so far.
 #[derive(Debug, Default)]
-struct AnswerState {
+struct ResponseState {
     tokens: Vec<u32>,
     tokens_at: Vec<u64>,
     outcome: Option<CheckedOutcome>,
@@ -89,7 +90,7 @@
     wrong: bool,
 }
 
-/// Sends one request and reads its answer.
+/// Sends one request, reads its response and compares generated tokens with `expected`.
 pub(crate) async fn call(
     http: &HttpClient,
     target: &CallerTarget,
@@ -101,10 +102,10 @@
 ) -> CallRecord {
     let class = &workload.classes[arrival.class];
     let sent = micros_since(start);
-    let mut state = AnswerState::default();
-    match request(target, workload, class, arrival, entry) {
+    let mut state = ResponseState::default();
+    match build_request(target, workload, class, arrival, entry) {
         Ok(request) => match http.send(request).await {
-            Ok(answer) => read(answer, class, arrival, start, &mut state).await,
+            Ok(response) => read_response(response, class, arrival, start, &mut state).await,
             Err(CallError::NotConnected { .. }) => state.outcome = Some(CheckedOutcome::Unreached),
             Err(CallError::NoResponse { detail }) => {
                 state.outcome = Some(CheckedOutcome::Unknown);
@@ -116,17 +117,17 @@
     let outcome = state.outcome.unwrap_or(CheckedOutcome::Unknown);
     let is_completion = arrival.max_tokens > 0;
     if is_completion {
-        let fits = match outcome {
+        let matches_expected = match outcome {
             CheckedOutcome::Done => state.tokens == expected,
             _ => expected.starts_with(&state.tokens),
         };
-        state.wrong |= !fits;
+        state.wrong |= !matches_expected;
     }
     CallRecord {
         number: arrival.number,
         class: arrival.class,
         organisation: arrival.organisation,
-        intended: arrival.at_micros,
+        scheduled: arrival.at_micros,
         sent,
         tokens_at: state.tokens_at,
         ended: micros_since(start),
@@ -134,7 +135,7 @@
         reason: state.reason,
         wrong: state.wrong,
         max_tokens: arrival.max_tokens,
-        repeats: arrival.repeats,
+        resend_of: arrival.resend_of,
     }
 }
 
@@ -142,7 +143,7 @@
     start.elapsed().as_micros() as u64
 }
 
-fn request(
+fn build_request(
     target: &CallerTarget,
     workload: &Workload,
     class: &ClassLoad,
@@ -176,7 +177,7 @@
     builder.body(Full::new(body.into()))
 }
 
-/// Body of a call: the same for a request and its repetition.
+/// Returns the body of a service call, which is the same for a request and its resends.
 pub fn call_body(arrival: &Arrival) -> String {
     match &arrival.key {
         Some(key) => format!("call {key}"),
@@ -184,15 +185,15 @@
     }
 }
 
-async fn read(
-    answer: Response<Incoming>,
+async fn read_response(
+    response: Response<Incoming>,
     class: &ClassLoad,
     arrival: &Arrival,
     start: Instant,
-    state: &mut AnswerState,
+    state: &mut ResponseState,
 ) {
-    let (parts, body) = answer.into_parts();
-    note_headers(&parts.headers, parts.status, state);
+    let (parts, body) = response.into_parts();
+    record_headers(&parts.headers, parts.status, state);
     let is_stream =
         parts.headers.get("content-type").is_some_and(|kind| kind == "text/event-stream");
     let is_call = matches!(class.work, WorkKind::Call { .. });
@@ -200,27 +201,27 @@
         if read_events(body, start, state).await.is_err() && state.outcome.is_none() {
             state.reason = "the answer broke off".to_owned();
         }
-    } else if let Ok(Ok(collected)) = timeout(PIECE_PATIENCE, body.collect()).await
+    } else if let Ok(Ok(collected)) = timeout(BODY_READ_TIMEOUT, body.collect()).await
         && is_call
         && state.outcome == Some(CheckedOutcome::Done)
     {
-        let whole: Result<ServiceBody, _> = serde_json::from_slice(&collected.to_bytes());
-        state.wrong = !whole.is_ok_and(|whole| whole.body == call_body(arrival));
+        let parsed: Result<ServiceBody, _> = serde_json::from_slice(&collected.to_bytes());
+        state.wrong = !parsed.is_ok_and(|parsed| parsed.body == call_body(arrival));
     }
 }
 
-fn note_headers(headers: &HeaderMap, status: StatusCode, state: &mut AnswerState) {
+fn record_headers(headers: &HeaderMap, status: StatusCode, state: &mut ResponseState) {
     let text =
         |name: &str| headers.get(name).and_then(|value| value.to_str().ok()).unwrap_or_default();
     state.reason = text("switchfold-reason").to_owned();
-    state.outcome = outcome_of(text("switchfold-outcome"));
+    state.outcome = parse_outcome(text("switchfold-outcome"));
     if status == StatusCode::CONFLICT && state.reason == "already-claimed" {
         state.outcome = Some(CheckedOutcome::Duplicate);
     }
 }
 
-fn outcome_of(word: &str) -> Option<CheckedOutcome> {
-    match word {
+fn parse_outcome(text: &str) -> Option<CheckedOutcome> {
+    match text {
         "done" => Some(CheckedOutcome::Done),
         "not-run" => Some(CheckedOutcome::NotRun),
         "unknown" => Some(CheckedOutcome::Unknown),
@@ -231,14 +232,14 @@
 async fn read_events(
     mut body: Incoming,
     start: Instant,
-    state: &mut AnswerState,
-) -> Result<(), BrokenOff> {
+    state: &mut ResponseState,
+) -> Result<(), StreamTruncated> {
     let mut buffer: Vec<u8> = Vec::new();
     loop {
-        let frame = match timeout(PIECE_PATIENCE, body.frame()).await {
+        let frame = match timeout(BODY_READ_TIMEOUT, body.frame()).await {
             Ok(Some(Ok(frame))) => frame,
             Ok(None) => return Ok(()),
-            Ok(Some(Err(_))) | Err(_) => return Err(BrokenOff),
+            Ok(Some(Err(_))) | Err(_) => return Err(StreamTruncated),
         };
         let Ok(data) = frame.into_data() else {
             continue;
@@ -246,16 +247,16 @@
         buffer.extend_from_slice(&data);
         while let Some(end) = buffer.windows(2).position(|pair| pair == b"\n\n") {
             let event: Vec<u8> = buffer.drain(..end + 2).collect();
-            note_event(&String::from_utf8_lossy(&event), start, state);
+            record_event(&String::from_utf8_lossy(&event), start, state);
         }
     }
 }
 
-fn note_event(event: &str, start: Instant, state: &mut AnswerState) {
+fn record_event(event: &str, start: Instant, state: &mut ResponseState) {
     let data = event.lines().find_map(|line| line.strip_prefix("data: ")).unwrap_or_default();
     if event.starts_with("event: outcome") {
         if let Ok(end) = serde_json::from_str::<OutcomeEvent>(data) {
-            state.outcome = outcome_of(&end.outcome);
+            state.outcome = parse_outcome(&end.outcome);
             state.reason = end.reason;
         }
         return;
--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -1,11 +1,13 @@
-//! Open-loop load with an opening surge, and what came of it.
+//! Open-loop load generator with an initial surge, and reports of its runs.
 //!
-//! Arrivals are drawn from a seed before the run starts, and each request is sent at its time whether
-//! or not earlier ones were answered. Latency counts from the intended time, so a driver that falls
-//! behind does not flatter the system; late sends are counted.
+//! The arrival times are generated from a seed before the run starts, and each request is sent at its
+//! time regardless of whether earlier requests have completed. Latency is measured from the scheduled
+//! send time, so that a delay in the load generator does not make the system look faster; late sends
+//! are counted.
 //!
-//! Every answer is checked against the stand-in model's oracle, and at the end the run logs of the
-//! stand-ins are held against what callers were told: that is where [`Violations`] come from.
+//! Every completion is compared with the oracle of the stand-in model. After the run, the run logs of
+//! the stand-ins are compared with the outcomes that callers received. Both checks are reported as
+//! [`Violations`].
 
 mod caller;
 mod driver;
--- a/crates/load/src/model.rs
+++ b/crates/load/src/model.rs
@@ -1,9 +1,9 @@
-//! A model of what is served, to compare path policies on the same seeds.
+//! Queueing model for comparing path policies with the same seeds.
 //!
-//! It is a queueing model of batch servers in three stages, not a simulator of the system: requests go
-//! round their path token by token, engines run batches, links add their delay. The choices are made by
-//! the core's own [`choose_replica`]; entries see the load of each replica as it was some time ago, plus
-//! what they sent since. Time is the model's own, so a run is the same every time.
+//! The model has batch servers in three stages; it does not simulate the whole system. Each request
+//! passes through its path once per token, engines run batches, and links add a delay. Paths are chosen
+//! by [`choose_replica`] of the core crate; entries see the load of each replica as of the last report,
+//! plus the requests that they sent since. Time is simulated, so that runs are deterministic.
 
 use std::{
     cmp::Reverse,
@@ -19,61 +19,63 @@
     route::LayerRange,
 };
 
-/// Stages of every path.
+/// Number of stages of every path.
 const STAGES: usize = 3;
 
-/// Layers of one stage.
+/// Number of layers of one stage.
 const STAGE_LAYERS: u32 = 16;
 
-/// Sequences of a batch, fixed microseconds, microseconds for each sequence: four kinds, 1 to 8 times.
+/// Accelerator types: maximum sequences of a batch, microseconds for each batch, microseconds for each
+/// sequence. The fastest has eight times the throughput of the slowest.
 const KINDS: [(usize, u64, u64); 4] =
     [(16, 2_400, 100), (12, 3_200, 200), (8, 4_000, 400), (4, 4_500, 875)];
 
-/// Tokens of every answer.
+/// Number of generated tokens of every request.
 const TOKENS: u32 = 32;
 
-/// What a run of the model is given.
+/// Parameters of a model run.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct ModelSetup {
-    /// Policy of all entries.
+    /// Path policy of all entries.
     pub policy: PathPolicy,
-    /// Entries.
+    /// Number of entries.
     pub entries: usize,
-    /// Age of the load reports, in milliseconds.
+    /// Interval of the load reports in milliseconds; 0 means that entries always see the current load.
     pub lag_ms: u64,
-    /// Offered tokens a second, in hundredths of the bound.
+    /// Offered load in percent of the throughput bound.
     pub offered_hundredths: u64,
-    /// One replica of the middle stage is 3 times slower than it says.
-    pub slow_stage: bool,
-    /// Replicas of each stage.
+    /// Whether one replica of the middle stage is three times as slow as it advertises.
+    #[serde(rename = "slow_stage")]
+    pub slow_replica: bool,
+    /// Number of replicas of each stage.
     pub replicas: usize,
-    /// Modelled seconds.
+    /// Simulated duration in seconds.
     pub seconds: u64,
-    /// Seed.
+    /// Seed of the arrivals, the accelerator types, the link delays and the path choices.
     pub seed: u64,
 }
 
-/// What a run of the model gave.
+/// Result of a model run; the first second is left out.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct ModelResult {
-    /// Tokens a second over the bound, the first second left out.
+    /// Throughput divided by its upper bound.
     pub share_of_bound: f64,
-    /// 95 in 100 first tokens came within so many milliseconds of being sent out.
+    /// 95th percentile of the time from dispatch to the first token, in milliseconds.
     pub first_token_p95_ms: f64,
-    /// 95 in 100 tokens came within so many milliseconds of the one before.
+    /// 95th percentile of the time between two tokens of a request, in milliseconds.
     pub between_tokens_p95_ms: f64,
 }
 
 #[derive(Debug)]
 struct ModelReplica {
     max_batch: usize,
-    fixed: u64,
-    item: u64,
-    link: u64,
+    fixed_micros: u64,
+    item_micros: u64,
+    link_delay: u64,
     waiting: VecDeque<usize>,
     running: Vec<usize>,
-    held: u32,
-    reported: u32,
+    outstanding: u32,
+    reported_outstanding: u32,
     sent_since: Vec<u32>,
     weight: f64,
 }
@@ -88,10 +90,10 @@
 
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 enum ModelEvent {
-    BatchEnds(usize),
-    Arrives(usize),
-    Offered,
-    Reported,
+    BatchEnd(usize),
+    StageArrival(usize),
+    RequestOffered,
+    LoadReported,
 }
 
 struct Model {
@@ -106,18 +108,18 @@
     cursors: Vec<PathCursor>,
     backlog: u64,
     in_flight: usize,
-    most_in_flight: usize,
+    max_in_flight: usize,
     bound: f64,
-    first: Vec<u64>,
-    between: Vec<u64>,
+    first_token_micros: Vec<u64>,
+    between_tokens_micros: Vec<u64>,
     counted: u64,
 }
 
-/// Runs the model.
+/// Runs the model over its simulated duration.
 pub fn run_model(setup: ModelSetup) -> ModelResult {
     let mut model = Model::new(setup);
-    model.schedule(0, ModelEvent::Offered);
-    model.schedule(0, ModelEvent::Reported);
+    model.schedule(0, ModelEvent::RequestOffered);
+    model.schedule(0, ModelEvent::LoadReported);
     let end = setup.seconds * 1_000_000;
     while let Some(Reverse((at, _, event))) = model.events.pop() {
         if at > end {
@@ -134,29 +136,29 @@
         let mut random = ChaCha8Rng::seed_from_u64(setup.seed);
         let mut replicas: Vec<ModelReplica> = (0..STAGES * setup.replicas)
             .map(|number| {
-                let (max_batch, fixed, item) =
+                let (max_batch, fixed_micros, item_micros) =
                     KINDS[(number / STAGES + random.random_range(0..2)) % KINDS.len()];
-                // From 50 to 5000 microseconds: links that differ a hundredfold.
-                let link = (50.0 * 100.0_f64.powf(random.random())) as u64;
+                // Link delays from 50 to 5000 microseconds, log-uniformly distributed.
+                let link_delay = (50.0 * 100.0_f64.powf(random.random())) as u64;
                 ModelReplica {
                     max_batch,
-                    fixed,
-                    item,
-                    link,
+                    fixed_micros,
+                    item_micros,
+                    link_delay,
                     waiting: VecDeque::new(),
                     running: Vec::new(),
-                    held: 0,
-                    reported: 0,
+                    outstanding: 0,
+                    reported_outstanding: 0,
                     sent_since: vec![0; setup.entries],
                     weight: 0.0,
                 }
             })
             .collect();
         let bound = set_weights(&mut replicas);
-        let most_in_flight = replicas.iter().map(|replica| 2 * replica.max_batch).sum();
-        if setup.slow_stage {
-            replicas[1].fixed *= 3;
-            replicas[1].item *= 3;
+        let max_in_flight = replicas.iter().map(|replica| 2 * replica.max_batch).sum();
+        if setup.slow_replica {
+            replicas[1].fixed_micros *= 3;
+            replicas[1].item_micros *= 3;
         }
         Self {
             cursors: vec![PathCursor::default(); setup.entries],
@@ -170,10 +172,10 @@
             free_requests: Vec::new(),
             backlog: 0,
             in_flight: 0,
-            most_in_flight,
+            max_in_flight,
             bound,
-            first: Vec::new(),
-            between: Vec::new(),
+            first_token_micros: Vec::new(),
+            between_tokens_micros: Vec::new(),
             counted: 0,
         }
     }
@@ -185,34 +187,34 @@
 
     fn handle(&mut self, event: ModelEvent) {
         match event {
-            ModelEvent::Offered => {
+            ModelEvent::RequestOffered => {
                 self.backlog += 1;
                 self.dispatch();
-                let per_s =
+                let requests_per_s =
                     self.bound * self.setup.offered_hundredths as f64 / 100.0 / f64::from(TOKENS);
                 let unit: f64 = self.random.random();
-                let wait = -(1.0 - unit).ln() / per_s * 1e6;
-                self.schedule(self.now + wait as u64, ModelEvent::Offered);
+                let wait = -(1.0 - unit).ln() / requests_per_s * 1e6;
+                self.schedule(self.now + wait as u64, ModelEvent::RequestOffered);
             }
-            ModelEvent::Reported => {
+            ModelEvent::LoadReported => {
                 for replica in &mut self.replicas {
-                    replica.reported = replica.held;
+                    replica.reported_outstanding = replica.outstanding;
                     replica.sent_since.fill(0);
                 }
                 let interval = (self.setup.lag_ms * 1_000).max(1_000);
-                self.schedule(self.now + interval, ModelEvent::Reported);
+                self.schedule(self.now + interval, ModelEvent::LoadReported);
             }
-            ModelEvent::Arrives(request) => {
+            ModelEvent::StageArrival(request) => {
                 let replica = self.requests[request].path[self.requests[request].stage];
                 self.replicas[replica].waiting.push_back(request);
-                self.begin_batch(replica);
+                self.start_batch(replica);
             }
-            ModelEvent::BatchEnds(replica) => self.end_batch(replica),
+            ModelEvent::BatchEnd(replica) => self.end_batch(replica),
         }
     }
 
     fn dispatch(&mut self) {
-        while self.backlog > 0 && self.in_flight < self.most_in_flight {
+        while self.backlog > 0 && self.in_flight < self.max_in_flight {
             self.backlog -= 1;
             self.in_flight += 1;
             let entry = self.random.random_range(0..self.setup.entries);
@@ -228,68 +230,76 @@
                     self.requests.len() - 1
                 }
             };
-            self.schedule(self.now, ModelEvent::Arrives(index));
+            self.schedule(self.now, ModelEvent::StageArrival(index));
         }
     }
 
     fn choose(&mut self, entry: usize, stage: usize) -> usize {
-        let of_stage = (0..self.replicas.len()).filter(|index| index % STAGES == stage);
-        let candidates: Vec<PathCandidate> = of_stage
+        let stage_replicas = (0..self.replicas.len()).filter(|index| index % STAGES == stage);
+        let candidates: Vec<PathCandidate> = stage_replicas
             .map(|index| {
                 let replica = &self.replicas[index];
-                let known = if self.setup.lag_ms == 0 { replica.held } else { replica.reported };
-                let own = if self.setup.lag_ms == 0 { 0 } else { replica.sent_since[entry] };
-                PathCandidate { weight: replica.weight, outstanding: known + own, free: 1 }
+                let reported = if self.setup.lag_ms == 0 {
+                    replica.outstanding
+                } else {
+                    replica.reported_outstanding
+                };
+                let sent = if self.setup.lag_ms == 0 { 0 } else { replica.sent_since[entry] };
+                PathCandidate { weight: replica.weight, outstanding: reported + sent, free: 1 }
             })
             .collect();
         let cursor = &mut self.cursors[entry];
         let chosen = choose_replica(self.setup.policy, &candidates, cursor, &mut self.random);
         let index = chosen.unwrap_or(0) * STAGES + stage;
         self.replicas[index].sent_since[entry] += 1;
-        self.replicas[index].held += 1;
+        self.replicas[index].outstanding += 1;
         index
     }
 
-    fn begin_batch(&mut self, index: usize) {
+    fn start_batch(&mut self, index: usize) {
         let replica = &mut self.replicas[index];
         if !replica.running.is_empty() || replica.waiting.is_empty() {
             return;
         }
         let len = replica.waiting.len().min(replica.max_batch);
         replica.running = replica.waiting.drain(..len).collect();
-        let ends = self.now + replica.fixed + replica.item * len as u64;
-        self.schedule(ends, ModelEvent::BatchEnds(index));
+        let ends = self.now + replica.fixed_micros + replica.item_micros * len as u64;
+        self.schedule(ends, ModelEvent::BatchEnd(index));
     }
 
     fn end_batch(&mut self, index: usize) {
-        let link = self.replicas[index].link;
+        let link_delay = self.replicas[index].link_delay;
         for request in std::mem::take(&mut self.replicas[index].running) {
             let stage = self.requests[request].stage;
             self.requests[request].stage = (stage + 1) % STAGES;
-            if stage + 1 < STAGES || !self.note_token(request) {
-                self.schedule(self.now + link, ModelEvent::Arrives(request));
+            if stage + 1 < STAGES || !self.record_token(request) {
+                self.schedule(self.now + link_delay, ModelEvent::StageArrival(request));
             }
         }
-        self.begin_batch(index);
+        self.start_batch(index);
     }
 
-    /// Notes a token; returns whether it was the last one.
-    fn note_token(&mut self, index: usize) -> bool {
-        const RAMP: u64 = 1_000_000;
+    /// Records a token of a request; returns whether it was the last one.
+    fn record_token(&mut self, index: usize) -> bool {
+        const RAMP_MICROS: u64 = 1_000_000;
         let request = &mut self.requests[index];
         let gap = self.now - request.last;
         request.last = self.now;
         request.tokens += 1;
-        if self.now >= RAMP {
+        if self.now >= RAMP_MICROS {
             self.counted += 1;
-            let times = if request.tokens == 1 { &mut self.first } else { &mut self.between };
+            let times = if request.tokens == 1 {
+                &mut self.first_token_micros
+            } else {
+                &mut self.between_tokens_micros
+            };
             times.push(gap);
         }
         if request.tokens < TOKENS {
             return false;
         }
         for replica in request.path {
-            self.replicas[replica].held -= 1;
+            self.replicas[replica].outstanding -= 1;
         }
         self.in_flight -= 1;
         self.free_requests.push(index);
@@ -301,8 +311,8 @@
         let seconds = (self.setup.seconds - 1) as f64;
         ModelResult {
             share_of_bound: self.counted as f64 / seconds / self.bound,
-            first_token_p95_ms: p95_ms(&mut self.first),
-            between_tokens_p95_ms: p95_ms(&mut self.between),
+            first_token_p95_ms: p95_ms(&mut self.first_token_micros),
+            between_tokens_p95_ms: p95_ms(&mut self.between_tokens_micros),
         }
     }
 }
@@ -313,16 +323,18 @@
     micros.get(index).copied().unwrap_or(0) as f64 / 1e3
 }
 
-/// Sets each replica's share of the maximum flow; gives the bound in tokens a second.
+/// Sets the weight of each replica to its share of the maximum flow. Returns the upper bound of the
+/// throughput in tokens per second.
 fn set_weights(replicas: &mut [ModelReplica]) -> f64 {
-    let as_flow = |(index, replica): (usize, &ModelReplica)| {
+    let to_flow_replica = |(index, replica): (usize, &ModelReplica)| {
         let first = (index % STAGES) as u32 * STAGE_LAYERS;
         let layers = LayerRange::new(first, first + STAGE_LAYERS).ok()?;
         let batch = replica.max_batch as u64;
-        let milli_rate = batch * 1_000_000_000 / (replica.fixed + replica.item * batch);
+        let milli_rate =
+            batch * 1_000_000_000 / (replica.fixed_micros + replica.item_micros * batch);
         Some(FlowReplica { name: index.to_string(), data_centre: 0, layers, milli_rate })
     };
-    let flow: Vec<FlowReplica> = replicas.iter().enumerate().filter_map(as_flow).collect();
+    let flow: Vec<FlowReplica> = replicas.iter().enumerate().filter_map(to_flow_replica).collect();
     let bound = flow_bound(&flow, &[], STAGE_LAYERS * STAGES as u32);
     for (replica, share) in replicas.iter_mut().zip(&bound.shares) {
         replica.weight = *share as f64;
--- a/crates/load/src/record.rs
+++ b/crates/load/src/record.rs
@@ -1,48 +1,48 @@
-//! What was measured of each request.
+//! Record of each request of a run.
 
 use crate::CheckedOutcome;
 
-/// One request and what came of it; times are in microseconds after the start.
+/// One request and its result; times are in microseconds after the start of the run.
 #[derive(Clone, Debug)]
 pub struct CallRecord {
-    /// Number within the run.
+    /// Number within the run, from 0.
     pub number: usize,
-    /// Position of its class in the workload.
+    /// Index of its class in the workload.
     pub class: usize,
-    /// Number of its organisation.
+    /// Number of its organisation, from 0.
     pub organisation: u32,
-    /// When it was to be sent.
-    pub intended: u64,
-    /// When it was sent.
+    /// Time at which it was scheduled to be sent.
+    pub scheduled: u64,
+    /// Time at which it was sent.
     pub sent: u64,
-    /// When each token came.
+    /// Arrival time of each token.
     pub tokens_at: Vec<u64>,
-    /// When it ended.
+    /// Time at which the response ended or failed.
     pub ended: u64,
-    /// How it ended.
+    /// Outcome from the caller's view.
     pub outcome: CheckedOutcome,
-    /// Machine-readable reason, where there is one.
+    /// Machine-readable reason of the outcome; empty if there is none.
     pub reason: String,
-    /// The answer was not the right one.
+    /// Whether the response differs from the expected one.
     pub wrong: bool,
-    /// Tokens asked for; 0 for a call.
+    /// Maximum number of tokens to generate; 0 for a service call.
     pub max_tokens: u32,
-    /// It repeats another request under its key.
-    pub repeats: Option<usize>,
+    /// Number of the request with the same key that it resends.
+    pub resend_of: Option<usize>,
 }
 
 impl CallRecord {
-    /// Tells whether it was in flight at a time.
+    /// Returns whether the request was in flight at a time, in microseconds after the start.
     pub fn in_flight_at(&self, at: u64) -> bool {
         self.sent <= at && self.ended > at
     }
 }
 
-/// All of a run.
+/// Record of a run.
 #[derive(Clone, Debug, Default)]
 pub struct RunRecord {
-    /// Requests, in the order in which they ended.
+    /// Records of the requests, in the order in which they ended.
     pub calls: Vec<CallRecord>,
-    /// When the first request was sent, on the kernel's clock in milliseconds.
+    /// Start of the run in milliseconds, on the clock of the kernel crate.
     pub started_millis: u64,
 }
--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -7,53 +7,53 @@
 
 use crate::{CallRecord, CheckedOutcome, PlannedFault, RunRecord, Workload};
 
-/// Percentiles of a time, in milliseconds.
+/// Percentiles of a duration, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize)]
 pub struct Percentiles {
-    /// Half of all are at most so long.
+    /// Median.
     pub p50: f64,
-    /// 95 in 100.
+    /// 95th percentile.
     pub p95: f64,
-    /// 99 in 100.
+    /// 99th percentile.
     pub p99: f64,
 }
 
-/// Counts of outcomes, as callers saw them.
+/// Number of requests for each outcome from the callers' view.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize)]
 pub struct OutcomeCounts {
-    /// Ran whole.
+    /// Requests that ran to completion.
     pub done: u64,
-    /// Did not run.
+    /// Requests that did not run.
     pub not_run: u64,
-    /// May have run.
+    /// Requests that may have run.
     pub unknown: u64,
-    /// Never reached an entry: its connection was not made.
+    /// Requests whose connection to the entry could not be established.
     pub unreached: u64,
-    /// Sent again under a key that was held.
+    /// Requests whose idempotency key was already claimed.
     pub duplicate: u64,
 }
 
-/// Broken promises; all must be 0.
+/// Number of violations of each guarantee; all must be 0.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Violations {
-    /// Steps that engines were given out of order.
+    /// Steps that did not continue the request's cache at the engine.
     pub layer_order: u64,
-    /// Answers that were not the right one.
+    /// Responses that differ from the expected one.
     pub wrong_answer: u64,
-    /// Requests that must run once and ran twice.
+    /// Requests that must run at most once and ran more often.
     pub double_run: u64,
-    /// Requests called not run that ran.
+    /// Requests reported as not run that ran.
     pub false_not_run: u64,
-    /// Requests cut by a planned change.
+    /// Requests with unknown outcome that were in flight during planned changes and no other fault.
     pub cut_in_flight: u64,
-    /// Requests that VMs took seconds after they were to leave.
+    /// Requests that VMs accepted more than 3 s after they were told to leave or stop.
     pub work_to_leaving: u64,
-    /// Objects that went back to an older version somewhere.
+    /// Times that an entry went back to an older version of a configuration object.
     pub config_reverted: u64,
 }
 
 impl Violations {
-    /// Sum of all.
+    /// Returns the sum of all counts.
     pub fn total(&self) -> u64 {
         self.layer_order
             + self.wrong_answer
@@ -68,35 +68,35 @@
 /// Recovery from one fault.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct FaultRecovery {
-    /// The fault.
+    /// Label of the fault.
     pub fault: String,
-    /// Milliseconds until every stream that was in flight had moved on or ended.
+    /// Milliseconds until every stream that was in flight had received a token or ended.
     pub ms: f64,
-    /// Streams that were in flight.
+    /// Number of streams in flight when the fault was injected.
     pub in_flight: usize,
-    /// Those that the fault held up for longer than 3 times the run's median between tokens.
+    /// Number of these streams that waited for more than three times the median time between tokens.
     pub held_up: usize,
 }
 
-/// Calls of the store.
+/// Number of calls of the store.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize)]
 pub struct StoreUse {
-    /// Reads.
+    /// Reads that are no watches.
     pub reads: u64,
-    /// Writes.
+    /// Writes and deletes.
     pub writes: u64,
     /// Watches.
     pub watches: u64,
-    /// Calls that the store refused for their rate.
+    /// Calls that the store rejected by its rate limit.
     pub limited: u64,
 }
 
-/// What control cost a process.
+/// Resource use of a process during the run.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize)]
 pub struct ControlUse {
-    /// Bytes a second.
+    /// Bytes per second on the network.
     pub bytes_per_s: f64,
-    /// Share of one core.
+    /// Processor use; 1.0 is one core.
     pub core_share: f64,
     /// Resident memory in megabytes.
     pub rss_mb: f64,
@@ -105,82 +105,85 @@
 /// The report of a run.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct LoadReport {
-    /// Requests offered.
+    /// Number of requests.
     pub offered: u64,
-    /// Requests that ran whole.
+    /// Number of requests that ran to completion.
     pub delivered: u64,
-    /// Requests sent more than 10 ms after their time.
+    /// Number of requests sent more than 10 ms after their scheduled time.
     pub late_sends: u64,
-    /// Tokens a second over the window of the surge.
+    /// Tokens per second during the surge, without its first second.
     pub tokens_per_s: f64,
-    /// The most that the hardware could deliver of this mix.
+    /// Upper bound of the throughput of the engines for this workload.
     pub bound_tokens_per_s: f64,
-    /// Their ratio.
+    /// Ratio of `tokens_per_s` and `bound_tokens_per_s`.
     pub share_of_bound: f64,
-    /// From the intended time to the first token.
+    /// Time from the scheduled send time to the first token.
     pub first_token_ms: Percentiles,
-    /// From one token to the next.
+    /// Time between two tokens of a request.
     pub between_tokens_ms: Percentiles,
-    /// Outcomes.
+    /// Number of requests for each outcome.
     pub outcomes: OutcomeCounts,
-    /// Outcomes with their reasons.
+    /// Number of requests for each combination of outcome and reason, as `outcome: reason`.
     pub reasons: BTreeMap<String, u64>,
-    /// Broken promises.
+    /// Violations of the system's guarantees.
     pub violations: Violations,
-    /// Recovery from each fault.
+    /// Recovery from each injected fault.
     pub recovery_ms: Vec<FaultRecovery>,
-    /// Calls of the store.
+    /// Number of calls of the store.
     pub store_calls: StoreUse,
-    /// Control, by process.
+    /// Resource use by process.
     pub control: BTreeMap<String, ControlUse>,
-    /// Positions that engines ran beyond what the answers needed, for each that they needed.
+    /// Ratio of superfluous to necessary positions run by engines; 0.1 means 10 % more than necessary.
     pub repeated_work: f64,
 }
 
-/// What a report is built from, besides the record.
+/// Input for a report in addition to the record of the run.
 #[derive(Clone, Debug, Default)]
 pub struct ReportInput {
     /// The most that the hardware could deliver of this mix.
     pub bound_tokens_per_s: f64,
-    /// Violations that only the stand-ins can see.
-    pub seen_by_standins: Violations,
-    /// Calls of the store.
+    /// Violations found by checks of the deployment, such as the run logs of the stand-ins.
+    pub standin_violations: Violations,
+    /// Number of calls of the store.
     pub store_calls: StoreUse,
-    /// Control, by process.
+    /// Resource use by process.
     pub control: BTreeMap<String, ControlUse>,
-    /// Positions beyond what the answers needed.
+    /// Ratio of superfluous to necessary positions run by engines.
     pub repeated_work: f64,
-    /// When each fault took effect, in microseconds after the start.
+    /// Faults that were injected.
     pub faults: Vec<InjectedFault>,
 }
 
-/// A fault with the time at which it took effect.
+/// A fault that was injected, with its time.
 #[derive(Clone, Debug)]
 pub struct InjectedFault {
-    /// The fault.
+    /// Fault as it was planned.
     pub fault: PlannedFault,
-    /// Microseconds after the start.
+    /// Time of the injection, in microseconds after the start of the run.
     pub at: u64,
 }
 
-/// A send that is later than this counts as late, in microseconds.
-const LATE_SEND: u64 = 10_000;
+/// Delay from which a send counts as late, in microseconds.
+const LATE_SEND_MICROS: u64 = 10_000;
 
-/// The start of the surge's window is left out: pipelines fill up.
+/// Time at the start of the surge that is left out of the throughput, because the pipelines still fill
+/// up.
 const RAMP_MICROS: u64 = 1_000_000;
 
-/// Longest time in the histograms, in microseconds.
-const MOST_MICROS: u64 = 600_000_000;
+/// Largest value that the histograms can hold, in microseconds; larger ones are recorded as this value.
+const MAX_MICROS: u64 = 600_000_000;
 
-/// Builds the report of a run.
+/// Builds the report of a run from its record and the data of the deployment.
 pub fn build_report(workload: &Workload, record: &RunRecord, input: &ReportInput) -> LoadReport {
     let calls = &record.calls;
     let mut report = LoadReport {
         offered: calls.len() as u64,
-        late_sends: calls.iter().filter(|call| call.sent > call.intended + LATE_SEND).count()
-            as u64,
+        late_sends: calls
+            .iter()
+            .filter(|call| call.sent > call.scheduled + LATE_SEND_MICROS)
+            .count() as u64,
         bound_tokens_per_s: input.bound_tokens_per_s,
-        violations: input.seen_by_standins,
+        violations: input.standin_violations,
         store_calls: input.store_calls,
         control: input.control.clone(),
         repeated_work: input.repeated_work,
@@ -191,24 +194,26 @@
     }
     report.delivered = report.outcomes.done;
     report.violations.wrong_answer += calls.iter().filter(|call| call.wrong).count() as u64;
-    report.violations.cut_in_flight += cut_by_planned(calls, &input.faults);
-    report.tokens_per_s = surge_rate(workload, calls);
+    report.violations.cut_in_flight += count_cut_by_planned_changes(calls, &input.faults);
+    report.tokens_per_s = surge_tokens_per_s(workload, calls);
     if report.bound_tokens_per_s > 0.0 {
         report.share_of_bound = report.tokens_per_s / report.bound_tokens_per_s;
     }
-    let firsts = calls.iter().filter_map(|call| Some(call.tokens_at.first()? - call.intended));
-    report.first_token_ms = percentiles(firsts);
+    let first_token_times =
+        calls.iter().filter_map(|call| Some(call.tokens_at.first()? - call.scheduled));
+    report.first_token_ms = percentiles(first_token_times);
     let gaps =
         calls.iter().flat_map(|call| call.tokens_at.windows(2).map(|pair| pair[1] - pair[0]));
     report.between_tokens_ms = percentiles(gaps);
     let median = (report.between_tokens_ms.p50 * 1e3) as u64;
-    report.recovery_ms = input.faults.iter().map(|fault| recovery(fault, calls, median)).collect();
+    report.recovery_ms =
+        input.faults.iter().map(|fault| measure_recovery(fault, calls, median)).collect();
     report
 }
 
 fn count_outcome(report: &mut LoadReport, call: &CallRecord) {
     let outcomes = &mut report.outcomes;
-    let (count, word) = match call.outcome {
+    let (count, name) = match call.outcome {
         CheckedOutcome::Done => (&mut outcomes.done, "done"),
         CheckedOutcome::NotRun => (&mut outcomes.not_run, "not-run"),
         CheckedOutcome::Unknown => (&mut outcomes.unknown, "unknown"),
@@ -217,25 +222,25 @@
     };
     *count += 1;
     if !call.reason.is_empty() {
-        *report.reasons.entry(format!("{word}: {}", call.reason)).or_default() += 1;
+        *report.reasons.entry(format!("{name}: {}", call.reason)).or_default() += 1;
     }
 }
 
-/// Requests that ended as unknown while only planned changes were under way.
-fn cut_by_planned(calls: &[CallRecord], faults: &[InjectedFault]) -> u64 {
-    let is_hit =
+/// Counts the requests with unknown outcome that were in flight during planned changes only.
+fn count_cut_by_planned_changes(calls: &[CallRecord], faults: &[InjectedFault]) -> u64 {
+    let is_affected =
         |call: &CallRecord, fault: &InjectedFault| call.sent <= fault.at && call.ended > fault.at;
     let cut = calls.iter().filter(|call| {
-        let mut hit = faults.iter().filter(|fault| is_hit(call, fault)).peekable();
+        let mut affecting = faults.iter().filter(|fault| is_affected(call, fault)).peekable();
         call.outcome == CheckedOutcome::Unknown
-            && hit.peek().is_some()
-            && hit.all(|fault| fault.fault.fault.is_planned())
+            && affecting.peek().is_some()
+            && affecting.all(|fault| fault.fault.fault.is_planned())
     });
     cut.count() as u64
 }
 
-/// Tokens a second while the surge lasts, its first second left out.
-fn surge_rate(workload: &Workload, calls: &[CallRecord]) -> f64 {
+/// Returns the tokens per second during the surge, without its first second.
+fn surge_tokens_per_s(workload: &Workload, calls: &[CallRecord]) -> f64 {
     let end = workload.surge_ms * 1_000;
     let start = RAMP_MICROS.min(end / 2);
     if end == 0 {
@@ -247,7 +252,7 @@
 }
 
 fn percentiles(micros: impl Iterator<Item = u64>) -> Percentiles {
-    let Ok(mut histogram) = Histogram::<u64>::new_with_bounds(1, MOST_MICROS, 3) else {
+    let Ok(mut histogram) = Histogram::<u64>::new_with_bounds(1, MAX_MICROS, 3) else {
         return Percentiles::default();
     };
     for value in micros {
@@ -257,12 +262,13 @@
     Percentiles { p50: at(0.5), p95: at(0.95), p99: at(0.99) }
 }
 
-/// How long until every stream in flight at the fault had moved on or ended.
-fn recovery(fault: &InjectedFault, calls: &[CallRecord], median: u64) -> FaultRecovery {
+/// Measures how long it took until every stream that was in flight at the fault had received a token or
+/// ended.
+fn measure_recovery(fault: &InjectedFault, calls: &[CallRecord], median: u64) -> FaultRecovery {
     let at = fault.at;
-    let streams = calls
-        .iter()
-        .filter(|call| call.in_flight_at(at) && call.tokens_at.first().is_some_and(|t| *t <= at));
+    let streams = calls.iter().filter(|call| {
+        call.in_flight_at(at) && call.tokens_at.first().is_some_and(|first| *first <= at)
+    });
     let waits: Vec<u64> = streams
         .map(|call| {
             let next = call.tokens_at.iter().find(|token| **token > at).copied();
--- a/crates/load/src/schedule.rs
+++ b/crates/load/src/schedule.rs
@@ -1,4 +1,4 @@
-//! The schedule of arrivals, fixed by a seed.
+//! Generation of the arrival schedule from a seed.
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -10,29 +10,29 @@
 pub struct Arrival {
     /// Number within the run, from 0.
     pub number: usize,
-    /// Microseconds after the start at which to send it.
+    /// Scheduled send time, in microseconds after the start of the run.
     pub at_micros: u64,
-    /// Position of its class in the workload.
+    /// Index of its class in the workload.
     pub class: usize,
     /// Number of its organisation, from 0.
     pub organisation: u32,
-    /// Prompt, or for a call the number that makes its body unique.
+    /// Token identifiers of the prompt; for a service call only the two tokens of its number.
     pub prompt: Vec<u32>,
-    /// Tokens to ask for; 0 for a call.
+    /// Maximum number of tokens to generate; 0 for a service call.
     pub max_tokens: u32,
-    /// Key to send with it.
+    /// Idempotency key, if it is sent with one.
     pub key: Option<String>,
-    /// Number of the request that it repeats, under the same key.
-    pub repeats: Option<usize>,
+    /// Number of the request with the same key that it resends.
+    pub resend_of: Option<usize>,
 }
 
-/// Of the keyed requests, this share is sent again.
+/// Share of the requests with a key that are sent a second time.
 const RESEND_SHARE: f64 = 0.1;
 
-/// Microseconds after which a keyed request is sent again.
-const RESEND_AFTER: u64 = 400_000;
+/// Time between a request and its resend, in microseconds.
+const RESEND_DELAY_MICROS: u64 = 400_000;
 
-/// Draws all arrivals of a run, in the order of their times.
+/// Generates all requests of a run, in the order of their times.
 pub fn schedule(workload: &Workload) -> Vec<Arrival> {
     let mut random = ChaCha8Rng::seed_from_u64(workload.seed);
     let mut arrivals = Vec::new();
@@ -54,27 +54,31 @@
             break;
         }
         let number = arrivals.len();
-        arrivals.push(draw(workload, &mut random, number, clock as u64));
+        arrivals.push(draw_arrival(workload, &mut random, number, clock as u64));
     }
     add_resends(workload, &mut random, &mut arrivals);
     arrivals
 }
 
-fn draw(workload: &Workload, random: &mut ChaCha8Rng, number: usize, at_micros: u64) -> Arrival {
+fn draw_arrival(
+    workload: &Workload,
+    random: &mut ChaCha8Rng,
+    number: usize,
+    at_micros: u64,
+) -> Arrival {
     let class = draw_class(&workload.classes, random);
     let load = &workload.classes[class];
-    // The first tokens are the request's own number, so that no two prompts are alike.
+    // The first two tokens encode the request's number, which makes every prompt unique.
     let mut prompt = vec![(number >> 16) as u32 & 0xffff, number as u32 & 0xffff];
     let mut max_tokens = 0;
-    if let WorkKind::Completion { least_prompt, most_prompt, least_tokens, most_tokens } = load.work
-    {
-        let len = random.random_range(least_prompt.max(2)..=most_prompt.max(2));
+    if let WorkKind::Completion { min_prompt, max_prompt, min_output, max_output } = load.work {
+        let len = random.random_range(min_prompt.max(2)..=max_prompt.max(2));
         prompt.extend((2..len).map(|_| random.random_range(0..50_000)));
-        max_tokens = random.random_range(least_tokens.max(1)..=most_tokens.max(1));
+        max_tokens = random.random_range(min_output.max(1)..=max_output.max(1));
     }
     let key = load.keyed.then(|| format!("run-{}-{number}", workload.seed));
     let organisation = draw_organisation(workload.organisations, random);
-    Arrival { number, at_micros, class, organisation, prompt, max_tokens, key, repeats: None }
+    Arrival { number, at_micros, class, organisation, prompt, max_tokens, key, resend_of: None }
 }
 
 fn draw_class(classes: &[ClassLoad], random: &mut ChaCha8Rng) -> usize {
@@ -89,7 +93,7 @@
     classes.len() - 1
 }
 
-/// Zipf's law: organisation `k` sends in proportion to `1 / (k + 1)`.
+/// Draws an organisation by Zipf's law: organisation `k` has the weight `1 / (k + 1)`.
 fn draw_organisation(organisations: u32, random: &mut ChaCha8Rng) -> u32 {
     let weights = (0..organisations).map(|number| 1.0 / f64::from(number + 1));
     let total: f64 = weights.clone().sum();
@@ -108,14 +112,14 @@
         arrivals.iter().filter(|arrival| arrival.key.is_some()).cloned().collect();
     for original in keyed {
         if random.random::<f64>() < RESEND_SHARE {
-            let mut again = original.clone();
-            again.at_micros = original.at_micros + RESEND_AFTER;
-            again.repeats = Some(original.number);
-            again.number = arrivals.len();
-            arrivals.push(again);
+            let mut resend = original.clone();
+            resend.at_micros = original.at_micros + RESEND_DELAY_MICROS;
+            resend.resend_of = Some(original.number);
+            resend.number = arrivals.len();
+            arrivals.push(resend);
         }
     }
     let end = workload.duration_ms * 1_000;
-    arrivals.retain(|arrival| arrival.repeats.is_none() || arrival.at_micros < end);
+    arrivals.retain(|arrival| arrival.resend_of.is_none() || arrival.at_micros < end);
     arrivals.sort_by_key(|arrival| (arrival.at_micros, arrival.number));
 }
--- a/crates/load/src/workload.rs
+++ b/crates/load/src/workload.rs
@@ -1,130 +1,135 @@
-//! What is offered.
+//! Workloads and planned faults, as they are read from experiment files.
 
 use serde::{Deserialize, Serialize};
 
-/// What a class of requests runs.
+/// Kind of work that the requests of a class do.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case", tag = "kind")]
 pub enum WorkKind {
     /// A streamed completion.
     Completion {
-        /// Fewest tokens of a prompt.
-        least_prompt: u32,
-        /// Most tokens of a prompt.
-        most_prompt: u32,
-        /// Fewest tokens of an answer.
-        least_tokens: u32,
-        /// Most tokens of an answer.
-        most_tokens: u32,
+        /// Minimum length of a prompt in tokens.
+        #[serde(rename = "least_prompt")]
+        min_prompt: u32,
+        /// Maximum length of a prompt in tokens.
+        #[serde(rename = "most_prompt")]
+        max_prompt: u32,
+        /// Minimum number of tokens to generate.
+        #[serde(rename = "least_tokens")]
+        min_output: u32,
+        /// Maximum number of tokens to generate.
+        #[serde(rename = "most_tokens")]
+        max_output: u32,
     },
-    /// A call of a plain service.
+    /// A call of a service.
     Call {
         /// Name of the service.
         service: String,
     },
 }
 
-/// One class of requests in the mix.
+/// A class of requests of a workload.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClassLoad {
     /// Name of the class.
     pub class: String,
-    /// Share of the mix; shares need not sum to anything.
+    /// Relative frequency of the class; the shares of all classes need not sum to 1.
     pub share: f64,
-    /// What it runs.
+    /// Work that its requests do.
     pub work: WorkKind,
-    /// Its requests must never be repeated.
+    /// Whether its requests must run at most once.
     #[serde(default)]
     pub once: bool,
-    /// Sends a key with each request, and sends some requests again under the same key.
+    /// Whether its requests carry an idempotency key; some of them are then sent a second time.
     #[serde(default)]
     pub keyed: bool,
 }
 
-/// What is offered in a run.
+/// Requests of a run.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Workload {
-    /// Event that the requests belong to.
+    /// Name of the event to which the requests belong.
     pub event: String,
-    /// Model of the completions.
+    /// Name of the model for completions.
     pub model: String,
-    /// Seed of the schedule and the prompts.
+    /// Seed of the arrival times and the contents of the requests.
     pub seed: u64,
-    /// Milliseconds over which requests arrive.
+    /// Time over which requests are sent, in milliseconds.
     pub duration_ms: u64,
-    /// Milliseconds of the opening surge.
+    /// Duration of the initial surge, in milliseconds.
     pub surge_ms: u64,
-    /// Requests a second in the surge.
+    /// Requests per second during the surge.
     pub surge_per_s: f64,
-    /// Requests a second after it.
+    /// Requests per second after the surge.
     pub steady_per_s: f64,
-    /// Organisations; the first sends most, as in Zipf's law.
+    /// Number of organisations; the requests are distributed over them by Zipf's law.
     pub organisations: u32,
-    /// Mix of classes.
+    /// Classes of requests.
     pub classes: Vec<ClassLoad>,
 }
 
-/// What a fault does.
+/// A fault or planned change to inject.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case", tag = "kind")]
 pub enum FaultKind {
-    /// A VM is gone at once.
+    /// Kill a VM.
     Kill {
         /// Name of the VM.
         vm: String,
     },
-    /// A VM stops for a while and goes on.
+    /// Pause a VM; its sockets stay open.
     Freeze {
         /// Name of the VM.
         vm: String,
-        /// Milliseconds.
+        /// Duration of the pause in milliseconds.
         ms: u64,
     },
-    /// A VM is told to stop, and finishes what it has.
+    /// Shut a VM down gracefully.
     Stop {
         /// Name of the VM.
         vm: String,
     },
-    /// The platform's list says that a VM will leave.
+    /// Mark a VM as leaving in the platform's VM list.
     Leave {
         /// Name of the VM.
         vm: String,
     },
-    /// An engine takes this many hundredths of its time.
+    /// Slow an engine down.
     Slow {
         /// Name of the VM.
         vm: String,
-        /// Hundredths.
+        /// Duration of a batch in percent of the usual one.
         hundredths: u64,
     },
-    /// A new VM joins with the layers of another one.
+    /// Start a new VM with an engine.
     Join {
-        /// Name of the VM whose layers it holds.
+        /// Name of the VM whose configuration is copied.
         like: String,
-        /// Its own name.
+        /// Name of the new VM.
         vm: String,
     },
-    /// The platform's store is down for a while.
+    /// Make the platform's store unavailable.
     StoreOutage {
-        /// Milliseconds.
+        /// Duration of the outage in milliseconds.
         ms: u64,
     },
-    /// Answers of writes to the store are lost, though they take effect.
-    LoseAnswers {
-        /// How many.
+    /// Lose the responses of store writes that took effect.
+    #[serde(rename = "lose-answers")]
+    LoseResponses {
+        /// Number of lost responses.
         count: u32,
     },
-    /// An operator's statement.
+    /// Send an operator's statement to the first entry.
     Statement {
-        /// The statement.
+        /// Text of the statement.
         text: String,
     },
 }
 
 impl FaultKind {
-    /// Tells whether it is a planned change, which must cut nothing.
+    /// Returns whether it is a planned change, which must not interrupt any request.
     pub fn is_planned(&self) -> bool {
         matches!(
             self,
@@ -132,7 +137,7 @@
         )
     }
 
-    /// Short text for reports.
+    /// Returns a short description for reports.
     pub fn label(&self) -> String {
         match self {
             Self::Kill { vm } => format!("kill {vm}"),
@@ -142,18 +147,18 @@
             Self::Slow { vm, hundredths } => format!("slow {vm} {hundredths}%"),
             Self::Join { like, vm } => format!("join {vm} like {like}"),
             Self::StoreOutage { ms } => format!("store outage {ms} ms"),
-            Self::LoseAnswers { count } => format!("lose {count} answers of the store"),
+            Self::LoseResponses { count } => format!("lose {count} answers of the store"),
             Self::Statement { text } => text.clone(),
         }
     }
 }
 
-/// A fault and its time.
+/// A fault and the time at which to inject it.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlannedFault {
-    /// Milliseconds after the start of the load.
+    /// Time of the injection, in milliseconds after the start of the load.
     pub at_ms: u64,
-    /// What happens.
+    /// Fault to inject.
     pub fault: FaultKind,
 }
--- a/crates/load/tests/load.rs
+++ b/crates/load/tests/load.rs
@@ -1,4 +1,4 @@
-//! The schedule, the model and the report.
+//! Tests of the arrival schedule, the queueing model and the report.
 
 use switchfold_core::path::PathPolicy;
 use switchfold_load::{
@@ -20,10 +20,10 @@
             class: "lot".to_owned(),
             share: 1.0,
             work: WorkKind::Completion {
-                least_prompt: 4,
-                most_prompt: 8,
-                least_tokens: 2,
-                most_tokens: 5,
+                min_prompt: 4,
+                max_prompt: 8,
+                min_output: 2,
+                max_output: 5,
             },
             once: true,
             keyed: true,
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn schedules_are_fixed_by_their_seed() {
+fn schedules_depend_only_on_the_seed() {
     let (first, second) = (schedule(&workload()), schedule(&workload()));
     assert_eq!(first.len(), second.len());
     assert!(
@@ -44,20 +44,20 @@
     assert!(first.windows(2).all(|pair| pair[0].at_micros <= pair[1].at_micros));
     let surge = first.iter().filter(|arrival| arrival.at_micros < 2_000_000).count();
     assert!((340..=480).contains(&surge), "{surge} in the surge");
-    let repeated = first.iter().filter(|arrival| arrival.repeats.is_some()).count();
-    assert!(repeated > 10, "{repeated} sent again");
+    let resends = first.iter().filter(|arrival| arrival.resend_of.is_some()).count();
+    assert!(resends > 10, "{resends} resends");
     let other = schedule(&Workload { seed: 6, ..workload() });
     assert_ne!(first[0].at_micros, other[0].at_micros);
 }
 
 #[test]
-fn the_model_stays_below_the_bound_and_is_the_same_every_time() {
+fn model_throughput_stays_below_the_bound_and_is_deterministic() {
     let setup = ModelSetup {
         policy: PathPolicy::FlowCorrected,
         entries: 3,
         lag_ms: 100,
         offered_hundredths: 130,
-        slow_stage: false,
+        slow_replica: false,
         replicas: 8,
         seconds: 3,
         seed: 1,
@@ -75,7 +75,7 @@
         number,
         class: 0,
         organisation: 0,
-        intended: 100_000,
+        scheduled: 100_000,
         sent: 100_000,
         tokens_at,
         ended,
@@ -83,13 +83,14 @@
         reason: String::new(),
         wrong: false,
         max_tokens: 4,
-        repeats: None,
+        resend_of: None,
     }
 }
 
-/// Requests that end as unknown count as cut only where nothing but planned changes hit them.
+/// Requests with unknown outcome count as cut only if no fault other than planned changes occurred while
+/// they were in flight.
 #[test]
-fn reports_tell_cuts_by_planned_changes_and_recovery() {
+fn reports_count_requests_cut_by_planned_changes_and_measure_recovery() {
     let injected = |at: u64, fault: FaultKind| InjectedFault {
         fault: PlannedFault { at_ms: at / 1_000, fault },
         at,
@@ -110,7 +111,10 @@
         ..ReportInput::default()
     };
     let report = build_report(&workload(), &record, &input);
-    assert_eq!(report.violations.cut_in_flight, 1, "the second was hit by a kill as well");
+    assert_eq!(
+        report.violations.cut_in_flight, 1,
+        "the second request was in flight during a kill as well"
+    );
     assert_eq!((report.outcomes.done, report.outcomes.unknown), (1, 2));
     assert!((report.recovery_ms[1].ms - 300.0).abs() < 1.0, "{:?}", report.recovery_ms);
     let plot = plot_svg(&record, 10.0, &input.faults).expect("a plot");
--- a/crates/local/src/bin/switchfold-load.rs
+++ b/crates/local/src/bin/switchfold-load.rs
@@ -1,4 +1,4 @@
-//! Runs experiments from files, and measures what control costs.
+//! Command-line program that runs experiments from files and measures the control plane's overhead.
 
 use std::{
     fs,
@@ -17,7 +17,7 @@
 use switchfold_local::{
     ClusterError, Experiment,
     compare::compare_policies,
-    measure::{IdleSize, measure_claims, measure_idle, measure_spread},
+    measure::{IdleSize, measure_claims, measure_idle, measure_propagation},
     profile::PROFILES,
     run_experiment,
     table::render_report,
@@ -25,7 +25,8 @@
 
 /// Runs experiments and measurements on one machine.
 ///
-/// Exit codes: 0 no promise was broken; 1 some was; 2 wrong arguments or file; 3 it did not start.
+/// Exit codes: 0 no violations; 1 violations; 2 invalid arguments or file; 3 the deployment did not
+/// start or the report could not be written.
 #[derive(Debug, Parser)]
 #[command(
     version,
@@ -34,61 +35,61 @@
 struct LoadArguments {
     #[command(subcommand)]
     action: LoadAction,
-    /// Level of the log: off, error, warn, info, debug, trace.
+    /// Log level: off, error, warn, info, debug, trace.
     #[arg(long, default_value = "error", global = true)]
     log_level: LevelFilter,
 }
 
 #[derive(Debug, Subcommand)]
 enum LoadAction {
-    /// Run an experiment: a deployment, a load with an opening surge, faults, and a report.
+    /// Run an experiment: start a deployment, apply load and faults, and print a report.
     Run {
         /// Experiment file in JSON.
         #[arg(value_name = "FILE")]
         experiment: PathBuf,
-        /// Write the report in JSON to this file, and a plot beside it.
+        /// Write the report as JSON to this file, and a plot to the same path with extension svg.
         #[arg(long, value_name = "FILE")]
         report: Option<PathBuf>,
-        /// Seed in place of the file's.
+        /// Seed that overrides the one in the file.
         #[arg(long)]
         seed: Option<u64>,
     },
-    /// Measure what a deployment costs that serves nobody.
+    /// Measure the overhead of a deployment without load.
     Idle {
-        /// Entries.
+        /// Number of entries.
         #[arg(long, default_value_t = 3)]
         entries: usize,
-        /// Agents, each with an engine.
+        /// Number of agents, each with an engine.
         #[arg(long, default_value_t = 40)]
         agents: usize,
-        /// Organisations that are configured.
+        /// Number of configured organisations.
         #[arg(long, default_value_t = 10)]
         organisations: u32,
-        /// Seconds to measure.
+        /// Duration of the measurement in seconds.
         #[arg(long, default_value_t = 10)]
         seconds: u64,
     },
-    /// Measure how a change of configuration spreads over entries.
+    /// Measure how fast a configuration change propagates to all entries.
     Spread {
-        /// Entries.
+        /// Number of entries.
         #[arg(long, default_value_t = 30)]
         entries: usize,
     },
-    /// Compare path policies in a model of batch servers, over seeds.
+    /// Compare path policies in a queueing model of batch servers.
     Policies {
-        /// Seeds, from 1.
+        /// Number of seeds; they are 1, 2, and so on.
         #[arg(long, default_value_t = 10)]
         seeds: u64,
-        /// Replicas of each of three stages.
+        /// Number of replicas of each of the three stages.
         #[arg(long, default_value_t = 16)]
         replicas: usize,
     },
-    /// Measure what claims of keys cost.
+    /// Measure throughput and latency of claims of idempotency keys.
     Claims {
-        /// Keyed requests a second.
+        /// Claims per second.
         #[arg(long, default_value_t = 1_000)]
         per_s: u64,
-        /// Seconds to offer them.
+        /// Duration of the measurement in seconds.
         #[arg(long, default_value_t = 5)]
         seconds: u64,
     },
@@ -148,7 +149,7 @@
             let size = IdleSize { entries, agents, organisations };
             print(measure_idle(size, Duration::from_secs(seconds)).await)
         }
-        LoadAction::Spread { entries } => print(measure_spread(entries).await),
+        LoadAction::Spread { entries } => print(measure_propagation(entries).await),
         LoadAction::Policies { seeds, replicas } => {
             println!("{}", compare_policies(seeds, replicas));
             ExitCode::from(OK)
--- a/crates/local/src/bin/switchfold-local.rs
+++ b/crates/local/src/bin/switchfold-local.rs
@@ -1,4 +1,4 @@
-//! A whole deployment on one machine, as a program.
+//! Command-line program that runs a complete deployment in one process.
 
 use std::{path::PathBuf, process::ExitCode};
 
@@ -17,26 +17,27 @@
     table::render_report,
 };
 
-/// Starts entries, agents and stand-ins in one process, drives an event through them with a stage
-/// killed midway, and prints what came of it.
+/// Starts entries, agents and stand-ins in one process, runs the workload and faults of a profile, and
+/// prints a report.
 ///
-/// Exit codes: 0 no promise was broken; 1 some was; 2 wrong arguments; 3 the deployment did not start.
+/// Exit codes: 0 no violations; 1 violations; 2 invalid arguments; 3 the deployment did not start or the
+/// report could not be written.
 #[derive(Debug, Parser)]
 #[command(
     version,
     after_help = "Examples:\n  switchfold-local\n  switchfold-local --profile northcatch --report report.json\n  switchfold-local --serve"
 )]
 struct LocalArguments {
-    /// Deployment: small, northcatch or customs.
+    /// Profile of the deployment: tiny, small, northcatch or customs.
     #[arg(long, default_value = "small")]
     profile: String,
-    /// Keep it up instead of driving load, and print a line to try.
+    /// Keep the deployment running without load, and print commands to try it.
     #[arg(long)]
     serve: bool,
-    /// Write the report in JSON to this file, and a plot beside it.
+    /// Write the report as JSON to this file, and a plot to the same path with extension svg.
     #[arg(long, value_name = "FILE")]
     report: Option<PathBuf>,
-    /// Level of the log: off, error, warn, info, debug, trace.
+    /// Log level: off, error, warn, info, debug, trace.
     #[arg(long, default_value = "error")]
     log_level: LevelFilter,
 }
@@ -77,7 +78,7 @@
     }
     let violations = result.report.violations.total();
     if violations > 0 {
-        return fail(FAILED, &format!("{violations} promises broken; see the table"));
+        return fail(FAILED, &format!("{violations} violations; see the table"));
     }
     ExitCode::from(OK)
 }
--- a/crates/local/src/checks.rs
+++ b/crates/local/src/checks.rs
@@ -1,4 +1,5 @@
-//! What only the stand-ins can see: the run logs, held against what callers were told.
+//! Checks that need data from inside the deployment: the run logs of the stand-ins are compared with
+//! the outcomes that callers received.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -22,14 +23,14 @@
     profile::LocalProfile,
 };
 
-/// Milliseconds after which a leaving VM must take no work.
+/// Milliseconds after a VM was told to leave or stop from which it must accept no new work.
 const LEAVING_GRACE_MS: u64 = 3_000;
 
-/// How often versions in force are looked at.
-const VERSIONS_EVERY: Duration = Duration::from_millis(250);
+/// Interval at which the effective configuration versions are read from every entry.
+const VERSION_POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Holds the run logs of engines and services against the record.
-pub(crate) fn run_logs(
+/// Compares the run logs of engines and services with the outcomes that callers recorded.
+pub(crate) fn check_run_logs(
     cluster: &LocalCluster,
     profile: &LocalProfile,
     arrivals: &[Arrival],
@@ -37,8 +38,8 @@
 ) -> Violations {
     let by_number: HashMap<usize, &Arrival> =
         arrivals.iter().map(|arrival| (arrival.number, arrival)).collect();
-    let layer_order = cluster.engines.values().map(|handle| handle.log.errors()).sum();
-    let mut seen = Violations { layer_order, ..Violations::default() };
+    let layer_order = cluster.engines.values().map(|handle| handle.log.step_errors()).sum();
+    let mut violations = Violations { layer_order, ..Violations::default() };
     for call in &record.calls {
         let Some(arrival) = by_number.get(&call.number) else {
             continue;
@@ -48,21 +49,21 @@
             WorkKind::Completion { .. } => prompt_runs(cluster, &arrival.prompt),
             WorkKind::Call { .. } => service_runs(cluster, arrival),
         };
-        // A repeated key is counted with the request that it repeats.
-        if class.once && call.repeats.is_none() && runs > 1 {
-            seen.double_run += 1;
+        // A resent request has the key of its original and is counted with it.
+        if class.once && call.resend_of.is_none() && runs > 1 {
+            violations.double_run += 1;
         }
-        let says_not_run =
+        let reported_not_run =
             matches!(call.outcome, CheckedOutcome::NotRun | CheckedOutcome::Unreached);
-        if says_not_run && runs > 0 && !ran_under_key(record, call, arrival, &by_number) {
-            seen.false_not_run += 1;
+        if reported_not_run && runs > 0 && !ran_with_same_key(record, call, arrival, &by_number) {
+            violations.false_not_run += 1;
         }
     }
-    seen
+    violations
 }
 
-/// Whether another request under the same key accounts for the run.
-fn ran_under_key(
+/// Returns whether another request with the same idempotency key may have caused the run.
+fn ran_with_same_key(
     record: &RunRecord,
     call: &CallRecord,
     arrival: &Arrival,
@@ -88,7 +89,8 @@
     cluster.services.values().map(|service| service.runs(&body)).sum()
 }
 
-/// Positions that engines ran beyond what delivered answers needed, for each that they needed.
+/// Returns the ratio of superfluous to necessary positions run by engines; 0.1 means that 10 % more
+/// was computed than the delivered tokens required.
 pub(crate) fn repeated_work(
     cluster: &LocalCluster,
     profile: &LocalProfile,
@@ -104,7 +106,7 @@
         .map(|call| prompts.get(&call.number).copied().unwrap_or(0) + call.tokens_at.len() - 1)
         .sum();
     let model_layers = f64::from(profile.model.layers);
-    // Each engine's positions count by its share of the layers.
+    // A position at one engine runs only that engine's share of the model's layers.
     let ran: f64 = cluster
         .engines
         .values()
@@ -117,13 +119,14 @@
     if needed == 0 { 0.0 } else { (ran / needed as f64 - 1.0).max(0.0) }
 }
 
-/// Counts requests that VMs took more than some seconds after they were to leave.
-pub(crate) async fn watch_leaving(
+/// Counts the requests that engine VMs accepted later than [`LEAVING_GRACE_MS`] after they were told
+/// to leave or stop.
+pub(crate) async fn count_late_requests(
     cluster: SharedCluster,
     faults: Vec<PlannedFault>,
     started: u64,
 ) -> u64 {
-    let mut counted: Vec<(String, u64)> = Vec::new();
+    let mut requests_before: Vec<(String, u64)> = Vec::new();
     for planned in faults {
         let (FaultKind::Leave { vm } | FaultKind::Stop { vm }) = planned.fault else {
             continue;
@@ -131,19 +134,19 @@
         let due = started + planned.at_ms + LEAVING_GRACE_MS;
         sleep(Duration::from_millis(due.saturating_sub(now_millis()))).await;
         if let Some(handle) = cluster.lock().await.engines.get(&vm) {
-            counted.push((vm, handle.log.begun()));
+            requests_before.push((vm, handle.log.started_requests()));
         }
     }
-    // Long enough for a request that would still be sent there.
+    // Leaves time for requests that are wrongly still sent to the VM.
     sleep(Duration::from_secs(1)).await;
     let cluster = cluster.lock().await;
-    let late = counted
+    let late = requests_before
         .iter()
-        .filter_map(|(vm, before)| Some(cluster.engines.get(vm)?.log.begun() - before));
+        .filter_map(|(vm, before)| Some(cluster.engines.get(vm)?.log.started_requests() - before));
     late.sum()
 }
 
-/// Looks at the versions in force at every entry, and counts those that went back.
+/// Background task that polls the configuration versions of every entry and counts decreases.
 pub(crate) struct VersionWatch {
     task: JoinHandle<()>,
     reverted: Arc<AtomicU64>,
@@ -164,10 +167,10 @@
 
 async fn watch_versions(entries: Vec<EntryHandle>, reverted: Arc<AtomicU64>) {
     let http = HttpClient::new(Duration::from_secs(2), 16 << 20);
-    let mut seen: BTreeMap<(String, String), u64> = BTreeMap::new();
+    let mut highest_versions: BTreeMap<(String, String), u64> = BTreeMap::new();
     loop {
         for entry in &entries {
-            // An entry that is gone shows nothing, and so goes back on nothing.
+            // A stopped entry has no configuration in force that could be reverted.
             let Ok(table) = send_statement(&http, &entry.web, "show config").await else {
                 continue;
             };
@@ -176,13 +179,15 @@
                     continue;
                 };
                 let version: u64 = version.parse().unwrap_or(0);
-                let held = seen.entry((entry.name.clone(), format!("{kind}/{name}"))).or_default();
-                if version < *held {
+                let highest = highest_versions
+                    .entry((entry.name.clone(), format!("{kind}/{name}")))
+                    .or_default();
+                if version < *highest {
                     reverted.fetch_add(1, Ordering::Relaxed);
                 }
-                *held = (*held).max(version);
+                *highest = (*highest).max(version);
             }
         }
-        sleep(VERSIONS_EVERY).await;
+        sleep(VERSION_POLL_INTERVAL).await;
     }
 }
--- a/crates/local/src/cluster.rs
+++ b/crates/local/src/cluster.rs
@@ -32,45 +32,45 @@
     vm::LocalVm,
 };
 
-/// Token that all processes of a local deployment show.
+/// Token with which the processes of a local deployment authenticate to each other.
 const CLUSTER_TOKEN: &str = "local-cluster-token";
 
 /// Bearer token of the operator of a local deployment.
 pub const OPERATOR_TOKEN: &str = "local-operator";
 
-/// How long to wait for the whole deployment at its start.
-const START_TRIES: u32 = 200;
+/// Number of readiness checks before the start of a deployment fails.
+const START_ATTEMPTS: u32 = 200;
 
-/// Wait between two looks at the deployment.
-const START_WAIT: Duration = Duration::from_millis(50);
+/// Interval between two readiness checks.
+const START_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Why a deployment did not start, or did not do what was asked.
+/// Error of starting or controlling a local deployment.
 #[derive(Debug, Display, Error)]
 pub enum ClusterError {
-    /// The system gives no socket, runtime or thread.
-    #[display("system: {source}")]
-    System {
-        /// What it said.
+    /// The operating system could not provide a socket, runtime or thread.
+    #[display("I/O error: {source}")]
+    Io {
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// It did not become whole in time.
-    #[display("not whole after {waited_ms} ms: {detail}")]
-    NotWhole {
-        /// How long it was waited for.
+    /// Some entry did not see all replicas within the start timeout.
+    #[display("deployment not ready after {waited_ms} ms: {detail}")]
+    NotReady {
+        /// Milliseconds that were waited.
         waited_ms: u128,
-        /// What was missing.
+        /// For each entry that is not ready, the replicas that it sees or its error.
         detail: String,
     },
-    /// There is no such VM.
-    #[display("no VM {name:?}")]
-    NoVm {
-        /// The name.
+    /// No VM has this name.
+    #[display("unknown VM {name:?}")]
+    UnknownVm {
+        /// Name that was requested.
         name: String,
     },
-    /// An entry could not be called.
-    #[display("entry: {source}")]
+    /// The call of an entry failed.
+    #[display("call of the entry failed: {source}")]
     Call {
-        /// What happened.
+        /// Cause of the failure.
         source: CallError,
     },
     /// An entry refused a statement.
@@ -78,49 +78,49 @@
     Refused {
         /// Status code.
         status: StatusCode,
-        /// What it said.
+        /// Body of the response, which holds the reason.
         body: String,
     },
 }
 
 impl From<std::io::Error> for ClusterError {
     fn from(source: std::io::Error) -> Self {
-        Self::System { source }
+        Self::Io { source }
     }
 }
 
-/// What can be seen of an engine from outside.
+/// Access to a running stand-in engine from outside its VM.
 #[derive(Debug)]
 pub struct EngineHandle {
-    /// The engine itself.
+    /// The engine, to slow it down.
     pub engine: EngineStandin,
-    /// What it did.
+    /// Counters of the steps that it ran.
     pub log: Arc<RunLog>,
-    /// Its VM.
+    /// Configuration from which its VM was started.
     pub spec: EngineVm,
 }
 
-/// An entry's addresses.
+/// Name and address of a running entry.
 #[derive(Clone, Debug)]
 pub struct EntryHandle {
-    /// Name.
+    /// Name of the entry, which is also the name of its VM.
     pub name: String,
-    /// For callers and operators.
+    /// HTTP address for callers and operators.
     pub web: String,
 }
 
-/// A deployment in this process.
+/// A deployment that runs in this process; dropping it kills all its VMs.
 #[derive(Debug)]
 pub struct LocalCluster {
-    /// The platform.
+    /// Stand-in for the platform, to inject faults and to change the VM list.
     pub platform: PlatformStandin,
-    /// The services, by VM.
+    /// Services by name of their VM.
     pub services: BTreeMap<String, ServiceStandin>,
-    /// The engines, by VM; those of lost VMs are kept for their logs.
+    /// Engines by name of their VM; those of killed VMs stay in the map for their run logs.
     pub engines: BTreeMap<String, EngineHandle>,
-    /// The entries.
+    /// Entries, in the order of their start; killed entries are removed.
     pub entries: Vec<EntryHandle>,
-    /// Bearer tokens of the organisations.
+    /// Bearer token of each organisation, indexed by its number.
     pub tokens: Vec<String>,
     vms: BTreeMap<String, LocalVm>,
     platform_address: String,
@@ -130,11 +130,11 @@
     _platform_vm: LocalVm,
 }
 
-fn hash(token: &str) -> String {
+fn sha256_hex(token: &str) -> String {
     Sha256::digest(token.as_bytes()).iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn bind() -> std::io::Result<(StdListener, String)> {
+fn bind_loopback() -> std::io::Result<(StdListener, String)> {
     let listener = StdListener::bind("127.0.0.1:0")?;
     listener.set_nonblocking(true)?;
     let address = listener.local_addr()?.to_string();
@@ -146,14 +146,15 @@
     ///
     /// # Errors
     ///
-    /// Fails where the system lacks something, or the deployment does not become whole.
+    /// Returns [`ClusterError::Io`] if a socket or thread cannot be created, and
+    /// [`ClusterError::NotReady`] if the deployment is not ready in time.
     pub async fn start(profile: LocalProfile) -> Result<Self, ClusterError> {
         let platform = PlatformStandin::default();
-        let (listener, platform_address) = bind()?;
-        let served = platform.clone();
+        let (listener, platform_address) = bind_loopback()?;
+        let server = platform.clone();
         let platform_vm = LocalVm::start("platform", move |signal| async move {
             if let Ok(listener) = TcpListener::from_std(listener) {
-                served.serve(listener, signal).await;
+                server.serve(listener, signal).await;
             }
         })?;
         let mut cluster = Self {
@@ -179,11 +180,11 @@
         for index in 0..cluster.profile.entries {
             cluster.start_entry(index)?;
         }
-        cluster.wait_whole().await?;
+        cluster.wait_until_ready().await?;
         Ok(cluster)
     }
 
-    /// The profile that it was started from.
+    /// Returns the profile that the deployment was started from.
     pub fn profile(&self) -> &LocalProfile {
         &self.profile
     }
@@ -197,7 +198,7 @@
             let token = format!("token-{number}");
             let config = OrganisationConfig {
                 name: name.clone(),
-                token_sha256: hash(&token),
+                token_sha256: sha256_hex(&token),
                 weight: 1,
                 limit_per_s: 0,
             };
@@ -210,7 +211,7 @@
         }
     }
 
-    fn list(&self, name: &str, address: &str, data_centre: &str, role: VmRole) {
+    fn add_to_vm_list(&self, name: &str, address: &str, data_centre: &str, role: VmRole) {
         self.platform.set_vm(VmEntry {
             name: name.to_owned(),
             address: address.to_owned(),
@@ -241,10 +242,10 @@
     ///
     /// # Errors
     ///
-    /// Fails where the system lacks a socket or thread.
+    /// Returns [`ClusterError::Io`] if a socket or thread cannot be created.
     pub fn start_engine(&mut self, spec: EngineVm) -> Result<(), ClusterError> {
-        let (engine_listener, engine_address) = bind()?;
-        let (link, address) = bind()?;
+        let (engine_listener, engine_address) = bind_loopback()?;
+        let (link, address) = bind_loopback()?;
         let mut settings = self.agent_settings(&spec.name, &address, &spec.data_centre);
         settings.engine = Some(engine_address);
         let engine = EngineStandin::new(spec.engine.clone());
@@ -260,17 +261,17 @@
                 return;
             };
             tokio::spawn(engine.serve(engine_listener));
-            run_agent_until(settings, link, signal).await;
+            run_agent_or_log(settings, link, signal).await;
         })?;
-        self.list(&spec.name, &address, &spec.data_centre, VmRole::Endpoint);
+        self.add_to_vm_list(&spec.name, &address, &spec.data_centre, VmRole::Endpoint);
         self.vms.insert(spec.name.clone(), vm);
         self.engines.insert(spec.name, handle);
         Ok(())
     }
 
     fn start_service(&mut self, spec: &ServiceVm) -> Result<(), ClusterError> {
-        let (service_listener, service_address) = bind()?;
-        let (link, address) = bind()?;
+        let (service_listener, service_address) = bind_loopback()?;
+        let (link, address) = bind_loopback()?;
         let mut settings = self.agent_settings(&spec.name, &address, &spec.data_centre);
         settings.service = Some(ServiceSettings {
             name: spec.service.clone(),
@@ -279,17 +280,17 @@
             call_ms: 30_000,
         });
         let service = ServiceStandin::new(Duration::from_millis(spec.work_ms));
-        let served = service.clone();
+        let server = service.clone();
         let vm = LocalVm::start(&spec.name, move |signal| async move {
             let (Ok(service_listener), Ok(link)) =
                 (TcpListener::from_std(service_listener), TcpListener::from_std(link))
             else {
                 return;
             };
-            tokio::spawn(served.serve(service_listener, ShutdownSignal::new()));
-            run_agent_until(settings, link, signal).await;
+            tokio::spawn(server.serve(service_listener, ShutdownSignal::new()));
+            run_agent_or_log(settings, link, signal).await;
         })?;
-        self.list(&spec.name, &address, &spec.data_centre, VmRole::Endpoint);
+        self.add_to_vm_list(&spec.name, &address, &spec.data_centre, VmRole::Endpoint);
         self.vms.insert(spec.name.clone(), vm);
         self.services.insert(spec.name.clone(), service);
         Ok(())
@@ -299,8 +300,8 @@
         let name = format!("entry-{index}");
         let data_centre =
             self.profile.data_centres[index % self.profile.data_centres.len()].clone();
-        let (web, web_address) = bind()?;
-        let (peer, peer_address) = bind()?;
+        let (web, web_address) = bind_loopback()?;
+        let (peer, peer_address) = bind_loopback()?;
         let settings = EntrySettings {
             name: name.clone(),
             data_centre: data_centre.clone(),
@@ -310,7 +311,7 @@
             platform: self.platform_address.clone(),
             peers: self.peer_addresses.clone(),
             models: vec![self.profile.model.clone()],
-            operator_token_sha256: hash(OPERATOR_TOKEN),
+            operator_token_sha256: sha256_hex(OPERATOR_TOKEN),
             policy: self.profile.tuning.policy,
             agent_links: 0,
             body_bytes: 1 << 20,
@@ -329,27 +330,27 @@
                 log::error!("entry state=failed error={error}");
             }
         })?;
-        self.list(&name, &peer_address, &data_centre, VmRole::Entry);
+        self.add_to_vm_list(&name, &peer_address, &data_centre, VmRole::Entry);
         self.peer_addresses.push(peer_address);
         self.vms.insert(name.clone(), vm);
         self.entries.push(EntryHandle { name, web: web_address });
         Ok(())
     }
 
-    /// Starts one more entry, which knows the others' addresses from its settings.
+    /// Starts an additional entry; its settings list the existing entries as peers.
     ///
     /// # Errors
     ///
-    /// Fails where the system lacks a socket or thread.
-    pub fn start_late_entry(&mut self) -> Result<(), ClusterError> {
+    /// Returns [`ClusterError::Io`] if a socket or thread cannot be created.
+    pub fn start_additional_entry(&mut self) -> Result<(), ClusterError> {
         self.start_entry(self.peer_addresses.len())
     }
 
-    async fn wait_whole(&self) -> Result<(), ClusterError> {
+    async fn wait_until_ready(&self) -> Result<(), ClusterError> {
         let expected = self.profile.engines.len() + self.profile.services.len();
         let mut detail = String::new();
-        for _ in 0..START_TRIES {
-            sleep(START_WAIT).await;
+        for _ in 0..START_ATTEMPTS {
+            sleep(START_POLL_INTERVAL).await;
             detail.clear();
             for entry in &self.entries {
                 match self.statement(&entry.web, "show endpoints where state = live").await {
@@ -365,61 +366,65 @@
                 return Ok(());
             }
         }
-        Err(ClusterError::NotWhole { waited_ms: (START_WAIT * START_TRIES).as_millis(), detail })
+        Err(ClusterError::NotReady {
+            waited_ms: (START_POLL_INTERVAL * START_ATTEMPTS).as_millis(),
+            detail,
+        })
     }
 
-    /// Sends an operator's statement to an entry; a change gives an empty table.
+    /// Sends an operator's statement to an entry. Statements that change something return an empty
+    /// table.
     ///
     /// # Errors
     ///
-    /// Fails where the entry cannot be called or refuses.
+    /// Returns an error if the call fails or the entry refuses the statement.
     pub async fn statement(&self, web: &str, text: &str) -> Result<ResultTable, ClusterError> {
         send_statement(&self.http, web, text).await
     }
 
-    /// A running VM.
+    /// Returns the VM of this name.
     ///
     /// # Errors
     ///
-    /// Fails where there is none of that name.
+    /// Returns [`ClusterError::UnknownVm`] if no VM has this name.
     pub fn vm(&mut self, name: &str) -> Result<&mut LocalVm, ClusterError> {
-        let missing = || ClusterError::NoVm { name: name.to_owned() };
-        self.vms.get_mut(name).ok_or_else(missing)
+        let unknown_vm = || ClusterError::UnknownVm { name: name.to_owned() };
+        self.vms.get_mut(name).ok_or_else(unknown_vm)
     }
 
-    /// Ends a VM at once; the platform's list does not know of it yet.
+    /// Kills a VM immediately. The platform's VM list still contains it afterwards.
     ///
     /// # Errors
     ///
-    /// Fails where there is none of that name.
+    /// Returns [`ClusterError::UnknownVm`] if no VM has this name.
     pub fn kill(&mut self, name: &str) -> Result<(), ClusterError> {
         self.vm(name)?.kill();
         self.entries.retain(|entry| entry.name != name);
         Ok(())
     }
 
-    /// Tells a VM to stop in order; an entry takes no new callers from then on.
+    /// Requests a graceful shutdown of a VM; an entry then accepts no new requests.
     ///
     /// # Errors
     ///
-    /// Fails where there is none of that name.
+    /// Returns [`ClusterError::UnknownVm`] if no VM has this name.
     pub fn stop(&mut self, name: &str) -> Result<(), ClusterError> {
         self.vm(name)?.stop();
         Ok(())
     }
 }
 
-async fn run_agent_until(settings: AgentSettings, link: TcpListener, signal: ShutdownSignal) {
+async fn run_agent_or_log(settings: AgentSettings, link: TcpListener, signal: ShutdownSignal) {
     if let Err(error) = run_agent(settings, AgentSockets { link, admin: None }, signal).await {
         log::error!("agent state=failed error={error}");
     }
 }
 
-/// Sends an operator's statement to an entry; a change gives an empty table.
+/// Sends an operator's statement to an entry. Statements that change something return an empty table.
 ///
 /// # Errors
 ///
-/// Fails where the entry cannot be called or refuses.
+/// Returns an error if the call fails or the entry refuses the statement.
 pub async fn send_statement(
     http: &HttpClient,
     web: &str,
@@ -431,12 +436,12 @@
         .header("authorization", format!("Bearer {OPERATOR_TOKEN}"))
         .body(Full::new(Bytes::copy_from_slice(text.as_bytes())));
     let Ok(request) = request else {
-        return Err(ClusterError::NoVm { name: web.to_owned() });
+        return Err(ClusterError::UnknownVm { name: web.to_owned() });
     };
-    let answer = http.call(request).await.map_err(|source| ClusterError::Call { source })?;
-    if answer.status != StatusCode::OK {
-        let body = String::from_utf8_lossy(&answer.body).into_owned();
-        return Err(ClusterError::Refused { status: answer.status, body });
+    let response = http.call(request).await.map_err(|source| ClusterError::Call { source })?;
+    if response.status != StatusCode::OK {
+        let body = String::from_utf8_lossy(&response.body).into_owned();
+        return Err(ClusterError::Refused { status: response.status, body });
     }
-    Ok(serde_json::from_slice(&answer.body).unwrap_or_default())
+    Ok(serde_json::from_slice(&response.body).unwrap_or_default())
 }
--- a/crates/local/src/compare.rs
+++ b/crates/local/src/compare.rs
@@ -1,34 +1,35 @@
-//! Path policies compared in the model, on the same seeds.
+//! Comparison of all path policies in the queueing model, with the same seeds for each policy.
 
 use std::thread;
 
 use switchfold_core::path::{POLICIES, PathPolicy};
 use switchfold_load::{ModelResult, ModelSetup, run_model};
 
-/// Modelled seconds of each run.
+/// Simulated seconds of each run.
 const SECONDS: u64 = 4;
 
-/// One row of the comparison: what all policies are given alike.
+/// Conditions under which all policies are compared.
 #[derive(Clone, Copy, Debug)]
 struct ModelCase {
     entries: usize,
     lag_ms: u64,
-    slow_stage: bool,
+    slow_replica: bool,
 }
 
-/// Compares all policies; gives a table in Markdown: the median and the worst of the seeds.
+/// Compares all policies and returns a Markdown table with the median (and for the throughput the
+/// minimum) over the seeds.
 ///
 /// # Panics
 ///
-/// Panics where a run of the model does, which is a fault of the model.
+/// Panics if a run of the model panics.
 pub fn compare_policies(seeds: u64, replicas: usize) -> String {
     let mut text = String::from(
         "| entries | reports' age ms | slow replica | policy | share of bound, median (worst) at 1.3 x | first token p95 ms at 0.8 x | between tokens p95 ms at 0.8 x |\n|---|---|---|---|---|---|---|\n",
     );
-    for slow_stage in [false, true] {
+    for slow_replica in [false, true] {
         for entries in [1, 3, 20] {
             for lag_ms in [0, 100, 1_000] {
-                let case = ModelCase { entries, lag_ms, slow_stage };
+                let case = ModelCase { entries, lag_ms, slow_replica };
                 for policy in POLICIES {
                     text += &row(case, policy, seeds, replicas);
                 }
@@ -45,7 +46,7 @@
             entries: case.entries,
             lag_ms: case.lag_ms,
             offered_hundredths,
-            slow_stage: case.slow_stage,
+            slow_replica: case.slow_replica,
             replicas,
             seconds: SECONDS,
             seed,
@@ -62,7 +63,7 @@
         "| {} | {} | {} | {policy:?} | {:.3} ({:.3}) | {:.1} | {:.1} |\n",
         case.entries,
         case.lag_ms,
-        if case.slow_stage { "yes" } else { "no" },
+        if case.slow_replica { "yes" } else { "no" },
         median(&shares),
         shares.first().copied().unwrap_or(0.0),
         median(&first),
--- a/crates/local/src/experiment.rs
+++ b/crates/local/src/experiment.rs
@@ -1,4 +1,4 @@
-//! One run: a deployment, a load, faults, and the report.
+//! Experiments: a deployment is started, put under load with faults, and a report is made.
 
 use std::{collections::BTreeMap, fs, path::Path, sync::Arc};
 
@@ -13,59 +13,59 @@
 
 use crate::{
     ClusterError, LocalCluster,
-    checks::{VersionWatch, repeated_work, run_logs, watch_leaving},
+    checks::{VersionWatch, check_run_logs, count_late_requests, repeated_work},
     faults::{SharedCluster, inject_faults},
-    profile::{LocalProfile, bound, profile},
+    profile::{LocalProfile, profile, throughput_bound},
     usage::{loopback_bytes, process_usage},
 };
 
-/// An experiment, as in a file under `experiments/`: a profile with what differs from it.
+/// An experiment, as read from a file under `experiments/`: a profile and values that override it.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
-    /// Name of the profile.
+    /// Name of the profile, one of [`PROFILES`](crate::profile::PROFILES).
     pub profile: String,
-    /// Load in place of the profile's.
+    /// Overrides the workload.
     #[serde(default)]
     pub workload: Option<Workload>,
-    /// Faults in place of the profile's.
+    /// Overrides the planned faults.
     #[serde(default)]
     pub faults: Option<Vec<PlannedFault>>,
-    /// Path policy in place of the default.
+    /// Overrides the path policy.
     #[serde(default)]
     pub policy: Option<PathPolicy>,
-    /// Reserve of slots in place of the default, in hundredths.
+    /// Overrides the share of slots reserved for replacing lost stages, in percent.
     #[serde(default)]
     pub reserve_hundredths: Option<u32>,
-    /// Steps wanted at each engine in place of the default, in hundredths of a full batch.
+    /// Overrides the target number of steps at each engine, in percent of a full batch.
     #[serde(default)]
     pub target_hundredths: Option<u32>,
-    /// Silence after which an agent is taken for lost, in place of the profile's.
+    /// Overrides the time without messages after which a busy agent counts as lost.
     #[serde(default)]
     pub silence_ms: Option<u64>,
-    /// Multiplies the requests a second.
+    /// Factor by which the request rates of the workload are multiplied.
     #[serde(default)]
     pub rate_factor: Option<f64>,
-    /// Seed in place of the workload's.
+    /// Overrides the seed of the workload.
     #[serde(default)]
     pub seed: Option<u64>,
 }
 
-/// What a run gave.
+/// Result of a run.
 #[derive(Clone, Debug)]
 pub struct ExperimentResult {
-    /// The report.
+    /// Measurements and violations.
     pub report: LoadReport,
-    /// The plot.
+    /// SVG plot of the token rate; empty if it could not be drawn.
     pub plot: String,
 }
 
 impl ExperimentResult {
-    /// Writes the report in JSON to a file, and the plot beside it.
+    /// Writes the report as JSON to `path`, and the plot to the same path with the extension `svg`.
     ///
     /// # Errors
     ///
-    /// Fails where a file cannot be written.
+    /// Returns an error if a file cannot be written.
     pub fn write(&self, path: &Path) -> std::io::Result<()> {
         let json = serde_json::to_vec_pretty(&self.report)?;
         fs::write(path, json)?;
@@ -74,7 +74,7 @@
 }
 
 impl Experiment {
-    /// The profile with what differs put in; nothing where there is no such profile.
+    /// Returns the profile with the overrides applied, or `None` if the profile does not exist.
     pub fn resolve(&self) -> Option<LocalProfile> {
         let mut resolved = profile(&self.profile)?;
         if let Some(workload) = &self.workload {
@@ -106,11 +106,12 @@
     }
 }
 
-/// Runs a profile: starts the deployment, drives the load with its faults, and checks everything.
+/// Starts the deployment of a profile, runs its workload while injecting its faults, and checks the
+/// results.
 ///
 /// # Errors
 ///
-/// Fails where the deployment does not start.
+/// Returns an error if the deployment does not start.
 pub async fn run_experiment(profile: LocalProfile) -> Result<ExperimentResult, ClusterError> {
     let cluster = LocalCluster::start(profile).await?;
     let profile = cluster.profile().clone();
@@ -127,21 +128,22 @@
     let shared: SharedCluster = Arc::new(Mutex::new(cluster));
     let (before, bytes_before) = (process_usage(), loopback_bytes());
     let started = now_millis();
-    let injecting =
+    let fault_injection =
         tokio::spawn(inject_faults(Arc::clone(&shared), profile.faults.clone(), started));
-    let watch = VersionWatch::start(entries);
-    let leaving = tokio::spawn(watch_leaving(Arc::clone(&shared), profile.faults.clone(), started));
+    let version_watch = VersionWatch::start(entries);
+    let late_requests =
+        tokio::spawn(count_late_requests(Arc::clone(&shared), profile.faults.clone(), started));
     let record = drive(config, profile.workload.clone(), arrivals.clone()).await;
     let elapsed = (now_millis() - started) as f64 / 1e3;
     let after = process_usage();
-    let faults = injecting.await.unwrap_or_default();
-    let config_reverted = watch.finish().await;
-    let work_to_leaving = leaving.await.unwrap_or_default();
+    let faults = fault_injection.await.unwrap_or_default();
+    let config_reverted = version_watch.finish().await;
+    let work_to_leaving = late_requests.await.unwrap_or_default();
     let cluster = shared.lock().await;
-    let seen = Violations {
+    let standin_violations = Violations {
         config_reverted,
         work_to_leaving,
-        ..run_logs(&cluster, &profile, &arrivals, &record)
+        ..check_run_logs(&cluster, &profile, &arrivals, &record)
     };
     let usage = ControlUse {
         bytes_per_s: (loopback_bytes() - bytes_before) as f64 / elapsed,
@@ -150,8 +152,12 @@
     };
     let calls = cluster.platform.calls();
     let input = ReportInput {
-        bound_tokens_per_s: bound(&profile.engines, &profile.workload, profile.model.layers),
-        seen_by_standins: seen,
+        bound_tokens_per_s: throughput_bound(
+            &profile.engines,
+            &profile.workload,
+            profile.model.layers,
+        ),
+        standin_violations,
         store_calls: StoreUse {
             reads: calls.reads,
             writes: calls.writes,
--- a/crates/local/src/faults.rs
+++ b/crates/local/src/faults.rs
@@ -1,4 +1,4 @@
-//! Bringing faults about, at their times.
+//! Fault injection at planned times.
 
 use std::{sync::Arc, time::Duration};
 
@@ -9,10 +9,11 @@
 
 use crate::{ClusterError, LocalCluster};
 
-/// A cluster that the load, the faults and the checks share.
+/// Cluster that the fault injection and the checks share.
 pub type SharedCluster = Arc<Mutex<LocalCluster>>;
 
-/// Brings all faults of a run about; returns when each took effect.
+/// Injects all planned faults of a run, in their order. Returns the faults that succeeded with the time
+/// of each; a fault that cannot be injected is reported on standard error and left out.
 pub async fn inject_faults(
     cluster: SharedCluster,
     faults: Vec<PlannedFault>,
@@ -25,7 +26,7 @@
         let at = (now_millis() - started) * 1_000;
         eprintln!("{:>4} s: {}", planned.at_ms / 1_000, planned.fault.label());
         if let Err(error) = inject(&cluster, &planned.fault).await {
-            eprintln!("fault not brought about: {}: {error}", planned.fault.label());
+            eprintln!("fault injection failed: {}: {error}", planned.fault.label());
             continue;
         }
         injected.push(InjectedFault { fault: planned, at });
@@ -41,13 +42,13 @@
         FaultKind::Stop { vm } => cluster.stop(vm)?,
         FaultKind::Leave { vm } => cluster.platform.set_leaving(vm),
         FaultKind::Slow { vm, hundredths } => {
-            let missing = || ClusterError::NoVm { name: vm.clone() };
-            let handle = cluster.engines.get(vm).ok_or_else(missing)?;
-            handle.engine.set_slowness(*hundredths);
+            let unknown_vm = || ClusterError::UnknownVm { name: vm.clone() };
+            let handle = cluster.engines.get(vm).ok_or_else(unknown_vm)?;
+            handle.engine.set_slowdown(*hundredths);
         }
         FaultKind::Join { like, vm } => {
-            let missing = || ClusterError::NoVm { name: like.clone() };
-            let mut spec = cluster.engines.get(like).ok_or_else(missing)?.spec.clone();
+            let unknown_vm = || ClusterError::UnknownVm { name: like.clone() };
+            let mut spec = cluster.engines.get(like).ok_or_else(unknown_vm)?.spec.clone();
             spec.name.clone_from(vm);
             cluster.start_engine(spec)?;
         }
@@ -60,10 +61,10 @@
                 platform.set_faults(StoreFaults::default());
             });
         }
-        FaultKind::LoseAnswers { count } => {
+        FaultKind::LoseResponses { count } => {
             cluster
                 .platform
-                .set_faults(StoreFaults { lose_answers: *count, ..StoreFaults::default() });
+                .set_faults(StoreFaults { lose_responses: *count, ..StoreFaults::default() });
         }
         FaultKind::Statement { text } => {
             let web = cluster.entries[0].web.clone();
--- a/crates/local/src/lib.rs
+++ b/crates/local/src/lib.rs
@@ -1,8 +1,8 @@
-//! A whole deployment in one process: the embedded default, and the bench.
+//! A complete deployment in one process, for local use, tests and measurements.
 //!
-//! Every VM is a thread with a runtime of its own. Ending the runtime drops all its tasks and closes
-//! its sockets, as the loss of a VM does; a blocked thread is a VM that is paused. Everything between
-//! them goes over loopback sockets, through the very code of the programs.
+//! Each VM is a thread with its own runtime. Shutting down the runtime drops all tasks and closes all
+//! sockets, like the loss of a VM; blocking the thread is like pausing the VM. VMs communicate over
+//! loopback sockets and run the same code as the separate programs.
 
 mod checks;
 pub mod cluster;
--- a/crates/local/src/measure.rs
+++ b/crates/local/src/measure.rs
@@ -1,8 +1,8 @@
-//! Measurements of what control costs, at several sizes, so that slopes can be drawn.
+//! Measurements of the control plane's overhead at different deployment sizes.
 //!
-//! Bytes are those that the loopback device carried, headers of all layers included; processor time
-//! and memory are the system's accounts of this whole process. All of it runs in this process, so a
-//! slope between two sizes is what one more entry, agent or link costs.
+//! Bytes are counted at the loopback device and include the headers of all protocol layers. Processor
+//! time and memory are those of this process as a whole, which runs the complete deployment. The slope
+//! between two sizes is the cost of one additional entry, agent or link.
 
 use std::time::Duration;
 
@@ -29,90 +29,90 @@
     usage::{loopback_bytes, process_usage},
 };
 
-/// Size of a deployment that serves nobody.
+/// Size of a deployment without load.
 #[derive(Clone, Copy, Debug)]
 pub struct IdleSize {
-    /// Entries.
+    /// Number of entries.
     pub entries: usize,
-    /// Agents, each with an engine.
+    /// Number of agents, each with an engine.
     pub agents: usize,
-    /// Organisations that are configured.
+    /// Number of configured organisations.
     pub organisations: u32,
 }
 
-/// What control costs while nobody asks anything.
+/// Overhead of the control plane in a deployment without load.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct IdleCost {
-    /// Entries.
+    /// Number of entries.
     pub entries: usize,
-    /// Agents.
+    /// Number of agents.
     pub agents: usize,
-    /// Links between them.
+    /// Number of links between entries and agents.
     pub links: usize,
-    /// Organisations that are configured.
+    /// Number of configured organisations.
     pub organisations: u32,
-    /// Bytes a second over loopback, both directions of every connection.
+    /// Bytes per second over loopback, both directions of every connection.
     pub bytes_per_s: f64,
-    /// Share of one core, of all together.
+    /// Processor use of the whole deployment; 1.0 is one core.
     pub core_share: f64,
-    /// Resident memory in megabytes, of all together.
+    /// Resident memory of the whole deployment in megabytes.
     pub rss_mb: f64,
-    /// Calls of the store a second, watches included.
+    /// Store calls per second, watches included.
     pub store_calls_per_s: f64,
 }
 
-/// How a change of configuration spread.
+/// Time and overhead of the propagation of a configuration change.
 #[derive(Clone, Copy, Debug, Serialize)]
-pub struct SpreadCost {
-    /// Entries.
+pub struct PropagationCost {
+    /// Number of entries.
     pub entries: usize,
-    /// Milliseconds until half of the entries had it in force.
+    /// Milliseconds until half of the entries had applied the change.
     pub half_ms: u64,
-    /// Milliseconds until all had.
+    /// Milliseconds until all entries had applied the change.
     pub all_ms: u64,
-    /// Watches at the store at once.
+    /// Watch calls at the store during the 5 s without changes.
     pub watches: u64,
-    /// Bytes a second of each entry, while nothing changes.
+    /// Bytes per second and entry while nothing changes.
     pub bytes_per_s_each: f64,
 }
 
-/// What claims cost.
+/// Throughput and latency of claims of idempotency keys.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct ClaimCost {
-    /// Keyed requests a second that were offered.
+    /// Offered claims per second.
     pub offered_per_s: u64,
     /// Claims that were granted.
     pub granted: u64,
-    /// Claims that the store gave no answer for in time.
+    /// Claims that were not granted within the timeout of 2 s.
     pub unavailable: u64,
-    /// Writes a second at the store.
+    /// Writes per second at the store.
     pub writes_per_s: f64,
-    /// Kilobytes a second written to the store.
+    /// Kilobytes per second over loopback.
     pub written_kb_per_s: f64,
-    /// Half of the claims took at most so many milliseconds.
+    /// Median of the claim latency in milliseconds.
     pub p50_ms: f64,
-    /// 95 in 100.
+    /// 95th percentile of the claim latency in milliseconds.
     pub p95_ms: f64,
 }
 
-/// Time for links and configuration to settle before measuring.
-const SETTLE: Duration = Duration::from_secs(3);
+/// Waiting time before a measurement, in which links are opened and the configuration is loaded.
+const SETTLE_TIME: Duration = Duration::from_secs(3);
 
-/// Measures a deployment that serves nobody.
+/// Measures the overhead of a deployment without load over `time`.
 ///
 /// # Errors
 ///
-/// Fails where the deployment does not start.
+/// Returns an error if the deployment does not start.
 pub async fn measure_idle(size: IdleSize, time: Duration) -> Result<IdleCost, ClusterError> {
     let IdleSize { entries, agents, organisations } = size;
     let cluster = start(size).await?;
-    sleep(SETTLE).await;
+    sleep(SETTLE_TIME).await;
     let (calls, bytes, usage) = (cluster.platform.calls(), loopback_bytes(), process_usage());
     sleep(time).await;
     let (calls_after, bytes_after, usage_after) =
         (cluster.platform.calls(), loopback_bytes(), process_usage());
     let seconds = time.as_secs_f64();
-    let all = |calls: switchfold_standin::platform::StoreCalls| {
+    let total = |calls: switchfold_standin::platform::StoreCalls| {
         calls.reads + calls.writes + calls.watches
     };
     Ok(IdleCost {
@@ -123,21 +123,21 @@
         bytes_per_s: (bytes_after - bytes) as f64 / seconds,
         core_share: (usage_after.core_seconds - usage.core_seconds) / seconds,
         rss_mb: usage_after.resident_mb,
-        store_calls_per_s: (all(calls_after) - all(calls)) as f64 / seconds,
+        store_calls_per_s: (total(calls_after) - total(calls)) as f64 / seconds,
     })
 }
 
 async fn start(size: IdleSize) -> Result<LocalCluster, ClusterError> {
     let Some(mut idle) = profile("small") else {
-        return Err(ClusterError::NoVm { name: "small".to_owned() });
+        return Err(ClusterError::UnknownVm { name: "small".to_owned() });
     };
     idle.entries = size.entries;
     idle.workload.organisations = size.organisations;
     idle.services.clear();
-    let pattern = idle.engines.clone();
+    let templates = idle.engines.clone();
     idle.engines = (0..size.agents)
         .map(|number| {
-            let mut vm = pattern[number % pattern.len()].clone();
+            let mut vm = templates[number % templates.len()].clone();
             vm.name = format!("engine-{number}");
             vm
         })
@@ -145,53 +145,53 @@
     LocalCluster::start(idle).await
 }
 
-/// How often each entry is asked whether it has the change.
-const ASK_EVERY: Duration = Duration::from_millis(20);
+/// Interval at which each entry is polled for the change.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Changes an event at one entry and times how long each entry takes to have it in force.
+/// Changes an event at one entry and measures how long each entry takes to apply the change.
 ///
 /// # Errors
 ///
-/// Fails where the deployment does not start, or the change is refused.
-pub async fn measure_spread(entries: usize) -> Result<SpreadCost, ClusterError> {
+/// Returns an error if the deployment does not start or the change is refused.
+pub async fn measure_propagation(entries: usize) -> Result<PropagationCost, ClusterError> {
     let cluster = start(IdleSize { entries, agents: 0, organisations: 10 }).await?;
-    sleep(SETTLE).await;
+    sleep(SETTLE_TIME).await;
     let before = loopback_bytes();
-    let quiet = Duration::from_secs(5);
+    let idle_time = Duration::from_secs(5);
     let watches_before = cluster.platform.calls().watches;
-    sleep(quiet).await;
-    let bytes = (loopback_bytes() - before) as f64 / quiet.as_secs_f64() / entries as f64;
+    sleep(idle_time).await;
+    let bytes = (loopback_bytes() - before) as f64 / idle_time.as_secs_f64() / entries as f64;
     let watches = cluster.platform.calls().watches - watches_before;
     let first = cluster.entries[0].web.clone();
     let start = Instant::now();
     cluster.statement(&first, r#"set event "dawn" expected_per_s 4242"#).await?;
-    let mut asked = JoinSet::new();
+    let mut polls = JoinSet::new();
     for entry in cluster.entries.clone() {
-        asked.spawn(async move {
+        polls.spawn(async move {
             let http = HttpClient::new(Duration::from_secs(5), 1 << 20);
             loop {
-                let seen =
+                let matching =
                     send_statement(&http, &entry.web, "show events where expected_per_s = 4242")
                         .await;
-                if seen.is_ok_and(|table| !table.rows.is_empty()) {
+                if matching.is_ok_and(|table| !table.rows.is_empty()) {
                     return start.elapsed().as_millis() as u64;
                 }
-                sleep(ASK_EVERY).await;
+                sleep(POLL_INTERVAL).await;
             }
         });
     }
-    let mut times = asked.join_all().await;
+    let mut times = polls.join_all().await;
     times.sort_unstable();
     let half_ms = times[times.len() / 2];
     let all_ms = times[times.len() - 1];
-    Ok(SpreadCost { entries, half_ms, all_ms, watches, bytes_per_s_each: bytes })
+    Ok(PropagationCost { entries, half_ms, all_ms, watches, bytes_per_s_each: bytes })
 }
 
-/// Claims keys at a rate, over a store with its usual limits.
+/// Claims new keys at a constant rate for `time`, with a store that has the default rate limits.
 ///
 /// # Errors
 ///
-/// Fails where the system gives no socket.
+/// Returns an error if no socket can be opened.
 pub async fn measure_claims(offered_per_s: u64, time: Duration) -> Result<ClaimCost, ClusterError> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?.to_string();
@@ -214,24 +214,25 @@
                 entry: "entry-0".to_owned(),
                 replaces: None,
             };
-            let asked = Instant::now();
+            let sent = Instant::now();
             let state = claim_locally(&claims, AcquireClaim { proposal, timeout }).await;
-            (state, asked.elapsed().as_micros() as u64)
+            (state, sent.elapsed().as_micros() as u64)
         });
     }
-    let answers = calls.join_all().await;
+    let results = calls.join_all().await;
     let seconds = start.elapsed().as_secs_f64();
-    let granted = answers.iter().filter(|(state, _)| *state == ClaimState::Granted).count() as u64;
-    let mut times: Vec<u64> = answers.iter().map(|(_, micros)| *micros).collect();
+    let granted = results.iter().filter(|(state, _)| *state == ClaimState::Granted).count() as u64;
+    let mut times: Vec<u64> = results.iter().map(|(_, micros)| *micros).collect();
     times.sort_unstable();
-    let at = |share: f64| times[((times.len() - 1) as f64 * share) as usize] as f64 / 1e3;
+    let percentile_ms =
+        |share: f64| times[((times.len() - 1) as f64 * share) as usize] as f64 / 1e3;
     Ok(ClaimCost {
         offered_per_s,
         granted,
-        unavailable: answers.len() as u64 - granted,
+        unavailable: results.len() as u64 - granted,
         writes_per_s: platform.calls().writes as f64 / seconds,
         written_kb_per_s: (loopback_bytes() - before) as f64 / seconds / 1e3,
-        p50_ms: at(0.5),
-        p95_ms: at(0.95),
+        p50_ms: percentile_ms(0.5),
+        p95_ms: percentile_ms(0.95),
     })
 }
--- a/crates/local/src/profile.rs
+++ b/crates/local/src/profile.rs
@@ -1,4 +1,5 @@
-//! Ready-made deployments: a small default, and the two users' of today.
+//! Predefined deployments: two small ones for tests and local use, and models of the two current
+//! users.
 
 use switchfold_core::{
     config::{ClassConfig, EventConfig, EventState},
@@ -11,69 +12,70 @@
 use switchfold_load::{ClassLoad, FaultKind, PlannedFault, WorkKind, Workload};
 use switchfold_standin::engine::EngineConfig;
 
-/// A VM with an engine.
+/// A VM with an agent and an engine.
 #[derive(Clone, Debug)]
 pub struct EngineVm {
-    /// Name.
+    /// Name of the VM.
     pub name: String,
-    /// Data centre.
+    /// Data centre in which it runs.
     pub data_centre: String,
-    /// The engine.
+    /// Configuration of its engine.
     pub engine: EngineConfig,
 }
 
-/// A VM with a plain service.
+/// A VM with an agent and a replica of a service.
 #[derive(Clone, Debug)]
 pub struct ServiceVm {
-    /// Name.
+    /// Name of the VM.
     pub name: String,
-    /// Data centre.
+    /// Data centre in which it runs.
     pub data_centre: String,
     /// Name of the service.
     pub service: String,
-    /// Calls at once.
+    /// Maximum number of concurrent calls.
     pub slots: u32,
-    /// Milliseconds that a call takes.
+    /// Duration of a call in milliseconds.
     pub work_ms: u64,
 }
 
-/// A deployment with its load and faults.
+/// A deployment with its workload and planned faults.
 #[derive(Clone, Debug)]
 pub struct LocalProfile {
-    /// Name.
+    /// Name, one of [`PROFILES`].
     pub name: String,
-    /// The model.
+    /// Model that the engines serve.
     pub model: ModelConfig,
-    /// Data centres.
+    /// Names of the data centres.
     pub data_centres: Vec<String>,
-    /// Entries, dealt to the data centres in turn.
+    /// Number of entries, which are distributed over the data centres in turn.
     pub entries: usize,
     /// VMs with engines.
     pub engines: Vec<EngineVm>,
     /// VMs with services.
     pub services: Vec<ServiceVm>,
-    /// The event.
+    /// Configuration of the event to which all requests belong.
     pub event: EventConfig,
-    /// What is offered.
+    /// Requests to send.
     pub workload: Workload,
-    /// What goes wrong.
+    /// Faults to inject, in the order of their times.
     pub faults: Vec<PlannedFault>,
-    /// Bounds that experiments vary.
+    /// Parameters that experiments can override.
     pub tuning: LocalTuning,
 }
 
-/// Bounds of a deployment that experiments vary.
+/// Parameters of a deployment that experiments can override.
 #[derive(Clone, Copy, Debug)]
 pub struct LocalTuning {
-    /// How entries choose paths.
+    /// Policy by which entries choose paths.
     pub policy: PathPolicy,
-    /// Share of each engine's slots, in hundredths, that is kept for replacing lost stages.
+    /// Share of each engine's slots, in percent, that is reserved for replacing lost stages.
     pub reserve_hundredths: u32,
-    /// Steps wanted at each engine, in hundredths of a full batch; 0 means that only memory limits.
+    /// Target number of steps at each engine, in percent of a full batch; 0 means that only the
+    /// memory of the engine limits them.
     pub target_hundredths: u32,
-    /// Milliseconds of silence after which an entry takes a busy agent for lost.
+    /// Milliseconds without a message after which an entry treats a busy agent as lost.
     pub silence_ms: u64,
-    /// Milliseconds out of touch after which an entry is not ready.
+    /// Milliseconds without contact to the store or a peer after which an entry is not ready.
     pub cut_off_ms: u64,
 }
 
@@ -92,31 +94,31 @@
 /// Names of all profiles.
 pub const PROFILES: [&str; 4] = ["tiny", "small", "northcatch", "customs"];
 
-/// A kind of accelerator: its name and the times of its batches.
+/// A type of accelerator: a batch takes `fixed_micros + item_micros * sequences` microseconds.
 #[derive(Clone, Copy, Debug)]
-struct AcceleratorKind {
+struct AcceleratorType {
     name: &'static str,
     max_batch: u32,
     fixed_micros: u64,
     item_micros: u64,
 }
 
-/// Kinds of accelerators, fastest first.
-const KINDS: [AcceleratorKind; 4] = [
-    AcceleratorKind { name: "large", max_batch: 16, fixed_micros: 2_400, item_micros: 100 },
-    AcceleratorKind { name: "medium", max_batch: 12, fixed_micros: 3_200, item_micros: 200 },
-    AcceleratorKind { name: "small", max_batch: 8, fixed_micros: 4_000, item_micros: 400 },
-    AcceleratorKind { name: "old", max_batch: 6, fixed_micros: 4_500, item_micros: 600 },
+/// Types of accelerators, fastest first.
+const ACCELERATORS: [AcceleratorType; 4] = [
+    AcceleratorType { name: "large", max_batch: 16, fixed_micros: 2_400, item_micros: 100 },
+    AcceleratorType { name: "medium", max_batch: 12, fixed_micros: 3_200, item_micros: 200 },
+    AcceleratorType { name: "small", max_batch: 8, fixed_micros: 4_000, item_micros: 400 },
+    AcceleratorType { name: "old", max_batch: 6, fixed_micros: 4_500, item_micros: 600 },
 ];
 
-/// Stages of each model.
+/// Number of stages into which the layers of each model are split.
 const STAGES: u32 = 3;
 
-/// Requests that an engine holds, for each sequence of a batch: every request is at one stage at a
-/// time, so all stages are busy only where each holds several batches' worth.
+/// Request slots of an engine for each sequence of a full batch. A request is at only one stage at a
+/// time, so keeping all stages busy takes several times as many requests as fit in one batch.
 const SLOTS_PER_SEQUENCE: u32 = 10;
 
-/// Finds a profile by name.
+/// Returns the profile of this name, or `None` if it is not one of [`PROFILES`].
 pub fn profile(name: &str) -> Option<LocalProfile> {
     match name {
         "tiny" => Some(tiny()),
@@ -127,48 +129,50 @@
     }
 }
 
-fn engine(model: &ModelConfig, stage: u32, kind: AcceleratorKind) -> EngineConfig {
+fn engine(model: &ModelConfig, stage: u32, accelerator: AcceleratorType) -> EngineConfig {
     EngineConfig {
         model: model.name.clone(),
         layers: model.layers,
         first_layer: model.layers * stage / STAGES,
         end_layer: model.layers * (stage + 1) / STAGES,
-        accelerator: kind.name.to_owned(),
-        max_batch: kind.max_batch,
-        slots: kind.max_batch * SLOTS_PER_SEQUENCE,
-        fixed_micros: kind.fixed_micros,
-        item_micros: kind.item_micros,
+        accelerator: accelerator.name.to_owned(),
+        max_batch: accelerator.max_batch,
+        slots: accelerator.max_batch * SLOTS_PER_SEQUENCE,
+        fixed_micros: accelerator.fixed_micros,
+        item_micros: accelerator.item_micros,
         fenced: false,
         load_micros_per_layer: 0,
     }
 }
 
-/// Deals VMs to stages and kinds so that every stage gets a mix.
+/// Creates `count` engine VMs and assigns stages, accelerator types and data centres in turn, so that
+/// each stage gets a mix of accelerators.
 fn engines(model: &ModelConfig, data_centres: &[String], count: usize) -> Vec<EngineVm> {
-    let deal = |index: usize| {
+    let assign = |index: usize| {
         let stage = index as u32 % STAGES;
         let round = index / STAGES as usize;
-        let kind = KINDS[round % KINDS.len()];
-        // Every data centre has replicas of every stage: none takes a whole range with it.
+        let accelerator = ACCELERATORS[round % ACCELERATORS.len()];
+        // Spreads the replicas of each stage over all data centres, so that the loss of one data centre
+        // leaves replicas of every layer.
         let data_centre = (index + round) % data_centres.len();
         EngineVm {
             name: format!("engine-{index}"),
             data_centre: data_centres[data_centre].clone(),
-            engine: engine(model, stage, kind),
+            engine: engine(model, stage, accelerator),
         }
     };
-    (0..count).map(deal).collect()
+    (0..count).map(assign).collect()
 }
 
 fn services(service: &str, data_centres: &[String], count: usize, work_ms: u64) -> Vec<ServiceVm> {
-    let deal = |index: usize| ServiceVm {
+    let assign = |index: usize| ServiceVm {
         name: format!("service-{index}"),
         data_centre: data_centres[index % data_centres.len()].clone(),
         service: service.to_owned(),
         slots: 32,
         work_ms,
     };
-    (0..count).map(deal).collect()
+    (0..count).map(assign).collect()
 }
 
 fn class(name: &str, priority: u8, deadline_ms: u64, once: bool) -> ClassConfig {
@@ -190,21 +194,21 @@
 
 fn completion(class: &str, share: f64, prompt: (u32, u32), tokens: (u32, u32)) -> ClassLoad {
     let work = WorkKind::Completion {
-        least_prompt: prompt.0,
-        most_prompt: prompt.1,
-        least_tokens: tokens.0,
-        most_tokens: tokens.1,
+        min_prompt: prompt.0,
+        max_prompt: prompt.1,
+        min_output: tokens.0,
+        max_output: tokens.1,
     };
     ClassLoad { class: class.to_owned(), share, work, once: false, keyed: false }
 }
 
-/// Calls of a plain service; those that must run once carry a key.
+/// Calls of a service; those that must run at most once carry an idempotency key.
 fn call(class: &str, service: &str, share: f64, once: bool) -> ClassLoad {
     let work = WorkKind::Call { service: service.to_owned() };
     ClassLoad { class: class.to_owned(), share, work, once, keyed: once }
 }
 
-/// Two replicas for each stage and a light load, for tests.
+/// Returns a profile with two replicas for each stage and a light load, for tests.
 fn tiny() -> LocalProfile {
     let mut profile = small();
     profile.name = "tiny".to_owned();
@@ -214,7 +218,8 @@
     profile.workload.surge_ms = 2_500;
     profile.workload.surge_per_s = 50.0;
     profile.faults.clear();
-    // A busy test machine must not look like a lost VM, or like too much load.
+    // Longer timeouts: on a busy test machine an agent must not be treated as lost and requests must
+    // not exceed their deadlines.
     profile.tuning.silence_ms = 5_000;
     for class in &mut profile.event.classes {
         class.deadline_ms = 20_000;
@@ -263,7 +268,8 @@
     }
 }
 
-/// Northcatch: three halls, forty model replicas, three bidding-service replicas, ten organisations.
+/// Returns a profile like the user Northcatch: three data centres, 40 model replicas, three replicas of
+/// the bidding service, ten organisations.
 fn northcatch() -> LocalProfile {
     let model = ModelConfig { name: "auction".to_owned(), layers: 48 };
     let halls = ["winnipeg-hall", "brandon-hall", "selkirk-hall"];
@@ -312,7 +318,8 @@
     }
 }
 
-/// The customs agency: three data centres, forty review replicas, three portal replicas.
+/// Returns a profile like the customs agency: three data centres, 40 replicas of the review model, three
+/// replicas of the portal service.
 fn customs() -> LocalProfile {
     let model = ModelConfig { name: "review".to_owned(), layers: 48 };
     let sites = ["sejong-a", "sejong-b", "sejong-c"];
@@ -358,13 +365,14 @@
     }
 }
 
-/// A prompt's position costs this fraction of a sequence, at the stand-in engines.
+/// Divisor of the cost of a sequence that gives the cost of one additional prompt position; the same
+/// value as in the stand-in engine.
 const PREFILL_DISCOUNT: f64 = 16.0;
 
-/// The most tokens a second that the engines could deliver of this mix: the maximum flow, each engine
-/// at full batches, prompts counted at their cost.
-pub fn bound(engines: &[EngineVm], workload: &Workload, layers: u32) -> f64 {
-    let prompt_share = prompt_per_token(workload);
+/// Returns the upper bound of the throughput for this workload in tokens per second: the maximum flow
+/// through the engines at full batches, including the cost of the prompts.
+pub fn throughput_bound(engines: &[EngineVm], workload: &Workload, layers: u32) -> f64 {
+    let prompt_share = prompt_positions_per_token(workload);
     let replica = |vm: &EngineVm| {
         let engine = &vm.engine;
         let item = engine.item_micros as f64;
@@ -382,15 +390,14 @@
     flow_bound(&replicas, &[], layers).milli_rate as f64 / 1e3
 }
 
-/// Positions of prompts beyond the first, for each token of an answer, over the mix.
-fn prompt_per_token(workload: &Workload) -> f64 {
+/// Returns the mean number of prompt positions beyond the first per generated token, over all classes.
+fn prompt_positions_per_token(workload: &Workload) -> f64 {
     let (mut positions, mut tokens) = (0.0, 0.0);
     for class in &workload.classes {
-        if let WorkKind::Completion { least_prompt, most_prompt, least_tokens, most_tokens } =
-            class.work
+        if let WorkKind::Completion { min_prompt, max_prompt, min_output, max_output } = class.work
         {
-            positions += class.share * (f64::from(least_prompt + most_prompt) / 2.0 - 1.0);
-            tokens += class.share * f64::from(least_tokens + most_tokens) / 2.0;
+            positions += class.share * (f64::from(min_prompt + max_prompt) / 2.0 - 1.0);
+            tokens += class.share * f64::from(min_output + max_output) / 2.0;
         }
     }
     if tokens > 0.0 { positions / tokens } else { 0.0 }
--- a/crates/local/src/table.rs
+++ b/crates/local/src/table.rs
@@ -1,9 +1,9 @@
-//! The short table at the end of a run.
+//! Text table that is printed at the end of a run.
 
 use comfy_table::Table;
 use switchfold_load::LoadReport;
 
-/// Renders a report for a person.
+/// Renders a report as a table, followed by the counts of the reasons that callers were given.
 pub fn render_report(report: &LoadReport) -> String {
     let mut table = Table::new();
     table.load_style(comfy_table::presets::UTF8_BORDERS_ONLY);
@@ -47,7 +47,7 @@
         );
         table.add_row([measure, held]);
     }
-    let broken = [
+    let violation_counts = [
         ("violations: layer order", violations.layer_order),
         ("violations: wrong answer", violations.wrong_answer),
         ("violations: double run", violations.double_run),
@@ -56,7 +56,7 @@
         ("violations: work to leaving", violations.work_to_leaving),
         ("violations: config reverted", violations.config_reverted),
     ];
-    for (measure, count) in broken {
+    for (measure, count) in violation_counts {
         table.add_row([measure, &count.to_string()]);
     }
     let mut text = table.to_string();
--- a/crates/local/src/usage.rs
+++ b/crates/local/src/usage.rs
@@ -1,21 +1,21 @@
-//! Processor time and memory of this process, as the system accounts for them.
+//! Processor time, memory and loopback traffic, as read from `/proc`.
 
 use std::fs;
 
-/// Clock ticks a second in the system's accounts.
+/// Unit of the processor times in `/proc/self/stat`, in ticks per second.
 const TICKS_PER_S: f64 = 100.0;
 
-/// Bytes in a page.
+/// Unit of the sizes in `/proc/self/statm`.
 const PAGE_BYTES: f64 = 4_096.0;
 
-/// What this process has used.
+/// Resources that this process has used.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ProcessUsage {
     pub(crate) core_seconds: f64,
     pub(crate) resident_mb: f64,
 }
 
-/// Reads what this process has used; zero where the system does not tell.
+/// Reads the resource use of this process. Values that cannot be read are 0.
 pub(crate) fn process_usage() -> ProcessUsage {
     let stat = fs::read_to_string("/proc/self/stat").unwrap_or_default();
     let fields: Vec<&str> =
@@ -31,7 +31,7 @@
     }
 }
 
-/// Bytes that the loopback device has carried.
+/// Returns the bytes that the loopback device has received, or 0 if they cannot be read.
 pub(crate) fn loopback_bytes() -> u64 {
     let text = fs::read_to_string("/proc/net/dev").unwrap_or_default();
     let line = text.lines().find(|line| line.trim_start().starts_with("lo:")).unwrap_or_default();
--- a/crates/local/src/vm.rs
+++ b/crates/local/src/vm.rs
@@ -1,4 +1,4 @@
-//! A VM: one thread with a runtime of its own.
+//! A VM, simulated by one thread with its own runtime.
 
 use std::{future::Future, thread::JoinHandle, time::Duration};
 
@@ -8,7 +8,7 @@
     sync::oneshot,
 };
 
-/// A VM that runs as a thread.
+/// A VM that runs as a thread; dropping it kills it.
 #[derive(Debug)]
 pub struct LocalVm {
     name: String,
@@ -19,12 +19,12 @@
 }
 
 impl LocalVm {
-    /// Starts a VM that runs `work` until it ends or the VM is killed. The work is given the signal
-    /// of a planned stop.
+    /// Starts a VM that runs `work` until it completes or the VM is killed. `work` receives the signal
+    /// that [`stop`](Self::stop) raises.
     ///
     /// # Errors
     ///
-    /// Fails where the system gives no runtime or thread.
+    /// Returns an error if the runtime or the thread cannot be created.
     pub fn start<F, W>(name: &str, work: W) -> std::io::Result<Self>
     where
         W: FnOnce(ShutdownSignal) -> F + Send + 'static,
@@ -42,7 +42,7 @@
                     _ = killed => {}
                 }
             });
-            // What is left of the VM's tasks goes with its runtime.
+            // Drops all remaining tasks of the VM.
             runtime.shutdown_background();
         };
         let thread = std::thread::Builder::new().name(name.to_owned()).spawn(body)?;
@@ -55,12 +55,12 @@
         })
     }
 
-    /// Name of the VM.
+    /// Returns the name of the VM, which is also the name of its thread.
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// Ends the VM at once, with all its connections.
+    /// Ends the VM immediately, closes all its connections and waits for its thread.
     pub fn kill(&mut self) {
         if let Some(kill) = self.kill.take() {
             let _ended_by_itself = kill.send(());
@@ -68,17 +68,17 @@
         self.join();
     }
 
-    /// Asks the VM to stop in order.
+    /// Requests a graceful shutdown and returns without waiting for it.
     pub fn stop(&self) {
         self.shutdown.raise();
     }
 
-    /// Tells whether it has ended.
+    /// Returns whether the thread of the VM has ended.
     pub fn has_ended(&self) -> bool {
         self.thread.as_ref().is_none_or(JoinHandle::is_finished)
     }
 
-    /// Stops everything on the VM for a while: nothing on it runs, its sockets stay open.
+    /// Blocks the runtime of the VM for `time`: no task runs, and sockets stay open.
     pub fn freeze(&self, time: Duration) {
         self.runtime.spawn(async move { std::thread::sleep(time) });
     }
--- a/crates/local/tests/contracts.rs
+++ b/crates/local/tests/contracts.rs
@@ -1,4 +1,4 @@
-//! What callers and operators are promised, with bad input in tables, over HTTP.
+//! Tests of the HTTP interface for callers and operators, including invalid input.
 
 use bytes::Bytes;
 use http::{HeaderMap, Request, StatusCode};
@@ -13,22 +13,22 @@
 };
 use switchfold_standin::{model::oracle, platform::StoreFaults};
 
-const CALLER: &[(&str, &str)] =
+const CALLER_HEADERS: &[(&str, &str)] =
     &[("authorization", "Bearer token-0"), ("switchfold-event", "dawn")];
 
-struct Site {
+struct TestDeployment {
     cluster: LocalCluster,
     http: HttpClient,
 }
 
-async fn site(change: impl FnOnce(&mut LocalProfile)) -> Site {
-    let mut profile = profile("tiny").expect("it exists");
+async fn start_deployment(change: impl FnOnce(&mut LocalProfile)) -> TestDeployment {
+    let mut profile = profile("tiny").expect("known profile");
     change(&mut profile);
-    let cluster = LocalCluster::start(profile).await.expect("it starts");
-    Site { cluster, http: HttpClient::new(Duration::from_secs(60), 8 << 20) }
+    let cluster = LocalCluster::start(profile).await.expect("deployment starts");
+    TestDeployment { cluster, http: HttpClient::new(Duration::from_secs(60), 8 << 20) }
 }
 
-impl Site {
+impl TestDeployment {
     fn web(&self, entry: usize) -> String {
         self.cluster.entries[entry].web.clone()
     }
@@ -57,20 +57,20 @@
             request = request.header(*name, *value);
         }
         let request = request.body(Full::new(body.into())).expect("well-formed");
-        self.http.call(request).await.expect("answered")
+        self.http.call(request).await.expect("response")
     }
 
-    async fn complete(&self, headers: &[(&str, &str)], body: &Value) -> FullResponse {
+    async fn request_completion(&self, headers: &[(&str, &str)], body: &Value) -> FullResponse {
         self.send("POST", "/v1/completions", headers, body.to_string()).await
     }
 
-    async fn operate(&self, statement: &str) -> Value {
+    async fn run_statement(&self, statement: &str) -> Value {
         let token = format!("Bearer {OPERATOR_TOKEN}");
-        let answer = self
+        let response = self
             .send("POST", "/v1/operator", &[("authorization", &token)], statement.to_owned())
             .await;
-        let mut value: Value = serde_json::from_slice(&answer.body).expect("JSON");
-        value["status"] = answer.status.as_u16().into();
+        let mut value: Value = serde_json::from_slice(&response.body).expect("JSON");
+        value["status"] = response.status.as_u16().into();
         value
     }
 }
@@ -79,26 +79,26 @@
     headers.get(name).and_then(|value| value.to_str().ok()).unwrap_or_default()
 }
 
-fn body(max_tokens: u32) -> Value {
+fn completion_body(max_tokens: u32) -> Value {
     json!({"model": "lots", "prompt": [3, 1, 4], "max_tokens": max_tokens})
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn completions_are_whole_or_streamed_and_right() {
-    let site = site(|_| {}).await;
+async fn completions_match_the_oracle_unstreamed_and_streamed() {
+    let deployment = start_deployment(|_| {}).await;
     let expected = oracle("lots", 24, &[3, 1, 4], 6);
-    let whole = site.complete(CALLER, &body(6)).await;
+    let response = deployment.request_completion(CALLER_HEADERS, &completion_body(6)).await;
     assert_eq!(
-        (whole.status, header(&whole.headers, "switchfold-outcome")),
+        (response.status, header(&response.headers, "switchfold-outcome")),
         (StatusCode::OK, "done")
     );
-    let answer: Value = serde_json::from_slice(&whole.body).expect("JSON");
-    assert_eq!(answer["choices"][0]["token_ids"], json!(expected));
+    let parsed: Value = serde_json::from_slice(&response.body).expect("JSON");
+    assert_eq!(parsed["choices"][0]["token_ids"], json!(expected));
 
-    let mut streamed = body(6);
+    let mut streamed = completion_body(6);
     streamed["stream"] = true.into();
-    let answer = site.complete(CALLER, &streamed).await;
-    let text = String::from_utf8(answer.body.to_vec()).expect("UTF-8");
+    let response = deployment.request_completion(CALLER_HEADERS, &streamed).await;
+    let text = String::from_utf8(response.body.to_vec()).expect("UTF-8");
     let tokens: Vec<u64> = text
         .lines()
         .filter_map(|line| serde_json::from_str::<Value>(line.strip_prefix("data: ")?).ok())
@@ -113,11 +113,13 @@
         "{text}"
     );
 
-    let id = header(&answer.headers, "switchfold-request").to_owned();
+    let id = header(&response.headers, "switchfold-request").to_owned();
     for entry in 0..2 {
-        let told = site.send_to(entry, "GET", &format!("/v1/requests/{id}"), CALLER, "").await;
+        let status_response = deployment
+            .send_to(entry, "GET", &format!("/v1/requests/{id}"), CALLER_HEADERS, "")
+            .await;
         assert_eq!(
-            (told.status, header(&told.headers, "switchfold-outcome")),
+            (status_response.status, header(&status_response.headers, "switchfold-outcome")),
             (StatusCode::OK, "done"),
             "entry {entry}"
         );
@@ -125,11 +127,11 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn bad_input_of_callers_is_refused_with_its_reason() {
-    let site = site(|_| {}).await;
+async fn invalid_requests_are_refused_with_status_and_reason() {
+    let deployment = start_deployment(|_| {}).await;
     let auth = ("authorization", "Bearer token-0");
     let event = ("switchfold-event", "dawn");
-    let good = body(4).to_string();
+    let good = completion_body(4).to_string();
     let huge = format!(r#"{{"model":"lots","prompt":"{}"}}"#, "x".repeat(2 << 20));
     type Row<'a> = (&'a str, Vec<(&'a str, &'a str)>, &'a str, u16, &'a str);
     let table: Vec<Row<'_>> = vec![
@@ -186,13 +188,13 @@
         ("oversize", vec![auth, event], &huge, 413, "body-too-large"),
     ];
     for (name, headers, body, status, reason) in table {
-        let answer = site.send("POST", "/v1/completions", &headers, body.to_owned()).await;
+        let response = deployment.send("POST", "/v1/completions", &headers, body.to_owned()).await;
         assert_eq!(
-            (answer.status.as_u16(), header(&answer.headers, "switchfold-reason")),
+            (response.status.as_u16(), header(&response.headers, "switchfold-reason")),
             (status, reason),
             "{name}"
         );
-        assert_eq!(header(&answer.headers, "switchfold-outcome"), "not-run", "{name}");
+        assert_eq!(header(&response.headers, "switchfold-outcome"), "not-run", "{name}");
     }
     let paths = [
         ("GET", "/nowhere", 404),
@@ -202,45 +204,49 @@
         ("GET", "/readyz", 200),
     ];
     for (method, path, status) in paths {
-        assert_eq!(site.send(method, path, CALLER, "").await.status.as_u16(), status, "{path}");
+        assert_eq!(
+            deployment.send(method, path, CALLER_HEADERS, "").await.status.as_u16(),
+            status,
+            "{path}"
+        );
     }
     let unknown = format!("/v1/requests/{}", "0".repeat(32));
-    let told = site.send("GET", &unknown, CALLER, "").await;
-    assert_eq!(header(&told.headers, "switchfold-outcome"), "unknown");
+    let status_response = deployment.send("GET", &unknown, CALLER_HEADERS, "").await;
+    assert_eq!(header(&status_response.headers, "switchfold-outcome"), "unknown");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn services_are_called_with_their_path_and_a_key_runs_once() {
-    let site = site(|_| {}).await;
-    let keyed: Vec<(&str, &str)> = CALLER
+async fn service_calls_keep_their_path_and_run_once_per_key() {
+    let deployment = start_deployment(|_| {}).await;
+    let keyed: Vec<(&str, &str)> = CALLER_HEADERS
         .iter()
         .copied()
         .chain([("idempotency-key", "bid-7"), ("switchfold-class", "bid")])
         .collect();
-    let first = site.send("POST", "/v1/services/bidding/place?lot=7", &keyed, "bid 7").await;
+    let first = deployment.send("POST", "/v1/services/bidding/place?lot=7", &keyed, "bid 7").await;
     assert_eq!(
         (first.status, header(&first.headers, "switchfold-outcome")),
         (StatusCode::OK, "done")
     );
-    let answer: Value = serde_json::from_slice(&first.body).expect("JSON");
-    assert_eq!((answer["path"].as_str(), answer["body"].as_str()), (Some("/place"), Some("bid 7")));
+    let parsed: Value = serde_json::from_slice(&first.body).expect("JSON");
+    assert_eq!((parsed["path"].as_str(), parsed["body"].as_str()), (Some("/place"), Some("bid 7")));
     for entry in 0..2 {
-        let again =
-            site.send_to(entry, "POST", "/v1/services/bidding/place", &keyed, "bid 7").await;
-        assert_eq!(again.status, StatusCode::CONFLICT, "entry {entry}");
+        let repeated_response =
+            deployment.send_to(entry, "POST", "/v1/services/bidding/place", &keyed, "bid 7").await;
+        assert_eq!(repeated_response.status, StatusCode::CONFLICT, "entry {entry}");
         assert_eq!(
-            header(&again.headers, "switchfold-outcome"),
+            header(&repeated_response.headers, "switchfold-outcome"),
             "done",
-            "the outcome is that of the first"
+            "the outcome is that of the first request"
         );
         assert_eq!(
-            header(&again.headers, "switchfold-original"),
+            header(&repeated_response.headers, "switchfold-original"),
             header(&first.headers, "switchfold-request")
         );
     }
-    let runs: u64 = site.cluster.services.values().map(|service| service.runs("bid 7")).sum();
+    let runs: u64 = deployment.cluster.services.values().map(|service| service.runs("bid 7")).sum();
     assert_eq!(runs, 1);
-    // Another organisation's key is another key.
+    // Keys are scoped to their organisation: the same key of another organisation is free.
     let other: Vec<(&str, &str)> = keyed
         .iter()
         .copied()
@@ -248,75 +254,84 @@
         .chain([("authorization", "Bearer token-1")])
         .collect();
     assert_eq!(
-        site.send("POST", "/v1/services/bidding/place", &other, "bid 8").await.status,
+        deployment.send("POST", "/v1/services/bidding/place", &other, "bid 8").await.status,
         StatusCode::OK
     );
 }
 
-/// In an outage a keyed request waits within its deadline and is then not run; the key is free after.
+/// During a store outage a request with a key cannot claim it, waits until its deadline and ends as
+/// not-run. The key must then be free: after the outage the request runs once.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_key_that_cannot_be_claimed_is_not_run_and_free_again() {
-    let site = site(|profile| {
+async fn requests_whose_key_cannot_be_claimed_do_not_run_and_leave_the_key_free() {
+    let deployment = start_deployment(|profile| {
         profile.event.classes.iter_mut().for_each(|class| class.deadline_ms = 400);
     })
     .await;
-    let keyed: Vec<(&str, &str)> = CALLER
+    let keyed: Vec<(&str, &str)> = CALLER_HEADERS
         .iter()
         .copied()
         .chain([("idempotency-key", "k"), ("switchfold-class", "bid")])
         .collect();
-    site.cluster.platform.set_faults(StoreFaults { outage: true, ..StoreFaults::default() });
-    let answer = site.send("POST", "/v1/services/bidding/x", &keyed, "once").await;
-    assert_eq!(header(&answer.headers, "switchfold-reason"), "claim-unavailable");
+    deployment.cluster.platform.set_faults(StoreFaults { outage: true, ..StoreFaults::default() });
+    let response = deployment.send("POST", "/v1/services/bidding/x", &keyed, "once").await;
+    assert_eq!(header(&response.headers, "switchfold-reason"), "claim-unavailable");
     let unkeyed: Vec<(&str, &str)> =
-        CALLER.iter().copied().chain([("switchfold-class", "bid")]).collect();
-    let answer = site.send("POST", "/v1/services/bidding/x", &unkeyed, "other").await;
-    assert_eq!(answer.status, StatusCode::OK, "requests without a key need no store");
-    site.cluster.platform.set_faults(StoreFaults::default());
+        CALLER_HEADERS.iter().copied().chain([("switchfold-class", "bid")]).collect();
+    let response = deployment.send("POST", "/v1/services/bidding/x", &unkeyed, "other").await;
+    assert_eq!(response.status, StatusCode::OK, "requests without a key need no store");
+    deployment.cluster.platform.set_faults(StoreFaults::default());
     let mut last = String::new();
     for _ in 0..20 {
-        let answer = site.send("POST", "/v1/services/bidding/x", &keyed, "once").await;
-        last = header(&answer.headers, "switchfold-outcome").to_owned();
+        let response = deployment.send("POST", "/v1/services/bidding/x", &keyed, "once").await;
+        last = header(&response.headers, "switchfold-outcome").to_owned();
         if last == "done" {
             break;
         }
     }
     assert_eq!(last, "done");
-    let runs: u64 = site.cluster.services.values().map(|service| service.runs("once")).sum();
+    let runs: u64 = deployment.cluster.services.values().map(|service| service.runs("once")).sum();
     assert_eq!(runs, 1);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn operators_open_pause_and_race() {
-    let site = site(|_| {}).await;
-    assert_eq!(site.operate("show events where class = bid").await["rows"][0][0], "dawn");
-    assert_eq!(site.operate(r#"pause event "dawn""#).await["result"], "accepted");
-    let mut refused = site.complete(CALLER, &body(2)).await;
+async fn operators_open_and_pause_events_and_concurrent_changes_conflict() {
+    let deployment = start_deployment(|_| {}).await;
+    assert_eq!(
+        deployment.run_statement("show events where class = bid").await["rows"][0][0],
+        "dawn"
+    );
+    assert_eq!(deployment.run_statement(r#"pause event "dawn""#).await["result"], "accepted");
+    let mut refused = deployment.request_completion(CALLER_HEADERS, &completion_body(2)).await;
     assert_eq!(header(&refused.headers, "switchfold-reason"), "event-not-open");
     assert!(!header(&refused.headers, "retry-after").is_empty());
-    assert_eq!(site.operate(r#"open event "dawn""#).await["result"], "accepted");
-    refused = site.complete(CALLER, &body(2)).await;
+    assert_eq!(deployment.run_statement(r#"open event "dawn""#).await["result"], "accepted");
+    refused = deployment.request_completion(CALLER_HEADERS, &completion_body(2)).await;
     assert_eq!(refused.status, StatusCode::OK);
 
-    let rows = site.operate("show config where kind = event").await;
+    let rows = deployment.run_statement("show config where kind = event").await;
     let version = rows["rows"][0][2].as_str().expect("a version").to_owned();
     let first = format!(r#"set event "dawn" class "bid" priority 7 expect version {version}"#);
     let second = format!(r#"set event "dawn" class "bid" priority 8 expect version {version}"#);
-    let (left, right) = tokio::join!(site.operate(&first), site.operate(&second));
-    let won = [&left, &right].iter().filter(|answer| answer["result"] == "accepted").count();
-    assert_eq!(won, 1, "{left} {right}");
-    let lost = if left["result"] == "accepted" { &right } else { &left };
-    assert_eq!((lost["status"].as_u64(), lost["reason"].as_str()), (Some(409), Some("conflict")));
+    let (left, right) =
+        tokio::join!(deployment.run_statement(&first), deployment.run_statement(&second));
+    let accepted_count =
+        [&left, &right].iter().filter(|response| response["result"] == "accepted").count();
+    assert_eq!(accepted_count, 1, "{left} {right}");
+    let refused_statement = if left["result"] == "accepted" { &right } else { &left };
+    assert_eq!(
+        (refused_statement["status"].as_u64(), refused_statement["reason"].as_str()),
+        (Some(409), Some("conflict"))
+    );
     assert!(
-        lost["message"].as_str().is_some_and(|text| text.contains("\"priority\":")),
-        "it shows the value: {lost}"
+        refused_statement["message"].as_str().is_some_and(|text| text.contains("\"priority\":")),
+        "the message shows the current value: {refused_statement}"
     );
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn bad_statements_are_refused_and_change_nothing() {
-    let site = site(|_| {}).await;
-    let before = site.operate("show config").await;
+async fn invalid_statements_are_refused_and_change_nothing() {
+    let deployment = start_deployment(|_| {}).await;
+    let before = deployment.run_statement("show config").await;
     let table = [
         ("open evnt", 400, "not-understood"),
         (r#"open event "dusk""#, 404, "missing"),
@@ -336,41 +351,51 @@
         (r#"open event "dawn" expect version 999"#, 409, "conflict"),
     ];
     for (text, status, reason) in table {
-        let answer = site.operate(text).await;
+        let response = deployment.run_statement(text).await;
         let expected = (Some(status), Some(reason));
         assert_eq!(
-            (answer["status"].as_u64(), answer["reason"].as_str()),
+            (response["status"].as_u64(), response["reason"].as_str()),
             expected,
-            "{text}: {answer}"
+            "{text}: {response}"
         );
     }
-    assert_eq!(site.operate("show config").await["rows"], before["rows"]);
-    let stranger = site
+    assert_eq!(deployment.run_statement("show config").await["rows"], before["rows"]);
+    let unauthorised_response = deployment
         .send("POST", "/v1/operator", &[("authorization", "Bearer token-0")], "show events")
         .await;
-    assert_eq!(stranger.status, StatusCode::UNAUTHORIZED);
+    assert_eq!(unauthorised_response.status, StatusCode::UNAUTHORIZED);
 }
 
-/// The write took effect and its answer was lost: the command's id tells that it was this one.
+/// If the response of a store write is lost after the write took effect, the entry reads the object back
+/// and recognises its own write by the command's identifier.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_operators_lost_answer_is_settled() {
-    let site = site(|_| {}).await;
-    site.cluster.platform.set_faults(StoreFaults { lose_answers: 1, ..StoreFaults::default() });
-    assert_eq!(site.operate(r#"pause event "dawn""#).await["result"], "accepted");
-    assert_eq!(site.operate("show events where class = bid").await["rows"][0][1], "paused");
-    site.cluster.platform.set_faults(StoreFaults { lose_answers: 1, ..StoreFaults::default() });
-    assert_eq!(site.operate(r#"delete event "dawn""#).await["result"], "accepted");
-    let rows = site.operate("show events").await;
+async fn statements_succeed_when_the_store_response_is_lost() {
+    let deployment = start_deployment(|_| {}).await;
+    deployment
+        .cluster
+        .platform
+        .set_faults(StoreFaults { lose_responses: 1, ..StoreFaults::default() });
+    assert_eq!(deployment.run_statement(r#"pause event "dawn""#).await["result"], "accepted");
+    assert_eq!(
+        deployment.run_statement("show events where class = bid").await["rows"][0][1],
+        "paused"
+    );
+    deployment
+        .cluster
+        .platform
+        .set_faults(StoreFaults { lose_responses: 1, ..StoreFaults::default() });
+    assert_eq!(deployment.run_statement(r#"delete event "dawn""#).await["result"], "accepted");
+    let rows = deployment.run_statement("show events").await;
     assert_eq!(rows["rows"], json!([]));
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn drained_vms_take_no_new_work_and_metrics_tell_outcomes() {
-    let site = site(|_| {}).await;
-    assert_eq!(site.operate("drain vm engine-0").await["result"], "accepted");
+async fn drained_vms_accept_no_requests_and_metrics_count_outcomes() {
+    let deployment = start_deployment(|_| {}).await;
+    assert_eq!(deployment.run_statement("drain vm engine-0").await["result"], "accepted");
     let mut state = String::new();
     for _ in 0..200 {
-        let rows = site.operate("show endpoints where vm = engine-0").await;
+        let rows = deployment.run_statement("show endpoints where vm = engine-0").await;
         state = rows["rows"][0][4].as_str().unwrap_or_default().to_owned();
         if state == "draining" {
             break;
@@ -378,12 +403,15 @@
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     assert_eq!(state, "draining");
-    let begun = site.cluster.engines["engine-0"].log.begun();
+    let started_requests = deployment.cluster.engines["engine-0"].log.started_requests();
     for _ in 0..6 {
-        assert_eq!(site.complete(CALLER, &body(2)).await.status, StatusCode::OK);
+        assert_eq!(
+            deployment.request_completion(CALLER_HEADERS, &completion_body(2)).await.status,
+            StatusCode::OK
+        );
     }
-    assert_eq!(site.cluster.engines["engine-0"].log.begun(), begun);
-    let text = String::from_utf8(site.send("GET", "/metrics", &[], "").await.body.to_vec())
+    assert_eq!(deployment.cluster.engines["engine-0"].log.started_requests(), started_requests);
+    let text = String::from_utf8(deployment.send("GET", "/metrics", &[], "").await.body.to_vec())
         .expect("UTF-8");
     let outcome = text.lines().find(|line| {
         line.starts_with("switchfold_outcomes_total") && line.contains("outcome=\"done\"")
@@ -392,25 +420,25 @@
     assert!(text.contains("switchfold_first_token_milliseconds_bucket{class="), "{text}");
 }
 
-/// A caller that goes away cancels its request down the path.
+/// A caller that disconnects cancels its request at all stages of the path, which frees their slots.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn callers_that_go_away_free_their_stages() {
-    let site = site(|_| {}).await;
-    let mut long = body(4_000);
+async fn disconnected_callers_free_the_slots_of_their_stages() {
+    let deployment = start_deployment(|_| {}).await;
+    let mut long = completion_body(4_000);
     long["stream"] = true.into();
     let request = Request::builder()
         .method("POST")
-        .uri(format!("http://{}/v1/completions", site.web(0)))
+        .uri(format!("http://{}/v1/completions", deployment.web(0)))
         .header("authorization", "Bearer token-0")
         .header("switchfold-event", "dawn")
         .body(Full::new(Bytes::from(long.to_string())))
         .expect("well-formed");
-    let answer = site.http.send(request).await.expect("begun");
-    assert_eq!(answer.status(), StatusCode::OK);
-    drop(answer);
+    let response = deployment.http.send(request).await.expect("response head");
+    assert_eq!(response.status(), StatusCode::OK);
+    drop(response);
     let mut running = String::new();
     for _ in 0..500 {
-        let rows = site.operate("show endpoints where used > 0").await;
+        let rows = deployment.run_statement("show endpoints where used > 0").await;
         running = rows["rows"].to_string();
         if running == "[]" {
             break;
@@ -418,22 +446,22 @@
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     assert_eq!(running, "[]");
-    let outcomes = site.operate("show outcomes where outcome = unknown").await;
+    let outcomes = deployment.run_statement("show outcomes where outcome = unknown").await;
     assert_eq!(outcomes["rows"][0][2], "1");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn organisations_keep_to_their_rate() {
-    let site = site(|_| {}).await;
+async fn organisation_rate_limit_is_enforced() {
+    let deployment = start_deployment(|_| {}).await;
     assert_eq!(
-        site.operate(r#"set organisation "organisation-0" limit_per_s 2"#).await["result"],
+        deployment.run_statement(r#"set organisation "organisation-0" limit_per_s 2"#).await["result"],
         "accepted"
     );
     let mut limited = None;
     for _ in 0..10 {
-        let answer = site.complete(CALLER, &body(1)).await;
-        if answer.status == StatusCode::TOO_MANY_REQUESTS {
-            limited = Some(answer);
+        let response = deployment.request_completion(CALLER_HEADERS, &completion_body(1)).await;
+        if response.status == StatusCode::TOO_MANY_REQUESTS {
+            limited = Some(response);
             break;
         }
     }
@@ -442,17 +470,25 @@
     assert_eq!(header(&limited.headers, "switchfold-outcome"), "not-run");
 }
 
-/// A process that starts in an outage of the store takes its configuration from its peers.
+/// An entry that starts during a store outage loads its configuration from its peers.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn entries_start_from_peers_while_the_store_is_down() -> Result<(), ClusterError> {
-    let mut site = site(|_| {}).await;
-    site.cluster.platform.set_faults(StoreFaults { outage: true, ..StoreFaults::default() });
-    site.cluster.start_late_entry()?;
-    let last = site.cluster.entries.len() - 1;
+async fn entries_start_from_peers_during_a_store_outage() -> Result<(), ClusterError> {
+    let mut deployment = start_deployment(|_| {}).await;
+    deployment.cluster.platform.set_faults(StoreFaults { outage: true, ..StoreFaults::default() });
+    deployment.cluster.start_additional_entry()?;
+    let last = deployment.cluster.entries.len() - 1;
     let mut status = StatusCode::SERVICE_UNAVAILABLE;
     for _ in 0..300 {
-        status =
-            site.send_to(last, "POST", "/v1/completions", CALLER, body(2).to_string()).await.status;
+        status = deployment
+            .send_to(
+                last,
+                "POST",
+                "/v1/completions",
+                CALLER_HEADERS,
+                completion_body(2).to_string(),
+            )
+            .await
+            .status;
         if status == StatusCode::OK {
             break;
         }
@@ -462,29 +498,30 @@
     Ok(())
 }
 
-/// An entry that hears neither the store nor any peer tells the balancer to send it nothing.
+/// An entry without contact to the store and to all peers fails its readiness check, so that the load
+/// balancer sends it no requests.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_entry_that_is_cut_off_is_not_ready() {
-    let mut site = site(|profile| profile.tuning.cut_off_ms = 1_500).await;
-    assert_eq!(site.send("GET", "/readyz", &[], "").await.status, StatusCode::OK);
-    site.cluster.kill("entry-1").expect("it runs");
-    site.cluster.platform.set_faults(StoreFaults { outage: true, ..StoreFaults::default() });
+async fn an_isolated_entry_is_not_ready() {
+    let mut deployment = start_deployment(|profile| profile.tuning.cut_off_ms = 1_500).await;
+    assert_eq!(deployment.send("GET", "/readyz", &[], "").await.status, StatusCode::OK);
+    deployment.cluster.kill("entry-1").expect("known VM");
+    deployment.cluster.platform.set_faults(StoreFaults { outage: true, ..StoreFaults::default() });
     let mut status = StatusCode::OK;
     for _ in 0..500 {
-        status = site.send("GET", "/readyz", &[], "").await.status;
+        status = deployment.send("GET", "/readyz", &[], "").await.status;
         if status != StatusCode::OK {
             break;
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     assert_eq!(status, StatusCode::SERVICE_UNAVAILABLE);
-    site.cluster.platform.set_faults(StoreFaults::default());
+    deployment.cluster.platform.set_faults(StoreFaults::default());
     for _ in 0..500 {
-        status = site.send("GET", "/readyz", &[], "").await.status;
+        status = deployment.send("GET", "/readyz", &[], "").await.status;
         if status == StatusCode::OK {
             break;
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    assert_eq!(status, StatusCode::OK, "it is ready again once it hears the store");
+    assert_eq!(status, StatusCode::OK, "the entry is ready again after it reached the store");
 }
--- a/crates/local/tests/interleavings.rs
+++ b/crates/local/tests/interleavings.rs
@@ -1,9 +1,11 @@
-//! An entry and its agents under any order of messages, losses, repetitions, kills and restarts.
+//! Randomised simulation of an entry and its agents under message loss, duplication and reordering, and
+//! under kills and restarts of agents.
 //!
-//! The state machines of the programs are wired together without sockets or clocks. A generator
-//! chooses what happens next: a message arrives, arrives twice, or is lost; an engine runs a step; an
-//! agent dies, loses its link, or comes back as another run. Whatever it chooses, the answers must be
-//! the oracle's, `not-run` must be true, and what must run once must not run twice.
+//! The state machines of the programs are connected without sockets or clocks. A seeded generator
+//! chooses the next event: a message is delivered, duplicated or lost; an engine runs a step; an agent is
+//! killed, loses its link, or restarts with a new incarnation. For every order of events, the generated
+//! tokens must equal those of the oracle, a request that ended as `not-run` must not have started, and a
+//! request that must run at most once must not have started twice.
 
 use std::{
     collections::{BTreeMap, HashMap, HashSet, VecDeque},
@@ -33,22 +35,22 @@
 const REPLICAS: u32 = 2;
 const REQUESTS: u64 = 8;
 
-/// How rough the run is, in thousandths of the steps.
+/// Probabilities of the faults, in thousandths.
 #[derive(Clone, Copy, Debug)]
-struct Roughness {
-    lose: u32,
-    repeat: u32,
+struct FaultRates {
+    loss: u32,
+    duplication: u32,
     kill: u32,
-    cut: u32,
-    /// A message may overtake others of its link.
-    overtake: bool,
+    disconnect: u32,
+    /// A message may be delivered before up to two earlier ones of its link.
+    reorder: bool,
 }
 
-/// An engine: its caches, and the steps that wait.
+/// An engine: for each request the caches and the number of cached positions, and the queued steps.
 #[derive(Default)]
 struct EngineModel {
     caches: HashMap<RequestId, (LayerCaches, u32)>,
-    waiting: VecDeque<StepInput>,
+    queued: VecDeque<StepInput>,
 }
 
 struct AgentModel {
@@ -56,13 +58,13 @@
     engine: EngineModel,
     incarnation: u64,
     layers: LayerRange,
-    alive: bool,
-    linked: bool,
+    is_alive: bool,
+    is_connected: bool,
 }
 
-/// Who a message goes to.
+/// Sender or receiver of a message.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
-enum Party {
+enum Node {
     Entry,
     Agent(String),
 }
@@ -72,18 +74,19 @@
     end: Option<CallerEvent>,
 }
 
-struct World {
+struct Simulation {
     random: ChaCha8Rng,
-    roughness: Roughness,
+    fault_rates: FaultRates,
     now: u64,
     entry: DispatchState,
     agents: BTreeMap<String, AgentModel>,
-    network: BTreeMap<(Party, Party), VecDeque<Body>>,
+    network: BTreeMap<(Node, Node), VecDeque<Body>>,
     outcomes: BTreeMap<RequestId, Outcome>,
-    /// Runs of position 0 at the first layer, by request.
-    begun: HashMap<RequestId, u32>,
-    /// Every (agent run, request, position) that an engine ran, to see one run twice.
-    ran: HashSet<(String, u64, RequestId, u32, u32)>,
+    /// Number of times that each request was started at the first layer.
+    starts: HashMap<RequestId, u32>,
+    /// Every (agent, incarnation, request, first layer, position) that an engine ran, to detect a
+    /// position that runs twice.
+    run_positions: HashSet<(String, u64, RequestId, u32, u32)>,
     violations: Vec<String>,
 }
 
@@ -117,8 +120,8 @@
     })
 }
 
-impl World {
-    fn new(seed: u64, roughness: Roughness) -> Self {
+impl Simulation {
+    fn new(seed: u64, fault_rates: FaultRates) -> Self {
         let models = vec![ModelConfig { name: MODEL.to_owned(), layers: LAYERS }];
         let mut config = DispatchConfig::new("entry", 1, models);
         config.seed = seed;
@@ -126,16 +129,16 @@
         config.agent_timeout = 400;
         config.void_timeout = 300;
         config.replacement_timeout = 2_000;
-        let mut world = Self {
+        let mut simulation = Self {
             random: ChaCha8Rng::seed_from_u64(seed),
-            roughness,
+            fault_rates,
             now: 1,
             entry: DispatchState::new(config),
             agents: BTreeMap::new(),
             network: BTreeMap::new(),
             outcomes: BTreeMap::new(),
-            begun: HashMap::new(),
-            ran: HashSet::new(),
+            starts: HashMap::new(),
+            run_positions: HashSet::new(),
             violations: Vec::new(),
         };
         for stage in 0..STAGES {
@@ -143,10 +146,10 @@
                 let width = LAYERS / STAGES;
                 let layers =
                     LayerRange::new(stage * width, (stage + 1) * width).expect("not empty");
-                world.start_agent(&agent_name(stage, replica), 1, layers);
+                simulation.start_agent(&agent_name(stage, replica), 1, layers);
             }
         }
-        world
+        simulation
     }
 
     fn start_agent(&mut self, name: &str, incarnation: u64, layers: LayerRange) {
@@ -156,54 +159,54 @@
             engine: EngineModel::default(),
             incarnation,
             layers,
-            alive: true,
-            linked: false,
+            is_alive: true,
+            is_connected: false,
         };
         self.agents.insert(name.to_owned(), agent);
-        self.link(name);
+        self.connect(name);
     }
 
-    fn link(&mut self, name: &str) {
-        let agent = self.agents.get_mut(name).expect("known");
-        if !agent.alive || agent.linked {
+    fn connect(&mut self, name: &str) {
+        let agent = self.agents.get_mut(name).expect("known agent");
+        if !agent.is_alive || agent.is_connected {
             return;
         }
-        agent.linked = true;
+        agent.is_connected = true;
         let actions = agent.gate.entry_connected(entry_key());
-        self.carry_out(name, actions);
+        self.execute(name, actions);
     }
 
-    /// Ends the link between the entry and an agent; what was on its way is lost.
-    fn cut(&mut self, name: &str) {
-        let party = Party::Agent(name.to_owned());
-        self.network.remove(&(Party::Entry, party.clone()));
-        self.network.remove(&(party, Party::Entry));
-        let Some(agent) = self.agents.get_mut(name).filter(|agent| agent.linked) else {
+    /// Closes the link between the entry and an agent; messages in transit are lost.
+    fn disconnect(&mut self, name: &str) {
+        let node = Node::Agent(name.to_owned());
+        self.network.remove(&(Node::Entry, node.clone()));
+        self.network.remove(&(node, Node::Entry));
+        let Some(agent) = self.agents.get_mut(name).filter(|agent| agent.is_connected) else {
             return;
         };
-        agent.linked = false;
+        agent.is_connected = false;
         let actions = agent.gate.entry_disconnected(&entry_key());
-        self.carry_out(name, actions);
+        self.execute(name, actions);
         let actions = self.entry.on_link_lost(self.now, name);
-        self.dispatch(actions);
+        self.execute_entry_actions(actions);
     }
 
     fn kill(&mut self, name: &str) {
-        let party = Party::Agent(name.to_owned());
-        self.network.retain(|(from, to), _| *from != party && *to != party);
+        let node = Node::Agent(name.to_owned());
+        self.network.retain(|(from, to), _| *from != node && *to != node);
         if let Some(agent) = self.agents.get_mut(name) {
-            agent.alive = false;
-            agent.linked = false;
+            agent.is_alive = false;
+            agent.is_connected = false;
         }
         let actions = self.entry.on_link_lost(self.now, name);
-        self.dispatch(actions);
+        self.execute_entry_actions(actions);
         let others: Vec<String> =
             self.agents.keys().filter(|other| *other != name).cloned().collect();
         for other in others {
-            let agent = self.agents.get_mut(&other).expect("known");
-            if agent.alive {
+            let agent = self.agents.get_mut(&other).expect("known agent");
+            if agent.is_alive {
                 let actions = agent.gate.stage_disconnected(name);
-                self.carry_out(&other, actions);
+                self.execute(&other, actions);
             }
         }
     }
@@ -225,29 +228,29 @@
         };
         self.outcomes.insert(id, Outcome { tokens: Vec::new(), end: None });
         let actions = self.entry.submit(self.now, submission);
-        self.dispatch(actions);
+        self.execute_entry_actions(actions);
     }
 
-    fn post(&mut self, from: Party, to: Party, body: Body) {
+    fn enqueue(&mut self, from: Node, to: Node, body: Body) {
         self.network.entry((from, to)).or_default().push_back(body);
     }
 
-    fn dispatch(&mut self, actions: Vec<DispatchAction>) {
+    fn execute_entry_actions(&mut self, actions: Vec<DispatchAction>) {
         for action in actions {
             match action {
                 DispatchAction::Send { process, body } => {
-                    if self.agents.get(&process).is_some_and(|agent| agent.linked) {
-                        self.post(Party::Entry, Party::Agent(process), body);
+                    if self.agents.get(&process).is_some_and(|agent| agent.is_connected) {
+                        self.enqueue(Node::Entry, Node::Agent(process), body);
                     }
                 }
-                DispatchAction::Notify { request, event } => self.tell(request, event),
-                DispatchAction::ResetLink { process } => self.cut(&process),
+                DispatchAction::Notify { request, event } => self.record_event(request, event),
+                DispatchAction::ResetLink { process } => self.disconnect(&process),
                 DispatchAction::Observe(_) => {}
             }
         }
     }
 
-    fn tell(&mut self, request: RequestId, event: CallerEvent) {
+    fn record_event(&mut self, request: RequestId, event: CallerEvent) {
         let outcome = self.outcomes.get_mut(&request).expect("submitted");
         match event {
             CallerEvent::Tokens(tokens) => outcome.tokens.extend(tokens),
@@ -259,30 +262,30 @@
         }
     }
 
-    fn carry_out(&mut self, name: &str, actions: Vec<GateAction>) {
+    fn execute(&mut self, name: &str, actions: Vec<GateAction>) {
         for action in actions {
             match action {
                 GateAction::ToEntry { body, .. } => {
-                    if self.agents.get(name).is_some_and(|agent| agent.linked) {
-                        self.post(Party::Agent(name.to_owned()), Party::Entry, body);
+                    if self.agents.get(name).is_some_and(|agent| agent.is_connected) {
+                        self.enqueue(Node::Agent(name.to_owned()), Node::Entry, body);
                     }
                 }
                 GateAction::ToStage { address, body } => {
-                    if self.agents.get(&address).is_some_and(|agent| agent.alive) {
-                        self.post(Party::Agent(name.to_owned()), Party::Agent(address), body);
+                    if self.agents.get(&address).is_some_and(|agent| agent.is_alive) {
+                        self.enqueue(Node::Agent(name.to_owned()), Node::Agent(address), body);
                     } else {
-                        let agent = self.agents.get_mut(name).expect("known");
+                        let agent = self.agents.get_mut(name).expect("known agent");
                         let actions = agent.gate.stage_disconnected(&address);
-                        self.carry_out(name, actions);
+                        self.execute(name, actions);
                     }
                 }
                 GateAction::RunStep(step) => {
-                    self.agents.get_mut(name).expect("known").engine.waiting.push_back(step)
+                    self.agents.get_mut(name).expect("known agent").engine.queued.push_back(step)
                 }
                 GateAction::ReleaseCache(id) => {
-                    let engine = &mut self.agents.get_mut(name).expect("known").engine;
+                    let engine = &mut self.agents.get_mut(name).expect("known agent").engine;
                     engine.caches.remove(&id);
-                    engine.waiting.retain(|step| step_id(step) != id);
+                    engine.queued.retain(|step| step_id(step) != id);
                 }
                 GateAction::CallService(_) | GateAction::LoadLayers(_) => {}
             }
@@ -290,50 +293,50 @@
     }
 
     fn deliver(&mut self) {
-        let routes: Vec<(Party, Party)> = self
+        let nonempty_links: Vec<(Node, Node)> = self
             .network
             .iter()
             .filter(|(_, queue)| !queue.is_empty())
-            .map(|(route, _)| route.clone())
+            .map(|(link, _)| link.clone())
             .collect();
-        if routes.is_empty() {
+        if nonempty_links.is_empty() {
             return;
         }
-        let route = routes[self.random.random_range(0..routes.len())].clone();
-        let queue = self.network.get_mut(&route).expect("chosen");
-        let place = if self.roughness.overtake {
+        let link = nonempty_links[self.random.random_range(0..nonempty_links.len())].clone();
+        let queue = self.network.get_mut(&link).expect("chosen above");
+        let index = if self.fault_rates.reorder {
             self.random.random_range(0..queue.len().min(3))
         } else {
             0
         };
-        let body = queue.remove(place).expect("not empty");
-        let dice = self.random.random_range(0..1_000);
-        if dice < self.roughness.lose {
+        let body = queue.remove(index).expect("not empty");
+        let roll = self.random.random_range(0..1_000);
+        if roll < self.fault_rates.loss {
             return;
         }
-        if dice < self.roughness.lose + self.roughness.repeat {
-            self.network.get_mut(&route).expect("chosen").push_back(body.clone());
+        if roll < self.fault_rates.loss + self.fault_rates.duplication {
+            self.network.get_mut(&link).expect("chosen above").push_back(body.clone());
         }
-        self.arrive(route, body);
+        self.receive(link, body);
     }
 
-    fn arrive(&mut self, (from, to): (Party, Party), body: Body) {
+    fn receive(&mut self, (from, to): (Node, Node), body: Body) {
         match to {
-            Party::Entry => {
-                if let Party::Agent(name) = from {
+            Node::Entry => {
+                if let Node::Agent(name) = from {
                     let actions = self.entry.on_message(self.now, &name, &name, body);
-                    self.dispatch(actions);
+                    self.execute_entry_actions(actions);
                 }
             }
-            Party::Agent(name) => {
-                let Some(agent) = self.agents.get_mut(&name).filter(|agent| agent.alive) else {
+            Node::Agent(name) => {
+                let Some(agent) = self.agents.get_mut(&name).filter(|agent| agent.is_alive) else {
                     return;
                 };
                 let actions = match from {
-                    Party::Entry => agent.gate.on_entry_message(&entry_key(), body),
-                    Party::Agent(_) => agent.gate.on_stage_message(body),
+                    Node::Entry => agent.gate.on_entry_message(&entry_key(), body),
+                    Node::Agent(_) => agent.gate.on_stage_message(body),
                 };
-                self.carry_out(&name, actions);
+                self.execute(&name, actions);
             }
         }
     }
@@ -342,28 +345,28 @@
         let busy: Vec<String> = self
             .agents
             .iter()
-            .filter(|(_, agent)| agent.alive && !agent.engine.waiting.is_empty())
+            .filter(|(_, agent)| agent.is_alive && !agent.engine.queued.is_empty())
             .map(|(name, _)| name.clone())
             .collect();
         if busy.is_empty() {
             return;
         }
         let name = busy[self.random.random_range(0..busy.len())].clone();
-        let agent = self.agents.get_mut(&name).expect("chosen");
-        let step = agent.engine.waiting.pop_front().expect("not empty");
+        let agent = self.agents.get_mut(&name).expect("chosen above");
+        let step = agent.engine.queued.pop_front().expect("not empty");
         let id = step_id(&step);
         let layers = agent.layers;
         if step.reset {
             agent.engine.caches.remove(&id);
-            self.ran.retain(|(ran, run, request, ..)| {
-                *ran != name || *run != agent.incarnation || *request != id
+            self.run_positions.retain(|(other, incarnation, request, ..)| {
+                *other != name || *incarnation != agent.incarnation || *request != id
             });
             if layers.first() == 0 {
-                *self.begun.entry(id).or_default() += 1;
+                *self.starts.entry(id).or_default() += 1;
             }
         }
-        let fresh = || (LayerCaches::new(layers.first(), layers.end()), 0);
-        let (caches, next) = agent.engine.caches.entry(id).or_insert_with(fresh);
+        let empty_caches = || (LayerCaches::new(layers.first(), layers.end()), 0);
+        let (caches, next) = agent.engine.caches.entry(id).or_insert_with(empty_caches);
         if *next != step.first_position {
             self.violations
                 .push(format!("{name}: {id} at {next}, step starts at {}", step.first_position));
@@ -380,7 +383,13 @@
         for input in inputs {
             last = caches.run(model_seed(MODEL), *next, input);
             activations.extend_from_slice(&last.to_le_bytes());
-            if !self.ran.insert((name.clone(), agent.incarnation, id, layers.first(), *next)) {
+            if !self.run_positions.insert((
+                name.clone(),
+                agent.incarnation,
+                id,
+                layers.first(),
+                *next,
+            )) {
                 self.violations.push(format!("{name}: {id} ran position {next} twice"));
             }
             *next += 1;
@@ -393,30 +402,30 @@
             error: String::new(),
         };
         let actions = agent.gate.on_output(&output);
-        self.carry_out(&name, actions);
+        self.execute(&name, actions);
     }
 
-    fn disturb(&mut self) {
+    fn inject_fault(&mut self) {
         let names: Vec<String> = self.agents.keys().cloned().collect();
         let name = names[self.random.random_range(0..names.len())].clone();
-        let dice = self.random.random_range(0..1_000);
-        if dice < self.roughness.kill {
+        let roll = self.random.random_range(0..1_000);
+        if roll < self.fault_rates.kill {
             self.kill(&name);
-        } else if dice < self.roughness.kill + self.roughness.cut {
-            self.cut(&name);
+        } else if roll < self.fault_rates.kill + self.fault_rates.disconnect {
+            self.disconnect(&name);
         }
     }
 
-    /// Dead agents come back as another run, cut links are opened again.
-    fn mend(&mut self) {
+    /// Restarts killed agents with a new incarnation and reopens closed links.
+    fn recover(&mut self) {
         let names: Vec<String> = self.agents.keys().cloned().collect();
         for name in names {
             let agent = &self.agents[&name];
-            if !agent.alive {
+            if !agent.is_alive {
                 let (incarnation, layers) = (agent.incarnation + 1, agent.layers);
                 self.start_agent(&name, incarnation, layers);
-            } else if !agent.linked {
-                self.link(&name);
+            } else if !agent.is_connected {
+                self.connect(&name);
             }
         }
     }
@@ -425,14 +434,14 @@
         self.now += 10;
         let names: Vec<String> = self.agents.keys().cloned().collect();
         for name in names {
-            let agent = self.agents.get_mut(&name).expect("known");
-            if agent.alive && agent.linked {
+            let agent = self.agents.get_mut(&name).expect("known agent");
+            if agent.is_alive && agent.is_connected {
                 let actions = agent.gate.make_offers();
-                self.carry_out(&name, actions);
+                self.execute(&name, actions);
             }
         }
         let actions = self.entry.tick(self.now);
-        self.dispatch(actions);
+        self.execute_entry_actions(actions);
     }
 
     fn run(&mut self) {
@@ -445,9 +454,10 @@
         let mut rounds = 0;
         while self.outcomes.values().any(|outcome| outcome.end.is_none()) && rounds < 40_000 {
             rounds += 1;
-            // In the end the network calms down, so that everything must come to its end.
+            // Without further faults, every request must end.
             if rounds == 3_000 {
-                self.roughness = Roughness { lose: 0, repeat: 0, kill: 0, cut: 0, overtake: false };
+                self.fault_rates =
+                    FaultRates { loss: 0, duplication: 0, kill: 0, disconnect: 0, reorder: false };
             }
             self.step();
         }
@@ -457,8 +467,8 @@
         match self.random.random_range(0..100) {
             0..=54 => self.deliver(),
             55..=84 => self.run_engine(),
-            85..=89 => self.disturb(),
-            90..=91 => self.mend(),
+            85..=89 => self.inject_fault(),
+            90..=91 => self.recover(),
             _ => self.tick(),
         }
     }
@@ -471,17 +481,17 @@
                 (0..3 + counter as u32 % 3).map(|token| token * 31 + counter as u32).collect();
             let expected = oracle(MODEL, LAYERS, &prompt, 4);
             prop_assert!(expected.starts_with(&outcome.tokens), "{id}: {:?}", outcome.tokens);
-            let begun = self.begun.get(id).copied().unwrap_or(0);
+            let starts = self.starts.get(id).copied().unwrap_or(0);
             match &outcome.end {
                 Some(CallerEvent::Done { .. }) => prop_assert_eq!(&outcome.tokens, &expected),
                 Some(CallerEvent::NotRun { .. }) => {
-                    prop_assert_eq!(begun, 0, "{} was called not run", id)
+                    prop_assert_eq!(starts, 0, "{} started and ended as not-run", id)
                 }
                 Some(_) => {}
                 None => prop_assert!(false, "{id} never ended"),
             }
             if counter % 3 == 0 {
-                prop_assert!(begun <= 1, "{id} must run once and was begun {begun} times");
+                prop_assert!(starts <= 1, "{id} must run at most once and started {starts} times");
             }
         }
         Ok(())
@@ -493,54 +503,57 @@
     RequestId { incarnation: key.incarnation, counter: key.counter }
 }
 
-fn run(seed: u64, roughness: Roughness) -> Result<World, TestCaseError> {
-    let mut world = World::new(seed, roughness);
-    world.run();
-    world.check()?;
-    Ok(world)
+fn run(seed: u64, fault_rates: FaultRates) -> Result<Simulation, TestCaseError> {
+    let mut simulation = Simulation::new(seed, fault_rates);
+    simulation.run();
+    simulation.check()?;
+    Ok(simulation)
 }
 
-const CALM: Roughness = Roughness { lose: 0, repeat: 0, kill: 0, cut: 0, overtake: false };
+const NO_FAULTS: FaultRates =
+    FaultRates { loss: 0, duplication: 0, kill: 0, disconnect: 0, reorder: false };
 
 #[test]
-fn without_faults_everything_is_done_and_nothing_runs_twice() {
-    let world = run(1, CALM).expect("no promise is broken");
+fn without_faults_all_requests_complete_and_start_once() {
+    let simulation = run(1, NO_FAULTS).expect("guarantees hold");
     assert!(
-        world
+        simulation
             .outcomes
             .values()
             .all(|outcome| matches!(outcome.end, Some(CallerEvent::Done { .. })))
     );
-    assert!(world.begun.values().all(|begun| *begun == 1));
-    assert_eq!(world.entry.counts().stages_replaced, 0);
+    assert!(simulation.starts.values().all(|starts| *starts == 1));
+    assert_eq!(simulation.entry.counts().stages_replaced, 0);
 }
 
 #[test]
-fn a_repeatable_request_outlives_the_loss_of_any_one_stage() {
+fn repeatable_requests_complete_after_the_loss_of_any_stage() {
     for stage in 0..STAGES {
         for moment in 0..60 {
-            let mut world = World::new(u64::from(stage * 100 + moment), CALM);
+            let mut simulation = Simulation::new(u64::from(stage * 100 + moment), NO_FAULTS);
             for _ in 0..50 {
-                world.step();
+                simulation.step();
             }
-            // The first identifier is that of a request that must run once.
-            let _passed_over = world.entry.issue_id();
-            world.submit(1);
+            // The first identifier is skipped: `check` requires its request to run at most once.
+            let _skipped = simulation.entry.issue_id();
+            simulation.submit(1);
             for _ in 0..moment * 4 {
-                world.step();
+                simulation.step();
             }
-            world.kill(&agent_name(stage, 0));
+            simulation.kill(&agent_name(stage, 0));
             let mut rounds = 0;
-            while world.outcomes.values().any(|outcome| outcome.end.is_none()) && rounds < 40_000 {
+            while simulation.outcomes.values().any(|outcome| outcome.end.is_none())
+                && rounds < 40_000
+            {
                 rounds += 1;
-                match world.random.random_range(0..100) {
-                    0..=54 => world.deliver(),
-                    55..=89 => world.run_engine(),
-                    _ => world.tick(),
+                match simulation.random.random_range(0..100) {
+                    0..=54 => simulation.deliver(),
+                    55..=89 => simulation.run_engine(),
+                    _ => simulation.tick(),
                 }
             }
-            world.check().expect("no promise is broken");
-            let end = world.outcomes.values().next().and_then(|outcome| outcome.end.as_ref());
+            simulation.check().expect("guarantees hold");
+            let end = simulation.outcomes.values().next().and_then(|outcome| outcome.end.as_ref());
             assert!(
                 matches!(end, Some(CallerEvent::Done { .. })),
                 "stage {stage}, moment {moment}: {end:?}"
@@ -552,17 +565,18 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 96, ..ProptestConfig::default() })]
 
-    /// Links as TCP makes them: in order, whole or cut. Agents die and come back.
+    /// Links behave like TCP connections: messages arrive in order and once until the link is closed.
+    /// Agents are killed and restarted.
     #[test]
-    fn kills_and_cuts_break_no_promise(seed in any::<u64>(), kill in 0_u32..120, cut in 0_u32..120) {
-        run(seed, Roughness { kill, cut, ..CALM })?;
+    fn guarantees_hold_under_kills_and_disconnects(seed in any::<u64>(), kill in 0_u32..120, disconnect in 0_u32..120) {
+        run(seed, FaultRates { kill, disconnect, ..NO_FAULTS })?;
     }
 
-    /// Beyond what TCP does: messages are lost, repeated, and overtake each other.
+    /// Links are less reliable than TCP: messages are lost, duplicated and reordered.
     #[test]
-    fn losses_and_repetitions_break_no_promise(
-        seed in any::<u64>(), lose in 0_u32..60, repeat in 0_u32..100, kill in 0_u32..60, overtake in any::<bool>()
+    fn guarantees_hold_under_loss_duplication_and_reordering(
+        seed in any::<u64>(), loss in 0_u32..60, duplication in 0_u32..100, kill in 0_u32..60, reorder in any::<bool>()
     ) {
-        run(seed, Roughness { lose, repeat, kill, cut: kill, overtake })?;
+        run(seed, FaultRates { loss, duplication, kill, disconnect: kill, reorder })?;
     }
 }
