--- a/crates/local/tests/processes.rs
+++ b/crates/local/tests/processes.rs
@@ -1,4 +1,4 @@
-//! The programs as processes of their own: killed, paused, and told to stop.
+//! Tests with the programs as separate processes, which are killed, paused and terminated.
 
 use std::{
     collections::BTreeMap,
@@ -19,7 +19,7 @@
 const LAYERS: u32 = 8;
 const OPERATOR_HASH: &str = "dfb3b6ffc2c3e9df8a6b86b1b3e9f1ac5c9b0f8a3a5b0a0fd4b3bd6e0c7a9f11";
 
-/// The programs, built where they are not there yet.
+/// Returns the path of a program; builds all programs if it does not exist yet.
 fn program(name: &str) -> PathBuf {
     let test = std::env::current_exe().expect("this test's path");
     let folder = test.parent().and_then(Path::parent).expect("the target folder").to_owned();
@@ -35,13 +35,13 @@
     path
 }
 
-/// A port that was free a moment ago.
+/// Returns a loopback address with a port that was free at the time of the call.
 fn free_address() -> String {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     listener.local_addr().expect("bound").to_string()
 }
 
-/// Processes that end with the test.
+/// Child processes, which are killed on drop.
 #[derive(Default)]
 struct Processes {
     children: BTreeMap<String, Child>,
@@ -76,7 +76,7 @@
     }
 }
 
-struct Site {
+struct TestDeployment {
     processes: Processes,
     folder: PathBuf,
     platform: String,
@@ -84,7 +84,7 @@
     http: HttpClient,
 }
 
-impl Site {
+impl TestDeployment {
     async fn start(name: &str) -> Self {
         let folder = std::env::temp_dir().join(format!("switchfold-{name}-{}", std::process::id()));
         fs::create_dir_all(&folder).expect("a folder");
@@ -92,18 +92,18 @@
         let mut processes = Processes::default();
         processes.start("platform", "switchfold-standin", &["platform", "--listen", &platform]);
         let http = HttpClient::new(Duration::from_secs(30), 8 << 20);
-        let mut site = Self { processes, folder, platform, entries: Vec::new(), http };
-        site.retry("GET", &format!("http://{}/v1/vms", site.platform), &[], "").await;
-        site.configure().await;
+        let mut deployment = Self { processes, folder, platform, entries: Vec::new(), http };
+        deployment.retry("GET", &format!("http://{}/v1/vms", deployment.platform), &[], "").await;
+        deployment.configure().await;
         for stage in 0..2 {
             for replica in 0..2 {
-                site.start_replica(stage, replica).await;
+                deployment.start_replica(stage, replica).await;
             }
         }
         for number in 0..2 {
-            site.start_entry(number).await;
+            deployment.start_entry(number).await;
         }
-        site
+        deployment
     }
 
     async fn call(
@@ -119,11 +119,11 @@
         }
         let request =
             request.body(Full::new(Bytes::copy_from_slice(body.as_bytes()))).expect("well-formed");
-        let answer = self.http.call(request).await.ok()?;
-        Some((answer.status, answer.body))
+        let response = self.http.call(request).await.ok()?;
+        Some((response.status, response.body))
     }
 
-    /// Calls until the answer is a success.
+    /// Repeats a call until its response has a success status; panics after 600 attempts.
     async fn retry(&self, method: &str, uri: &str, headers: &[(&str, &str)], body: &str) -> Bytes {
         for _ in 0..600 {
             if let Some((status, body)) = self.call(method, uri, headers, body).await
@@ -133,7 +133,7 @@
             }
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
-        panic!("{method} {uri}: no success");
+        panic!("{method} {uri}: no success status after 600 attempts");
     }
 
     async fn configure(&self) {
@@ -160,7 +160,7 @@
         path.display().to_string()
     }
 
-    async fn list(&self, name: &str, address: &str, role: &str) {
+    async fn add_to_vm_list(&self, name: &str, address: &str, role: &str) {
         let vm = json!({"name": name, "address": address, "data_centre": "here", "role": role, "state": "live"});
         self.retry("POST", &format!("http://{}/standin/vms", self.platform), &[], &vm.to_string())
             .await;
@@ -170,21 +170,21 @@
         let (engine, agent) = (free_address(), free_address());
         let name = format!("engine-{stage}-{replica}");
         let width = LAYERS / 2;
-        let shape = self.settings(&name, &json!({
+        let engine_settings = self.settings(&name, &json!({
             "model": "lots", "layers": LAYERS, "first_layer": stage * width, "end_layer": (stage + 1) * width,
             "accelerator": "test", "max_batch": 4, "slots": 16, "fixed_micros": 4_000, "item_micros": 200
         }));
         self.processes.start(
             &name,
             "switchfold-standin",
-            &["engine", "--listen", &engine, "--settings", &shape],
+            &["engine", "--listen", &engine, "--settings", &engine_settings],
         );
         let agent_name = format!("agent-{stage}-{replica}");
         let settings = self.settings(&agent_name, &json!({
             "name": agent_name, "data_centre": "here", "listen": agent, "cluster_token": "secret", "engine": engine
         }));
         self.processes.start(&agent_name, "switchfold-agent", &["--settings", &settings]);
-        self.list(&agent_name, &agent, "endpoint").await;
+        self.add_to_vm_list(&agent_name, &agent, "endpoint").await;
     }
 
     async fn start_entry(&mut self, number: usize) {
@@ -196,11 +196,11 @@
             "operator_token_sha256": OPERATOR_HASH
         }));
         self.processes.start(&name, "switchfold-entry", &["--settings", &settings]);
-        self.list(&name, &peer, "entry").await;
+        self.add_to_vm_list(&name, &peer, "entry").await;
         self.retry("GET", &format!("http://{web}/readyz"), &[], "").await;
         self.entries.push(web);
-        // The first answer shows that a whole path is there.
-        self.complete(number, 2).await;
+        // The first completion shows that the entry has a complete path.
+        self.request_completion(number, 2).await;
     }
 
     fn request(&self, entry: usize, tokens: u32, stream: bool) -> Request<Full<Bytes>> {
@@ -214,16 +214,17 @@
             .expect("well-formed")
     }
 
-    /// A whole answer, checked against the oracle; tried again only where it says that it did not run.
-    async fn complete(&self, entry: usize, tokens: u32) {
+    /// Requests a completion and compares it with the oracle. Retries only if there is no response or the
+    /// outcome is `not-run`.
+    async fn request_completion(&self, entry: usize, tokens: u32) {
         for _ in 0..600 {
-            let answer = self.http.call(self.request(entry, tokens, false)).await;
-            let Ok(answer) = answer else {
+            let response = self.http.call(self.request(entry, tokens, false)).await;
+            let Ok(response) = response else {
                 tokio::time::sleep(Duration::from_millis(50)).await;
                 continue;
             };
-            let value: Value = serde_json::from_slice(&answer.body).unwrap_or_default();
-            if answer.status == StatusCode::OK {
+            let value: Value = serde_json::from_slice(&response.body).unwrap_or_default();
+            if response.status == StatusCode::OK {
                 let expected = oracle("lots", LAYERS, &[7, 7, tokens], tokens);
                 assert_eq!(value["choices"][0]["token_ids"], json!(expected));
                 return;
@@ -231,19 +232,19 @@
             assert_eq!(value["error"]["outcome"], "not-run", "{value}");
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
-        panic!("no answer");
+        panic!("no completion after 600 attempts");
     }
 
-    /// Begins a stream, does something to it, and reads it to its end.
-    async fn stream_through(
+    /// Starts a stream, calls `action`, and returns all tokens of the stream.
+    async fn stream_during(
         &mut self,
         tokens: u32,
-        disturb: impl FnOnce(&mut Processes),
+        action: impl FnOnce(&mut Processes),
     ) -> Vec<u64> {
-        let answer = self.http.send(self.request(0, tokens, true)).await.expect("begun");
-        assert_eq!(answer.status(), StatusCode::OK);
-        disturb(&mut self.processes);
-        let body = answer.into_body().collect().await.expect("whole").to_bytes();
+        let response = self.http.send(self.request(0, tokens, true)).await.expect("response head");
+        assert_eq!(response.status(), StatusCode::OK);
+        action(&mut self.processes);
+        let body = response.into_body().collect().await.expect("complete body").to_bytes();
         let text = String::from_utf8(body.to_vec()).expect("UTF-8");
         assert!(text.contains("\"outcome\":\"done\""), "{text}");
         text.lines()
@@ -255,7 +256,7 @@
     }
 }
 
-impl Drop for Site {
+impl Drop for TestDeployment {
     fn drop(&mut self) {
         let _left_behind = fs::remove_dir_all(&self.folder);
     }
@@ -266,16 +267,16 @@
 }
 
 #[tokio::test]
-async fn a_stream_outlives_a_killed_and_a_paused_process() {
-    let mut site = Site::start("kill").await;
-    // Whichever of the two first stages serves the stream, one of these kills hits it.
-    let killed = site.stream_through(120, |processes| processes.kill("agent-0-0")).await;
+async fn streams_complete_when_processes_are_killed_or_paused() {
+    let mut deployment = TestDeployment::start("kill").await;
+    // One replica of each stage is killed, each during another stream.
+    let killed = deployment.stream_during(120, |processes| processes.kill("agent-0-0")).await;
     assert_eq!(killed, expected(120));
-    let killed = site.stream_through(130, |processes| processes.kill("engine-1-1")).await;
+    let killed = deployment.stream_during(130, |processes| processes.kill("engine-1-1")).await;
     assert_eq!(killed, expected(130));
-    // The only replica of the last stage is paused, and goes on.
-    let paused = site
-        .stream_through(140, |processes| {
+    // The other entry is paused and continued at once; the stream must not be affected.
+    let paused = deployment
+        .stream_during(140, |processes| {
             processes.signal("entry-1", "-STOP");
             processes.signal("entry-1", "-CONT");
         })
@@ -284,18 +285,19 @@
 }
 
 #[tokio::test]
-async fn an_entry_that_is_told_to_stop_finishes_its_streams() {
-    let mut site = Site::start("stop").await;
-    let tokens = site.stream_through(150, |processes| processes.signal("entry-0", "-TERM")).await;
+async fn entries_complete_their_streams_on_sigterm() {
+    let mut deployment = TestDeployment::start("stop").await;
+    let tokens =
+        deployment.stream_during(150, |processes| processes.signal("entry-0", "-TERM")).await;
     assert_eq!(tokens, expected(150));
     let status =
-        site.processes.children.get_mut("entry-0").expect("started").wait().expect("it ends");
+        deployment.processes.children.get_mut("entry-0").expect("started").wait().expect("it ends");
     assert_eq!(status.code(), Some(0));
-    site.complete(1, 3).await;
+    deployment.request_completion(1, 3).await;
 }
 
 #[test]
-fn wrong_settings_end_with_2_and_name_every_fault() {
+fn invalid_settings_exit_with_2_and_report_every_error() {
     let folder = std::env::temp_dir().join(format!("switchfold-settings-{}", std::process::id()));
     fs::create_dir_all(&folder).expect("a folder");
     let path = folder.join("entry.json");
@@ -311,13 +313,13 @@
         .expect("it runs");
     assert_eq!(output.status.code(), Some(2));
     let text = String::from_utf8_lossy(&output.stderr);
-    for fault in [
+    for error in [
         "colour: unknown field",
         "listen: found \"nowhere\"",
         "models[0].layers: missing",
         "platform: missing",
     ] {
-        assert!(text.contains(fault), "{fault}: {text}");
+        assert!(text.contains(error), "{error}: {text}");
     }
     let checked = Command::new(program("switchfold-ctl"))
         .args(["check", "entry", "--settings"])
--- a/crates/standin/src/bin/switchfold-standin.rs
+++ b/crates/standin/src/bin/switchfold-standin.rs
@@ -1,4 +1,4 @@
-//! The stand-ins as a program.
+//! Command-line program that runs one of the stand-ins.
 
 use std::{path::PathBuf, process::ExitCode, time::Duration};
 
@@ -14,9 +14,10 @@
 };
 use tokio::net::TcpListener;
 
-/// Stand-ins for what switchfold meets, for tests and the bench. They keep nothing.
+/// Runs a stand-in for the platform, an engine or a service, for tests and measurements. State is kept
+/// in memory only.
 ///
-/// Exit codes: 0 stopped; 2 wrong arguments; 3 an address is not to be had.
+/// Exit codes: 0 stopped; 2 invalid arguments or any failure of an engine; 3 the address cannot be bound.
 #[derive(Debug, Parser)]
 #[command(
     version,
@@ -29,34 +30,34 @@
 
 #[derive(Debug, Subcommand)]
 enum StandinKind {
-    /// The platform's object store and list of VMs; faults are set by `POST /standin/faults`, VMs by
-    /// `POST /standin/vms`.
+    /// Platform with an object store and a VM list; `POST /standin/faults` sets faults and
+    /// `POST /standin/vms` adds VMs.
     Platform {
-        /// Where to listen.
+        /// Address to listen on.
         #[arg(long)]
         listen: String,
-        /// Reads a second that it takes.
+        /// Rate limit of reads per second, watches included.
         #[arg(long, default_value_t = 2_000)]
         reads_per_s: u64,
-        /// Writes a second that it takes.
+        /// Rate limit of writes per second.
         #[arg(long, default_value_t = 100)]
         writes_per_s: u64,
     },
-    /// A model engine.
+    /// Model engine.
     Engine {
-        /// Where to listen.
+        /// Address to listen on.
         #[arg(long)]
         listen: String,
-        /// What it is like, in JSON.
+        /// JSON file with the engine's configuration.
         #[arg(long, value_name = "FILE")]
         settings: PathBuf,
     },
-    /// A plain service.
+    /// HTTP service.
     Service {
-        /// Where to listen.
+        /// Address to listen on.
         #[arg(long)]
         listen: String,
-        /// Milliseconds that a call takes.
+        /// Duration of a call in milliseconds.
         #[arg(long, default_value_t = 5)]
         work_ms: u64,
     },
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -1,8 +1,9 @@
-//! A model engine that holds a range of layers and batches continuously.
+//! Model engine with a range of layers and continuous batching.
 //!
-//! A batch takes `fixed + item * sequences` microseconds on a timeline of its own: the next batch
-//! starts where the last one ended, not when the timer happened to wake, so the rate is exact under
-//! load. It keeps a run log of how many positions it ran, which exposes repeated work.
+//! A batch takes `fixed + item * sequences` microseconds, plus the cost of prompt positions. The start
+//! of a batch is computed from the end of the previous one and not from the time at which the timer
+//! fired, so that timer delays do not lower the throughput under load. The engine counts the positions
+//! that it runs, by which tests detect repeated work.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -33,41 +34,42 @@
 
 use crate::model::{ACTIVATION_BYTES, LayerCaches, embed, model_seed, token_of};
 
-/// A prompt's position costs this fraction of a sequence.
+/// Divisor of the cost of a sequence that gives the cost of one additional prompt position.
 const PREFILL_DISCOUNT: u64 = 16;
 
-/// What an engine is like.
+/// Configuration of an engine.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct EngineConfig {
-    /// Model that it holds.
+    /// Name of the model.
     pub model: String,
-    /// Layers that the whole model has.
+    /// Number of layers of the complete model.
     pub layers: u32,
-    /// First layer that it holds.
+    /// First layer that the engine holds.
     pub first_layer: u32,
-    /// Layer after the last one that it holds.
+    /// End of the held layers, exclusive.
     pub end_layer: u32,
-    /// Kind of accelerator.
+    /// Type of accelerator, as reported to the agent.
     pub accelerator: String,
-    /// Sequences in one batch.
+    /// Maximum number of sequences in a batch.
     pub max_batch: u32,
-    /// Requests whose caches fit its memory.
+    /// Number of requests whose caches fit in memory.
     pub slots: u32,
-    /// Microseconds of a batch, whatever its size.
+    /// Duration of a batch regardless of its size, in microseconds.
     pub fixed_micros: u64,
-    /// Microseconds of a batch for each sequence.
+    /// Additional duration of a batch for each sequence, in microseconds.
     pub item_micros: u64,
-    /// Whether it checks the version of orders; one that does not relies on its agent.
+    /// Whether the engine rejects load orders whose plan version is not newer than the last one;
+    /// otherwise its agent has to check this.
     #[serde(default)]
     pub fenced: bool,
-    /// Microseconds that loading one layer takes.
+    /// Time to load one layer, in microseconds.
     #[serde(default)]
     pub load_micros_per_layer: u64,
 }
 
 impl EngineConfig {
-    /// Steps a second at full batches.
+    /// Returns the steps per second at full batches, without prompts.
     pub fn steps_per_s(&self) -> f64 {
         let batch = u64::from(self.max_batch);
         let micros = self.fixed_micros + self.item_micros * batch;
@@ -75,63 +77,64 @@
     }
 }
 
-/// What an engine did.
+/// Counters of the work that an engine did.
 #[derive(Debug, Default)]
 pub struct RunLog {
     steps: AtomicU64,
     positions: AtomicU64,
     batches: AtomicU64,
-    errors: AtomicU64,
-    begun: AtomicU64,
+    step_errors: AtomicU64,
+    started_requests: AtomicU64,
     prompts: Mutex<HashMap<u64, u32>>,
 }
 
 impl RunLog {
-    /// Steps that did not fit the request's cache: a layer would have run out of order.
-    pub fn errors(&self) -> u64 {
-        self.errors.load(Ordering::Relaxed)
+    /// Returns the number of failed steps, such as those whose first position does not continue the
+    /// request's cache.
+    pub fn step_errors(&self) -> u64 {
+        self.step_errors.load(Ordering::Relaxed)
     }
 
-    /// How often a prompt was begun here, at the first layer.
+    /// Returns how often this engine started a prompt; 0 if it does not hold the first layer.
     pub fn prompt_runs(&self, prompt: &[u32]) -> u32 {
         self.lock_prompts().get(&prompt_hash(prompt)).copied().unwrap_or(0)
     }
 
-    /// Requests begun here, at whatever layer this engine starts with.
-    pub fn begun(&self) -> u64 {
-        self.begun.load(Ordering::Relaxed)
+    /// Returns the number of requests that were started at this engine, at any layer.
+    pub fn started_requests(&self) -> u64 {
+        self.started_requests.load(Ordering::Relaxed)
     }
 
     fn lock_prompts(&self) -> MutexGuard<'_, HashMap<u64, u32>> {
         self.prompts.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn note(&self, step: &StepInput, output: &StepOutput) {
+    fn record(&self, step: &StepInput, output: &StepOutput) {
         self.steps.fetch_add(1, Ordering::Relaxed);
         self.positions.fetch_add(u64::from(step_len(step)), Ordering::Relaxed);
         if !output.error.is_empty() {
-            self.errors.fetch_add(1, Ordering::Relaxed);
+            self.step_errors.fetch_add(1, Ordering::Relaxed);
             return;
         }
         if step.first_position == 0 {
-            self.begun.fetch_add(1, Ordering::Relaxed);
+            self.started_requests.fetch_add(1, Ordering::Relaxed);
             if !step.tokens.is_empty() {
                 *self.lock_prompts().entry(prompt_hash(&step.tokens)).or_default() += 1;
             }
         }
     }
 
-    /// Steps run.
+    /// Returns the number of steps, failed ones included.
     pub fn steps(&self) -> u64 {
         self.steps.load(Ordering::Relaxed)
     }
 
-    /// Positions run, prompts included.
+    /// Returns the number of positions of all steps, prompts included.
     pub fn positions(&self) -> u64 {
         self.positions.load(Ordering::Relaxed)
     }
 
-    /// Batches run.
+    /// Returns the number of batches.
     pub fn batches(&self) -> u64 {
         self.batches.load(Ordering::Relaxed)
     }
@@ -144,10 +147,10 @@
     ready_at: Instant,
     caches: HashMap<RequestKey, LayerCaches>,
     positions: HashMap<RequestKey, u32>,
-    waiting: VecDeque<StepInput>,
+    queued: VecDeque<StepInput>,
     running: Vec<StepInput>,
     outputs: Option<mpsc::UnboundedSender<StepOutput>>,
-    slow_hundredths: u64,
+    slowdown_percent: u64,
 }
 
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
@@ -162,7 +165,7 @@
     }
 }
 
-/// A stand-in engine.
+/// Stand-in for a model engine.
 #[derive(Clone, Debug)]
 pub struct EngineStandin {
     state: Arc<Mutex<EngineState>>,
@@ -171,7 +174,7 @@
 }
 
 impl EngineStandin {
-    /// Makes an engine; it runs once [`EngineStandin::serve`] does.
+    /// Creates an engine, which runs batches while [`EngineStandin::serve`] runs.
     pub fn new(config: EngineConfig) -> Self {
         let state = EngineState {
             config,
@@ -179,29 +182,30 @@
             ready_at: Instant::now(),
             caches: HashMap::new(),
             positions: HashMap::new(),
-            waiting: VecDeque::new(),
+            queued: VecDeque::new(),
             running: Vec::new(),
             outputs: None,
-            slow_hundredths: 100,
+            slowdown_percent: 100,
         };
         Self { state: Arc::new(Mutex::new(state)), wake: Arc::default(), log: Arc::default() }
     }
 
-    /// What it did so far.
+    /// Returns the counters of the work done so far.
     pub fn log(&self) -> &Arc<RunLog> {
         &self.log
     }
 
-    /// Makes it slower: 100 is its own speed, 300 takes three times as long.
-    pub fn set_slowness(&self, hundredths: u64) {
-        self.state().slow_hundredths = hundredths;
+    /// Sets the duration of batches in percent of the configured one: 300 makes the engine three times
+    /// as slow.
+    pub fn set_slowdown(&self, hundredths: u64) {
+        self.state().slowdown_percent = hundredths;
     }
 
-    /// Serves until the task is dropped.
+    /// Serves the gRPC interface and runs batches until the task is dropped.
     ///
     /// # Errors
     ///
-    /// Fails where the socket does.
+    /// Returns an error if the server fails.
     pub async fn serve(self, listener: TcpListener) -> Result<(), tonic::transport::Error> {
         let batches = tokio::spawn(self.clone().run_batches());
         let _stop = AbortOnDrop(batches);
@@ -215,66 +219,67 @@
     }
 
     async fn run_batches(self) {
-        let mut free_at = Instant::now();
+        let mut available_at = Instant::now();
         loop {
-            let Some(ends_at) = self.next_batch(free_at) else {
+            let Some(ends_at) = self.start_next_batch(available_at) else {
                 self.wake.notified().await;
-                free_at = free_at.max(Instant::now());
+                available_at = available_at.max(Instant::now());
                 continue;
             };
-            free_at = ends_at;
+            available_at = ends_at;
             sleep_until(ends_at).await;
-            self.finish();
+            self.finish_batch();
         }
     }
 
-    /// Begins the next batch; gives the time at which it ends.
-    fn next_batch(&self, free_at: Instant) -> Option<Instant> {
+    /// Starts the next batch and returns its end time, or `None` if no step is queued.
+    fn start_next_batch(&self, available_at: Instant) -> Option<Instant> {
         let mut state = self.state();
-        if state.waiting.is_empty() {
+        if state.queued.is_empty() {
             return None;
         }
-        let most = state.config.max_batch as usize;
-        let mut waiting: Vec<StepInput> = state.waiting.drain(..).collect();
-        waiting.sort_by_key(|step| std::cmp::Reverse(step.priority));
-        let rest = waiting.split_off(waiting.len().min(most));
-        state.waiting.extend(rest);
-        let positions: u64 = waiting.iter().map(|step| u64::from(step_len(step))).sum();
-        let sequences = waiting.len() as u64;
-        let prefill = (positions - sequences) * state.config.item_micros / PREFILL_DISCOUNT;
-        let own = state.config.fixed_micros + state.config.item_micros * sequences + prefill;
-        let micros = own * state.slow_hundredths / 100;
-        let starts_at = free_at.max(state.ready_at);
-        state.running = waiting;
+        let max_batch = state.config.max_batch as usize;
+        let mut batch: Vec<StepInput> = state.queued.drain(..).collect();
+        batch.sort_by_key(|step| std::cmp::Reverse(step.priority));
+        let rest = batch.split_off(batch.len().min(max_batch));
+        state.queued.extend(rest);
+        let positions: u64 = batch.iter().map(|step| u64::from(step_len(step))).sum();
+        let sequences = batch.len() as u64;
+        let prefill_micros = (positions - sequences) * state.config.item_micros / PREFILL_DISCOUNT;
+        let unscaled_micros =
+            state.config.fixed_micros + state.config.item_micros * sequences + prefill_micros;
+        let micros = unscaled_micros * state.slowdown_percent / 100;
+        let starts_at = available_at.max(state.ready_at);
+        state.running = batch;
         Some(starts_at + Duration::from_micros(micros))
     }
 
-    fn finish(&self) {
+    fn finish_batch(&self) {
         let mut state = self.state();
         for step in std::mem::take(&mut state.running) {
             let output = run_step(&mut state, &step);
-            self.log.note(&step, &output);
+            self.log.record(&step, &output);
             let Some(outputs) = &state.outputs else {
                 continue;
             };
-            // A closed stream means that the agent is gone; its next one starts anew.
+            // If the agent has closed the stream, the output is dropped; a new stream clears all state.
             let _sent = outputs.send(output);
         }
         self.log.batches.fetch_add(1, Ordering::Relaxed);
     }
 
-    fn take(&self, step: StepInput) {
+    fn accept_step(&self, step: StepInput) {
         let mut state = self.state();
         if step.release {
             if let Some(key) = step.key {
                 state.caches.remove(&key.into());
                 state.positions.remove(&key.into());
-                state.waiting.retain(|step| step.key != Some(key));
+                state.queued.retain(|step| step.key != Some(key));
                 state.running.retain(|step| step.key != Some(key));
             }
             return;
         }
-        state.waiting.push_back(step);
+        state.queued.push_back(step);
         drop(state);
         self.wake.notify_one();
     }
@@ -298,23 +303,24 @@
     (step.tokens.len().max(from_bytes) as u32).max(1)
 }
 
-fn failed(ticket: u64, error: &str) -> StepOutput {
+fn error_output(ticket: u64, error: &str) -> StepOutput {
     StepOutput { ticket, activations: Bytes::new(), token: 0, error: error.to_owned() }
 }
 
 fn run_step(state: &mut EngineState, step: &StepInput) -> StepOutput {
     let Some(key) = step.key.map(RequestKey::from) else {
-        return failed(step.ticket, "step without a key");
+        return error_output(step.ticket, "step has no key");
     };
     let (first, end) = (state.config.first_layer, state.config.end_layer);
     if step.reset {
         state.caches.remove(&key);
         state.positions.remove(&key);
     }
-    let held = state.positions.entry(key).or_default();
-    if *held != step.first_position {
-        let error = format!("cache holds {held} positions, step starts at {}", step.first_position);
-        return failed(step.ticket, &error);
+    let cached = state.positions.entry(key).or_default();
+    if *cached != step.first_position {
+        let error =
+            format!("cache holds {cached} positions, step starts at {}", step.first_position);
+        return error_output(step.ticket, &error);
     }
     let caches = state.caches.entry(key).or_insert_with(|| LayerCaches::new(first, end));
     let seed = model_seed(&state.config.model);
@@ -330,7 +336,7 @@
         last = caches.run(seed, step.first_position + offset as u32, *input);
         outputs.extend_from_slice(&last.to_le_bytes());
     }
-    *held += inputs.len() as u32;
+    *cached += inputs.len() as u32;
     let token = if step.want_token { token_of(last) } else { 0 };
     StepOutput { ticket: step.ticket, activations: outputs.into(), token, error: String::new() }
 }
@@ -349,14 +355,14 @@
             state.outputs = Some(sender);
             state.caches.clear();
             state.positions.clear();
-            state.waiting.clear();
+            state.queued.clear();
             state.running.clear();
         }
         let engine = self.clone();
         let mut steps = request.into_inner();
         tokio::spawn(async move {
             while let Ok(Some(step)) = steps.message().await {
-                engine.take(step);
+                engine.accept_step(step);
             }
         });
         Ok(Response::new(Box::pin(UnboundedReceiverStream::new(receiver).map(Ok))))
@@ -407,7 +413,7 @@
         let key = request.into_inner();
         let state = self.state();
         let caches = state.caches.get(&key.into());
-        let caches = caches.ok_or_else(|| Status::not_found("no cache of that request"))?;
+        let caches = caches.ok_or_else(|| Status::not_found("no cache for this request"))?;
         let next_position = state.positions.get(&key.into()).copied().unwrap_or_default();
         Ok(Response::new(CacheState {
             key: Some(key),
@@ -421,11 +427,11 @@
         request: Request<CacheState>,
     ) -> Result<Response<OrderAnswer>, Status> {
         let import = request.into_inner();
-        let key = import.key.ok_or_else(|| Status::invalid_argument("cache without a key"))?;
+        let key = import.key.ok_or_else(|| Status::invalid_argument("cache has no key"))?;
         let mut state = self.state();
         let (first, end) = (state.config.first_layer, state.config.end_layer);
         let Some(caches) = LayerCaches::from_bytes(first, end, &import.state) else {
-            let reason = "cache of other layers".to_owned();
+            let reason = "cache belongs to other layers".to_owned();
             return Ok(Response::new(OrderAnswer { accepted: false, reason }));
         };
         state.caches.insert(key.into(), caches);
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,8 +1,10 @@
-//! Small stand-ins for what switchfold meets: the platform, model engines and plain services.
+//! Stand-ins (test doubles) for the systems that switchfold works with: the platform, model engines and
+//! services.
 //!
-//! They speak the same protocols as the real things, and make failures on demand. The engine's model
-//! ([`model`]) is a chain of hashes through every layer, so an answer is right only where every layer
-//! ran once, in order, on the right caches: [`model::oracle`] computes it independently.
+//! They speak the same protocols as the real systems and can inject failures. The model of the
+//! stand-in engine ([`model`]) is a chain of hashes through all layers, so that the generated tokens
+//! are correct only if every layer ran exactly once, in order, and on the right caches.
+//! [`model::oracle`] computes the expected tokens independently.
 
 pub mod engine;
 pub mod model;
--- a/crates/standin/src/model.rs
+++ b/crates/standin/src/model.rs
@@ -1,15 +1,15 @@
-//! A model made of hashes.
+//! A deterministic model whose layers are hash functions.
 //!
-//! Each layer keeps one number for each request, its cache, which every position changes; and each
-//! position's activation depends on the caches of all layers before. A layer that is skipped, run
-//! twice, run out of order, or run with another request's cache changes every token that follows.
+//! The cache of a layer is one number for each request, which every position updates. The activation of
+//! a position depends on the caches of all preceding layers. If a layer is skipped, runs twice, runs
+//! out of order, or runs with the cache of another request, all following tokens change.
 
 use switchfold_core::hash::hash_bytes;
 
-/// Tokens of the vocabulary.
+/// Number of tokens in the vocabulary.
 pub const VOCABULARY: u32 = 50_000;
 
-/// Bytes of one position's activation.
+/// Size of the activation of one position.
 pub const ACTIVATION_BYTES: usize = 8;
 
 /// Caches of a range of layers, for one request.
@@ -20,29 +20,29 @@
 }
 
 impl LayerCaches {
-    /// Makes empty caches for the layers `[first, end)`.
+    /// Creates empty caches for the layers `[first, end)`.
     pub fn new(first: u32, end: u32) -> Self {
         Self { first_layer: first, caches: vec![0; (end - first) as usize] }
     }
 
-    /// Runs all layers of the range on one position.
+    /// Runs all layers of the range on one position. Returns the activation of the last layer.
     pub fn run(&mut self, model: u64, position: u32, activation: u64) -> u64 {
         let mut hidden = activation;
         for (offset, cache) in self.caches.iter_mut().enumerate() {
             let layer = self.first_layer + offset as u32;
-            let place = (u64::from(layer) << 32) | u64::from(position);
-            *cache = mix(*cache ^ model, hidden, place);
-            hidden = mix(hidden, *cache, place);
+            let location = (u64::from(layer) << 32) | u64::from(position);
+            *cache = mix(*cache ^ model, hidden, location);
+            hidden = mix(hidden, *cache, location);
         }
         hidden
     }
 
-    /// Caches as bytes, for export.
+    /// Serializes the caches for export.
     pub fn to_bytes(&self) -> Vec<u8> {
         self.caches.iter().flat_map(|cache| cache.to_le_bytes()).collect()
     }
 
-    /// Caches from exported bytes, where they are of this range.
+    /// Restores exported caches; returns `None` if the size does not match the layers `[first, end)`.
     pub fn from_bytes(first: u32, end: u32, bytes: &[u8]) -> Option<Self> {
         let chunks = bytes.chunks_exact(8);
         let caches: Vec<u64> =
@@ -52,41 +52,41 @@
     }
 }
 
-/// Number that stands for a model's weights.
+/// Returns the number that takes the place of a model's weights.
 pub fn model_seed(model: &str) -> u64 {
     hash_bytes(7, model.as_bytes())
 }
 
-/// What enters the first layer for a token.
+/// Returns the input activation of the first layer for a token.
 pub fn embed(token: u32) -> u64 {
     hash_bytes(11, &token.to_le_bytes())
 }
 
-/// Token that the last layer's activation stands for.
+/// Returns the token for an activation of the last layer.
 pub fn token_of(activation: u64) -> u32 {
     (activation % u64::from(VOCABULARY)) as u32
 }
 
-/// The right answer to a prompt, computed in one place from the first layer to the last.
+/// Computes the expected completion of a prompt by running all layers locally.
 pub fn oracle(model: &str, layers: u32, prompt: &[u32], max_tokens: u32) -> Vec<u32> {
     let seed = model_seed(model);
     let mut caches = LayerCaches::new(0, layers);
-    let mut answer = Vec::with_capacity(max_tokens as usize);
+    let mut completion = Vec::with_capacity(max_tokens as usize);
     let mut last = 0;
     for (position, token) in prompt.iter().enumerate() {
         last = caches.run(seed, position as u32, embed(*token));
     }
     for index in 0..max_tokens {
         let token = token_of(last);
-        answer.push(token);
+        completion.push(token);
         last = caches.run(seed, prompt.len() as u32 + index, embed(token));
     }
-    answer
+    completion
 }
 
-fn mix(left: u64, right: u64, place: u64) -> u64 {
+fn mix(left: u64, right: u64, location: u64) -> u64 {
     let folded =
-        (left ^ place.wrapping_mul(0x9e37_79b9_7f4a_7c15)).wrapping_add(right.rotate_left(23));
+        (left ^ location.wrapping_mul(0x9e37_79b9_7f4a_7c15)).wrapping_add(right.rotate_left(23));
     let product = u128::from(folded) * 0xa076_1d64_78bd_642f;
     (product as u64) ^ ((product >> 64) as u64)
 }
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -1,7 +1,7 @@
-//! The platform's object store and list of VMs, with faults on demand.
+//! Object store and VM list of the platform, with fault injection.
 //!
-//! It counts every call against the store's rates, a waiting watch as one, and can be down, slow, or
-//! lose the answer of a write that took effect.
+//! Every call counts against the rate limits of the store; a watch counts as one read. The store can be
+//! unavailable, slow, or lose the response of a write that took effect.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -34,15 +34,15 @@
     time::{sleep, timeout},
 };
 
-/// Changes that a watch can go back.
+/// Number of past changes from which a watch can resume.
 const LOG_LEN: usize = 4_096;
 
-/// Rates of the store.
+/// Rate limits of the store.
 #[derive(Clone, Copy, Debug)]
 pub struct StoreRates {
-    /// Reads a second, watches included.
+    /// Reads per second, watches included.
     pub reads_per_s: u64,
-    /// Writes a second.
+    /// Writes per second.
     pub writes_per_s: u64,
 }
 
@@ -52,28 +52,29 @@
     }
 }
 
-/// Faults that are in force.
+/// Faults of the store.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct StoreFaults {
-    /// Every call is refused with 503.
+    /// Whether every call fails with status 503.
     pub outage: bool,
-    /// Milliseconds by which each answer is late.
+    /// Delay of each call in milliseconds.
     pub delay_ms: u64,
-    /// Writes to come that take effect and whose answers are lost.
-    pub lose_answers: u32,
+    /// Number of writes, from the next one, that are carried out but whose response is lost.
+    #[serde(rename = "lose_answers")]
+    pub lose_responses: u32,
 }
 
-/// Calls that the store took, by kind.
+/// Number of calls of the store.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize)]
 pub struct StoreCalls {
-    /// Reads.
+    /// Reads that are no watches.
     pub reads: u64,
-    /// Writes.
+    /// Writes and deletes.
     pub writes: u64,
     /// Watches.
     pub watches: u64,
-    /// Calls refused for their rate.
+    /// Calls rejected by the rate limits.
     pub limited: u64,
 }
 
@@ -90,7 +91,7 @@
     writes: RateBucket,
 }
 
-/// A stand-in platform.
+/// Stand-in for the platform.
 #[derive(Clone, Debug)]
 pub struct PlatformStandin {
     state: Arc<Mutex<PlatformState>>,
@@ -103,14 +104,14 @@
     }
 }
 
-/// How a write ended.
-enum WriteEnd {
+/// Outcome of a write, with the version of the object afterwards.
+enum WriteOutcome {
     Written(u64),
     Conflict(u64),
 }
 
 impl PlatformStandin {
-    /// Makes a platform with an empty store and no VM.
+    /// Creates a platform with an empty store and an empty VM list.
     pub fn new(rates: StoreRates) -> Self {
         let now = now_millis();
         let state = PlatformState {
@@ -128,29 +129,29 @@
         Self { state: Arc::new(Mutex::new(state)), revision: Arc::new(revision) }
     }
 
-    /// Serves until the signal is raised or the task is dropped.
+    /// Serves requests until the signal is raised or the task is dropped.
     pub async fn serve(self, listener: TcpListener, shutdown: ShutdownSignal) {
         let handler = move |request| {
             let platform = self.clone();
-            async move { platform.answer(request).await }
+            async move { platform.handle(request).await }
         };
         serve(listener, HttpLimits::default(), shutdown, handler).await;
     }
 
-    /// Sets the faults in force.
+    /// Replaces the current faults.
     pub fn set_faults(&self, faults: StoreFaults) {
         self.state().faults = faults;
     }
 
-    /// Calls taken so far.
+    /// Returns the number of calls so far.
     pub fn calls(&self) -> StoreCalls {
         self.state().calls
     }
 
-    /// Adds a VM, or changes the one of that name.
+    /// Adds a VM to the list, or replaces the VM of the same name.
     pub fn set_vm(&self, vm: VmEntry) {
         let mut state = self.state();
-        state.vms.vms.retain(|known| known.name != vm.name);
+        state.vms.vms.retain(|listed| listed.name != vm.name);
         state.vms.vms.push(vm);
         state.vms.revision += 1;
     }
@@ -166,23 +167,24 @@
         state.vms.revision += 1;
     }
 
-    /// Takes a VM off the list.
+    /// Removes a VM from the list.
     pub fn remove_vm(&self, name: &str) {
         let mut state = self.state();
         state.vms.vms.retain(|vm| vm.name != name);
         state.vms.revision += 1;
     }
 
-    /// Writes an object without a call, to set the stage. Returns its version.
+    /// Writes an object directly, without rate limits and faults, for the setup of tests. Returns its
+    /// version.
     pub fn put(&self, key: &ObjectKey, value: &[u8]) -> u64 {
         let mut state = self.state();
         let expected = state.objects.get(key).map_or(0, |copy| copy.version);
         match self.write(&mut state, key, expected, Some(value.into())) {
-            WriteEnd::Written(version) | WriteEnd::Conflict(version) => version,
+            WriteOutcome::Written(version) | WriteOutcome::Conflict(version) => version,
         }
     }
 
-    /// Contents and version of an object, without a call.
+    /// Returns the contents and version of an object, without rate limits and faults.
     pub fn get(&self, key: &ObjectKey) -> Option<ObjectCopy> {
         self.state().objects.get(key).cloned()
     }
@@ -191,12 +193,12 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    async fn answer(self, request: Request<Incoming>) -> Result<HttpResponse, ConnectionDropped> {
+    async fn handle(self, request: Request<Incoming>) -> Result<HttpResponse, ConnectionDropped> {
         if request.uri().path() == "/standin/faults" {
-            return Ok(self.answer_faults(request).await);
+            return Ok(self.handle_set_faults(request).await);
         }
         if request.uri().path() == "/standin/vms" {
-            return Ok(self.answer_set_vm(request).await);
+            return Ok(self.handle_set_vm(request).await);
         }
         let faults = self.state().faults;
         if faults.delay_ms > 0 {
@@ -207,16 +209,20 @@
         }
         let is_write = request.method() == Method::PUT || request.method() == Method::DELETE;
         let is_watch = request.uri().path() == "/v1/watch";
-        if !self.count(is_write, is_watch) {
-            return Ok(full_response(StatusCode::TOO_MANY_REQUESTS, "text/plain", "rate used up"));
+        if !self.admit(is_write, is_watch) {
+            return Ok(full_response(
+                StatusCode::TOO_MANY_REQUESTS,
+                "text/plain",
+                "rate limit exceeded",
+            ));
         }
         if is_write {
-            return self.answer_write(request).await;
+            return self.handle_write(request).await;
         }
-        Ok(self.answer_read(&request).await)
+        Ok(self.handle_read(&request).await)
     }
 
-    async fn answer_faults(&self, request: Request<Incoming>) -> HttpResponse {
+    async fn handle_set_faults(&self, request: Request<Incoming>) -> HttpResponse {
         let body = read_body(request.into_body(), MAX_VALUE_BYTES).await.unwrap_or_default();
         match serde_json::from_slice(&body) {
             Ok(faults) => {
@@ -227,7 +233,7 @@
         }
     }
 
-    async fn answer_set_vm(&self, request: Request<Incoming>) -> HttpResponse {
+    async fn handle_set_vm(&self, request: Request<Incoming>) -> HttpResponse {
         let body = read_body(request.into_body(), MAX_VALUE_BYTES).await.unwrap_or_default();
         match serde_json::from_slice::<VmEntry>(&body) {
             Ok(vm) => {
@@ -238,30 +244,30 @@
         }
     }
 
-    fn count(&self, is_write: bool, is_watch: bool) -> bool {
+    fn admit(&self, is_write: bool, is_watch: bool) -> bool {
         let now = now_millis();
         let mut state = self.state();
         let rates = state.rates;
-        let taken = match is_write {
+        let admitted = match is_write {
             true => state.writes.try_take(rates.writes_per_s, now),
             false => state.reads.try_take(rates.reads_per_s, now),
         };
-        match (taken, is_write, is_watch) {
+        match (admitted, is_write, is_watch) {
             (false, ..) => state.calls.limited += 1,
             (true, true, _) => state.calls.writes += 1,
             (true, _, true) => state.calls.watches += 1,
             (true, ..) => state.calls.reads += 1,
         }
-        taken
+        admitted
     }
 
-    async fn answer_write(
+    async fn handle_write(
         &self,
         request: Request<Incoming>,
     ) -> Result<HttpResponse, ConnectionDropped> {
         let (parts, body) = request.into_parts();
         let Some(key) = object_key(parts.uri.path()) else {
-            return Ok(full_response(StatusCode::NOT_FOUND, "text/plain", "no such path"));
+            return Ok(full_response(StatusCode::NOT_FOUND, "text/plain", "unknown path"));
         };
         let expected =
             parts.headers.get(IF_VERSION).and_then(|value| value.to_str().ok()?.parse().ok());
@@ -269,7 +275,7 @@
             return Ok(full_response(
                 StatusCode::BAD_REQUEST,
                 "text/plain",
-                "no if-version header",
+                "header if-version is missing or not a number",
             ));
         };
         let value = match read_body(body, MAX_VALUE_BYTES).await {
@@ -285,18 +291,18 @@
         };
         let value = (parts.method == Method::PUT).then(|| value[..].into());
         let mut state = self.state();
-        let end = self.write(&mut state, &key, expected, value);
-        if state.faults.lose_answers > 0 {
-            state.faults.lose_answers -= 1;
+        let outcome = self.write(&mut state, &key, expected, value);
+        if state.faults.lose_responses > 0 {
+            state.faults.lose_responses -= 1;
             return Err(ConnectionDropped);
         }
-        let (status, version) = match end {
-            WriteEnd::Written(version) => (StatusCode::OK, version),
-            WriteEnd::Conflict(version) => (StatusCode::CONFLICT, version),
+        let (status, version) = match outcome {
+            WriteOutcome::Written(version) => (StatusCode::OK, version),
+            WriteOutcome::Conflict(version) => (StatusCode::CONFLICT, version),
         };
-        let mut answer = full_response(status, "text/plain", "");
-        set_header(&mut answer, OBJECT_VERSION, &version.to_string());
-        Ok(answer)
+        let mut response = full_response(status, "text/plain", "");
+        set_header(&mut response, OBJECT_VERSION, &version.to_string());
+        Ok(response)
     }
 
     fn write(
@@ -305,12 +311,12 @@
         key: &ObjectKey,
         expected: u64,
         value: Option<Arc<[u8]>>,
-    ) -> WriteEnd {
-        let held = state.objects.get(key);
-        let current = held.map_or(0, |copy| copy.version);
-        let is_absent = held.is_none_or(|copy| copy.value.is_none());
+    ) -> WriteOutcome {
+        let existing = state.objects.get(key);
+        let current = existing.map_or(0, |copy| copy.version);
+        let is_absent = existing.is_none_or(|copy| copy.value.is_none());
         if expected != current && !(expected == 0 && is_absent) {
-            return WriteEnd::Conflict(current);
+            return WriteOutcome::Conflict(current);
         }
         let version = *self.revision.borrow() + 1;
         state.objects.insert(key.clone(), ObjectCopy { version, value });
@@ -320,46 +326,46 @@
             state.log_start += 1;
         }
         self.revision.send_replace(version);
-        WriteEnd::Written(version)
+        WriteOutcome::Written(version)
     }
 
-    async fn answer_read(&self, request: &Request<Incoming>) -> HttpResponse {
+    async fn handle_read(&self, request: &Request<Incoming>) -> HttpResponse {
         let uri = request.uri();
         match uri.path() {
             "/v1/vms" => json_response(StatusCode::OK, &self.state().vms),
-            "/v1/watch" => self.answer_watch(uri.query().unwrap_or_default()).await,
+            "/v1/watch" => self.handle_watch(uri.query().unwrap_or_default()).await,
             path => match (object_key(path), object_kind(path)) {
-                (Some(key), _) => self.answer_object(&key),
+                (Some(key), _) => self.object_response(&key),
                 (None, Some(kind)) => json_response(StatusCode::OK, &self.list(&[kind], 0)),
-                (None, None) => full_response(StatusCode::NOT_FOUND, "text/plain", "no such path"),
+                (None, None) => full_response(StatusCode::NOT_FOUND, "text/plain", "unknown path"),
             },
         }
     }
 
-    fn answer_object(&self, key: &ObjectKey) -> HttpResponse {
+    fn object_response(&self, key: &ObjectKey) -> HttpResponse {
         let state = self.state();
         let copy = state.objects.get(key);
         let version = copy.map_or(0, |copy| copy.version);
-        let mut answer = match copy.and_then(|copy| copy.value.as_deref()) {
+        let mut response = match copy.and_then(|copy| copy.value.as_deref()) {
             Some(value) => full_response(StatusCode::OK, "application/json", value.to_vec()),
             None => full_response(StatusCode::NOT_FOUND, "text/plain", "no such object"),
         };
-        set_header(&mut answer, OBJECT_VERSION, &version.to_string());
-        answer
+        set_header(&mut response, OBJECT_VERSION, &version.to_string());
+        response
     }
 
     fn list(&self, kinds: &[&str], after: u64) -> ChangeBatch {
         let state = self.state();
-        let found = state.objects.iter();
-        let found =
-            found.filter(|(key, copy)| kinds.contains(&key.kind.as_str()) && copy.version > after);
+        let objects = state.objects.iter();
+        let matching = objects
+            .filter(|(key, copy)| kinds.contains(&key.kind.as_str()) && copy.version > after);
         let mut changes: Vec<StoredChange> =
-            found.map(|(key, copy)| stored_change(key, copy)).collect();
+            matching.map(|(key, copy)| stored_change(key, copy)).collect();
         changes.sort_by_key(|change| change.version);
         ChangeBatch { revision: *self.revision.borrow(), changes }
     }
 
-    async fn answer_watch(&self, query: &str) -> HttpResponse {
+    async fn handle_watch(&self, query: &str) -> HttpResponse {
         let watch = WatchQuery::parse(query);
         let kinds: Vec<&str> = watch.kinds.split(',').collect();
         if watch.after < self.state().log_start {
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -1,4 +1,4 @@
-//! A plain service: answers each call after a while, and counts how often each call came.
+//! HTTP service that responds to each call after a fixed time and counts the calls by body.
 
 use std::{
     collections::HashMap,
@@ -15,18 +15,18 @@
 };
 use tokio::{net::TcpListener, time::sleep};
 
-/// Largest body that it takes.
-const MOST_BODY: usize = 1 << 20;
+/// Largest request body in bytes; the connection of a larger one is dropped.
+const MAX_BODY_BYTES: usize = 1 << 20;
 
-/// What it answers.
+/// Response body.
 #[derive(Debug, Serialize)]
-struct ServiceAnswer {
+struct ServiceResponse {
     path: String,
     body: String,
     runs: u64,
 }
 
-/// A stand-in service.
+/// Stand-in for a service.
 #[derive(Clone, Debug)]
 pub struct ServiceStandin {
     work: Duration,
@@ -34,47 +34,47 @@
 }
 
 impl ServiceStandin {
-    /// Makes a service that works `work` on each call.
+    /// Creates a service whose calls take the time `work`.
     pub fn new(work: Duration) -> Self {
         Self { work, runs: Arc::default() }
     }
 
-    /// How often a call with this body ran.
+    /// Returns how many calls with this body ran.
     pub fn runs(&self, body: &str) -> u64 {
-        self.table().get(body).copied().unwrap_or(0)
+        self.lock_runs().get(body).copied().unwrap_or(0)
     }
 
-    /// How often each body ran, over all calls.
+    /// Returns the number of calls for each body.
     pub fn all_runs(&self) -> HashMap<String, u64> {
-        self.table().clone()
+        self.lock_runs().clone()
     }
 
-    /// Serves until the signal is raised or the task is dropped.
+    /// Serves requests until the signal is raised or the task is dropped.
     pub async fn serve(self, listener: TcpListener, shutdown: ShutdownSignal) {
         let handler = move |request| {
             let service = self.clone();
-            async move { service.answer(request).await }
+            async move { service.handle(request).await }
         };
         serve(listener, HttpLimits::default(), shutdown, handler).await;
     }
 
-    async fn answer(self, request: Request<Incoming>) -> Result<HttpResponse, ConnectionDropped> {
+    async fn handle(self, request: Request<Incoming>) -> Result<HttpResponse, ConnectionDropped> {
         let path = request.uri().path().to_owned();
-        let Ok(body) = read_body(request.into_body(), MOST_BODY).await else {
+        let Ok(body) = read_body(request.into_body(), MAX_BODY_BYTES).await else {
             return Err(ConnectionDropped);
         };
         let body = String::from_utf8_lossy(&body).into_owned();
         let runs = {
-            let mut table = self.table();
-            let runs = table.entry(body.clone()).or_default();
+            let mut runs_by_body = self.lock_runs();
+            let runs = runs_by_body.entry(body.clone()).or_default();
             *runs += 1;
             *runs
         };
         sleep(self.work).await;
-        Ok(json_response(StatusCode::OK, &ServiceAnswer { path, body, runs }))
+        Ok(json_response(StatusCode::OK, &ServiceResponse { path, body, runs }))
     }
 
-    fn table(&self) -> MutexGuard<'_, HashMap<String, u64>> {
+    fn lock_runs(&self) -> MutexGuard<'_, HashMap<String, u64>> {
         self.runs.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/standin/tests/engine_contract.rs
+++ b/crates/standin/tests/engine_contract.rs
@@ -1,4 +1,4 @@
-//! The contract of an engine that holds a range of layers.
+//! Tests of the engine's gRPC interface.
 
 use switchfold_proto::engine::{
     CacheKey, DescribeRequest, LoadOrder, StepInput, StepOutput, engine_client::EngineClient,
@@ -27,13 +27,13 @@
     }
 }
 
-struct Stream {
+struct EngineConnection {
     client: EngineClient<Channel>,
     steps: mpsc::UnboundedSender<StepInput>,
     outputs: Streaming<StepOutput>,
 }
 
-async fn start(config: EngineConfig) -> Stream {
+async fn start(config: EngineConfig) -> EngineConnection {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("bound");
     tokio::spawn(EngineStandin::new(config).serve(listener));
@@ -43,7 +43,7 @@
     let (steps, receiver) = mpsc::unbounded_channel();
     let outputs =
         client.run(UnboundedReceiverStream::new(receiver)).await.expect("a stream").into_inner();
-    Stream { client, steps, outputs }
+    EngineConnection { client, steps, outputs }
 }
 
 fn step(counter: u64, first_position: u32, tokens: &[u32]) -> StepInput {
@@ -58,7 +58,7 @@
     }
 }
 
-impl Stream {
+impl EngineConnection {
     async fn run(&mut self, step: StepInput) -> StepOutput {
         self.steps.send(step).expect("the stream is open");
         self.outputs.message().await.expect("no error").expect("an output")
@@ -66,20 +66,20 @@
 }
 
 #[tokio::test]
-async fn one_engine_with_all_layers_gives_the_oracles_answer() {
-    let mut stream = start(config(0, 4, false)).await;
+async fn engine_with_all_layers_matches_the_oracle() {
+    let mut engine = start(config(0, 4, false)).await;
     let prompt = [5, 6, 7];
-    let mut output = stream.run(step(1, 0, &prompt)).await;
-    let mut answer = vec![output.token];
+    let mut output = engine.run(step(1, 0, &prompt)).await;
+    let mut completion = vec![output.token];
     for index in 0..3 {
-        output = stream.run(step(1, 3 + index, &[output.token])).await;
-        answer.push(output.token);
+        output = engine.run(step(1, 3 + index, &[output.token])).await;
+        completion.push(output.token);
     }
-    assert_eq!(answer, oracle("m", 4, &prompt, 4));
+    assert_eq!(completion, oracle("m", 4, &prompt, 4));
 }
 
 #[tokio::test]
-async fn a_cache_moves_between_engines_and_stays_right() {
+async fn exported_caches_can_be_imported_by_another_engine() {
     let (mut from, mut to) = (start(config(0, 4, false)).await, start(config(0, 4, false)).await);
     let prompt = [9, 9];
     let first = from.run(step(3, 0, &prompt)).await;
@@ -97,15 +97,15 @@
 }
 
 #[tokio::test]
-async fn steps_out_of_order_are_errors_and_show_in_the_log() {
-    let mut stream = start(config(0, 4, false)).await;
-    let output = stream.run(step(1, 2, &[1])).await;
+async fn steps_out_of_order_are_errors() {
+    let mut engine = start(config(0, 4, false)).await;
+    let output = engine.run(step(1, 2, &[1])).await;
     assert!(output.error.contains("cache holds 0 positions"), "{}", output.error);
     assert_ne!(embed(1), embed(2));
 }
 
 #[tokio::test]
-async fn orders_of_an_old_plan_are_refused_by_engines_that_check() {
+async fn fenced_engines_reject_orders_of_older_plans() {
     let order = |plan_version| LoadOrder {
         plan_version,
         model: "n".to_owned(),
@@ -119,7 +119,7 @@
     let described =
         fenced.client.describe(DescribeRequest {}).await.expect("described").into_inner();
     assert_eq!((described.model.as_str(), described.first_layer), ("n", 2));
-    let mut trusting = start(config(0, 4, false)).await;
-    assert!(trusting.client.order(order(1)).await.expect("answered").into_inner().accepted);
-    assert!(trusting.client.order(order(1)).await.expect("answered").into_inner().accepted);
+    let mut unfenced = start(config(0, 4, false)).await;
+    assert!(unfenced.client.order(order(1)).await.expect("answered").into_inner().accepted);
+    assert!(unfenced.client.order(order(1)).await.expect("answered").into_inner().accepted);
 }
--- a/crates/standin/tests/store_contract.rs
+++ b/crates/standin/tests/store_contract.rs
@@ -1,4 +1,4 @@
-//! The contract of the platform's store, as its client meets it.
+//! Tests of the platform's store through the store client.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 };
 use tokio::net::TcpListener;
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 async fn start(rates: StoreRates) -> (PlatformStandin, StoreClient) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
@@ -28,7 +28,7 @@
 }
 
 #[tokio::test]
-async fn writes_are_conditional_and_versions_only_grow() {
+async fn writes_are_conditional_and_versions_increase() {
     let (_, store) = start(StoreRates::default()).await;
     assert_eq!(store.read(&key("a")).await.expect("read").version, 0);
     let first = store.write(&key("a"), 0, b"one").await.expect("created");
@@ -40,14 +40,14 @@
         Err(StoreError::Conflict { .. })
     );
     let tombstone = store.delete(&key("a"), second).await.expect("deleted");
-    let gone = store.read(&key("a")).await.expect("read");
-    assert_eq!((gone.version, gone.value), (tombstone, None));
+    let deleted = store.read(&key("a")).await.expect("read");
+    assert_eq!((deleted.version, deleted.value), (tombstone, None));
     let again = store.write(&key("a"), tombstone, b"four").await.expect("created anew");
     assert!(again > tombstone);
 }
 
 #[tokio::test]
-async fn values_above_the_limit_are_refused_and_not_sent() {
+async fn values_above_the_size_limit_are_not_sent() {
     let (platform, store) = start(StoreRates::default()).await;
     let large = vec![b'x'; MAX_VALUE_BYTES + 1];
     assert_matches!(store.write(&key("a"), 0, &large).await, Err(StoreError::TooLarge { .. }));
@@ -56,7 +56,7 @@
 }
 
 #[tokio::test]
-async fn rates_are_kept_and_counted() {
+async fn rate_limits_are_enforced_and_counted() {
     let (platform, store) = start(StoreRates { reads_per_s: 5, writes_per_s: 2 }).await;
     let mut limited = 0;
     for number in 0..10 {
@@ -70,15 +70,15 @@
 }
 
 #[tokio::test]
-async fn watches_wait_for_changes_and_tell_a_gap() {
+async fn watches_wait_for_changes_and_reject_expired_revisions() {
     let (platform, store) = start(StoreRates { reads_per_s: 10_000, writes_per_s: 100_000 }).await;
     let version = platform.put(&key("a"), b"one");
-    let batch = store.watch(&["event"], 0, PATIENCE).await.expect("a change");
+    let batch = store.watch(&["event"], 0, TIMEOUT).await.expect("a change");
     assert_eq!(batch.changes.len(), 1);
     assert_eq!(batch.revision, version);
     let waiting = tokio::spawn({
         let store = store.clone();
-        async move { store.watch(&["event"], version, PATIENCE).await }
+        async move { store.watch(&["event"], version, TIMEOUT).await }
     });
     platform.put(&ObjectKey::new("other", "b"), b"not watched");
     platform.put(&key("c"), b"watched");
@@ -87,7 +87,7 @@
     for _ in 0..5_000 {
         platform.put(&key("a"), b"again");
     }
-    assert_eq!(store.watch(&["event"], version, PATIENCE).await, Err(StoreError::RevisionExpired));
+    assert_eq!(store.watch(&["event"], version, TIMEOUT).await, Err(StoreError::RevisionExpired));
     assert_eq!(store.list("event").await.expect("listed").changes.len(), 2);
     let empty = store
         .watch(&["event"], platform.get(&key("a")).expect("held").version, Duration::ZERO)
@@ -96,46 +96,48 @@
 }
 
 #[tokio::test]
-async fn lost_answers_are_settled_by_reading_back() {
+async fn lost_write_responses_are_resolved_by_reading_back() {
     let (platform, store) = start(StoreRates::default()).await;
-    let own = |value: &[u8]| value == b"mine";
-    platform.set_faults(StoreFaults { lose_answers: 1, ..StoreFaults::default() });
+    let is_own_write = |value: &[u8]| value == b"mine";
+    platform.set_faults(StoreFaults { lose_responses: 1, ..StoreFaults::default() });
     assert_matches!(
         store.write(&key("plain"), 0, b"mine").await,
         Err(StoreError::OutcomeUnknown { .. })
     );
-    platform.set_faults(StoreFaults { lose_answers: 1, ..StoreFaults::default() });
+    platform.set_faults(StoreFaults { lose_responses: 1, ..StoreFaults::default() });
     let version =
-        store.write_confirmed(&key("a"), 0, b"mine", PATIENCE, own).await.expect("settled");
+        store.write_confirmed(&key("a"), 0, b"mine", TIMEOUT, is_own_write).await.expect("settled");
     assert_eq!(platform.get(&key("a")).expect("written").version, version);
-    // The answer is lost of a write that another one beat: the conflict is told, not success.
+    // A conflicting write whose response is lost must be reported as a conflict, not as a success.
     let other = platform.put(&key("b"), b"theirs");
-    platform.set_faults(StoreFaults { lose_answers: 1, ..StoreFaults::default() });
-    let beaten = store.write_confirmed(&key("b"), 0, b"mine", PATIENCE, own).await;
-    assert_eq!(beaten, Err(StoreError::Conflict { version: other }));
+    platform.set_faults(StoreFaults { lose_responses: 1, ..StoreFaults::default() });
+    let conflicting_write =
+        store.write_confirmed(&key("b"), 0, b"mine", TIMEOUT, is_own_write).await;
+    assert_eq!(conflicting_write, Err(StoreError::Conflict { version: other }));
 }
 
 #[tokio::test]
-async fn an_outage_changes_nothing_and_ends() {
+async fn calls_fail_during_an_outage_and_succeed_afterwards() {
     let (platform, store) = start(StoreRates::default()).await;
     platform.set_faults(StoreFaults { outage: true, ..StoreFaults::default() });
     assert_matches!(store.write(&key("a"), 0, b"x").await, Err(StoreError::Unavailable { .. }));
     assert_matches!(store.read(&key("a")).await, Err(StoreError::Unavailable { .. }));
     let short = Duration::from_millis(60);
-    let tried = store.write_confirmed(&key("a"), 0, b"x", short, |value| value == b"x").await;
-    assert_matches!(tried, Err(StoreError::Unavailable { .. }));
+    let failed_write =
+        store.write_confirmed(&key("a"), 0, b"x", short, |value| value == b"x").await;
+    assert_matches!(failed_write, Err(StoreError::Unavailable { .. }));
     assert!(platform.get(&key("a")).is_none());
-    let late = tokio::spawn({
+    let pending_write = tokio::spawn({
         let store = store.clone();
-        async move { store.write_confirmed(&key("a"), 0, b"x", PATIENCE, |value| value == b"x").await }
+        async move { store.write_confirmed(&key("a"), 0, b"x", TIMEOUT, |value| value == b"x").await }
     });
     tokio::task::yield_now().await;
     platform.set_faults(StoreFaults::default());
-    assert!(late.await.expect("no panic").is_ok());
+    assert!(pending_write.await.expect("no panic").is_ok());
 }
 
 #[tokio::test]
-async fn the_list_of_vms_carries_states_and_a_revision() {
+async fn vm_list_has_states_and_a_revision() {
     let (platform, store) = start(StoreRates::default()).await;
     platform.set_vm(VmEntry {
         name: "engine-1".to_owned(),
