--- a/crates/load/src/model.rs
+++ b/crates/load/src/model.rs
@@ -27,7 +27,7 @@
 
 /// Accelerator types: maximum sequences of a batch, microseconds for each batch, microseconds for each
 /// sequence. The fastest has eight times the throughput of the slowest.
-const KINDS: [(usize, u64, u64); 4] =
+const ACCELERATORS: [(usize, u64, u64); 4] =
     [(16, 2_400, 100), (12, 3_200, 200), (8, 4_000, 400), (4, 4_500, 875)];
 
 /// Number of generated tokens of every request.
@@ -71,11 +71,13 @@
     max_batch: usize,
     fixed_micros: u64,
     item_micros: u64,
-    link_delay: u64,
+    link_micros: u64,
     waiting: VecDeque<usize>,
     running: Vec<usize>,
     outstanding: u32,
+    /// `outstanding` as of the last report.
     reported_outstanding: u32,
+    /// Requests that each entry sent since the last report.
     sent_since: Vec<u32>,
     weight: f64,
 }
@@ -85,7 +87,8 @@
     path: [usize; STAGES],
     stage: usize,
     tokens: u32,
-    last: u64,
+    /// Time of the last token, or of the dispatch if there is none yet.
+    last_progress_at: u64,
 }
 
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
@@ -99,20 +102,24 @@
 struct Model {
     setup: ModelSetup,
     random: ChaCha8Rng,
+    /// Simulated time in microseconds.
     now: u64,
+    /// Future events as (time, sequence number, event), earliest first.
     events: BinaryHeap<Reverse<(u64, u64, ModelEvent)>>,
-    sequence: u64,
+    event_sequence: u64,
     replicas: Vec<ModelReplica>,
     requests: Vec<ModelRequest>,
+    /// Indices of `requests` that can be reused.
     free_requests: Vec<usize>,
     cursors: Vec<PathCursor>,
+    /// Requests that wait for dispatch.
     backlog: u64,
     in_flight: usize,
     max_in_flight: usize,
     bound: f64,
     first_token_micros: Vec<u64>,
     between_tokens_micros: Vec<u64>,
-    counted: u64,
+    counted_tokens: u64,
 }
 
 /// Runs the model over its simulated duration.
@@ -136,15 +143,15 @@
         let mut random = ChaCha8Rng::seed_from_u64(setup.seed);
         let mut replicas: Vec<ModelReplica> = (0..STAGES * setup.replicas)
             .map(|number| {
-                let (max_batch, fixed_micros, item_micros) =
-                    KINDS[(number / STAGES + random.random_range(0..2)) % KINDS.len()];
+                let (max_batch, fixed_micros, item_micros) = ACCELERATORS
+                    [(number / STAGES + random.random_range(0..2)) % ACCELERATORS.len()];
                 // Link delays from 50 to 5000 microseconds, log-uniformly distributed.
-                let link_delay = (50.0 * 100.0_f64.powf(random.random())) as u64;
+                let link_micros = (50.0 * 100.0_f64.powf(random.random())) as u64;
                 ModelReplica {
                     max_batch,
                     fixed_micros,
                     item_micros,
-                    link_delay,
+                    link_micros,
                     waiting: VecDeque::new(),
                     running: Vec::new(),
                     outstanding: 0,
@@ -166,7 +173,7 @@
             random,
             now: 0,
             events: BinaryHeap::new(),
-            sequence: 0,
+            event_sequence: 0,
             replicas,
             requests: Vec::new(),
             free_requests: Vec::new(),
@@ -176,13 +183,13 @@
             bound,
             first_token_micros: Vec::new(),
             between_tokens_micros: Vec::new(),
-            counted: 0,
+            counted_tokens: 0,
         }
     }
 
     fn schedule(&mut self, at: u64, event: ModelEvent) {
-        self.sequence += 1;
-        self.events.push(Reverse((at, self.sequence, event)));
+        self.event_sequence += 1;
+        self.events.push(Reverse((at, self.event_sequence, event)));
     }
 
     fn handle(&mut self, event: ModelEvent) {
@@ -219,7 +226,7 @@
             self.in_flight += 1;
             let entry = self.random.random_range(0..self.setup.entries);
             let path = [0, 1, 2].map(|stage| self.choose(entry, stage));
-            let request = ModelRequest { path, stage: 0, tokens: 0, last: self.now };
+            let request = ModelRequest { path, stage: 0, tokens: 0, last_progress_at: self.now };
             let index = match self.free_requests.pop() {
                 Some(index) => {
                     self.requests[index] = request;
@@ -268,12 +275,12 @@
     }
 
     fn end_batch(&mut self, index: usize) {
-        let link_delay = self.replicas[index].link_delay;
+        let link_micros = self.replicas[index].link_micros;
         for request in std::mem::take(&mut self.replicas[index].running) {
             let stage = self.requests[request].stage;
             self.requests[request].stage = (stage + 1) % STAGES;
             if stage + 1 < STAGES || !self.record_token(request) {
-                self.schedule(self.now + link_delay, ModelEvent::StageArrival(request));
+                self.schedule(self.now + link_micros, ModelEvent::StageArrival(request));
             }
         }
         self.start_batch(index);
@@ -283,11 +290,11 @@
     fn record_token(&mut self, index: usize) -> bool {
         const RAMP_MICROS: u64 = 1_000_000;
         let request = &mut self.requests[index];
-        let gap = self.now - request.last;
-        request.last = self.now;
+        let gap = self.now - request.last_progress_at;
+        request.last_progress_at = self.now;
         request.tokens += 1;
         if self.now >= RAMP_MICROS {
-            self.counted += 1;
+            self.counted_tokens += 1;
             let times = if request.tokens == 1 {
                 &mut self.first_token_micros
             } else {
@@ -310,7 +317,7 @@
     fn result(mut self) -> ModelResult {
         let seconds = (self.setup.seconds - 1) as f64;
         ModelResult {
-            share_of_bound: self.counted as f64 / seconds / self.bound,
+            share_of_bound: self.counted_tokens as f64 / seconds / self.bound,
             first_token_p95_ms: p95_ms(&mut self.first_token_micros),
             between_tokens_p95_ms: p95_ms(&mut self.between_tokens_micros),
         }
--- a/crates/load/src/plot.rs
+++ b/crates/load/src/plot.rs
@@ -48,8 +48,8 @@
     let line = [(0.0, bound), (seconds, bound)];
     chart.draw_series(LineSeries::new(line, GREEN.stroke_width(1)))?;
     for fault in faults {
-        let at = fault.at as f64 / 1e6;
-        let color = if fault.fault.fault.is_planned() { BLACK } else { RED };
+        let at = fault.at_micros as f64 / 1e6;
+        let color = if fault.planned.fault.is_planned() { BLACK } else { RED };
         let mark = PathElement::new(vec![(at, 0.0), (at, max_rate)], color.stroke_width(1));
         chart.draw_series(std::iter::once(mark))?;
     }
--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -158,9 +158,9 @@
 #[derive(Clone, Debug)]
 pub struct InjectedFault {
     /// Fault as it was planned.
-    pub fault: PlannedFault,
+    pub planned: PlannedFault,
     /// Time of the injection, in microseconds after the start of the run.
-    pub at: u64,
+    pub at_micros: u64,
 }
 
 /// Delay from which a send counts as late, in microseconds.
@@ -228,13 +228,14 @@
 
 /// Counts the requests with unknown outcome that were in flight during planned changes only.
 fn count_cut_by_planned_changes(calls: &[CallRecord], faults: &[InjectedFault]) -> u64 {
-    let is_affected =
-        |call: &CallRecord, fault: &InjectedFault| call.sent <= fault.at && call.ended > fault.at;
+    let is_affected = |call: &CallRecord, fault: &InjectedFault| {
+        call.sent <= fault.at_micros && call.ended > fault.at_micros
+    };
     let cut = calls.iter().filter(|call| {
         let mut affecting = faults.iter().filter(|fault| is_affected(call, fault)).peekable();
         call.outcome == CheckedOutcome::Unknown
             && affecting.peek().is_some()
-            && affecting.all(|fault| fault.fault.fault.is_planned())
+            && affecting.all(|fault| fault.planned.fault.is_planned())
     });
     cut.count() as u64
 }
@@ -258,14 +259,14 @@
     for value in micros {
         histogram.saturating_record(value.max(1));
     }
-    let at = |quantile| histogram.value_at_quantile(quantile) as f64 / 1e3;
-    Percentiles { p50: at(0.5), p95: at(0.95), p99: at(0.99) }
+    let quantile_ms = |quantile| histogram.value_at_quantile(quantile) as f64 / 1e3;
+    Percentiles { p50: quantile_ms(0.5), p95: quantile_ms(0.95), p99: quantile_ms(0.99) }
 }
 
 /// Measures how long it took until every stream that was in flight at the fault had received a token or
 /// ended.
 fn measure_recovery(fault: &InjectedFault, calls: &[CallRecord], median: u64) -> FaultRecovery {
-    let at = fault.at;
+    let at = fault.at_micros;
     let streams = calls.iter().filter(|call| {
         call.in_flight_at(at) && call.tokens_at.first().is_some_and(|first| *first <= at)
     });
@@ -278,7 +279,7 @@
     let longest = waits.iter().copied().max().unwrap_or(0);
     let held_up = waits.iter().filter(|wait| **wait > 3 * median).count();
     FaultRecovery {
-        fault: fault.fault.fault.label(),
+        fault: fault.planned.fault.label(),
         ms: longest as f64 / 1e3,
         in_flight: waits.len(),
         held_up,
--- a/crates/load/tests/load.rs
+++ b/crates/load/tests/load.rs
@@ -92,8 +92,8 @@
 #[test]
 fn reports_count_requests_cut_by_planned_changes_and_measure_recovery() {
     let injected = |at: u64, fault: FaultKind| InjectedFault {
-        fault: PlannedFault { at_ms: at / 1_000, fault },
-        at,
+        planned: PlannedFault { at_ms: at / 1_000, fault },
+        at_micros: at,
     };
     let stop = injected(500_000, FaultKind::Stop { vm: "a".to_owned() });
     let kill = injected(600_000, FaultKind::Kill { vm: "b".to_owned() });
--- a/crates/local/src/checks.rs
+++ b/crates/local/src/checks.rs
@@ -23,7 +23,7 @@
     profile::LocalProfile,
 };
 
-/// Milliseconds after a VM was told to leave or stop from which it must accept no new work.
+/// Grace period after a VM was told to leave or stop; requests that it accepts later are violations.
 const LEAVING_GRACE_MS: u64 = 3_000;
 
 /// Interval at which the effective configuration versions are read from every entry.
@@ -126,6 +126,7 @@
     faults: Vec<PlannedFault>,
     started: u64,
 ) -> u64 {
+    // For each VM, the number of requests that it had accepted at the end of its grace period.
     let mut requests_before: Vec<(String, u64)> = Vec::new();
     for planned in faults {
         let (FaultKind::Leave { vm } | FaultKind::Stop { vm }) = planned.fault else {
--- a/crates/local/src/compare.rs
+++ b/crates/local/src/compare.rs
@@ -55,10 +55,10 @@
             (1..=seeds).map(|seed| thread::spawn(move || run_model(setup(seed)))).collect();
         runs.into_iter().map(|run| run.join().expect("the model does not panic")).collect()
     };
-    let (surge, normal) = (results(130), results(80));
-    let shares = sorted(&surge, |result| result.share_of_bound);
-    let first = sorted(&normal, |result| result.first_token_p95_ms);
-    let between = sorted(&normal, |result| result.between_tokens_p95_ms);
+    let (overload, normal_load) = (results(130), results(80));
+    let shares = sorted(&overload, |result| result.share_of_bound);
+    let first = sorted(&normal_load, |result| result.first_token_p95_ms);
+    let between = sorted(&normal_load, |result| result.between_tokens_p95_ms);
     format!(
         "| {} | {} | {} | {policy:?} | {:.3} ({:.3}) | {:.1} | {:.1} |\n",
         case.entries,
--- a/crates/local/src/faults.rs
+++ b/crates/local/src/faults.rs
@@ -23,13 +23,13 @@
     for planned in faults {
         let due = started + planned.at_ms;
         sleep(Duration::from_millis(due.saturating_sub(now_millis()))).await;
-        let at = (now_millis() - started) * 1_000;
+        let at_micros = (now_millis() - started) * 1_000;
         eprintln!("{:>4} s: {}", planned.at_ms / 1_000, planned.fault.label());
         if let Err(error) = inject(&cluster, &planned.fault).await {
             eprintln!("fault injection failed: {}: {error}", planned.fault.label());
             continue;
         }
-        injected.push(InjectedFault { fault: planned, at });
+        injected.push(InjectedFault { planned, at_micros });
     }
     injected
 }
--- a/crates/local/tests/faults.rs
+++ b/crates/local/tests/faults.rs
@@ -1,12 +1,12 @@
 //! Fault injection into a complete deployment over sockets.
 //!
-//! Each test is a row of faults with their times, and the outcomes that requests may have. No test may
-//! report a violation. Durations are not asserted.
+//! Each test is given by its faults with their times, and by the outcomes that requests may have. No test
+//! may report a violation. Durations are not asserted.
 
 use switchfold_load::{FaultKind, LoadReport, PlannedFault};
 use switchfold_local::{Experiment, run_experiment};
 
-/// Expected outcomes of a row, in addition to the absence of violations.
+/// Expected outcomes of a test, in addition to the absence of violations.
 struct Expected {
     /// No request may have the outcome `unknown`.
     none_unknown: bool,
@@ -19,7 +19,7 @@
 const ANY_OUTCOME: Expected = Expected { none_unknown: false, all_done: false };
 
 /// Returns whether an entry can detect the fault only by a timeout: a frozen agent keeps its links open,
-/// while all other faults close them.
+/// while the loss of an agent closes them.
 fn is_freeze(fault: &FaultKind) -> bool {
     matches!(fault, FaultKind::Freeze { vm, .. } if vm.starts_with("engine"))
 }
@@ -46,8 +46,8 @@
     assert_eq!(report.recovery_ms.len(), faults.len(), "every fault is injected: {detail}");
     assert_eq!(report.violations.total(), 0, "{detail}");
     assert!(!expected.none_unknown || report.outcomes.unknown == 0, "{detail}");
-    let answered = report.outcomes.done + report.outcomes.duplicate;
-    assert!(!expected.all_done || answered == report.offered, "{detail}");
+    let completed = report.outcomes.done + report.outcomes.duplicate;
+    assert!(!expected.all_done || completed == report.offered, "{detail}");
     report
 }
 
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -85,6 +85,7 @@
     batches: AtomicU64,
     step_errors: AtomicU64,
     started_requests: AtomicU64,
+    /// Number of starts for each hash of a prompt.
     prompts: Mutex<HashMap<u64, u32>>,
 }
 
@@ -144,8 +145,10 @@
 struct EngineState {
     config: EngineConfig,
     plan_version: u64,
+    /// End of the last loading of layers, before which no batch starts.
     ready_at: Instant,
     caches: HashMap<RequestKey, LayerCaches>,
+    /// Number of cached positions of each request.
     positions: HashMap<RequestKey, u32>,
     queued: VecDeque<StepInput>,
     running: Vec<StepInput>,
@@ -197,8 +200,8 @@
 
     /// Sets the duration of batches in percent of the configured one: 300 makes the engine three times
     /// as slow.
-    pub fn set_slowdown(&self, hundredths: u64) {
-        self.state().slowdown_percent = hundredths;
+    pub fn set_slowdown(&self, percent: u64) {
+        self.state().slowdown_percent = percent;
     }
 
     /// Serves the gRPC interface and runs batches until the task is dropped.
@@ -298,6 +301,7 @@
     hash_bytes(13, &bytes)
 }
 
+/// Returns the number of positions of a step, which is at least 1.
 fn step_len(step: &StepInput) -> u32 {
     let from_bytes = step.activations.len() / ACTIVATION_BYTES;
     (step.tokens.len().max(from_bytes) as u32).max(1)
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -81,7 +81,9 @@
 #[derive(Debug)]
 struct PlatformState {
     objects: BTreeMap<ObjectKey, ObjectCopy>,
+    /// Keys of the last changes, at most [`LOG_LEN`].
     log: VecDeque<ObjectKey>,
+    /// Revision before the first change in `log`.
     log_start: u64,
     vms: VmList,
     faults: StoreFaults,
--- a/crates/standin/tests/engine_contract.rs
+++ b/crates/standin/tests/engine_contract.rs
@@ -86,14 +86,14 @@
     let key = CacheKey { incarnation: 1, counter: 3 };
     let state = from.client.export_cache(key).await.expect("exported").into_inner();
     assert_eq!(state.next_position, 2);
-    assert!(to.client.import_cache(state).await.expect("answered").into_inner().accepted);
+    assert!(to.client.import_cache(state).await.expect("response").into_inner().accepted);
     let second = to.run(step(3, 2, &[first.token])).await;
     assert_eq!([first.token, second.token], oracle("m", 4, &prompt, 2)[..]);
     let missing = from.client.export_cache(CacheKey { incarnation: 1, counter: 4 }).await;
     assert_eq!(missing.expect_err("none").code(), tonic::Code::NotFound);
     let mut other = start(config(0, 2, false)).await;
     let state = from.client.export_cache(key).await.expect("exported").into_inner();
-    assert!(!other.client.import_cache(state).await.expect("answered").into_inner().accepted);
+    assert!(!other.client.import_cache(state).await.expect("response").into_inner().accepted);
 }
 
 #[tokio::test]
@@ -105,7 +105,7 @@
 }
 
 #[tokio::test]
-async fn fenced_engines_reject_orders_of_older_plans() {
+async fn fenced_engines_reject_orders_without_a_newer_plan() {
     let order = |plan_version| LoadOrder {
         plan_version,
         model: "n".to_owned(),
@@ -113,13 +113,13 @@
         end_layer: 4,
     };
     let mut fenced = start(config(0, 4, true)).await;
-    assert!(fenced.client.order(order(5)).await.expect("answered").into_inner().accepted);
-    let old = fenced.client.order(order(5)).await.expect("answered").into_inner();
+    assert!(fenced.client.order(order(5)).await.expect("response").into_inner().accepted);
+    let old = fenced.client.order(order(5)).await.expect("response").into_inner();
     assert!(!old.accepted && old.reason.contains("not above 5"), "{}", old.reason);
     let described =
         fenced.client.describe(DescribeRequest {}).await.expect("described").into_inner();
     assert_eq!((described.model.as_str(), described.first_layer), ("n", 2));
     let mut unfenced = start(config(0, 4, false)).await;
-    assert!(unfenced.client.order(order(1)).await.expect("answered").into_inner().accepted);
-    assert!(unfenced.client.order(order(1)).await.expect("answered").into_inner().accepted);
+    assert!(unfenced.client.order(order(1)).await.expect("response").into_inner().accepted);
+    assert!(unfenced.client.order(order(1)).await.expect("response").into_inner().accepted);
 }
--- a/crates/standin/tests/store_contract.rs
+++ b/crates/standin/tests/store_contract.rs
@@ -42,7 +42,7 @@
     let tombstone = store.delete(&key("a"), second).await.expect("deleted");
     let deleted = store.read(&key("a")).await.expect("read");
     assert_eq!((deleted.version, deleted.value), (tombstone, None));
-    let again = store.write(&key("a"), tombstone, b"four").await.expect("created anew");
+    let again = store.write(&key("a"), tombstone, b"four").await.expect("created again");
     assert!(again > tombstone);
 }
 
@@ -90,7 +90,7 @@
     assert_eq!(store.watch(&["event"], version, TIMEOUT).await, Err(StoreError::RevisionExpired));
     assert_eq!(store.list("event").await.expect("listed").changes.len(), 2);
     let empty = store
-        .watch(&["event"], platform.get(&key("a")).expect("held").version, Duration::ZERO)
+        .watch(&["event"], platform.get(&key("a")).expect("stored").version, Duration::ZERO)
         .await;
     assert_eq!(empty.expect("in time").changes, []);
 }
@@ -105,8 +105,10 @@
         Err(StoreError::OutcomeUnknown { .. })
     );
     platform.set_faults(StoreFaults { lose_responses: 1, ..StoreFaults::default() });
-    let version =
-        store.write_confirmed(&key("a"), 0, b"mine", TIMEOUT, is_own_write).await.expect("settled");
+    let version = store
+        .write_confirmed(&key("a"), 0, b"mine", TIMEOUT, is_own_write)
+        .await
+        .expect("confirmed");
     assert_eq!(platform.get(&key("a")).expect("written").version, version);
     // A conflicting write whose response is lost must be reported as a conflict, not as a success.
     let other = platform.put(&key("b"), b"theirs");
