--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -140,7 +140,7 @@
 /// Input for a report in addition to the record of the run.
 #[derive(Clone, Debug, Default)]
 pub struct ReportInput {
-    /// The most that the hardware could deliver of this mix.
+    /// Upper bound of the throughput of the engines for this workload, in tokens per second.
     pub bound_tokens_per_s: f64,
     /// Violations found by checks of the deployment, such as the run logs of the stand-ins.
     pub standin_violations: Violations,
--- a/crates/local/src/compare.rs
+++ b/crates/local/src/compare.rs
@@ -6,7 +6,7 @@
 use switchfold_load::{ModelResult, ModelSetup, run_model};
 
 /// Simulated seconds of each run.
-const SECONDS: u64 = 4;
+const SIMULATED_SECONDS: u64 = 4;
 
 /// Conditions under which all policies are compared.
 #[derive(Clone, Copy, Debug)]
@@ -48,7 +48,7 @@
             offered_hundredths,
             slow_replica: case.slow_replica,
             replicas,
-            seconds: SECONDS,
+            seconds: SIMULATED_SECONDS,
             seed,
         };
         let runs: Vec<_> =
--- a/crates/local/src/profile.rs
+++ b/crates/local/src/profile.rs
@@ -94,7 +94,7 @@
 /// Names of all profiles.
 pub const PROFILES: [&str; 4] = ["tiny", "small", "northcatch", "customs"];
 
-/// A type of accelerator: a batch takes `fixed_micros + item_micros * sequences` microseconds.
+/// A type of accelerator; a batch lasts `fixed_micros + item_micros * sequences` microseconds.
 #[derive(Clone, Copy, Debug)]
 struct AcceleratorType {
     name: &'static str,
--- a/crates/local/tests/interleavings.rs
+++ b/crates/local/tests/interleavings.rs
@@ -454,7 +454,7 @@
         let mut rounds = 0;
         while self.outcomes.values().any(|outcome| outcome.end.is_none()) && rounds < 40_000 {
             rounds += 1;
-            // Without further faults, every request must end.
+            // From this round on no faults are injected, so that every request must end.
             if rounds == 3_000 {
                 self.fault_rates =
                     FaultRates { loss: 0, duplication: 0, kill: 0, disconnect: 0, reorder: false };
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -60,7 +60,7 @@
     pub outage: bool,
     /// Delay of each call in milliseconds.
     pub delay_ms: u64,
-    /// Number of writes, from the next one, that are carried out but whose response is lost.
+    /// Number of writes, from the next one, that are processed but whose response is lost.
     #[serde(rename = "lose_answers")]
     pub lose_responses: u32,
 }
