--- a/crates/router/src/coordinator.rs
+++ b/crates/router/src/coordinator.rs
@@ -1,15 +1,16 @@
 //! Chooses the relay that coordinates the rate limit of a replica, that is, the one that issues its
 //! grants.
 //!
-//! The choice is a rendezvous hash over the relays heard from recently, with those in the replica's
-//! own data centre first, so relays that all hear each other agree without a vote. In a network
-//! partition each side chooses its own coordinator: the side with the majority of the relays issues
-//! the full rate, the others a small fraction, so that the sum stays near the limit. A relay that
-//! just started coordinates no limits until it has heard from the others.
+//! The choice is a rendezvous hash over the live relays, with those in the replica's own data
+//! centre first, so relays that all receive each other's messages agree without a vote. In a
+//! network partition each side chooses its own coordinator: the side with the majority of the
+//! relays issues the full rate, the others a small fraction, so that the sum stays near the limit.
+//! A relay that just started coordinates no limits until it has received the messages of the
+//! others.
 //!
 //! The trade-off: a minority side cannot tell whether the other relays are partitioned or gone, so
-//! it issues little until it forgets them. Worst case: of three equal sides, each issues only a
-//! small fraction.
+//! it issues little until they expire from its peer table. Worst case: of three equal sides, each
+//! issues only a small fraction.
 
 use std::net::SocketAddr;
 
@@ -72,17 +73,17 @@
 }
 
 /// Returns the fraction of a limit, in 0..=1, that this relay may issue as its coordinator. It is 1
-/// if this relay hears from a majority of the speakers that it knows, or from half of them
+/// if a majority of the speakers that this relay knows are live, itself included, or half of them
 /// including the first by name.
 pub fn rate_fraction(local: &LocalRelay<'_>, peers: &PeerTable, now: Millis) -> f64 {
-    let (known, heard) = peers.speaker_counts(local.data_centre, now);
-    let hears_first = || {
+    let (known, live) = peers.speaker_counts(local.data_centre, now);
+    let is_first_live = || {
         let first = peers.others("").map(|(name, _, _)| name).next();
         first.is_none_or(|first| local.name < first || peers.is_live_peer(first, now))
     };
-    match (heard * 2).cmp(&known) {
+    match (live * 2).cmp(&known) {
         std::cmp::Ordering::Greater => 1.0,
-        std::cmp::Ordering::Equal if hears_first() => 1.0,
-        _ => MINORITY_FRACTION * heard as f64 / known as f64,
+        std::cmp::Ordering::Equal if is_first_live() => 1.0,
+        _ => MINORITY_FRACTION * live as f64 / known as f64,
     }
 }
--- a/crates/router/src/era.rs
+++ b/crates/router/src/era.rs
@@ -3,9 +3,8 @@
 //! The store numbers every change by a revision. It may be restored from a backup of itself that is
 //! some seconds old: the revision then goes back, and its numbers are reused for other changes. The
 //! store counts these restores as its *era*. So a revision alone identifies no state; two states
-//! may have the same one. The pair of era and revision does, and it stands for a revision wherever
-//! this project keeps or compares one: in entries, tombstones, digests, proofs, watches and
-//! messages.
+//! may have the same one. The pair of era and revision does, and it is used wherever a revision is
+//! kept or compared: in entries, tombstones, digests, proofs, watches and messages.
 //!
 //! Both are packed into one number whose order is that of the pair, so that messages between relays
 //! keep their format, and a revision without an era reads as before. After 65,535 restores the
--- a/crates/router/src/fleet.rs
+++ b/crates/router/src/fleet.rs
@@ -125,7 +125,7 @@
 struct HeldEntry {
     entry: ReplicaEntry,
     revision: u64,
-    /// Lowest revision at which its id was listed, as far as this view saw.
+    /// Lowest known revision at which its id was listed.
     first_revision: u64,
     updated_at: Millis,
 }
@@ -227,8 +227,8 @@
     /// Returns whether a later start is listed at the address of an entry whose id was first listed
     /// at the revision `first_revision`.
     ///
-    /// The store may accept a heartbeat of an earlier start after the later one is listed. When
-    /// only the revisions of the entries were compared, that heartbeat made the later start count
+    /// The store may accept a heartbeat of an earlier start after the later one is listed. If only
+    /// the revisions of the entries were compared, that heartbeat would make the later start count
     /// as gone for up to 1.6 s.
     fn has_successor(&self, entry: &ReplicaEntry, first_revision: u64) -> bool {
         let mut others = self.configured_at(entry.address);
--- a/crates/router/src/follow.rs
+++ b/crates/router/src/follow.rs
@@ -1,18 +1,18 @@
 //! Decides what a relay reads next to follow one kind of object in the store.
 //!
-//! There are as many relays as entry VMs, and each call to the store has a price, so a relay calls
-//! it only for what no other relay can provide. Each kind of object is listed once, then watched
-//! from the revision of the list. A relay stays idle while another one of its data centre reads the
-//! store on its behalf. A relay that needs a full list (at its start, after an outage, or if its
-//! state differs) asks a neighbour that reads the store, and reads for itself only if none can
+//! Each entry VM runs a relay, and each call to the store is billed, so a relay calls the store
+//! only for what no peer (another relay of its data centre) can provide. Each kind of object is
+//! listed once, then watched from the revision of the list. A relay stays idle while a peer reads
+//! the store on its behalf. A relay that needs a full list (at its start, after an outage, or if
+//! its state differs) asks a peer that reads the store, and reads for itself only if none can
 //! provide it. The caller makes the calls and records their results here.
 //!
 //! | load | problem | what bounds it |
 //! |---|---|---|
 //! | versions in quick succession | every relay reads each | one relay reads, the others ask it |
-//! | restarts of many relays | every start lists everything | a neighbour sends its list within [`START_DELAY`] |
+//! | restarts of many relays | every start lists everything | a peer sends its list within [`START_DELAY`] |
 //! | an outage | every relay retries, for each kind | [`FollowInputs::preceding_lost`], [`FollowInputs::is_retried_elsewhere`] |
-//! | the store's return | every relay lists everything | the first one to read says so, the others ask it |
+//! | the store's return | every relay lists everything | the first one to read announces it, the others ask it |
 
 use derive_more::Display;
 use rand::Rng;
@@ -23,34 +23,34 @@
 /// Interval at which the other relays' state is checked, in milliseconds.
 const PEER_CHECK_INTERVAL: Millis = 100;
 
-/// Time that a starting relay waits for its neighbours to announce themselves before it reads the
-/// store itself, in milliseconds: in each round of 200 ms, two relays send to each relay that was
-/// live recently.
+/// Time that a starting relay waits for its peers to announce themselves before it reads the store
+/// itself, in milliseconds: in each round of 200 ms, two relays send to each relay that was live
+/// recently.
 pub const START_DELAY: Millis = 200;
 
-/// Like [`START_DELAY`], for a relay that hears a preceding relay, which should read first and
-/// cannot provide a list yet.
+/// Like [`START_DELAY`], for a relay with a live preceding peer, which should read first and cannot
+/// provide a list yet.
 pub const START_DELAY_BEHIND: Millis = 500;
 
-/// Like [`START_DELAY`], at the first start of the whole system, for a relay that hears no
-/// preceding one: processes start within 300 ms of each other, and need a moment to find each
+/// Like [`START_DELAY`], at the first start of the whole system, for a relay without a live
+/// preceding peer: processes start within 300 ms of each other, and need a moment to find each
 /// other.
 pub const FIRST_START_DELAY: Millis = 700;
 
-/// Like [`FIRST_START_DELAY`], for a relay that hears a preceding one, which should read first.
+/// Like [`FIRST_START_DELAY`], for a relay with a live preceding peer, which should read first.
 /// Callers arrive ten seconds after the first start.
 pub const FIRST_START_DELAY_BEHIND: Millis = 2_500;
 
-/// Interval of requests to a neighbour that reads the store but does not stand in for this relay,
-/// since it awaits entries that its list lacks or since the lists differ; in milliseconds. A
-/// leaving replica must get no more requests after two seconds.
+/// Interval of requests to a peer that reads the store but not on this relay's behalf, since it
+/// awaits entries that its list lacks or since the lists differ; in milliseconds. A leaving replica
+/// must get no more requests after two seconds.
 const ASK_INTERVAL: Millis = 500;
 
-/// Time for which no neighbour is asked after one could not provide a list, in milliseconds.
+/// Time for which no peer is asked after one could not provide a list, in milliseconds.
 const ASK_RETRY_DELAY: Millis = 1_000;
 
 /// Delay of a request for a newer version for each preceding relay of the data centre, in
-/// milliseconds: all hear of it at once, and twenty simultaneous responses would congest the link
+/// milliseconds: all learn of it at once, and twenty simultaneous responses would congest the link
 /// of the relay that is asked.
 const ASK_STAGGER: Millis = 5;
 
@@ -100,7 +100,7 @@
 pub enum FollowStep {
     /// Nothing, for this time in milliseconds.
     Wait(Millis),
-    /// Ask a neighbour for a full list.
+    /// Ask a peer for a full list.
     Ask,
     /// List all objects.
     List(ReadCause),
@@ -191,8 +191,8 @@
     max_stagger: 100,
 };
 
-/// Returns the time that a starting relay waits for a neighbour's list, in milliseconds, if it
-/// hears `preceding` relays of its data centre that precede it.
+/// Returns the time that a starting relay waits for a peer's list, in milliseconds, if `preceding`
+/// live peers precede it.
 pub fn start_delay(is_first_start: bool, preceding: usize) -> Millis {
     match (is_first_start, preceding) {
         (false, 0) => START_DELAY,
@@ -202,7 +202,7 @@
     }
 }
 
-/// Whether a neighbour may be asked for a list.
+/// Whether a peer may be asked for a list.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum AskState {
     /// It may.
@@ -211,7 +211,7 @@
     /// asked.
     WaitsUntil(Millis),
     /// None could provide a list: until this time the store is asked.
-    BarredUntil(Millis),
+    UnavailableUntil(Millis),
 }
 
 /// Follows one kind of object.
@@ -291,9 +291,9 @@
         }
     }
 
-    /// Decides what to do about a neighbour that reads the store, if anything. A relay that needs a
-    /// full list asks it; a relay that the neighbour precedes asks again as long as the neighbour
-    /// does not read on its behalf.
+    /// Decides what to do about a peer that reads the store, if anything. A relay that needs a full
+    /// list asks it; a relay that the peer precedes asks again as long as the peer does not read on
+    /// its behalf.
     fn next_request(&self, inputs: &FollowInputs, now: Millis) -> Option<FollowStep> {
         let order = inputs.source?;
         if self.revision.is_some() && order == SourceOrder::After {
@@ -303,30 +303,30 @@
             AskState::WaitsUntil(until) if now < until => {
                 Some(FollowStep::Wait((until - now).min(PEER_CHECK_INTERVAL)))
             }
-            AskState::BarredUntil(until) if now < until => None,
+            AskState::UnavailableUntil(until) if now < until => None,
             _ => Some(FollowStep::Ask),
         }
     }
 
-    /// Records that a neighbour sent its full list, as of the revision `at`.
+    /// Records that a peer sent its full list, as of the revision `at`.
     pub fn record_snapshot(&mut self, at: u64, now: Millis) {
         self.revision = Some(at);
         self.is_listed = true;
         self.asking = AskState::WaitsUntil(now + ASK_INTERVAL);
     }
 
-    /// Records that a neighbour could not provide a list.
+    /// Records that a peer could not provide a list.
     pub fn record_no_snapshot(&mut self, now: Millis) {
-        self.asking = AskState::BarredUntil(now + ASK_RETRY_DELAY);
+        self.asking = AskState::UnavailableUntil(now + ASK_RETRY_DELAY);
     }
 
     /// Records an answer of the store that reached the revision `at`.
     pub fn record_answer(&mut self, at: u64, now: Millis) {
-        let moved = self.revision.is_some_and(|after| at > after);
+        let has_advanced = self.revision.is_some_and(|after| at > after);
         self.revision = Some(self.revision.map_or(at, |after| after.max(at)));
         self.is_listed = true;
         self.backoff.reset();
-        self.idle_until = if moved { now + self.timings.batch_delay } else { 0 };
+        self.idle_until = if has_advanced { now + self.timings.batch_delay } else { 0 };
     }
 
     /// Records that the store no longer has the history that was asked for.
--- a/crates/router/src/freshness.rs
+++ b/crates/router/src/freshness.rs
@@ -1,7 +1,7 @@
 //! Lease on the configuration: whether the known configuration is recent enough.
 //!
-//! A key that was removed must not be accepted once a bound has passed, not even by an entry that
-//! was cut off or paused without noticing. So each entry holds a lease, which starts at the time at
+//! A key that was removed must not be accepted once a bound has passed, not even by a relay that
+//! was cut off or paused without noticing. So each relay holds a lease, which starts at the time at
 //! which it *sent* the last read that the store answered in its present order. The lease is checked
 //! when a request is dispatched, without a timer, so a pause of the process cannot delay its end.
 
@@ -57,8 +57,8 @@
 
     /// Returns whether keys may be accepted under a bound of `bound` milliseconds.
     pub fn is_valid(&self, bound: Millis, now: Millis) -> bool {
-        let most = bound.saturating_sub(LEASE_MARGIN);
-        self.age(now).is_some_and(|age| age <= most)
+        let max_age = bound.saturating_sub(LEASE_MARGIN);
+        self.age(now).is_some_and(|age| age <= max_age)
     }
 
     /// Returns the age of the lease in milliseconds; `None` if there was no proof yet.
--- a/crates/router/src/issuer.rs
+++ b/crates/router/src/issuer.rs
@@ -29,7 +29,7 @@
 const STALE_PERIOD: Millis = 1_000;
 
 /// Minimum rate of grants per second. A replica that accepts no requests, or next to none, must
-/// still be tried now and then, or no relay would learn that it accepts requests again. One request
+/// still be tried at this rate, or no relay would learn that it accepts requests again. One request
 /// in five seconds is within what reaches a replica from requests in flight anyway.
 pub const MIN_RATE: f64 = 0.2;
 
--- a/crates/router/src/membership.rs
+++ b/crates/router/src/membership.rs
@@ -91,7 +91,8 @@
     address: SocketAddr,
     data_centre: String,
     added_at: Millis,
-    last_heard: Option<Millis>,
+    /// When its last message arrived.
+    last_received: Option<Millis>,
     state: PeerState,
     last_stamp: Option<(PeerStamp, Millis)>,
     /// Hash of its name.
@@ -102,9 +103,9 @@
     sending_since: Option<Millis>,
     /// End of the period in which the peer is skipped as a speaker because it was silent.
     skipped_until: Millis,
-    /// When another relay last reported that it hears this peer coordinate rate limits.
+    /// When another relay last reported that this peer is live and coordinates rate limits.
     coordinator_reported: Option<Millis>,
-    /// When another relay last reported that it hears this peer.
+    /// When another relay last reported that this peer is live.
     live_reported: Option<Millis>,
 }
 
@@ -146,8 +147,8 @@
         at.map(|(name, _)| name.as_str())
     }
 
-    /// Returns the peers that coordinate rate limits, by their own report or by that of a relay
-    /// that hears them.
+    /// Returns the peers that coordinate rate limits, by their own report or by that of another
+    /// relay.
     pub fn coordinators(&self, now: Millis) -> impl Iterator<Item = CoordinatorPeer<'_>> {
         let coordinators = self.peers.iter().filter(move |(_, peer)| peer.coordinates_limits(now));
         coordinators.map(|(name, peer)| CoordinatorPeer {
@@ -181,7 +182,7 @@
             address,
             data_centre: data_centre.to_owned(),
             added_at: now,
-            last_heard: None,
+            last_received: None,
             state: PeerState::default(),
             last_stamp: None,
             hash: name_hash(name),
@@ -195,10 +196,10 @@
         is_new
     }
 
-    /// Returns the peers that were silent for so long that their VMs must be gone.
+    /// Returns the peers that were silent for so long that their VMs must have been removed.
     pub fn expired(&self, now: Millis) -> Vec<String> {
-        let gone = self.peers.iter().filter(|(_, peer)| peer.is_expired(now));
-        gone.map(|(name, _)| name.clone()).collect()
+        let expired = self.peers.iter().filter(|(_, peer)| peer.is_expired(now));
+        expired.map(|(name, _)| name.clone()).collect()
     }
 
     /// Returns the address of a peer.
@@ -219,8 +220,8 @@
         !same || !peer.is_live(now)
     }
 
-    /// Records the state in a message of a known peer; returns false for an unknown peer and for a
-    /// message that is older than one that came before it, which says nothing of the present state.
+    /// Records the state in a message of a known peer; returns `false` for an unknown peer and for
+    /// a message that was overtaken by a later one, which says nothing about the present state.
     pub fn record_message(
         &mut self,
         name: &str,
@@ -232,7 +233,7 @@
         if peer.last_stamp.is_some_and(|(last, _)| stamp.is_before(last)) {
             return false;
         }
-        peer.last_heard = Some(now);
+        peer.last_received = Some(now);
         peer.skipped_until = 0;
         peer.state = state;
         peer.last_stamp = Some((stamp, now));
@@ -284,7 +285,7 @@
         match (fleet_is_fresh, informed().next().is_some()) {
             (true, _) => Some(informed().filter(is_before).count()),
             (false, true) => None,
-            // A relay that hears no peer and has lost the store is cut off; the others decide.
+            // A relay without a live peer that has lost the store is cut off; the others decide.
             (false, false) if live().next().is_none() => self.peers.is_empty().then_some(0),
             (false, false) => Some(live().filter(is_before).count()),
         }
@@ -293,8 +294,8 @@
     /// Returns whether callers are better served by another relay.
     ///
     /// `own_age` is the age of this relay's proof of the configuration; `is_lost` says that its
-    /// last read failed. Callers are redirected if another relay has a younger proof, or if this
-    /// relay hears none of its peers and is cut off itself. If all relays have lost the store, none
+    /// last read failed. Callers are redirected if another relay has a younger proof, or if none of
+    /// this relay's peers is live and it is cut off itself. If all relays have lost the store, none
     /// redirects its callers.
     pub fn should_redirect(&self, own_age: Millis, is_lost: bool, now: Millis) -> bool {
         let max_age = if is_lost { REDIRECT_AGE_LOST } else { REDIRECT_AGE };
@@ -317,10 +318,10 @@
 impl Peer {
     /// Returns the present age of its proof of the configuration.
     fn config_age(&self, now: Millis) -> Option<Millis> {
-        Some(self.state.config_age? + now.saturating_sub(self.last_heard?))
+        Some(self.state.config_age? + now.saturating_sub(self.last_received?))
     }
 
     fn is_live(&self, now: Millis) -> bool {
-        self.last_heard.is_some_and(|last_heard| now.saturating_sub(last_heard) < PEER_TIMEOUT)
+        self.last_received.is_some_and(|received| now.saturating_sub(received) < PEER_TIMEOUT)
     }
 }
--- a/crates/router/src/membership/gossip.rs
+++ b/crates/router/src/membership/gossip.rs
@@ -12,7 +12,7 @@
 //!
 //! | worst case | effect |
 //! |---|---|
-//! | a speaker ends | its members still hear their second speaker, and choose another one after [`PEER_TIMEOUT`] |
+//! | a speaker ends | its members still exchange messages with their second speaker, and choose another one after [`PEER_TIMEOUT`] |
 //! | all speakers of a data centre end at once | each [`PEER_TIMEOUT`], members skip two silent speakers, until they become speakers themselves |
 //! | relays disagree on which peers are live | a member is counted late, or twice, for as long as reservations are kept |
 
@@ -30,14 +30,14 @@
 /// Number of speakers that a member reports to: if one is lost, the other one remains.
 const SPEAKERS_PER_MEMBER: usize = 2;
 
-/// Time for which a silent speaker is skipped, unless it is heard again or another relay reports
-/// that it hears it, in milliseconds. If it were retried sooner, speakers that are gone would be
-/// sent reports that reach nobody.
+/// Time for which a silent speaker is skipped, in milliseconds, unless a message from it arrives or
+/// another relay reports that it is live. If it were retried sooner, members would send their
+/// reports to speakers that no longer exist.
 const SKIP_TIME: Millis = PEER_EXPIRY;
 
 /// Time since its last report for which a member is still sent state, in milliseconds. A process
-/// that restarts is back within that time, and learns from its speakers what it would otherwise
-/// have to read from the store.
+/// that restarts sends again within that time, and receives from its speakers what it would
+/// otherwise have to read from the store.
 const MEMBER_RETENTION: Millis = 10_000;
 
 /// Whether the sender of a message reports to the receiver.
@@ -121,8 +121,8 @@
         self.is_member
     }
 
-    /// Records which relays that coordinate rate limits another relay hears, and which relay it
-    /// hears read the list of replicas.
+    /// Records the report of another relay: which live peers of it coordinate rate limits, and
+    /// which one reads the list of replicas. Both are hashes of names.
     pub fn record_reported_roles(
         &mut self,
         coordinators: &[u32],
@@ -140,22 +140,23 @@
         }
     }
 
-    /// Records which members another speaker of the data centre hears.
+    /// Records the live members of another speaker of the data centre, by the hashes of their
+    /// names.
     pub fn record_members(&mut self, members: &[u32], now: Millis) {
         for peer in self.peers.values_mut().filter(|peer| members.contains(&peer.hash)) {
             peer.live_reported = Some(now);
         }
     }
 
-    /// Returns the hashes of the members that this relay hears.
+    /// Returns the hashes of the names of this relay's live members.
     pub fn member_hashes(&self, now: Millis) -> Vec<u32> {
         let members =
             self.peers.values().filter(|peer| peer.current_report(now) != ReportKind::None);
         members.map(|peer| peer.hash).collect()
     }
 
-    /// Returns the hashes of the other relays that coordinate rate limits, as far as this relay or
-    /// its speakers hear them.
+    /// Returns the hashes of the names of the other relays that coordinate rate limits, as far as
+    /// they are live for this relay or reported to it.
     pub fn coordinator_hashes(&self, now: Millis) -> Vec<u32> {
         let coordinators = self.peers.values().filter(|peer| peer.coordinates_limits(now));
         coordinators.map(|peer| peer.hash).collect()
@@ -191,9 +192,9 @@
         self.peers.values().filter(|peer| peer.data_centre == data_centre).count()
     }
 
-    /// Returns the relays whose VMs must be gone and whose objects this relay is to remove from the
-    /// store. The first live relay of a data centre removes those of its own; if a data centre has
-    /// no relay left, the relay that gives orders removes them.
+    /// Returns the relays whose VMs must have been removed and whose objects this relay is to
+    /// remove from the store. The first live relay of a data centre removes those of its own; if a
+    /// data centre has no relay left, the relay that gives orders removes them.
     pub fn removable(
         &self,
         own: &str,
@@ -219,8 +220,8 @@
     fn skip_silent(&mut self, now: Millis) {
         for peer in self.peers.values_mut() {
             let Some(since) = peer.sending_since else { continue };
-            let last_heard = peer.last_heard.unwrap_or_default().max(since);
-            if now.saturating_sub(last_heard) >= PEER_TIMEOUT {
+            let last_received = peer.last_received.unwrap_or_default().max(since);
+            if now.saturating_sub(last_received) >= PEER_TIMEOUT {
                 peer.skipped_until = now + SKIP_TIME;
                 peer.sending_since = None;
             }
@@ -266,8 +267,8 @@
     }
 
     /// Returns the speakers of all data centres, and all relays that act as speakers. Skipped ones
-    /// are sent to as well, beside those that take their place: a relay that is back, or was cut
-    /// off, learns at once that the others are there.
+    /// are sent to as well, beside those that take their place: a relay that has returned, or was
+    /// cut off, learns at once which others are live.
     fn speaker_links(
         &self,
         own: &str,
@@ -325,18 +326,23 @@
         self.report.filter(|_| self.is_live(now)).map_or(ReportKind::None, |(kind, _)| kind)
     }
 
-    /// Returns whether relays ask it for grants of rate limits, by its own report or by that of a
-    /// relay that hears it.
+    /// Returns whether relays ask it for grants of rate limits, by its own report or by that of
+    /// another relay.
     pub(super) fn coordinates_limits(&self, now: Millis) -> bool {
         let is_reported =
             self.coordinator_reported.is_some_and(|at| now.saturating_sub(at) < PEER_TIMEOUT);
         self.is_live(now) && self.state.coordinates_limits || is_reported
     }
 
-    /// Returns whether nobody has heard it for so long that its VM must be gone.
+    /// Returns whether no relay has received its messages for so long that its VM must have been
+    /// removed.
     pub(super) fn is_expired(&self, now: Millis) -> bool {
-        let signs =
-            [self.last_heard, self.live_reported, self.coordinator_reported, Some(self.added_at)];
+        let signs = [
+            self.last_received,
+            self.live_reported,
+            self.coordinator_reported,
+            Some(self.added_at),
+        ];
         let last = signs.into_iter().flatten().max().unwrap_or_default();
         now.saturating_sub(last) >= PEER_EXPIRY
     }
--- a/crates/router/src/membership/sources.rs
+++ b/crates/router/src/membership/sources.rs
@@ -8,8 +8,8 @@
 use super::{PEER_TIMEOUT, Peer, PeerTable, name_hash};
 use crate::{Millis, follow::SourceOrder};
 
-/// Time since the store last answered another relay's read up to which that read replaces one's
-/// own, in milliseconds.
+/// Time since the store last answered another relay's read up to which that read replaces a read of
+/// this relay, in milliseconds.
 ///
 /// The reading relay gets an answer in each period of a 1 s watch and a 150 ms pause, and reports
 /// it within 200 ms; the rest allows for one lost message. The smallest bound on old state that
@@ -51,9 +51,9 @@
         now: Millis,
     ) -> bool {
         let newer = self.peer_has_newer_config(own, data_centre, version, now);
-        let mut followed =
+        let mut readers =
             self.preceding_peers(own, data_centre, now).filter(|peer| !peer.state.config_is_lost);
-        is_recent(self.config_answered, now) && !newer && followed.next().is_some()
+        is_recent(self.config_answered, now) && !newer && readers.next().is_some()
     }
 
     /// Returns whether a relay of the data centre that may read on behalf of this one has a newer
@@ -72,10 +72,10 @@
     /// this one, like [`PeerTable::config_read_by_peer`].
     pub fn fleet_read_by_peer(&self, own: &str, data_centre: &str, now: Millis) -> bool {
         let same = self.digest_differs_since.is_none_or(|since| now - since < DIGEST_GRACE);
-        let mut followed = self.preceding_peers(own, data_centre, now);
+        let mut preceding = self.preceding_peers(own, data_centre, now);
         is_recent(self.fleet_answered, now)
             && same
-            && followed.any(|peer| peer.state.fleet_is_fresh && !peer.state.fleet_is_lost)
+            && preceding.any(|peer| peer.state.fleet_is_fresh && !peer.state.fleet_is_lost)
     }
 
     /// Compares this relay's list of replicas with that of the relay that reads on its behalf;
@@ -119,9 +119,9 @@
     ///
     /// It is the first one by name that reads the store itself and got a recent answer. The lists
     /// of other relays were sent to them and do not belong to one revision. A relay that
-    /// `has_no_list` takes one of those all the same, since it can only gain. Each such relay asks
-    /// another one of those that have a recent list: after a stop of all, a hundred relays that
-    /// asked the single reader would need all of its link at once.
+    /// `has_no_list` accepts one of those as well, since any list is better than none. Such relays
+    /// are spread over all that have a recent list: when all relays start at once, a hundred of
+    /// them would saturate the link of the single reader.
     pub fn fleet_source<'a>(
         &'a self,
         own: &str,
@@ -159,7 +159,8 @@
         Some(SnapshotSource { name, address: peer.address, order: source_order(name, own) })
     }
 
-    /// Returns the relay that reads the list of replicas, which a member does not hear itself.
+    /// Returns the relay that reads the list of replicas according to a speaker's report; members
+    /// receive no messages from it.
     fn reported_reader<'a>(&'a self, own: &str, now: Millis) -> Option<SnapshotSource<'a>> {
         let reader = self.reader.as_ref().filter(|_| self.is_member);
         let (name, _) = reader.filter(|(_, at)| now.saturating_sub(*at) < PEER_TIMEOUT)?;
@@ -195,13 +196,13 @@
     /// Returns the numbers of live relays of the data centre that precede this one, and of those
     /// whose reads failed.
     pub fn preceding(&self, own: &str, data_centre: &str, now: Millis) -> PrecedingPeers {
-        let mut before = PrecedingPeers::default();
+        let mut preceding = PrecedingPeers::default();
         for peer in self.preceding_peers(own, data_centre, now) {
-            before.live += 1;
-            before.lost_config += usize::from(peer.state.config_is_lost);
-            before.lost_fleet += usize::from(peer.state.fleet_is_lost);
+            preceding.live += 1;
+            preceding.lost_config += usize::from(peer.state.config_is_lost);
+            preceding.lost_fleet += usize::from(peer.state.fleet_is_lost);
         }
-        before
+        preceding
     }
 
     /// Returns the first live peer of the data centre by name.
@@ -251,7 +252,7 @@
 impl Peer {
     /// Returns whether a reported age, advanced to now, is below [`MAX_PEER_READ_AGE`].
     fn is_recent_read(&self, reported: Option<Millis>, now: Millis) -> bool {
-        let since = self.last_heard.map(|last_heard| now.saturating_sub(last_heard));
+        let since = self.last_received.map(|received| now.saturating_sub(received));
         reported.zip(since).is_some_and(|(reported, since)| reported + since < MAX_PEER_READ_AGE)
     }
 }
--- a/crates/router/src/origin.rs
+++ b/crates/router/src/origin.rs
@@ -20,9 +20,9 @@
 /// Relays that an update is sent to.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum UpdateAudience {
-    /// Speakers, which hear the updates of other speakers from these directly.
+    /// Speakers, which receive the updates of other speakers from these directly.
     Speakers,
-    /// Members, which hear all updates from this relay.
+    /// Members, which receive all updates from this relay.
     Members,
 }
 
--- a/crates/router/src/path.rs
+++ b/crates/router/src/path.rs
@@ -40,7 +40,7 @@
 
 /// Factor of the start cost. A replica half of whose planned slots are taken costs half of it,
 /// against 0.5 for one more hop. That is more than starting in another data centre costs, so that
-/// relays which do not hear of each other in time do not all start at the same replica.
+/// relays that do not learn of each other's requests in time do not all start at the same replica.
 const SLOT_COST: f64 = 8.0;
 
 /// Cost of starting at a replica without a free slot; used if no other path is left either.
--- a/crates/router/src/placement/capacity.rs
+++ b/crates/router/src/placement/capacity.rs
@@ -21,8 +21,8 @@
 };
 
 /// Time that a token step takes for one more stage of its path, in milliseconds: on average half of
-/// a usual pass is waited for at each (measured: 15.6 ms a token over ten stages whose steps sum up
-/// to 8.1 ms).
+/// a usual pass is waited for at each (15.6 ms a token over ten stages whose steps sum up to
+/// 8.1 ms).
 const HOP_MS: f64 = 0.6;
 
 /// Least width of a path, in MB for one layer; a replica with less free memory counts as full.
@@ -66,8 +66,8 @@
     }
 
     /// Returns the score of a layout: its capacity now, and on average after the loss of one
-    /// replica. The square root of the capacity is taken, so that capacity that callers may not
-    /// need counts less.
+    /// replica. The square root of the capacity is taken, so that capacity beyond what callers need
+    /// counts less.
     pub(super) fn score(&mut self, holders: &[LayerHolder]) -> f64 {
         self.score_above(holders, 0.0).unwrap_or(0.0)
     }
--- a/crates/router/src/placement/mod.rs
+++ b/crates/router/src/placement/mod.rs
@@ -71,7 +71,8 @@
     pub range: Option<LayerRange>,
     /// Layers that it holds now.
     pub held: Option<LayerRange>,
-    /// Whether it can be given an order now: it is healthy, and no order of ours is under way.
+    /// Whether it can be given an order now: it is healthy, and no earlier order to it is under
+    /// way.
     pub can_order: bool,
 }
 
@@ -137,8 +138,8 @@
 impl PlacementReason {
     /// Returns what happens to requests that use layers to be unloaded. While there is a gap, the
     /// whole group serves no request, and the requests that an order would wait for cannot move
-    /// within the group either: a replica once waited 14 s for them before it began a load of a
-    /// second and a half.
+    /// within the group either: a replica may wait 14 s for them before it begins a load that takes
+    /// a second and a half.
     pub fn unload_mode(self) -> UnloadMode {
         match self {
             Self::Gap | Self::Move => UnloadMode::Cut,
--- a/crates/router/src/placement/search.rs
+++ b/crates/router/src/placement/search.rs
@@ -6,7 +6,7 @@
 //! layout scores higher, and at first also if it scores slightly lower.
 //!
 //! The worst case is [`SEARCH_STEPS`] evaluations of a layout, fewer for large groups: 50 ms of a
-//! fast core for 15 replicas, and half a second of an entry's share of a slow one. No request waits
+//! fast core for 15 replicas, and half a second of a relay's share of a slow one. No request waits
 //! for it.
 
 use switchfold_core::hash::hash_bytes;
--- a/crates/router/src/quarantine.rs
+++ b/crates/router/src/quarantine.rs
@@ -18,7 +18,7 @@
 //!
 //! The trade-off is the number of replicas that a request may crash: three before it is
 //! quarantined, one or two more if several requests share its crashes, plus those of sends that
-//! relays make before they hear of the quarantine. Worst case for memory: [`MAX_RECORDS`] requests
+//! relays make before they learn of the quarantine. Worst case for memory: [`MAX_RECORDS`] requests
 //! with [`MAX_RUNS`] runs each, some 600 kB. Without crashes nothing is kept.
 
 use std::{
@@ -303,7 +303,7 @@
         }
     }
 
-    /// Shares all quarantined requests for a while, after a relay has started or is heard again
+    /// Shares all quarantined requests for a while, after a relay has started or is live again
     /// after a silence.
     pub fn announce_all(&mut self, now: Millis) {
         self.share_all_until = now + SHARE_TIME;
--- a/crates/router/src/replicas.rs
+++ b/crates/router/src/replicas.rs
@@ -112,8 +112,8 @@
 /// three of their heartbeats, which are 1.2 s apart.
 const CONFIRMATION_PERIOD: Millis = 3_800;
 
-/// Listed replicas that are not added for now, since they come from a backup of the store and were
-/// gone before.
+/// Listed replicas that are not added for now, since the list comes from a restored backup and they
+/// were gone before the restore.
 #[derive(Clone, Debug, Default)]
 struct UnconfirmedUpdates {
     until: Millis,
@@ -146,7 +146,7 @@
     last_own_answer: Option<Millis>,
 }
 
-/// Number of ids that are remembered; far more than other writers leave at a time.
+/// Maximum number of ids that are kept; far more than other writers leave at a time.
 const MAX_FOREIGN_IDS: usize = 1_024;
 
 /// Listed entries that no replica wrote, so that each is reported once for each revision.
@@ -455,17 +455,19 @@
         gone.collect()
     }
 
-    /// Returns whether the store is to be read again, since entries were unconfirmed and the time for
-    /// that is over. A relay that relies on another one's reads has not heard whether they are
-    /// still listed, and may have missed it.
+    /// Returns whether the store is to be read again, since entries are unconfirmed and the time
+    /// for that is over. A relay that relies on another one's reads may have missed whether they
+    /// are still listed.
     pub fn needs_full_list(&self, now: Millis) -> bool {
         !self.unconfirmed.updates.is_empty() && now >= self.unconfirmed.until
     }
 
-    /// Returns the listed updates that end a doubt. Relays that rely on this one's reads must hear
-    /// of them at once, since unconfirmed entries are not in the digests that they compare.
+    /// Returns the updates of a list that confirm unconfirmed entries. They must be sent at once to
+    /// the relays that rely on this one's reads, since unconfirmed entries are not in the digests
+    /// that these compare.
     pub fn confirmed_by(&self, list: &FleetList, now: Millis) -> Vec<ReplicaUpdate> {
-        // The first list of another era belongs to another backup, and starts another doubt.
+        // The first list of another era belongs to another backup, and starts a new confirmation
+        // period.
         if !self.needs_full_list(now) || era_of(list.at) != era_of(self.read_up_to) {
             return Vec::new();
         }
--- a/crates/router/src/slowdown.rs
+++ b/crates/router/src/slowdown.rs
@@ -71,9 +71,9 @@
         known.map_or(1.0, |known| known.factor)
     }
 
-    /// Returns the slow engines to announce to other relays, with their factors. Only those are
-    /// announced that the audience does not learn of otherwise: two relays that repeat each other's
-    /// entries would keep them alive.
+    /// Returns the slow engines to report to other relays, with their factors: those that they
+    /// would otherwise not receive. Two relays that forwarded each other's entries would keep them
+    /// from expiring.
     pub fn shared_with(
         &self,
         audience: UpdateAudience,
--- a/crates/router/src/stall.rs
+++ b/crates/router/src/stall.rs
@@ -8,13 +8,13 @@
 //! others are not, is *stalled*: new requests start elsewhere, those that wait there are rerouted
 //! while another attempt can still be in time, and other relays are notified.
 //!
-//! This addresses replicas that hang for seconds under steady traffic. Before, each relay sent them
-//! one request after another and waited 700 ms for each, with an objective of 500 ms for the first
-//! event.
+//! This addresses replicas that hang for seconds under steady traffic. Without it, each relay sends
+//! them one request after another and waits 700 ms for each, with an objective of 500 ms for the
+//! first event.
 //!
 //! Once the suspicion ends, the relay that detected the stall sends a single trial request. Other
-//! relays keep away for [`TRIAL_GRACE`] longer, so that they learn its outcome first. The duration
-//! doubles each time, as with other suspicions.
+//! relays avoid the replica for [`TRIAL_GRACE`] longer, so that they learn its outcome first. The
+//! duration doubles each time, as with other suspicions.
 //!
 //! Worst case: responses take longer than usual everywhere at once, as in an overload. Then most
 //! first replicas with waiting requests are silent together, which says nothing about any one of
@@ -37,7 +37,7 @@
 
 /// Minimum silence of a stall, as a percentage of the objective: 300 ms of 500 ms. An attempt at
 /// another replica usually takes 60 to 115 ms. At 150 ms, first replicas that had only taken over
-/// the load of a lost one were found stalled, and in one second 47 requests moved from them to
+/// the load of a lost one were found stalled: within a second, 47 requests moved from them to
 /// others that were just as loaded.
 const MIN_SILENCE_PERCENT: Millis = 60;
 
@@ -59,8 +59,9 @@
 /// to count as a stall. A single silent one always counts.
 const MAX_SILENT_ONE_IN: usize = 3;
 
-/// Time for which other relays keep away after the suspicion ends, in milliseconds. It covers the
-/// trial request, until its response starts or it is rerouted, and the notification of the outcome.
+/// Time for which other relays avoid a replica after the suspicion ends, in milliseconds. It covers
+/// the trial request, until its response starts or it is rerouted, and the notification of the
+/// outcome.
 pub const TRIAL_GRACE: Millis = 600;
 
 /// Requests of this relay that wait at one first replica.
@@ -210,8 +211,8 @@
     }
 
     /// Returns the stalls to send to other relays, with the time in milliseconds for which they
-    /// should keep away: those that this relay detected, and those of other relays that they would
-    /// otherwise not receive.
+    /// should avoid the replica: those that this relay detected, and those of other relays that
+    /// they would otherwise not receive.
     pub fn shared_with(
         &self,
         audience: UpdateAudience,
--- a/crates/router/src/suspect.rs
+++ b/crates/router/src/suspect.rs
@@ -20,7 +20,7 @@
 pub const MAX_SUSPICION_TIME: Millis = 8_000;
 
 /// Remaining time below which a suspicion is no longer shared, in milliseconds. Other relays have
-/// heard of it before; a message that arrives after the suspicion expired there would start it
+/// received it before; a message that arrives after the suspicion expired there would start it
 /// anew.
 const MIN_SHARED_TIME: Millis = 200;
 
@@ -99,8 +99,8 @@
 
     /// Returns the suspicions in force for failures that this relay observed itself, like
     /// [`SuspectList::current`]. Suspicions of other relays are left out: each transit takes time,
-    /// so relays that repeated each other's suspicions would prolong them beyond what any of them
-    /// intended.
+    /// so relays that forwarded each other's suspicions would prolong them beyond the duration that
+    /// any of them chose.
     pub fn local(&self, now: Millis) -> impl Iterator<Item = (&ReplicaInstance, Millis)> {
         self.current(now).filter(move |(instance, _)| self.is_local(instance, now))
     }
