--- a/crates/router/benches/gossip.rs
+++ b/crates/router/benches/gossip.rs
@@ -11,10 +11,11 @@
 
 use gossip_model::{Fault, Scenario, run_scenario};
 
-/// Numbers of relays and data centres.
+/// Numbers of relays and data centres of each simulated fleet.
 const FLEETS: [(usize, usize); 7] =
     [(21, 3), (103, 5), (200, 5), (437, 5), (874, 5), (874, 12), (2_000, 12)];
 
+/// Time at which a relay finds a replica failed, in milliseconds.
 const FAULT_TIME: u64 = 6_000;
 
 fn print_scenarios() {
@@ -27,7 +28,7 @@
         known.sort_unstable();
         let (half, last) = (known[known.len() / 2], known[known.len() - 1]);
         println!(
-            "{relays:5} relays in {data_centres:2} data centres: busiest member {:4.0}, busiest speaker {:4.0} messages a second; a loss known after {half} ms (half), {last} ms ({} of {relays}); load misjudged by {:.2} at worst",
+            "{relays:5} relays in {data_centres:2} data centres: busiest member {:4.0}, busiest speaker {:4.0} messages per second; a failure known to half after {half} ms, to the last after {last} ms ({} of {relays} informed); reservations misestimated by {:.2} at worst",
             outcome.busiest(true),
             outcome.busiest(false),
             known.len(),
--- a/crates/router/benches/plans.rs
+++ b/crates/router/benches/plans.rs
@@ -143,8 +143,8 @@
 }
 
 /// Looks up whether each of 3,000 replicas asked this VM to back off, as each choice of a path
-/// does, with none, one or a third of them asking. It takes 7 us, 65 us and 69 us of a core,
-/// measured while a fault search was running; reading the reservations above takes 67 us.
+/// does, with none, one or a third of them asking. It takes 7 us, 65 us and 69 us of a busy core;
+/// reading the reservations above takes 67 us.
 fn backoffs(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("held_back");
     let instances: Vec<ReplicaInstance> =
@@ -202,12 +202,12 @@
         kind: "small".to_owned(),
         layers: Some(LayerRange { from: 0, to: 8 }),
     };
-    let news = |number: u32| ReplicaUpdate {
+    let replica_update = |number: u32| ReplicaUpdate {
         id: format!("i-{number:010x}"),
         revision: u64::from(number),
         entry: Some(entry(number)),
     };
-    let listed: Vec<ReplicaUpdate> = (0..3_000).map(news).collect();
+    let listed: Vec<ReplicaUpdate> = (0..3_000).map(replica_update).collect();
     let mut fleet = FleetTracker::default();
     fleet.apply_list(FleetList { listed: listed.clone(), at: 4_000 }, UpdateSource::List, 0, 0);
     criterion.bench_function("take_list/3000 replicas", |bencher| {
--- a/crates/router/tests/fleets.rs
+++ b/crates/router/tests/fleets.rs
@@ -131,8 +131,8 @@
     }
 }
 
-/// Ids of a few bytes at neighbouring revisions do not cancel each other in the digest, as random
-/// scenarios once showed.
+/// Entries with ids of a few bytes at adjacent revisions do not cancel each other in the digest.
+/// Random scenarios found such pairs in an earlier digest.
 #[test]
 fn short_ids_do_not_cancel_each_other() {
     let mut fleet = FleetView::default();
--- a/crates/router/tests/gossip_model/mod.rs
+++ b/crates/router/tests/gossip_model/mod.rs
@@ -26,7 +26,8 @@
 const ROUND: Millis = 200;
 const REPLICAS: usize = 40;
 
-/// Time for which a request holds its reservation, and requests a second of each relay.
+/// Time for which a request holds its reservation, in milliseconds, and requests per second of each
+/// relay.
 const HOLD_TIME: Millis = 3_000;
 const REQUESTS: f64 = 0.5;
 
@@ -34,9 +35,9 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Fault {
     /// The first relays of each data centre, and a percentage of the others, stop for good.
-    Stop { first: usize, hundredths: usize },
-    /// Data centres do not hear each other for this time.
-    Partition { lasts: Millis },
+    Stop { first: usize, percent: usize },
+    /// Messages between data centres are lost for this time, in milliseconds.
+    Partition { duration: Millis },
     /// A relay finds a replica failed.
     Suspect { relay: usize },
 }
@@ -101,7 +102,7 @@
     /// When each relay first avoided the suspected replica, and when it last did.
     pub(crate) first_avoided: BTreeMap<usize, Millis>,
     pub(crate) last_avoided: BTreeMap<usize, Millis>,
-    /// Part of the reservations that each running relay estimated wrongly at the end, over all
+    /// Fraction of the reservations that each running relay estimated wrongly at the end, over all
     /// replicas.
     pub(crate) misestimated: Vec<f64>,
     /// Relay that each running relay took for the coordinator of a replica's limit at the end.
@@ -212,10 +213,10 @@
 
     fn inject_fault(&mut self, fault: Fault, now: Millis) {
         match fault {
-            Fault::Stop { first, hundredths } => {
+            Fault::Stop { first, percent } => {
                 for relay in 0..self.scenario.relays {
                     let is_first = relay / self.scenario.data_centres < first;
-                    if !is_first && self.random.random_range(0..100) >= hundredths {
+                    if !is_first && self.random.random_range(0..100) >= percent {
                         continue;
                     }
                     self.relays[relay].is_stopped = true;
@@ -225,7 +226,7 @@
                     }
                 }
             }
-            Fault::Partition { lasts } => self.partitioned_until = now + lasts,
+            Fault::Partition { duration } => self.partitioned_until = now + duration,
             Fault::Suspect { relay } => {
                 self.relays[relay].suspects.record_failure(&instance(0), now);
                 self.record_avoidance(relay, now);
@@ -249,7 +250,7 @@
         own.plan = own.peers.plan_gossip(&own.name, &own.data_centre, now);
         if was_member && !own.plan.is_member {
             own.reservations.clear_sums();
-            self.greet_all(relay, now);
+            self.announce_to_all(relay, now);
         }
         self.send_state(relay, now, |_, link| match link {
             GossipLink::Near => true,
@@ -258,7 +259,7 @@
         });
     }
 
-    fn greet_all(&mut self, relay: usize, now: Millis) {
+    fn announce_to_all(&mut self, relay: usize, now: Millis) {
         for to in (0..self.scenario.relays).filter(|to| *to != relay) {
             let name = self.relays[to].name.clone();
             let peer = GossipPeer { name, address: address(to), link: GossipLink::Near };
@@ -310,7 +311,7 @@
             is_member: own.plan.is_member,
             coordinators,
             load,
-            suspects: suspects.map(|(instance, left)| (instance.clone(), left)).collect(),
+            suspects: suspects.map(|(instance, remaining)| (instance.clone(), remaining)).collect(),
         }
     }
 
@@ -353,9 +354,9 @@
         let origin =
             if report == ReportKind::None { UpdateOrigin::Peer } else { UpdateOrigin::Member };
         let mut is_new = false;
-        for (instance, left) in &message.suspects {
+        for (instance, remaining) in &message.suspects {
             if !own.suspects.is_suspect(instance, now) {
-                own.suspects.merge_peer(instance, now + left, origin);
+                own.suspects.merge_peer(instance, now + remaining, origin);
                 is_new = true;
             }
         }
@@ -396,7 +397,7 @@
 }
 
 impl Outcome {
-    /// Returns the messages a second of the busiest running relay, among the members or the
+    /// Returns the messages per second of the busiest running relay, among the members or the
     /// speakers.
     pub(crate) fn busiest(&self, members: bool) -> f64 {
         let running = (0..self.message_counts.len()).filter(|relay| self.is_running[*relay]);
--- a/crates/router/tests/interleavings.rs
+++ b/crates/router/tests/interleavings.rs
@@ -36,8 +36,8 @@
     ]
 }
 
-/// Time of a fault or change: anywhere, or close to another fault, since the failures that matter
-/// need several at once.
+/// Time of a fault or change: anywhere, or close to another fault, since most failures need several
+/// faults at once.
 #[derive(Clone, Copy, Debug)]
 enum FaultTime {
     Any(u64),
@@ -59,8 +59,9 @@
 }
 
 impl FaultTime {
-    /// Returns the start of something that lasts for `lasts`, given the faults before it.
-    fn resolve(self, lasts: u64, before: &[Timed<Fault>]) -> u64 {
+    /// Returns the start of a fault or change of `duration` milliseconds, given the faults before
+    /// it.
+    fn resolve(self, duration: u64, before: &[Timed<Fault>]) -> u64 {
         const HALF: u64 = 600;
         let earliest = 3_100;
         let at = match self {
@@ -69,7 +70,7 @@
             FaultTime::NearStart(which, offset) => which.get(before).at + offset - HALF,
             FaultTime::NearEnd(which, offset) => {
                 let other = which.get(before);
-                (other.at + other.lasts + offset).saturating_sub(lasts + HALF)
+                (other.at + other.duration + offset).saturating_sub(duration + HALF)
             }
         };
         at.max(earliest)
@@ -81,13 +82,13 @@
     let changes = prop::collection::vec((time(), change()), 1..8);
     (faults, changes).prop_map(|(drawn, changes)| {
         let mut faults: Vec<Timed<Fault>> = Vec::new();
-        for (time, lasts, what) in drawn {
-            let at = time.resolve(lasts, &faults);
-            faults.push(Timed { at, lasts, what });
+        for (time, duration, what) in drawn {
+            let at = time.resolve(duration, &faults);
+            faults.push(Timed { at, duration, what });
         }
         let changes = changes.into_iter().map(|(time, what)| Timed {
             at: time.resolve(0, &faults),
-            lasts: 0,
+            duration: 0,
             what,
         });
         Scenario { changes: changes.collect(), faults, length: SCENARIO_LENGTH }
@@ -98,8 +99,9 @@
 fn scenario_with_restores() -> impl Strategy<Value = Scenario> {
     let restore = (3_500..SCENARIO_LENGTH - 6_000, 50..2_500_u64, 0..10_000_u64);
     (scenario(), prop::collection::vec(restore, 1..3)).prop_map(|(mut scenario, restores)| {
-        let restores =
-            restores.into_iter().map(|(at, lasts, age)| timed(at, lasts, Fault::Restore { age }));
+        let restores = restores
+            .into_iter()
+            .map(|(at, duration, age)| timed(at, duration, Fault::Restore { age }));
         scenario.faults.extend(restores);
         scenario
     })
@@ -143,8 +145,8 @@
     }
 }
 
-fn timed<T>(at: u64, lasts: u64, what: T) -> Timed<T> {
-    Timed { at, lasts, what }
+fn timed<T>(at: u64, duration: u64, what: T) -> Timed<T> {
+    Timed { at, duration, what }
 }
 
 #[test]
@@ -160,7 +162,7 @@
 }
 
 /// An incident that users reported, with its own times: a relay alone in its data centre does not
-/// hear that a replica leaves, since the store rejects its calls; then the store is down for all,
+/// learn that a replica leaves, since the store rejects its calls; then the store is down for all,
 /// and the entry expires. Back in contact at 20.06 s, the relay must not use the entry from before.
 #[test]
 fn a_leaving_replica_is_not_missed_behind_an_expired_entry() {
@@ -191,7 +193,7 @@
 }
 
 /// A replica announces its leaving while another writer's entry has replaced its own, no relay of a
-/// data centre hears of it, and the store is restored from an earlier backup once the replica has
+/// data centre learns of it, and the store is restored from an earlier backup once the replica has
 /// ended.
 #[test]
 fn a_leaving_replica_is_not_used_after_a_restore() {
@@ -252,10 +254,10 @@
 }
 
 /// An entry that has ended is contained in a backup and expires while the relay that reads the
-/// store is paused. Another relay, which relies on that one's reads, doubts the entry and must not
-/// add it again without a read.
+/// store is paused. Another relay, which relies on that one's reads, has set the entry aside as
+/// unconfirmed and must not add it again without a read.
 #[test]
-fn a_doubted_entry_expires_unnoticed() {
+fn an_unconfirmed_entry_expires_unnoticed() {
     let faults = vec![
         timed(6_000, 1_241, Fault::Outage { silent: true }),
         timed(9_001, 2_137, Fault::Paused { relay: 0 }),
--- a/crates/router/tests/membership.rs
+++ b/crates/router/tests/membership.rs
@@ -113,7 +113,7 @@
 }
 
 /// Replaced VMs do not hold shares of the retry budget for ever. A peer that was only added, and
-/// not heard yet, expires as late as one that was heard at that moment.
+/// has sent no message yet, expires as late as one whose message arrived at that moment.
 #[test]
 fn silent_relays_expire() {
     let mut table = table(&[("a", "x"), ("b", "x")], 1_000);
@@ -143,7 +143,10 @@
     let mut old = table(&[("b", "north")], all_lost);
     let state = PeerState { config_age: Some(REDIRECT_AGE), ..PeerState::default() };
     old.record_message("b", state, PeerStamp::default(), all_lost);
-    assert!(!old.should_redirect(REDIRECT_AGE + 100, true, all_lost), "nobody has the store");
+    assert!(
+        !old.should_redirect(REDIRECT_AGE + 100, true, all_lost),
+        "no relay has a younger proof"
+    );
     let silent = now + PEER_TIMEOUT;
     assert!(peers.should_redirect(REDIRECT_AGE_LOST, true, silent), "it is cut off from all");
     assert!(!peers.should_redirect(REDIRECT_AGE, false, silent), "the store answers it");
@@ -164,14 +167,14 @@
     peers.record_answers(Some(now), Some(now));
     peers.record_message("a", lost(false, true), PeerStamp::default(), now);
     assert!(!peers.config_read_by_peer("c", "x", 3, now));
-    assert!(peers.fleet_read_by_peer("c", "x", now), "each kind is followed for itself");
+    assert!(peers.fleet_read_by_peer("c", "x", now), "each kind is read separately");
     peers.record_message("a", lost(true, false), PeerStamp::default(), now);
     assert!(!peers.fleet_read_by_peer("c", "x", now));
     assert!(peers.config_read_by_peer("c", "x", 3, now));
     let next = "b";
     peers.upsert(next, "10.0.0.2:7000".parse().expect("address"), "x", now);
     peers.record_message(next, lost(false, false), PeerStamp::default(), now);
-    assert!(peers.fleet_read_by_peer("c", "x", now), "the next one follows");
+    assert!(peers.fleet_read_by_peer("c", "x", now), "the next relay reads");
 }
 
 /// A message that arrives after a later one does not bring back the sender's earlier state.
--- a/crates/router/tests/model/mod.rs
+++ b/crates/router/tests/model/mod.rs
@@ -122,8 +122,8 @@
 pub(crate) struct Timed<T> {
     /// When it starts.
     pub(crate) at: Millis,
-    /// How long it lasts; 0 for a change.
-    pub(crate) lasts: Millis,
+    /// Duration in milliseconds; 0 for a change.
+    pub(crate) duration: Millis,
     /// What happens.
     pub(crate) what: T,
 }
@@ -146,10 +146,10 @@
 }
 
 impl ActiveFaults<'_> {
-    fn any(&self, since: Millis, is_it: impl Fn(Fault) -> bool) -> bool {
+    fn any(&self, since: Millis, matches_fault: impl Fn(Fault) -> bool) -> bool {
         self.faults.iter().any(|one| {
-            let lasts = if one.what == Fault::Compaction { 1_000 } else { one.lasts };
-            is_it(one.what) && one.at <= self.now && self.now < one.at + lasts + since
+            let duration = if one.what == Fault::Compaction { 1_000 } else { one.duration };
+            matches_fault(one.what) && one.at <= self.now && self.now < one.at + duration + since
         })
     }
 
@@ -244,7 +244,7 @@
     expires_at: [Option<Millis>; REPLICAS],
     /// When that entry expired.
     expired_at: [Option<Millis>; REPLICAS],
-    /// Which relays knew that a replica had left.
+    /// Which relays have known that a replica left.
     knew: [[bool; REPLICAS]; RELAYS.len()],
     /// When the operator writes the newest version again.
     config_rewrite_at: Option<Millis>,
@@ -309,7 +309,7 @@
     /// Takes backups of the store, and restores it from them.
     fn update_backups(&mut self, active: &ActiveFaults<'_>) {
         let now = active.now;
-        let ends = |one: &&Timed<Fault>| now / TICK == (one.at + one.lasts) / TICK;
+        let ends = |one: &&Timed<Fault>| now / TICK == (one.at + one.duration) / TICK;
         for one in self.scenario.faults.iter().filter(ends) {
             let Fault::Restore { age } = one.what else { continue };
             let is_old = |backup: &&(Millis, ModelStore)| backup.0 + age <= one.at;
@@ -444,20 +444,21 @@
     fn expire_entries(&mut self, active: &ActiveFaults<'_>) {
         let now = active.now;
         for one in active.faults.iter().filter(|one| matches!(one.what, Fault::Outage { .. })) {
-            let end = one.at + one.lasts;
-            if one.lasts > ENTRY_TTL && now / TICK == (one.at + ENTRY_TTL) / TICK {
+            let end = one.at + one.duration;
+            if one.duration > ENTRY_TTL && now / TICK == (one.at + ENTRY_TTL) / TICK {
                 for number in 0..REPLICAS {
                     // Some are written again soon, some late. Leaving replicas need not write
                     // theirs again, and a removed one writes nothing, even if a backup of the store
                     // contains it.
                     let rewritten_at =
                         end + REWRITE_TIME * (number as Millis * 2 + 1) / (2 * REPLICAS as Millis);
-                    let may_be_away =
+                    let may_stay_absent =
                         self.leaving_since[number].is_some() && number.is_multiple_of(2);
-                    let is_away = may_be_away || self.removed[number];
+                    let stays_absent = may_stay_absent || self.removed[number];
                     let is_rewritten =
                         self.store.remove(number) || self.rewrite_at[number].is_some();
-                    self.rewrite_at[number] = (is_rewritten && !is_away).then_some(rewritten_at);
+                    self.rewrite_at[number] =
+                        (is_rewritten && !stays_absent).then_some(rewritten_at);
                 }
             }
         }
@@ -478,14 +479,14 @@
         }
     }
 
-    /// Returns whether no one can tell a relay that a replica left: the replica has ended, and a
-    /// backup from before its leaving lists it until its heartbeats are missed. A relay that once
-    /// knew must not forget it.
+    /// Returns whether a relay has no source for the fact that a replica left: the replica has
+    /// ended, and a backup from before its leaving lists it until its heartbeats are missed. A
+    /// relay that has known it must not lose that.
     fn cannot_know(&self, relay: usize, number: usize, now: Millis) -> bool {
         let is_due = |at: Millis| now <= at + BOUND;
-        let names =
+        let may_be_listed =
             self.expires_at[number].is_some() || self.expired_at[number].is_some_and(is_due);
-        names && !self.knew[relay][number]
+        may_be_listed && !self.knew[relay][number]
     }
 
     fn check(&self, active: &ActiveFaults<'_>, violations: &mut Violations) {
@@ -567,10 +568,10 @@
         relay: &ModelRelay,
         violations: &mut Violations,
     ) {
-        let calm = !active.any(CONTACT + BOUND, |_| true);
+        let is_undisturbed = !active.any(CONTACT + BOUND, |_| true);
         for number in (0..REPLICAS).filter(|number| self.leaving_since[*number].is_none()) {
-            let calm = calm && active.now > self.foreign_until[number] + BOUND;
-            if calm && active.now > CONTACT + BOUND && !relay.offers(number) {
+            let is_undisturbed = is_undisturbed && active.now > self.foreign_until[number] + BOUND;
+            if is_undisturbed && active.now > CONTACT + BOUND && !relay.offers(number) {
                 violations.missing.push(format!(
                     "{} lacks i-{number} at {}",
                     relay.name(),
--- a/crates/router/tests/model/relay.rs
+++ b/crates/router/tests/model/relay.rs
@@ -31,7 +31,7 @@
 /// and below the silence after which a peer no longer counts as live.
 const LATE_MESSAGE_DELAY: Millis = 420;
 
-/// Timeout of a request to a neighbour, in milliseconds.
+/// Timeout of a request to a peer, in milliseconds.
 const ASK_TIMEOUT: Millis = 300;
 
 /// A message to a relay.
@@ -46,13 +46,13 @@
 
 #[derive(Clone, Debug)]
 enum Body {
-    /// A request for a neighbour's snapshot; `asked` is returned with the response.
+    /// A request for a peer's snapshot; `asked` is returned with the response.
     Request {
         kind: Kind,
         asked: Millis,
         held: u64,
     },
-    /// The neighbour's snapshot, if it can provide one.
+    /// The peer's snapshot, if it can provide one.
     Snapshot {
         kind: Kind,
         asked: Millis,
@@ -72,7 +72,7 @@
     pub(crate) messages: &'a mut Vec<Message>,
 }
 
-/// A snapshot of what a neighbour read.
+/// A snapshot of what a peer read.
 #[derive(Clone, Debug)]
 struct ModelSnapshot {
     at: u64,
@@ -88,7 +88,7 @@
     follower: StoreFollower<ChaCha8Rng>,
     idle_until: Millis,
     call: Option<Call>,
-    /// When a neighbour was asked that has not responded yet.
+    /// When a peer was asked that has not responded yet.
     asked: Option<Millis>,
 }
 
@@ -291,7 +291,7 @@
         self.send(to, Body::Request { kind, asked: now, held }, messages, now);
     }
 
-    /// Returns its snapshot for a neighbour whose state has the digest or version `held`.
+    /// Returns its snapshot for a peer whose state has the digest or version `held`.
     fn snapshot(&self, kind: Kind, held: u64, now: Millis) -> Option<ModelSnapshot> {
         match kind {
             Kind::Config => Some(ModelSnapshot {
--- a/crates/router/tests/outages.rs
+++ b/crates/router/tests/outages.rs
@@ -15,8 +15,8 @@
 /// Step of the clock, and time from a call to its answer, in milliseconds.
 const TICK: Millis = 5;
 
-/// Delay after which a relay hears the state of another one, in milliseconds.
-const HEAR_DELAY: Millis = 10;
+/// Delay of a message with a relay's state, in milliseconds.
+const MESSAGE_DELAY: Millis = 10;
 
 /// Time of the outage, in milliseconds.
 const OUTAGE: std::ops::Range<Millis> = 10_000..18_000;
@@ -31,16 +31,16 @@
 struct KindState {
     follower: StoreFollower<ChaCha8Rng>,
     idle_until: Millis,
-    /// When the store last answered this relay, or one that passed its state on.
+    /// When the store last answered this relay, or one whose proof or snapshot this relay received.
     answered: Option<Millis>,
     last_read: Option<Millis>,
     is_lost: bool,
     calls: u32,
 }
 
-/// State of a relay as others hear it.
+/// State of a relay as it reports it to others.
 #[derive(Clone, Copy, Default)]
-struct HeardState {
+struct ReportedState {
     last_read: Option<Millis>,
     is_lost: bool,
 }
@@ -48,7 +48,8 @@
 /// Relays that follow two kinds of object.
 struct DataCentre {
     relays: Vec<[KindState; 2]>,
-    heard: Vec<(Millis, Vec<[HeardState; 2]>)>,
+    /// States of all relays, with the time at which they were sent.
+    reports: Vec<(Millis, Vec<[ReportedState; 2]>)>,
 }
 
 impl DataCentre {
@@ -66,17 +67,17 @@
         };
         let relay =
             |number| [kind(2 * number, CONFIG_TIMINGS), kind(2 * number + 1, REPLICA_TIMINGS)];
-        Self { relays: (0..count).map(relay).collect(), heard: Vec::new() }
+        Self { relays: (0..count).map(relay).collect(), reports: Vec::new() }
     }
 
     fn inputs(&self, relay: usize, kind: usize, now: Millis) -> FollowInputs {
-        let heard = self.heard.iter().rev().find(|(at, _)| at + HEAR_DELAY <= now);
-        let Some((_, heard)) = heard else { return FollowInputs::default() };
+        let reports = self.reports.iter().rev().find(|(at, _)| at + MESSAGE_DELAY <= now);
+        let Some((_, reports)) = reports else { return FollowInputs::default() };
         let is_reader = |other: &usize| {
-            let HeardState { last_read, is_lost } = heard[*other][kind];
+            let ReportedState { last_read, is_lost } = reports[*other][kind];
             !is_lost && last_read.is_some_and(|at| now - at < 1_600)
         };
-        let source = (0..heard.len()).filter(|other| *other != relay).find(is_reader);
+        let source = (0..reports.len()).filter(|other| *other != relay).find(is_reader);
         let order = |other| if other < relay { SourceOrder::Before } else { SourceOrder::After };
         let answered = self.relays[relay][kind].answered;
         FollowInputs {
@@ -86,7 +87,7 @@
             source: source.map(order),
             preceding: relay,
             needs_full_list: false,
-            preceding_lost: heard[..relay].iter().filter(|state| state[kind].is_lost).count(),
+            preceding_lost: reports[..relay].iter().filter(|state| state[kind].is_lost).count(),
             is_retried_elsewhere: kind == 1 && self.relays[relay][0].is_lost,
         }
     }
@@ -97,13 +98,13 @@
                 self.step_one(relay, kind, now);
             }
         }
-        let said = self.relays.iter().map(|kinds| {
-            [0, 1].map(|kind| HeardState {
+        let reported = self.relays.iter().map(|kinds| {
+            [0, 1].map(|kind| ReportedState {
                 last_read: kinds[kind].last_read,
                 is_lost: kinds[kind].is_lost,
             })
         });
-        self.heard.push((now, said.collect()));
+        self.reports.push((now, reported.collect()));
     }
 
     fn step_one(&mut self, relay: usize, kind: usize, now: Millis) {
@@ -170,8 +171,8 @@
                 }
                 now += TICK;
             }
-            let took = all_known_at.expect("all know in the end") - OUTAGE.end;
-            assert!(took <= 500, "{count} relays: {took} ms until all know");
+            let took = all_known_at.expect("all relays know the state") - OUTAGE.end;
+            assert!(took <= 500, "{count} relays: {took} ms until all know the state");
         }
     }
 }
--- a/crates/router/tests/paths.rs
+++ b/crates/router/tests/paths.rs
@@ -61,7 +61,7 @@
 }
 
 /// Guards against overloading a cheap first replica while half of the large ones are lost. The
-/// load: 324 requests per second over 20 relays. Each request runs for 1.5 s, and relays hear of
+/// load: 324 requests per second over 20 relays. Each request runs for 1.5 s, and relays learn of
 /// the others' requests after 0.3 s on average. One of the three remaining first replicas is far
 /// cheaper than the others; together they have 576 slots.
 #[test]
@@ -97,9 +97,9 @@
 fn no_path_starts_at_a_replica_without_free_slots() {
     let mut full = offer(0, 0, LAYERS, 0, 0.1);
     full.start_cost = start_cost(192.0, 192);
-    let dear = offer(1, 0, LAYERS, 1, 2.0);
+    let costly = offer(1, 0, LAYERS, 1, 2.0);
     let costs = PathCosts::default();
-    let path = choose_path(&request(), &[full.clone(), dear], &costs).expect("a path");
+    let path = choose_path(&request(), &[full.clone(), costly], &costs).expect("a path");
     assert_eq!(path[0].instance.id(), "r1");
     assert_eq!(choose_path(&request(), &[full.clone()], &costs), None);
     // A request that runs there continues there.
--- a/crates/router/tests/stalls.rs
+++ b/crates/router/tests/stalls.rs
@@ -117,7 +117,7 @@
 const HANGING: Load =
     Load { replicas: 12, hanging: 2, hangs: 2_000..8_500, slow: 1.0, length: 12_000 };
 
-/// With a time-out per request alone, every request sent to a hanging replica was late. With stall
+/// With only a timeout per request, every request sent to a hanging replica is late. With stall
 /// detection few requests are sent there, and those are rerouted in time.
 #[test]
 fn a_hanging_replica_makes_no_request_late() {
@@ -148,8 +148,8 @@
     }
 }
 
-/// Only the relay that detected a stall sends trial requests, one at a time; other relays keep away
-/// until they learn the outcome.
+/// Only the relay that detected a stall sends trial requests, one at a time; other relays avoid the
+/// replica until they learn the outcome.
 #[test]
 fn a_stalled_replica_gets_one_trial_request() {
     let instance = ReplicaInstance::new("i-1", 0);
@@ -173,7 +173,7 @@
     local.record_sent(&instance, end);
     assert!(
         local.is_stalled(&instance, end + 1),
-        "while one trial runs, the next request keeps away"
+        "while one trial runs, the next request avoids the replica"
     );
     assert!(peer.is_stalled(&instance, end + 1));
     assert!(local.record_response(&instance, Some(70), end + 70), "the replica has recovered");
--- a/crates/router/tests/state.rs
+++ b/crates/router/tests/state.rs
@@ -35,7 +35,7 @@
 }
 
 proptest! {
-    /// For any sequence of requests and retries, all entries together stay within the bound in any
+    /// For any sequence of requests and retries, all relays together stay within the bound in any
     /// window.
     #[test]
     fn retries_stay_within_the_budget(
@@ -45,14 +45,14 @@
         let mut now = 0;
         let mut requests: Vec<u64> = Vec::new();
         let mut retries: Vec<u64> = Vec::new();
-        for (entry, wait, arrivals, wanted) in steps {
+        for (relay, wait, arrivals, wanted) in steps {
             now += wait;
             for _ in 0..arrivals {
-                budgets[entry].record_request(now);
+                budgets[relay].record_request(now);
                 requests.push(now);
             }
             for _ in 0..wanted {
-                if budgets[entry].spend(&BUDGET, 4, now) {
+                if budgets[relay].spend(&BUDGET, 4, now) {
                     retries.push(now);
                 }
             }
@@ -60,31 +60,31 @@
         prop_assert!(is_within_budget(&requests, &retries));
     }
 
-    /// The same with entries that restart, at most twice in a window, and lose count of what they
-    /// spent. A search for failures found 842 retries where 835 were allowed, with 21 entries
-    /// restarted in turn.
+    /// The same with relays that restart, at most twice in a window, and lose count of what they
+    /// spent. A fault search found 842 retries where 835 were allowed, with 21 relays restarted in
+    /// turn.
     #[test]
     fn retries_stay_within_the_budget_over_restarts(
         steps in prop::collection::vec((0usize..4, 0u64..400, 0u32..4, 0u32..60, 0u8..12), 1..200)
     ) {
-        let begun_long_ago = 0;
-        let mut budgets: Vec<RetryBudget> = vec![RetryBudget::starting_at(begun_long_ago); 4];
+        let started_long_ago = 0;
+        let mut budgets: Vec<RetryBudget> = vec![RetryBudget::starting_at(started_long_ago); 4];
         let mut restarts: Vec<Vec<u64>> = vec![Vec::new(); 4];
         let mut now = BUDGET.window;
         let (mut requests, mut retries): (Vec<u64>, Vec<u64>) = (Vec::new(), Vec::new());
-        for (entry, wait, arrivals, wanted, draw) in steps {
+        for (relay, wait, arrivals, wanted, draw) in steps {
             now += wait;
-            let lately = restarts[entry].iter().filter(|at| **at + BUDGET.window > now).count();
-            if draw == 0 && lately < 2 {
-                budgets[entry] = RetryBudget::starting_at(now);
-                restarts[entry].push(now);
+            let recent_restarts = restarts[relay].iter().filter(|at| **at + BUDGET.window > now).count();
+            if draw == 0 && recent_restarts < 2 {
+                budgets[relay] = RetryBudget::starting_at(now);
+                restarts[relay].push(now);
             }
             for _ in 0..arrivals {
-                budgets[entry].record_request(now);
+                budgets[relay].record_request(now);
                 requests.push(now);
             }
             for _ in 0..wanted {
-                if budgets[entry].spend(&BUDGET, 4, now) {
+                if budgets[relay].spend(&BUDGET, 4, now) {
                     retries.push(now);
                 }
             }
@@ -136,7 +136,7 @@
 }
 
 proptest! {
-    /// For any sequence of updates, the sums are those of the latest values of each entry that are
+    /// For any sequence of updates, the sums are those of the latest values of each relay that are
     /// not too old.
     #[test]
     fn reservation_sums_match_the_reported_values(
@@ -144,13 +144,13 @@
     ) {
         let instances = ["a", "b", "c"].map(instance);
         let mut ledger = ReservationLedger::default();
-        let mut heard: HashMap<usize, (u64, HashMap<ReplicaInstance, f64>)> = HashMap::new();
+        let mut peer_reports: HashMap<usize, (u64, HashMap<ReplicaInstance, f64>)> = HashMap::new();
         let mut own: Vec<(usize, f64)> = Vec::new();
         let mut now = 0;
-        for (who, wait, figures) in steps {
+        for (relay, wait, amounts) in steps {
             now += wait;
-            if who == 0 {
-                match figures.first() {
+            if relay == 0 {
+                match amounts.first() {
                     Some((which, amount)) => {
                         own.push((*which, f64::from(*amount)));
                         ledger.reserve(&instances[*which], f64::from(*amount));
@@ -159,15 +159,15 @@
                 }
             } else {
                 let reported: HashMap<ReplicaInstance, f64> =
-                    figures.iter().map(|(which, amount)| (instances[*which].clone(), f64::from(*amount))).collect();
-                ledger.merge_peer(&who.to_string(), reported.clone(), now);
-                heard.insert(who, (now, reported));
+                    amounts.iter().map(|(which, amount)| (instances[*which].clone(), f64::from(*amount))).collect();
+                ledger.merge_peer(&relay.to_string(), reported.clone(), now);
+                peer_reports.insert(relay, (now, reported));
             }
             ledger.expire(now);
-            heard.retain(|_, (at, _)| now - *at < PEER_MAX_AGE);
+            peer_reports.retain(|_, (at, _)| now - *at < PEER_MAX_AGE);
             for (which, instance) in instances.iter().enumerate() {
                 let own: f64 = own.iter().filter(|(own, _)| *own == which).map(|(_, amount)| amount).sum();
-                let others: f64 = heard.values().filter_map(|(_, reported)| reported.get(instance)).sum();
+                let others: f64 = peer_reports.values().filter_map(|(_, reported)| reported.get(instance)).sum();
                 prop_assert_eq!(ledger.reserved(instance), own + others);
             }
         }
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn reservations_add_up_over_entries_and_expire() {
+fn reservations_add_up_over_relays_and_expire() {
     let mut ledger = ReservationLedger::default();
     ledger.reserve(&instance("a"), 100.0);
     ledger.merge_peer("peer", HashMap::from([(instance("a"), 50.0)]), 1_000);
@@ -201,23 +201,23 @@
 }
 
 proptest! {
-    /// For any sequence of requests, all entries together use no more bandwidth than there is,
+    /// For any sequence of requests, all relays together use no more bandwidth than there is,
     /// except for what each may use in advance.
     #[test]
     fn bandwidth_is_not_exceeded(
         steps in prop::collection::vec((0usize..4, 0u64..60, 1f64..80.0), 1..200)
     ) {
-        const ENTRIES: usize = 4;
+        const RELAYS: usize = 4;
         const IN_ADVANCE: f64 = 250.0;
-        let mut shares = vec![BandwidthShare::default(); ENTRIES];
+        let mut shares = vec![BandwidthShare::default(); RELAYS];
         let (mut now, mut used, mut largest) = (0, 0.0, 0.0_f64);
-        for (entry, wait, time) in steps {
+        for (relay, wait, time) in steps {
             now += wait;
             largest = largest.max(time);
-            if shares[entry].try_reserve(time, ENTRIES, now) {
+            if shares[relay].try_reserve(time, RELAYS, now) {
                 used += time;
             }
-            let limit = now as f64 + IN_ADVANCE + ENTRIES as f64 * largest;
+            let limit = now as f64 + IN_ADVANCE + RELAYS as f64 * largest;
             prop_assert!(used <= limit, "{used} of {limit}");
         }
     }
@@ -234,7 +234,7 @@
 }
 
 #[test]
-fn a_slow_engine_is_reported_only_by_the_entry_that_observed_it() {
+fn a_slow_engine_is_reported_only_by_the_relay_that_observed_it() {
     let mut slowdowns = SlowdownTable::default();
     assert!(slowdowns.record(&instance("i-1"), 4.0, 0));
     assert!(!slowdowns.record(&instance("i-1"), 3.0, 100));
@@ -251,9 +251,9 @@
 /// Entries that are missing after an outage are kept for a while; entries missing at other times
 /// are not.
 #[test]
-fn missing_entries_are_kept_after_an_outage_alone() {
+fn missing_entries_are_kept_only_after_an_outage() {
     let mut missing = MissingEntries::default();
-    assert!(!missing.should_keep("calm", 1, 0));
+    assert!(!missing.should_keep("no-outage", 1, 0));
     missing.record_loss(1_000);
     assert!(!missing.should_keep("short", 1, 1_500));
     missing.record_loss(3_400);
@@ -287,33 +287,33 @@
 }
 
 proptest! {
-    /// Entries that exchange their suspicions keep one no longer than the entry that saw the
+    /// Relays that exchange their suspicions keep one no longer than the relay that saw the
     /// failure, plus the delay of its message.
     #[test]
     fn a_suspicion_ends_everywhere(delays in prop::collection::vec(1u64..900, 30)) {
         const SEND_INTERVAL: u64 = 200;
         const MAX_DELAY: u64 = 900;
-        let mut entries = vec![SuspectList::default(); 3];
-        entries[0].record_failure(&instance("x"), 0);
+        let mut relays = vec![SuspectList::default(); 3];
+        relays[0].record_failure(&instance("x"), 0);
         let mut in_flight: Vec<(u64, usize, u64)> = Vec::new();
         for (round, delay) in (0u64..).zip(&delays) {
             let now = round * SEND_INTERVAL;
-            for (_, to, lasts) in in_flight.extract_if(.., |(arrives, ..)| *arrives <= now) {
-                if !entries[to].is_suspect(&instance("x"), now) {
-                    entries[to].merge_peer(&instance("x"), now + lasts, UpdateOrigin::Peer);
+            for (_, to, remaining) in in_flight.extract_if(.., |(arrives, ..)| *arrives <= now) {
+                if !relays[to].is_suspect(&instance("x"), now) {
+                    relays[to].merge_peer(&instance("x"), now + remaining, UpdateOrigin::Peer);
                 }
             }
-            for from in 0..entries.len() {
-                let reported: Vec<u64> = entries[from]
+            for from in 0..relays.len() {
+                let reported: Vec<u64> = relays[from]
                     .shared_with(UpdateAudience::Speakers, now)
-                    .map(|(_, lasts)| lasts)
+                    .map(|(_, remaining)| remaining)
                     .collect();
-                let others = (0..entries.len()).filter(|to| *to != from);
-                let sent = others.flat_map(|to| reported.iter().map(move |lasts| (now + delay, to, *lasts)));
+                let others = (0..relays.len()).filter(|to| *to != from);
+                let sent = others.flat_map(|to| reported.iter().map(move |remaining| (now + delay, to, *remaining)));
                 in_flight.extend(sent);
             }
             let over = now > BASE_SUSPICION_TIME + MAX_DELAY + SEND_INTERVAL;
-            let kept = entries.iter().any(|entry| entry.is_suspect(&instance("x"), now));
+            let kept = relays.iter().any(|relay| relay.is_suspect(&instance("x"), now));
             prop_assert!(!(over && kept), "still suspected at {}", now);
         }
     }
@@ -338,35 +338,35 @@
     assert!(missing.should_keep("missing", 7, 3_300), "the outage is not over");
 }
 
-/// Load after a stop of all: each entry gets many requests at once, before it hears of any other
-/// one, and each would start them at the cheapest first replica. After one rejection, the following
-/// requests go elsewhere.
+/// The load after all relays were restarted: each relay gets many requests at once, before it
+/// receives any message from the others, and each would start them at the cheapest first replica.
+/// After one rejection, the following requests go elsewhere.
 #[test]
 fn a_rejection_without_a_free_slot_redirects_the_next_requests() {
-    const ENTRIES: usize = 26;
+    const RELAYS: usize = 26;
     const SLOTS: u32 = 192;
-    let firsts = ["a", "b", "c", "d", "e"].map(instance);
+    let first_replicas = ["a", "b", "c", "d", "e"].map(instance);
     let mut rejections = [0, 0];
-    for (learns, rejected) in [false, true].into_iter().zip(&mut rejections) {
-        let mut begun: HashMap<ReplicaInstance, u32> = HashMap::new();
-        let mut entries = vec![(ReservationLedger::default(), FullReplicas::default()); ENTRIES];
+    for (records_rejections, rejected) in [false, true].into_iter().zip(&mut rejections) {
+        let mut started: HashMap<ReplicaInstance, u32> = HashMap::new();
+        let mut relays = vec![(ReservationLedger::default(), FullReplicas::default()); RELAYS];
         for request in 0..918 {
             let now = request as u64 * 250 / 918;
-            let (slots, full) = &mut entries[request % ENTRIES];
-            // No entry hears of others within these 250 ms; among replicas of equal cost, their
-            // order decides.
+            let (slots, full) = &mut relays[request % RELAYS];
+            // No relay receives the others' reservations within these 250 ms; among replicas of
+            // equal cost, their order decides.
             let cost = |first: &&ReplicaInstance| {
                 (full.is_full(first, now), slots.reserved(first) as u64 / 16)
             };
-            let first = firsts.iter().min_by_key(cost).expect("there are some");
-            let used = begun.entry(first.clone()).or_default();
+            let first = first_replicas.iter().min_by_key(cost).expect("there are some");
+            let used = started.entry(first.clone()).or_default();
             if *used < SLOTS {
                 *used += 1;
                 slots.reserve(first, 1.0);
                 continue;
             }
             *rejected += 1;
-            if learns {
+            if records_rejections {
                 full.record_rejection(first, now);
             }
         }
