--- a/crates/relay/benches/backoffs.rs
+++ b/crates/relay/benches/backoffs.rs
@@ -1,12 +1,12 @@
-//! Measures replicas that reject requests and ask for a back-off: how many requests reach them
+//! Measures replicas that reject requests and ask for a backoff: how many requests reach them
 //! nevertheless, and what callers receive.
 //!
 //! Run it with `cargo bench -p switchfold-relay`. Three replicas of a service, one relay and
 //! callers that each make one call after another share one thread. For three seconds some replicas
-//! reject every request and ask for a back-off of three seconds. Measured on 8 cores, one run for
+//! reject every request and ask for a backoff of three seconds. Measured on 8 cores, one run for
 //! each row.
 //!
-//! The columns show, before and after relays honoured back-offs: requests that reached the most
+//! The columns show, before and after relays honoured backoffs: requests that reached the most
 //! affected replica more than half a second after it first asked (two may), callers served within
 //! 300 ms, and callers refused. Each cell lists the values for 1, 30 and 300 callers, those before
 //! first.
@@ -20,10 +20,10 @@
 //! | plain | two of three | 1, 30, 300 | 0; 0 | 152, 3,931, 12,848; 153, 4,021, 21,986 | 1, 3, 4; 1, 4, 0 |
 //! | plain | all | 1, 30, 300 | 76, 1,193, 3,598; 0, 0, 0 | 14, 331, 1,137; 15, 390, 1,487 | 138, 3,580, 11,493; 133, 3,690, 26,333 |
 //!
-//! If all replicas ask for a back-off, nobody can be served. Callers here retry at once after a
-//! refusal, whatever they are told, and more are refused after the change since each refusal takes
-//! less time. With 300 callers, 171 to 195 responses are late in each row, before and after: those
-//! to the first request of each caller.
+//! If all replicas ask for a backoff, nobody can be served. Callers here retry at once after a
+//! refusal, whatever its `Retry-After`, and more are refused after the change since each refusal
+//! takes less time. With 300 callers, 171 to 195 responses are late in each row, before and after:
+//! those to the first request of each caller.
 
 #[path = "../tests/harness/mod.rs"]
 mod harness;
@@ -54,7 +54,7 @@
 
 const REPLICAS: usize = 3;
 
-/// Back-off that the replicas ask for.
+/// Backoff that the replicas ask for.
 const BACKOFF: Duration = Duration::from_secs(3);
 
 /// Time after the first rejection in which requests that were already on their way are not counted.
@@ -72,7 +72,7 @@
 }
 
 /// Time of the first rejection of a replica, and the number of requests that it received during its
-/// back-off.
+/// backoff.
 #[derive(Clone, Default)]
 struct BackoffRequests(Arc<Mutex<(Option<Instant>, usize)>>);
 
--- a/crates/relay/benches/limits.rs
+++ b/crates/relay/benches/limits.rs
@@ -6,10 +6,10 @@
 //!
 //! The table shows, for the fourth to the eighth second, the requests that reached the limited
 //! replica with the most requests (one and a half times the limit plus five are allowed), the
-//! callers served within 300 ms, and those rejected. "Before" is without support for limits,
+//! callers served within 300 ms, and those refused. "Before" is without support for limits,
 //! "after" with it. Measured on 8 cores with other work running, one run per row:
 //!
-//! | service | limited | limit per second | allowed | reached before, after | in time before, after | rejected before, after |
+//! | service | limited | limit per second | allowed | reached before, after | in time before, after | refused before, after |
 //! |---|---|---|---|---|---|---|
 //! | streams | one of three | 20, 100, 200 | 125, 605, 1,205 | 583, 622, 572; 80, 404, 580 | 1,770, 1,863, 1,718; 1,791, 1,812, 1,740 | 0; 0 |
 //! | streams | two of three | 20, 100, 200 | as above | 610, 594, 609; 80, 400, 600 | 1,814, 1,776, 1,813; 2,002, 1,954, 1,798 | 0; 0 |
@@ -18,8 +18,8 @@
 //! | plain | two of three | 20, 100, 200 | as above | 3,278, 2,237, 1,419; 81, 405, 756 | 4,268, 4,380, 4,463; 4,476, 4,608, 4,344 | 0; 0 |
 //! | plain | all | 20, 100, 200 | as above | 1,867, 2,920, 2,288; 80, 402, 800 | 4,405, 4,299, 4,286; 239, 1,201, 2,400 | 0; 3,519, 550, 141 |
 //!
-//! If all replicas are limited, no more requests can be served than they accept. Rejected callers
-//! retry at once here, whatever the response tells them. No caller was served late.
+//! If all replicas are limited, no more requests can be served than they accept. Refused callers
+//! retry at once here, whatever the `Retry-After` of the response. No caller was served late.
 
 #[path = "../tests/harness/mod.rs"]
 mod harness;
@@ -65,7 +65,7 @@
 struct RequestCounts {
     in_time: usize,
     late: usize,
-    rejected: usize,
+    refused: usize,
     /// Requests that reached each replica.
     reached: [usize; REPLICAS],
 }
@@ -75,7 +75,7 @@
         match status {
             StatusCode::OK if took <= OBJECTIVE => self.in_time += 1,
             StatusCode::OK => self.late += 1,
-            _ => self.rejected += 1,
+            _ => self.refused += 1,
         }
     }
 }
@@ -127,10 +127,10 @@
     });
     join_all(calls).await;
     let counts = counts.lock().expect("no caller panics");
-    let RequestCounts { in_time, late, rejected, reached } = &*counts;
+    let RequestCounts { in_time, late, refused, reached } = &*counts;
     let allowed = limit * 4.0 * 1.5 + 5.0;
     println!(
-        "{path:8} {limited} of {REPLICAS}, limit {limit:5}: reached {reached:?} of {allowed} allowed, in time {in_time}, late {late}, rejected {rejected}"
+        "{path:8} {limited} of {REPLICAS}, limit {limit:5}: reached {reached:?} of {allowed} allowed, in time {in_time}, late {late}, refused {refused}"
     );
 }
 
--- a/crates/relay/src/counts.rs
+++ b/crates/relay/src/counts.rs
@@ -10,7 +10,7 @@
     pub requests: Cell<u64>,
     /// Requests that ended with the response of a replica.
     pub answered: Cell<u64>,
-    /// Requests rejected before they ran.
+    /// Requests refused with the status that promises that they did not run.
     pub refused: Cell<u64>,
     /// Requests that ended without a response of a replica.
     pub failed: Cell<u64>,
@@ -18,7 +18,7 @@
     pub lost_runs: Cell<u64>,
     /// Requests quarantined because they crashed the replicas that ran them.
     pub stopped_requests: Cell<u64>,
-    /// Attempts rejected because their request is quarantined.
+    /// Sends refused because their request is quarantined.
     pub quarantined: Cell<u64>,
     /// Rejections in which a replica asked this VM to back off (`Retry-After`).
     pub backoffs_asked: Cell<u64>,
@@ -40,7 +40,7 @@
     pub repaths: Cell<u64>,
     /// Streams resumed at another replica.
     pub resumes: Cell<u64>,
-    /// Times that this relay stopped being ready so that new callers go to other relays.
+    /// Times that this relay began to redirect new callers to other relays, by not being ready.
     pub step_asides: Cell<u64>,
     /// Orders to engines to load other layers.
     pub orders: Cell<u64>,
--- a/crates/relay/src/engine_poll.rs
+++ b/crates/relay/src/engine_poll.rs
@@ -1,8 +1,8 @@
 //! Polls engines for how slow they are.
 //!
-//! In each data centre, the first relay by name polls the engines there in turn while requests of
-//! its own are unusually silent, and reports slow ones to the other relays. The rate is limited, so
-//! in a large data centre each engine is polled less often.
+//! In each data centre, the first relay by name polls the engines there in turn while its own
+//! requests wait unusually long for responses or events, and reports slow engines to the other
+//! relays. The rate is limited, so in a large data centre each engine is polled less often.
 
 use std::{rc::Rc, time::Duration};
 
@@ -18,7 +18,7 @@
 };
 
 /// Minimum interval of polls of one engine. A slow engine is detected within some two seconds; each
-/// poll has a price.
+/// poll costs time of the engine.
 const ENGINE_INTERVAL: Duration = Duration::from_millis(2_000);
 
 /// Minimum time between two polls.
@@ -27,15 +27,15 @@
 /// Interval at which this relay checks whether it should poll.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Time in milliseconds for which engines are polled after a request was last silent for too long.
-/// If none is, nothing is polled.
-const SILENCE_MEMORY: Millis = 4_000;
+/// Time in milliseconds for which engines are polled after this relay last probed replicas, which
+/// it does when a request gets no response or events for too long.
+const POLL_DURATION: Millis = 4_000;
 
 /// Polls the engines of the data centre for as long as the process runs.
 pub async fn poll_engines(relay: Rc<Relay>) {
     loop {
         let engines = local_engines(&relay);
-        if engines.is_empty() || !is_leader(&relay) || !saw_silence(&relay) {
+        if engines.is_empty() || !is_leader(&relay) || !has_probed_recently(&relay) {
             sleep(CHECK_INTERVAL).await;
             continue;
         }
@@ -52,10 +52,10 @@
     relay.state.borrow().peers.is_data_centre_leader(name, data_centre, now_millis())
 }
 
-/// Returns whether a request was silent for too long recently.
-fn saw_silence(relay: &Relay) -> bool {
+/// Returns whether this relay probed replicas within the last [`POLL_DURATION`].
+fn has_probed_recently(relay: &Relay) -> bool {
     let now = now_millis();
-    relay.reports.last_probe().is_some_and(|probe| now.saturating_sub(probe) < SILENCE_MEMORY)
+    relay.reports.last_probe().is_some_and(|probe| now.saturating_sub(probe) < POLL_DURATION)
 }
 
 /// Returns the engines of this data centre that hold layers.
--- a/crates/relay/src/engines.rs
+++ b/crates/relay/src/engines.rs
@@ -41,7 +41,7 @@
 /// Maximum size of a response body, in bytes.
 const MAX_RESPONSE_BYTES: usize = 1 << 20;
 
-/// The result of an order.
+/// The outcome of an order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum OrderOutcome {
     /// The engine started to carry it out, or is already in the ordered state.
@@ -98,7 +98,7 @@
     }
 }
 
-/// A state, and when it was last requested.
+/// A cached state, and the time at which it was last requested.
 #[derive(Clone, Debug)]
 struct CachedReport {
     requested_at: Millis,
--- a/crates/relay/src/forward.rs
+++ b/crates/relay/src/forward.rs
@@ -132,7 +132,7 @@
     Bytes(Bytes),
     /// The body has ended.
     End,
-    /// The body broke off; the text says how.
+    /// The body ended with this error.
     Broken(String),
     /// No bytes arrived until the next check.
     Pause,
--- a/crates/relay/src/forward/recovery.rs
+++ b/crates/relay/src/forward/recovery.rs
@@ -176,12 +176,13 @@
     }
 
     /// Returns the replicas that restarted since the request reached them. The first engine takes
-    /// them for their former instances, which still held the KV cache of the request.
+    /// them for their former instances, which held the KV cache of the request.
     fn restarted_replicas(&self) -> Vec<ReplicaInstance> {
         let state = self.relay.state.borrow();
-        let is_gone = |stage: &&PathStage| state.fleet.view.get_current(&stage.instance).is_none();
-        let gone = self.path.iter().filter(is_gone);
-        let restarted = gone.filter_map(|stage| state.fleet.view.at_address(stage.address));
+        let has_ended =
+            |stage: &&PathStage| state.fleet.view.get_current(&stage.instance).is_none();
+        let ended = self.path.iter().filter(has_ended);
+        let restarted = ended.filter_map(|stage| state.fleet.view.at_address(stage.address));
         restarted.map(|replica| replica.instance.clone()).collect()
     }
 
@@ -220,7 +221,7 @@
         Some(end)
     }
 
-    /// Resumes a stream at another replica, if its route allows that. The connection to the present
+    /// Resumes a stream at another replica, if its route allows that. The connection to the current
     /// replica is kept until the other one responds: silence alone is no reason to end a stream,
     /// and it may still continue.
     pub(super) async fn recover(&mut self, why: &str, loss: StreamLoss) {
--- a/crates/relay/src/gossip.rs
+++ b/crates/relay/src/gossip.rs
@@ -1,6 +1,6 @@
 //! Sends this relay's state, and changes of replicas, to the other relays.
 //!
-//! The [`GossipPlan`](switchfold_router::membership::GossipPlan) says which relays it is sent to.
+//! The [`GossipPlan`](switchfold_router::membership::GossipPlan) lists the relays it is sent to.
 //! Speakers of a data centre exchange state in every round, those of different data centres in
 //! fewer rounds; members and their speakers exchange it in every round as well. Speakers send their
 //! members the reservations of all other relays as sums, so that the state that a relay receives
@@ -26,7 +26,7 @@
         CrashRecord, FleetMessage, InstanceRecord, PeerMessage, ReplicaRecord, ReportRecord,
         ReservationRecord, ReservationReport, StateMessage, encode_state,
     },
-    replicas::drop_expired,
+    replicas::remove_expired,
     state::{Relay, RelayState},
 };
 
@@ -45,7 +45,7 @@
 const MEMBER_FAR_RESERVATIONS_EVERY: u64 = 4;
 
 /// Rounds per message in which a speaker lists its members to the other speakers: every 5 s, since
-/// a silent relay is forgotten after a minute.
+/// a silent relay is removed only after a minute.
 const MEMBERS_ROUNDS: u64 = 25;
 
 /// Delay of unscheduled messages, so that losses that are detected together are sent in one
@@ -81,7 +81,7 @@
             }
         }
         round += 1;
-        drop_expired(relay);
+        remove_expired(relay);
         plan_gossip(relay);
         send_to_links(relay, |name, link| due_sections(name, link, round));
     }
@@ -112,18 +112,18 @@
         state.memory_reservations.clear_sums();
         state.slot_reservations.clear_sums();
         drop(state);
-        greet_all_relays(relay);
+        announce_to_all(relay);
     }
 }
 
 /// Sends this relay's state to all known relays once it becomes a speaker. While it was a member,
-/// other speakers and this relay may have skipped each other, and neither would hear of the other.
-fn greet_all_relays(relay: &Relay) {
+/// this relay and other speakers sent each other nothing, and may not know of each other.
+fn announce_to_all(relay: &Relay) {
     let names: Vec<String> = {
         let state = relay.state.borrow();
         state.peers.others("").map(|(name, _, _)| name.to_owned()).collect()
     };
-    send_greeting(relay, &names);
+    announce_to(relay, &names);
 }
 
 /// Sections of a message that are sent in some rounds only.
@@ -163,7 +163,7 @@
 pub fn send_state(relay: &Relay, scope: SendScope) {
     send_to_links(relay, |_, link| {
         let is_in_scope = scope == SendScope::All || link != GossipLink::Far;
-        // To the others, reservations are sent in their own rounds only.
+        // The other relays receive reservations only in the rounds that include them.
         let reservations = matches!(link, GossipLink::Near | GossipLink::Report(_));
         is_in_scope.then(|| MessageSections { reservations, ..MessageSections::default() })
     });
@@ -171,7 +171,7 @@
 
 /// Sends this relay's state once to relays that may not know it yet: they may be waiting for a
 /// neighbour to announce itself.
-pub fn send_greeting(relay: &Relay, names: &[String]) {
+pub fn announce_to(relay: &Relay, names: &[String]) {
     let message = compose_state(relay, UpdateAudience::Members, now_millis());
     let datagram = encode_state(&message);
     let state = relay.state.borrow();
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -3,8 +3,9 @@
 //! A relay accepts requests of callers, chooses the whole path of each over the engines that hold
 //! the layers of the model, sends the request to the first engine of the path and passes the
 //! response on. All decisions are made by `switchfold-router`, and all names of the platform are
-//! defined in `switchfold-platform`; this crate does the I/O between them. It runs on one thread: at
-//! the size of an entry VM a second thread costs more than it gains, and the state needs no locks.
+//! defined in `switchfold-platform`; this crate does the I/O between them. It runs on one thread:
+//! at the size of an entry VM a second thread costs more than it gains, and the state needs no
+//! locks.
 //!
 //! | module | purpose |
 //! |---|---|
--- a/crates/relay/src/limits.rs
+++ b/crates/relay/src/limits.rs
@@ -4,9 +4,9 @@
 //! The decisions are made in `switchfold-router`: the current limit of each replica, the relay that
 //! coordinates it, and the relay that gets the next grant. Grant requests and grants are datagrams
 //! between the relay that has requests to send and the coordinator. A lost datagram costs a pause
-//! until the grants are requested again; a lost grant is gone. Relays share changed limits in their
-//! state messages. A relay that missed a change learns it from the first response of the replica,
-//! or from the relays of its data centre, which share all limits in turn.
+//! until the grants are requested again; a lost grant remains unused. Relays share changed limits
+//! in their state messages. A relay that missed a change learns it from the first response of the
+//! replica, or from the relays of its data centre, which share all limits in turn.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -37,7 +37,7 @@
 /// Interval at which grants are issued and requested while any are pending.
 const BUSY_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Interval at which outdated limits are dropped while no grants are pending.
+/// Interval at which outdated limits are removed while no grants are pending.
 const IDLE_INTERVAL: Duration = Duration::from_millis(1_000);
 
 /// Time for which a changed limit is shared, in milliseconds: three messages to other data centres,
@@ -54,8 +54,8 @@
 pub fn can_coordinate_limits(relay: &Relay, state: &RelayState, now: Millis) -> bool {
     let has_others = || state.peers.live_count(now) > 0;
     // A relay that is shutting down leaves its limits to the others, so that they need not wait
-    // until it times out. A member hears of too few relays to tell whether it is partitioned from
-    // them.
+    // until it times out. A member receives messages of too few relays to detect that it is
+    // partitioned from the others.
     let is_speaker = !state.peers.is_member();
     is_speaker && now >= COORDINATES_AFTER && !(relay.shutdown.is_stopping() && has_others())
 }
@@ -284,7 +284,7 @@
 }
 
 /// Issues the grants that are due. If a replica no longer has a limit, the relay that requested
-/// grants for it is told so.
+/// grants for it receives a report of that.
 fn issue_grants(relay: &Relay) {
     let now = now_millis();
     let mut outgoing: Vec<(String, GrantRecord)> = Vec::new();
@@ -350,8 +350,8 @@
     }
 }
 
-/// Drops outdated limits, and the grants and grant requests for replicas without a limit.
-fn drop_outdated(relay: &Relay) {
+/// Removes outdated limits, and the grants and grant requests for replicas without a limit.
+fn remove_outdated(relay: &Relay) {
     let mut guard = relay.state.borrow_mut();
     let RelayState { limits, grants, issuer, fleet, .. } = &mut *guard;
     limits.expire(|id| fleet.view.get(id).is_some(), now_millis());
@@ -375,7 +375,7 @@
         } else {
             tokio::select! {
                 () = relay.limit_notify.notified() => sleep(BUSY_INTERVAL).await,
-                () = sleep(IDLE_INTERVAL) => drop_outdated(&relay),
+                () = sleep(IDLE_INTERVAL) => remove_outdated(&relay),
             }
         }
     }
--- a/crates/relay/src/notices.rs
+++ b/crates/relay/src/notices.rs
@@ -44,7 +44,7 @@
         relay.state.borrow_mut().backoffs.record_success(instance, now_millis());
     }
     apply_headers(relay, instance, response);
-    // With this status, another replica may respond at the address of one that is gone.
+    // With this status, another replica may have responded at the address of one that has ended.
     let is_of_replica = response.is_own && status != StatusCode::MISDIRECTED_REQUEST;
     if is_of_replica && headers.limit.is_none() {
         let report = LimitReport { per_second: None, sent: response.sent_at as i64 };
@@ -63,8 +63,8 @@
 }
 
 /// Applies the notices in the headers of any response of a replica. A missing limit is ignored
-/// here: it means that the replica has none only in responses that would name it, and nothing
-/// guarantees that those of the control interface do.
+/// here, since responses of the control interface need not name the limit. Only a response to a
+/// request shows by its absence that the replica has none.
 fn apply_headers(relay: &Relay, instance: &ReplicaInstance, response: ReplicaResponse<'_>) {
     let ReplicaResponse { status, headers, sent_at, .. } = response;
     if status == StatusCode::SERVICE_UNAVAILABLE {
@@ -157,9 +157,9 @@
     }
 }
 
-/// Returns the rejection of a request that no replica accepts. If all replicas that can start it
-/// are waiting out a backoff or a rate limit, it tells the caller when to retry; otherwise it is
-/// `otherwise`. `can_start` tells which replicas can start the request.
+/// Returns the refusal of a request that no replica accepts: [`Refusal::Throttled`] with the time
+/// of the retry if a backoff or a rate limit delays sends to all replicas that can start the
+/// request, and `otherwise` if not. `can_start` selects the replicas that can start it.
 pub fn refusal_without_replica(
     relay: &Relay,
     service: &str,
@@ -181,8 +181,8 @@
     Refusal::Throttled(schedule.next_delay(wait, per_second, draw, now))
 }
 
-/// Time over which the retries of callers are spread that were rejected until the same time, in
-/// milliseconds.
+/// Maximum random delay added to the retry time of a refused caller, in milliseconds, so that
+/// callers refused together do not retry at once.
 const RETRY_SPREAD: Millis = 250;
 
 /// Returns the number of requests per second that this relay can expect to start at rate-limited
--- a/crates/relay/src/paths.rs
+++ b/crates/relay/src/paths.rs
@@ -15,7 +15,6 @@
     },
     routing::EngineSpec,
 };
-
 use tokio::time::{Instant, sleep};
 
 use crate::{
@@ -42,9 +41,9 @@
     pub first: Option<(&'a ReplicaInstance, LayerRange)>,
 }
 
-/// Scale of the cost that a layer has for the memory that it occupies, in milliseconds of a token
-/// step: what a layer costs at a half full replica, against 0.5 for one more hop. Engines run out
-/// of memory long before they run out of compute.
+/// Weight of the memory term in the cost of a layer, in milliseconds of a token step; one more hop
+/// costs 0.5. The term is half the weight at a half-full replica. Engines run out of memory long
+/// before they run out of compute.
 const MEMORY_COST: f64 = 0.5;
 
 /// Fraction of a replica's memory up to which paths are planned. The rest absorbs what other relays
@@ -176,10 +175,10 @@
 /// Interval between two attempts to find a path with enough memory.
 const POLL_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Waits up to `max_wait` for a path with enough memory within one data centre, and then takes one
-/// without. If there is none even without, waits only for a replica that is throttled and accepts
-/// requests again in time; otherwise takes a path that crosses data centres at once, provided that
-/// this relay's share of the link has room for it.
+/// Waits up to `max_wait` for a path with enough memory within one data centre, and then returns
+/// one that is short of memory. If there is no path at all within a data centre, waits only for a
+/// throttled replica that accepts requests again in time. Otherwise returns a path that crosses
+/// data centres at once, provided that this relay's share of the link has capacity for it.
 pub async fn wait_for_path(
     relay: &Rc<Relay>,
     criteria: &PathCriteria<'_>,
--- a/crates/relay/src/peers.rs
+++ b/crates/relay/src/peers.rs
@@ -44,7 +44,7 @@
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let Ok((len, from)) = relay.peer_socket.recv_from(&mut buffer).await else {
-            // A datagram to a peer that is gone can surface as an error here; the socket stays
+            // A datagram sent to a relay that has stopped can cause an error here. The socket stays
             // usable.
             sleep(Duration::from_millis(5)).await;
             continue;
@@ -260,7 +260,8 @@
 }
 
 /// Time in milliseconds by which an answer of the store must be newer than the last known one to be
-/// sent on at once. Members would otherwise hear of it so late that they read the store themselves.
+/// propagated at once. Without that, members would learn of it so late that they would read the
+/// store themselves.
 const MIN_ANSWER_GAIN: Millis = 200;
 
 fn apply_fleet(relay: &Relay, message: FleetMessage, from: SocketAddr) {
--- a/crates/relay/src/placer.rs
+++ b/crates/relay/src/placer.rs
@@ -3,7 +3,7 @@
 //! The first healthy relays by name are the planners, each for some of the groups of replicas. One
 //! planner suffices for the largest deployments of today. No plan is stored: each round computes
 //! the orders from the replica list and from the pending orders of this relay. If two relays both
-//! plan the same group, they give the same orders. An order also states how many orders the engine
+//! plan the same group, they send the same orders. An order also states how many orders the engine
 //! has taken before, so the engine rejects a late or duplicate one.
 
 use std::{
@@ -53,8 +53,8 @@
 /// other relays have arrived by then.
 const FIRST_ROUND_DELAY: Millis = 900;
 
-/// Time for which a relay must have had its share of the planning before it gives orders, in
-/// milliseconds: two messages of its predecessor may be lost.
+/// Time for which a relay must have had its share of the planning before it sends orders, in
+/// milliseconds: two messages of the relay that had the share before may be lost.
 const TAKEOVER_DELAY: Millis = 600;
 
 /// Time without a change in the number of replicas after which the first layout is planned, in
--- a/crates/relay/src/plain.rs
+++ b/crates/relay/src/plain.rs
@@ -100,8 +100,8 @@
 }
 
 impl ServiceLoads {
-    /// Drops what was observed of a replica.
-    pub fn forget(&mut self, instance: &ReplicaInstance) {
+    /// Removes what was observed of a replica, once it has ended.
+    pub fn remove(&mut self, instance: &ReplicaInstance) {
         self.loads.remove(instance);
     }
 
@@ -403,7 +403,7 @@
 /// Largest slowness that one attempt counts with, as a multiple of the latency objective.
 const MAX_SLOWNESS: f64 = 4.0;
 
-/// Returns the time-out of one attempt, in milliseconds. The first attempt of a request that may
+/// Returns the timeout of one attempt, in milliseconds. The first attempt of a request that may
 /// run again ends at the latency objective, while a second one can still be in time for the caller.
 fn attempt_timeout(request: &CallerRequest, permit: &Permit, now: Millis) -> Millis {
     let remaining = request.time_remaining(now);
@@ -491,7 +491,7 @@
     (status.is_success() && !headers.is_signed).then_some(AttemptEnd::Broken)
 }
 
-/// Time-out for reading the body of a rejection.
+/// Timeout for reading the body of a rejection.
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(20);
 
 /// Reads the body of a rejection to its end, so that the connection can be reused; closes the
--- a/crates/relay/src/pool.rs
+++ b/crates/relay/src/pool.rs
@@ -1,7 +1,7 @@
 //! Connections to replicas.
 //!
-//! A connection runs one request at a time. For each request the pool tells whether any byte of it
-//! was sent, since only a request of which none was sent may be sent again unconditionally. A
+//! A connection runs one request at a time. For each failed request the pool reports whether any
+//! byte of it was sent, since only a request of which none was sent may always be sent again. A
 //! connection whose request is abandoned is closed at once, so that the replica stops working on
 //! it.
 
@@ -36,7 +36,7 @@
 /// Time for which an idle connection is kept if the replica names none, in milliseconds.
 const DEFAULT_IDLE_TIMEOUT: Millis = 3_000;
 
-/// Percentage of the idle time-out named by the replica during which its connection is reused. The
+/// Percentage of the idle timeout named by the replica during which its connection is reused. The
 /// rest avoids requests that cross the replica's close.
 const IDLE_PERCENT: Millis = 60;
 
@@ -85,7 +85,7 @@
 
 impl ActiveConnection {
     /// Returns the connection to the pool, once the response has been read to its end. `keep_alive`
-    /// is the idle time-out that the replica named, in milliseconds.
+    /// is the idle timeout that the replica named, in milliseconds.
     pub fn return_to(mut self, pool: &ConnectionPool, keep_alive: Option<Millis>) {
         let Some(sender) = self.sender.take() else { return };
         let idle = keep_alive.unwrap_or(DEFAULT_IDLE_TIMEOUT) * IDLE_PERCENT / 100;
@@ -126,7 +126,7 @@
     ///
     /// # Errors
     ///
-    /// Tells whether any byte may have reached the replica.
+    /// The error states whether any byte of the request may have reached the replica.
     pub async fn send(
         &self,
         address: SocketAddr,
--- a/crates/relay/src/probes.rs
+++ b/crates/relay/src/probes.rs
@@ -37,8 +37,8 @@
 }
 
 /// Returns whether the silence of replicas that were probed together proves that they are lost.
-/// Unclear outcomes count as silent here. When they did not, a relay that was delayed during some
-/// of the requests took the one or two other silent replicas for lost and moved streams away from
+/// Unclear outcomes count as silent here. Otherwise a relay that was delayed during some of the
+/// requests would take the one or two other silent replicas for lost, and move streams away from
 /// healthy replicas.
 pub fn silence_is_conclusive(outcomes: &[ProbeOutcome]) -> bool {
     let silent = outcomes
@@ -48,10 +48,9 @@
     silent <= (outcomes.len() / MAX_SILENT_ONE_IN).max(1)
 }
 
-/// Probes a replica, and if that fails a second time over a new connection: a lost packet is
+/// Probes a replica, and if that fails, probes it again over a new connection: a lost packet is
 /// retransmitted only after 200 ms, and a pooled connection may be dead although the replica is
-/// not.
-/// `send` makes one request; its argument says whether to open a new connection.
+/// not. `send` makes one request; its argument says whether to open a new connection.
 pub async fn probe_with_retry<E: Display>(
     send: impl AsyncFn(bool) -> Result<(), E>,
 ) -> ProbeOutcome {
--- a/crates/relay/src/quarantine.rs
+++ b/crates/relay/src/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests that crash the replicas that run them: rejecting them, and sharing what is known of
+//! Requests that crash the replicas that run them: refusing them, and sharing what is known of
 //! them with other relays and with the platform's store.
 //!
 //! [`switchfold_router::quarantine`] decides which requests these are. Relays of all data centres
@@ -41,11 +41,11 @@
     relay.state.borrow().quarantine.remaining(&request.fingerprint, now_millis())
 }
 
-/// Rejects a quarantined request.
+/// Refuses a quarantined request.
 ///
 /// # Errors
 ///
-/// Returns the rejection for the caller.
+/// Returns the refusal that the caller receives.
 pub fn check_quarantine(relay: &Relay, request: &CallerRequest) -> Result<(), Refusal> {
     let Some(remaining) = quarantine_remaining(relay, request) else { return Ok(()) };
     count(&relay.counts.quarantined);
--- a/crates/relay/src/registry.rs
+++ b/crates/relay/src/registry.rs
@@ -24,7 +24,7 @@
 use tokio::time::sleep;
 
 use crate::{
-    gossip::{SendScope, plan_gossip, send_greeting, send_state},
+    gossip::{SendScope, announce_to, plan_gossip, send_state},
     restore::store_era,
     settings::RelaySettings,
     snapshot::apply::fetch_relays,
@@ -83,15 +83,15 @@
     }
 }
 
-/// Waits while the store is unavailable; the task that follows the configuration retries it.
+/// Waits while the store is unavailable; the task that follows the configuration retries its calls.
 async fn wait_for_store(relay: &Relay) {
     while relay.state.borrow().config_lease.is_lost() {
         sleep(RETRY_DELAY).await;
     }
 }
 
-/// Waits at the start until a neighbour is heard. The timeout is random: if all relays start
-/// together, the first one to list them announces itself to the others.
+/// Waits at the start until a neighbour has sent a message. The timeout is random: if all relays
+/// start together, the first one to list them announces itself to the others.
 async fn wait_for_neighbour(relay: &Relay) {
     let RelaySettings { data_centre, first_start, .. } = &relay.settings;
     let max = if *first_start { FIRST_START_DELAY / 2 } else { START_DELAY * 3 };
@@ -108,8 +108,8 @@
 /// Interval at which the state of the neighbours is checked at the start.
 const START_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Waits at the start until `has_source` says that a neighbour can provide a snapshot, at most for
-/// the [`start_delay`].
+/// Waits at the start until `has_source` returns true, that is, until a neighbour can provide a
+/// snapshot, at most for the [`start_delay`].
 pub async fn wait_for_source(relay: &Relay, has_source: impl Fn(&RelayState, Millis) -> bool) {
     let RelaySettings { name, data_centre, first_start, .. } = &relay.settings;
     let started = now_millis();
@@ -183,10 +183,10 @@
         plan_gossip(relay);
         send_state(relay, SendScope::All);
         if !relay.gossip_plan.borrow().is_member {
-            send_greeting(relay, &new_neighbours);
+            announce_to(relay, &new_neighbours);
         }
     }
-    forget_expired(relay, &relays.keys().map(String::as_str).collect()).await;
+    remove_expired_peers(relay, &relays.keys().map(String::as_str).collect()).await;
     relay.state.borrow_mut().listed_relays = Some(relays);
 }
 
@@ -204,9 +204,10 @@
     relay.registered_era.set(Some(era));
 }
 
-/// Forgets relays that have been silent for so long that their VMs are gone. The leader removes
-/// their objects from the store; the other relays forget them once these are no longer listed.
-async fn forget_expired(relay: &Relay, listed: &BTreeSet<&str>) {
+/// Removes relays that have been silent for so long that their VMs must have been removed. The
+/// leader removes their objects from the store; the other relays remove them from their tables once
+/// the objects are no longer listed.
+async fn remove_expired_peers(relay: &Relay, listed: &BTreeSet<&str>) {
     let now = now_millis();
     let fresh = relay.is_fleet_fresh(now);
     let (expired, removable) = {
--- a/crates/relay/src/replicas.rs
+++ b/crates/relay/src/replicas.rs
@@ -65,8 +65,8 @@
 }
 
 /// Checks an engine that is missing from a list read at revision `at`, and may reappear soon: if it
-/// does not answer a status request either, it is dropped at once. Replicas of plain services have
-/// no status requests and are not checked.
+/// is not reachable either, it is removed at once. Replicas of plain services have no control
+/// interface and are not checked.
 fn await_replica(relay: &Rc<Relay>, id: String, at: u64) {
     tracing::info!(event = "replica-awaited", replica = id, at);
     let Some(address) = engine_address(relay, &id) else { return };
@@ -93,16 +93,16 @@
     is_engine.then_some(replica.address)
 }
 
-/// Drops missing replicas that did not reappear in time.
-pub fn drop_expired(relay: &Relay) {
+/// Removes missing replicas that did not reappear in time.
+pub fn remove_expired(relay: &Relay) {
     let expired = relay.state.borrow_mut().fleet.take_expired(now_millis());
     send_and_apply(relay, expired, UpdateSource::Expiry);
 }
 
 /// Applies changes from a watch of the store, and sends them to the relays of the data centre.
 pub fn apply_watch_changes(relay: &Relay, changes: Vec<ObjectChange>) {
-    // Applied one by one: an entry that was not written by its replica is read by means of the
-    // entry that it overwrites, which may be in the same batch.
+    // Applied one by one: if an entry was not written by its replica, the update is derived from
+    // the entry that it overwrote, which may be in the same batch.
     let mut updates = Vec::with_capacity(changes.len());
     for change in changes {
         let Some(update) = change_update(relay, change) else { continue };
@@ -182,8 +182,8 @@
     true
 }
 
-/// Applies that a replica said in a response that it is leaving, and sends that to the relays of
-/// the data centre.
+/// Marks a replica as draining after it announced in a response that it is leaving, and sends that
+/// to the relays of the data centre.
 pub fn apply_draining(relay: &Relay, instance: &ReplicaInstance) {
     let applied = relay.state.borrow_mut().fleet.apply_draining(instance);
     let Some(applied) = applied else { return };
@@ -229,7 +229,7 @@
         if !update.is_planned {
             record_replica_loss(relay, ended);
         }
-        forget_instance(relay, ended, address);
+        discard_instance_state(relay, ended, address);
     });
     let layers = layers.map(|range| (range.from, range.to));
     match change {
@@ -261,13 +261,13 @@
 }
 
 /// Discards what was learnt about a replica instance that has ended.
-fn forget_instance(relay: &Relay, instance: &ReplicaInstance, address: SocketAddr) {
+fn discard_instance_state(relay: &Relay, instance: &ReplicaInstance, address: SocketAddr) {
     {
         let mut state = relay.state.borrow_mut();
         state.suspects.clear(instance);
         state.short_of_memory.clear(instance);
         state.stalls.remove(instance);
-        state.service_loads.forget(instance);
+        state.service_loads.remove(instance);
         state.slowdowns.remove(instance);
     }
     relay.pool.close_idle(address);
--- a/crates/relay/src/request.rs
+++ b/crates/relay/src/request.rs
@@ -34,7 +34,7 @@
     stream::run_stream,
 };
 
-/// Time-out of a request if neither its route nor its caller sets one, in milliseconds.
+/// Timeout of a request if neither its route nor its caller sets one, in milliseconds.
 const DEFAULT_TIMEOUT: Millis = 30_000;
 
 /// Maximum size of a request body if the configuration sets none, in bytes.
--- a/crates/relay/src/responses.rs
+++ b/crates/relay/src/responses.rs
@@ -67,7 +67,7 @@
     /// The deadline has passed, and the request did not run.
     #[display("timed-out-unsent")]
     TimedOutUnsent,
-    /// Every replica that could start the request has asked for a back-off or has no rate limit
+    /// Every replica that could start the request has asked for a backoff or has no rate limit
     /// left for this many milliseconds.
     #[display("held-back")]
     Throttled(Millis),
--- a/crates/relay/src/restore.rs
+++ b/crates/relay/src/restore.rs
@@ -1,9 +1,9 @@
 //! Writes this relay's objects again after the store was restored from a backup.
 //!
 //! Changes that are newer than the backup are lost. The operator and the replicas write their own
-//! objects again; relays restore theirs: the relays' addresses and the quarantined requests. Each
-//! relay does so once, at a random time within a second: if 300 relays wrote at once, they would
-//! use up most of a second of the store's rate limit, which more important writes need.
+//! objects again; each relay writes its address and the crash reports that it keeps. It does so
+//! once, at a random time within a second: if 300 relays wrote at once, they would use up most of a
+//! second of the store's rate limit, which more important writes need.
 
 use std::{rc::Rc, time::Duration};
 
--- a/crates/relay/src/run.rs
+++ b/crates/relay/src/run.rs
@@ -219,7 +219,7 @@
     }
 }
 
-/// Closes expired idle connections, and logs the counters now and then. Never returns.
+/// Closes expired idle connections, and logs the counters at regular intervals. Never returns.
 async fn sweep_connections(relay: Rc<Relay>) {
     let mut sweeps: u32 = 0;
     loop {
--- a/crates/relay/src/run_tracker.rs
+++ b/crates/relay/src/run_tracker.rs
@@ -1,9 +1,8 @@
 //! Tracks the run of each request at the replicas of its path, for quarantine.
 //!
-//! A crash ends every request that runs on a replica and does not tell which of them caused it. So
-//! each run that is lost is recorded with what tells the requests apart: the request's fingerprint,
-//! how long it had run and whether it had produced events. The router's quarantine decides whether
-//! that is evidence against the request.
+//! A crash ends every request that runs on a replica and does not show which of them caused it. So
+//! each lost run is recorded with the request's fingerprint, how long it had run and whether it had
+//! produced events. The router's quarantine decides whether that is evidence against the request.
 
 use std::{mem::replace, rc::Rc};
 
--- a/crates/relay/src/serve.rs
+++ b/crates/relay/src/serve.rs
@@ -153,9 +153,9 @@
 /// new callers to them.
 pub fn is_ready(relay: &Relay) -> bool {
     let now = now_millis();
-    let aside = relay.should_redirect_callers(now);
-    relay.record_redirecting(aside, now);
-    if aside {
+    let redirects = relay.should_redirect_callers(now);
+    relay.record_redirecting(redirects, now);
+    if redirects {
         return false;
     }
     let state = relay.state.borrow();
--- a/crates/relay/src/settings.rs
+++ b/crates/relay/src/settings.rs
@@ -79,13 +79,12 @@
     pub retry_allowance: f64,
 }
 
-/// Default contact time, in milliseconds: the smallest that the platform has set so far.
+/// Default contact time, in milliseconds: the smallest value that platforms use.
 fn least_contact() -> f64 {
     3_000.0
 }
 
-/// Default bound on the age of state, in milliseconds: the smallest that the platform has set so
-/// far.
+/// Default bound on the age of state, in milliseconds: the smallest value that platforms use.
 fn least_old_state() -> f64 {
     2_000.0
 }
--- a/crates/relay/src/shutdown.rs
+++ b/crates/relay/src/shutdown.rs
@@ -9,7 +9,6 @@
 
 use switchfold_kernel::clock::now_millis;
 use switchfold_router::Millis;
-
 use tokio::sync::Notify;
 
 /// Time from SIGTERM until idle connections are closed, in milliseconds. The load balancer checks
@@ -23,8 +22,8 @@
 /// Time before the process would be killed at which the shutdown ends, in milliseconds.
 const KILL_MARGIN: Millis = 900;
 
-/// Maximum time that a request is given before the end of the shutdown, in milliseconds. A request
-/// that may need longer is refused. Plain services respond in a tenth of it.
+/// Longest timeout that counts when deciding whether the end of the shutdown could cut off a
+/// request, in milliseconds. Plain services respond in a tenth of it.
 const MAX_REQUEST_TIME: Millis = 1_500;
 
 /// State of the shutdown, and the number of requests in flight.
@@ -59,7 +58,7 @@
         self.deadline.get()
     }
 
-    /// Returns whether the end of the shutdown could cut off a request with this time-out.
+    /// Returns whether the end of the shutdown could cut off a request with this timeout.
     pub fn would_cut(&self, timeout: Millis) -> bool {
         self.is_stopping() && now_millis() + timeout.min(MAX_REQUEST_TIME) > self.deadline.get()
     }
--- a/crates/relay/src/snapshot/mod.rs
+++ b/crates/relay/src/snapshot/mod.rs
@@ -2,19 +2,19 @@
 //! centre.
 //!
 //! If a hundred relays each read every version of the configuration, and listed all replicas at
-//! each start and each return of the store, they would make thousands of calls a minute, each with
-//! a price. So a relay asks one of its data centre that reads the store. It does so over HTTP on a
-//! connection of its own beside the datagrams: lists are larger than datagrams should be, and a
-//! lost one must be noticed. A snapshot carries its age by the clock of the relay that sends it;
-//! the relay that asked counts the age back from the time of its request. So no two clocks are
-//! compared, and a late response only makes the snapshot look older. On a day with 103 relays and
-//! two outages the store got 3,109 calls instead of 12,505.
+//! each start and after each outage of the store, they would make thousands of calls a minute, each
+//! with a price. So a relay asks a relay of its data centre that reads the store. It does so over
+//! HTTP rather than by datagram: lists are larger than datagrams should be, and a lost response
+//! must be noticed. A snapshot carries its age by the clock of the relay that sends it; the relay
+//! that asked counts the age back from the time of its request. So no two clocks are compared, and
+//! a late response only makes the snapshot look older. On a day with 103 relays and two outages the
+//! store got 3,109 calls instead of 12,505.
 //!
 //! | worst case | effect |
 //! |---|---|
-//! | the asked relay is gone, or does not respond | the store is asked after [`fetch::FETCH_TIMEOUT`] |
+//! | the asked relay has stopped, or does not respond | the store is read after [`fetch::FETCH_TIMEOUT`] |
 //! | twenty relays ask one at once | each is sent 13 to 30 kB, up to 0.24 s of the link of a small VM; the requests are staggered |
-//! | the response is damaged, too large, or from another version or another relay | it is dropped, counted and logged; the store is asked |
+//! | the response is damaged, too large, or from another version or another relay | it is dropped, counted and logged; the store is read |
 
 use std::net::SocketAddr;
 
@@ -57,7 +57,7 @@
     pub at: u64,
     /// Age of its proof of that, in milliseconds.
     pub proved_age: Millis,
-    /// Milliseconds since the store last answered a read of it.
+    /// Milliseconds since the store last answered a read of the contents.
     pub answered_age: Millis,
     /// Contents.
     pub body: SnapshotBody,
--- a/crates/relay/src/snapshot/serve.rs
+++ b/crates/relay/src/snapshot/serve.rs
@@ -77,18 +77,18 @@
     let Some((kind, held)) = target.filter(|_| request.method() == Method::GET) else {
         count(&relay.counts.bad_snapshots);
         tracing::warn!(event = "snapshot-question-unreadable", target = %uri);
-        return empty(StatusCode::BAD_REQUEST);
+        return empty_response(StatusCode::BAD_REQUEST);
     };
     match compose(relay, kind, held, now_millis()) {
         Some(snapshot) => {
             count(&relay.counts.snapshots_told);
             Response::new(full_body(Bytes::from(snapshot.encode())))
         }
-        None => empty(StatusCode::NO_CONTENT),
+        None => empty_response(StatusCode::NO_CONTENT),
     }
 }
 
-fn empty(status: StatusCode) -> RelayResponse {
+fn empty_response(status: StatusCode) -> RelayResponse {
     let mut response = Response::new(full_body(Bytes::new()));
     *response.status_mut() = status;
     response
--- a/crates/relay/src/state.rs
+++ b/crates/relay/src/state.rs
@@ -77,7 +77,7 @@
     pub slot_reservations: ReservationLedger,
     /// First replicas that recently had no free slot.
     pub full_replicas: FullReplicas,
-    /// Replicas that asked this relay for a back-off.
+    /// Replicas that asked this relay for a backoff.
     pub backoffs: BackoffTable,
     /// Rate limits that replicas reported.
     pub limits: LimitTable,
@@ -85,7 +85,7 @@
     pub grants: HeldGrants,
     /// Issuer of grants for the limits that this relay coordinates.
     pub issuer: GrantIssuer,
-    /// Times at which rejected callers were told to retry, by service.
+    /// Retry times assigned to refused callers, by service.
     pub retry_schedules: HashMap<String, RetrySchedule>,
     /// Clocks of the other relays.
     pub clocks: PeerClocks,
@@ -116,7 +116,7 @@
     }
 
     /// Returns the milliseconds until a request of a rank may be sent to a replica, by the
-    /// replica's back-off and rate limit, or `None` if it may be sent now.
+    /// replica's backoff and rate limit, or `None` if it may be sent now.
     pub fn send_wait(&self, instance: &ReplicaInstance, rank: u8, now: Millis) -> Option<Millis> {
         let backoff = self.backoffs.remaining(instance, now);
         backoff.max(self.limit_wait(instance, rank, now))
@@ -187,7 +187,7 @@
     pub registered_era: Cell<Option<u64>>,
     /// Whether new callers were redirected to other relays at the last readiness check.
     pub is_redirecting: Cell<bool>,
-    /// State of a planned stop.
+    /// State of the graceful shutdown.
     pub shutdown: ShutdownState,
     /// Generator for weighted choices and jitter.
     pub random: RefCell<ChaCha8Rng>,
@@ -257,7 +257,8 @@
         state.retry_budgets.entry(service.to_owned()).or_default().record_request(now);
     }
 
-    /// Suspects a replica after a failure and reports that to the other relays; `why` is logged.
+    /// Records a failure of a replica. If the replica becomes suspected, sends that to the other
+    /// relays; `why` is logged.
     pub fn suspect(&self, instance: &ReplicaInstance, why: &str) {
         let now = now_millis();
         record_replica_loss(self, instance);
--- a/crates/relay/src/store_calls.rs
+++ b/crates/relay/src/store_calls.rs
@@ -58,7 +58,7 @@
     fn remove_cause(self) -> CallCause {
         match self {
             CallKind::Quarantine => CallCause::Quarantine,
-            CallKind::Config | CallKind::Replicas | CallKind::Relays => CallCause::RelayGone,
+            CallKind::Config | CallKind::Replicas | CallKind::Relays => CallCause::RelayExpired,
         }
     }
 }
@@ -98,9 +98,9 @@
     /// This relay writes its own address.
     #[display("registration")]
     Registration,
-    /// The object of a relay that is gone is removed.
+    /// The object of a relay that was silent for too long is removed.
     #[display("relay-gone")]
-    RelayGone,
+    RelayExpired,
     /// Quarantined requests are written, removed or followed.
     #[display("quarantine")]
     Quarantine,
--- a/crates/relay/src/stream.rs
+++ b/crates/relay/src/stream.rs
@@ -39,7 +39,7 @@
 /// Maximum number of sends of one request that engines reject without running it.
 pub const MAX_REJECTIONS: u32 = 4;
 
-/// A stream whose response has begun.
+/// A stream whose response head has arrived.
 pub struct OpenStream {
     /// Head of the response.
     pub head: response::Parts,
@@ -59,7 +59,7 @@
 pub enum OpenOutcome {
     /// The stream is open.
     Opened(Box<OpenStream>),
-    /// The replica sent a complete response that is no stream.
+    /// The replica sent a complete response that is not a stream.
     Responded(RelayResponse),
     /// The request must not be sent to any replica.
     Refused(Refusal),
@@ -232,8 +232,8 @@
             return Some(OpenOutcome::Failed(AttemptEnd::NotSent, error.to_string()));
         }
         Err(HeadError::Send(SendError::NoResponse { detail })) => {
-            // The replica is not suspected for this: one malformed or cut response says little
-            // about the next. The probe finds out whether the replica is lost.
+            // The replica is not suspected for this: one malformed or truncated response does not
+            // mean that the next will be. The probe finds out whether the replica is lost.
             probe_replicas(relay, std::iter::once(first.address));
             run.record_loss(relay, request, &detail);
             history.sends += 1;
@@ -265,8 +265,9 @@
     )
 }
 
-/// Asks the first engine of a path which replica the request waits for. Returns the first engine
-/// itself if it does not respond, and `None` if it names none or its first report is still awaited.
+/// Returns the replica that holds up a request, by the report of the first engine of its path:
+/// the first engine itself if it does not respond, and `None` if the report names no replica or the
+/// first report has not arrived yet.
 pub async fn find_stalled_replica(
     relay: &Relay,
     first: SocketAddr,
@@ -348,16 +349,19 @@
             run,
         }));
     }
-    let end = read_full_response(relay, head, body, connection, &headers).await;
-    if matches!(end, OpenOutcome::Responded(_) | OpenOutcome::Failed(AttemptEnd::Answered(_), _)) {
+    let outcome = read_full_response(relay, head, body, connection, &headers).await;
+    if matches!(
+        outcome,
+        OpenOutcome::Responded(_) | OpenOutcome::Failed(AttemptEnd::Answered(_), _)
+    ) {
         record_result(relay, request);
     }
-    end
+    outcome
 }
 
-/// Excludes the replica that a rejection names, and asks it for its report. One that does not
-/// respond or holds no layers is suspected; otherwise it is short of memory, or holds other layers
-/// than its entry lists.
+/// Excludes the replica that a rejection names, and fetches its report. One that does not respond
+/// or holds no layers is suspected; otherwise it is short of memory, or holds other layers than its
+/// entry lists.
 async fn handle_rejection(
     relay: &Relay,
     history: &mut SendHistory,
@@ -409,7 +413,7 @@
     connection: ActiveConnection,
     headers: &ResponseHeaders,
 ) -> OpenOutcome {
-    /// Maximum size of a response that is no stream, in bytes.
+    /// Maximum size of a response that is not a stream, in bytes.
     const MAX_RESPONSE: usize = 1 << 20;
     let status = head.status.as_u16();
     match Limited::new(body, MAX_RESPONSE).collect().await {
--- a/crates/relay/src/watch.rs
+++ b/crates/relay/src/watch.rs
@@ -150,7 +150,7 @@
     let seed = hash_bytes(seed, followed.kind.name().as_bytes());
     let mut follower = StoreFollower::new(timings, Backoff::new(ChaCha8Rng::seed_from_u64(seed)));
     let mut lost_at: Option<Millis> = None;
-    // Whether the neighbours were told that this relay reads the store.
+    // Whether this relay has announced to its neighbours that it reads the store.
     let mut is_reader = false;
     let inputs_at = followed.inputs;
     wait_for_source(&relay, |_, now| inputs_at(&relay, now).source.is_some()).await;
--- a/crates/relay/tests/crashes.rs
+++ b/crates/relay/tests/crashes.rs
@@ -1,10 +1,9 @@
 //! Requests that crash each replica that starts to run them.
 //!
-//! Callers sent the same request again and again, each time under a new id, to whichever relay the
-//! load balancer chose. Each replica that started to run it crashed 30 to 120 ms later, before the
-//! first event. Relays remembered nothing of it beyond a single attempt, so each attempt was
-//! resumed at another healthy replica: within eight seconds ten of 39 replicas crashed, with the
-//! streams of other callers on them.
+//! Guards against a request that callers repeat under new ids at different relays, and that crashes
+//! each replica 30 to 120 ms after it starts to run it, before the first event. Relays that keep no
+//! record of it beyond a single attempt resume each attempt at another healthy replica: within
+//! eight seconds ten of 39 replicas crashed, and the streams of other callers on them were lost.
 
 mod harness;
 
@@ -48,16 +47,16 @@
 /// Maximum number of replicas that a request may crash.
 const MAX_CRASHED: usize = 3;
 
-fn is_bad(request: &ReceivedRequest) -> bool {
+fn crashes_replicas(request: &ReceivedRequest) -> bool {
     request.target.contains("/bad")
 }
 
-/// An engine that holds all layers, and crashes when it starts to run the bad request.
-fn fragile_engine(request: &ReceivedRequest) -> Reply {
+/// An engine that holds all layers, and crashes when it starts to run a request for `/bad`.
+fn crashing_engine(request: &ReceivedRequest) -> Reply {
     match request.target.as_str() {
         REPORT_PATH => signed_response(request, 200, &report(0, LAYERS, &[])),
         ORDER_PATH => signed_response(request, 200, ""),
-        _ if is_bad(request) => Reply::Crash(stream_head(request), PAUSE),
+        _ if crashes_replicas(request) => Reply::Crash(stream_head(request), PAUSE),
         _ => events(request, EVENTS, PAUSE, StreamEnd::Complete),
     }
 }
@@ -73,7 +72,7 @@
     model_entry(address, 0, LAYERS)
 }
 
-async fn start_engines(
+async fn start_replicas(
     count: usize,
     script: impl Fn(&ReceivedRequest) -> Reply + Clone + Send + Sync + 'static,
 ) -> Vec<StandinReplica> {
@@ -117,7 +116,7 @@
 #[test]
 fn a_request_that_crashes_replicas_is_quarantined_at_all_relays() {
     run_test(async {
-        let engines = start_engines(10, fragile_engine).await;
+        let engines = start_replicas(10, crashing_engine).await;
         let store = start_store(&engines, full_model).await;
         let relays = start_relays(&["hall", "far"], &store).await;
         for attempt in 0..8 {
@@ -137,7 +136,7 @@
 #[test]
 fn a_request_that_crashes_later_stages_is_not_rerouted() {
     run_test(async {
-        let later = start_engines(8, |request| match request.target.as_str() {
+        let later = start_replicas(8, |request| match request.target.as_str() {
             REPORT_PATH => signed_response(request, 200, &report(4, LAYERS, &[])),
             _ => signed_response(request, 200, ""),
         })
@@ -183,9 +182,9 @@
     });
 }
 
-/// A replica of a plain service that crashes when it starts to run the bad request.
-fn fragile_desk(request: &ReceivedRequest) -> Reply {
-    match is_bad(request) {
+/// A replica of a plain service that crashes when it starts to run a request for `/bad`.
+fn crashing_desk(request: &ReceivedRequest) -> Reply {
+    match crashes_replicas(request) {
         true => Reply::Crash(Vec::new(), PAUSE),
         false => signed_response(request, 200, "confirmed"),
     }
@@ -197,7 +196,7 @@
 fn a_request_that_crashes_plain_replicas_is_quarantined() {
     for path in ["/safe/bad", "/once/bad"] {
         run_test(async move {
-            let desks = start_engines(8, fragile_desk).await;
+            let desks = start_replicas(8, crashing_desk).await;
             let store = start_store(&desks, desk_entry).await;
             let relays = start_relays(&["hall"], &store).await;
             let mut last = None;
@@ -213,22 +212,22 @@
                 sleep(LOCAL_INTERVAL).await;
             }
             assert_eq!(count_crashed(&desks), MAX_CRASHED, "{path}");
-            let rejected = last.expect("some attempts");
-            assert_eq!(rejected.status, StatusCode::SERVICE_UNAVAILABLE);
+            let refused = last.expect("some attempts");
+            assert_eq!(refused.status, StatusCode::SERVICE_UNAVAILABLE);
             let wait: f64 =
-                rejected.headers["retry-after"].to_str().expect("text").parse().expect("seconds");
+                refused.headers["retry-after"].to_str().expect("text").parse().expect("seconds");
             assert!(wait > 60.0, "the caller must not be told to retry soon: {wait} s");
-            assert!(!rejected.body.is_empty(), "the body gives the reason");
+            assert!(!refused.body.is_empty(), "the body gives the reason");
         });
     }
 }
 
-/// All relays end and lose their state. The relays that start next learn of the quarantine from the
-/// store.
+/// All relays stop and lose their state. The relays that start next learn of the quarantine from
+/// the store.
 #[test]
-fn quarantines_survive_the_end_of_all_relays() {
+fn quarantines_survive_a_restart_of_all_relays() {
     run_test(async {
-        let engines = start_engines(8, fragile_engine).await;
+        let engines = start_replicas(8, crashing_engine).await;
         let store = start_store(&engines, full_model).await;
         let relays = start_relays(&["hall"], &store).await;
         for attempt in 0..3 {
@@ -241,8 +240,8 @@
         let relays = start_relays(&["far", "hall"], &store).await;
         for relay in &relays {
             wait_until(async || knows_quarantine(relay).await).await;
-            let rejected = relay.get("/stream/bad", "bad-again").await;
-            assert_eq!(rejected.status, StatusCode::SERVICE_UNAVAILABLE);
+            let refused = relay.get("/stream/bad", "bad-again").await;
+            assert_eq!(refused.status, StatusCode::SERVICE_UNAVAILABLE);
         }
         assert_eq!(count_crashed(&engines), MAX_CRASHED);
     });
--- a/crates/relay/tests/harness/mod.rs
+++ b/crates/relay/tests/harness/mod.rs
@@ -31,7 +31,7 @@
     time::{sleep, timeout},
 };
 
-/// Time-out of a test for an expected event. Generous, since no assertion depends on how long the
+/// Timeout of a test for an expected event. Generous, since no assertion depends on how long the
 /// event takes.
 pub(crate) const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
@@ -49,7 +49,7 @@
 pub(crate) const ONCE: RouteSample =
     RouteSample { prefix: "/once/", kind: "non_idempotent", max_attempts: 2, ..SAFE };
 
-/// Route to the plain service with a short time-out, for calls that must not be repeated.
+/// Route to the plain service with a short timeout, for calls that must not be repeated.
 pub(crate) const BRIEF: RouteSample = RouteSample { prefix: "/brief/", timeout_ms: 300, ..ONCE };
 
 /// Route to the model for streams that may be resumed at another replica.
@@ -194,12 +194,12 @@
     /// Sends its state to another relay, as a restarting relay does, and waits for a message from
     /// that one.
     pub(crate) async fn exchange_state(&self, other: &RunningRelay) {
-        let news = StateMessage {
+        let message = StateMessage {
             name: self.settings.name.clone(),
             data_centre: self.settings.data_centre.clone(),
             ..StateMessage::default()
         };
-        let datagram = PeerMessage::State(Box::new(news)).encode();
+        let datagram = PeerMessage::State(Box::new(message)).encode();
         self.sockets.peers.send_to(&datagram, other.peers).await.expect("loopback accepts it");
         timeout(WAIT_TIMEOUT, self.sockets.peers.readable())
             .await
--- a/crates/relay/tests/limits.rs
+++ b/crates/relay/tests/limits.rs
@@ -1,8 +1,8 @@
 //! Replicas whose responses name a rate limit for all relays together (`Server-Limit`).
 //!
-//! Relays once ignored these limits: in four seconds, four relays sent 87 requests to a replica
-//! that allowed 46, while another replica had free slots. A limit enforced by each relay on its own
-//! would not have been enough either, since it applies to all of them together.
+//! Guards against relays that ignore these limits, or that enforce them each on its own although a
+//! limit applies to all relays together. In four seconds, four relays that ignored them sent 87
+//! requests to a replica that allowed 46, while another replica had free slots.
 
 mod harness;
 
--- a/crates/relay/tests/notices.rs
+++ b/crates/relay/tests/notices.rs
@@ -1,9 +1,9 @@
 //! Replicas that ask in their responses for a backoff (`Retry-After`), or announce that they are
 //! leaving (`Server-Leaving`).
 //!
-//! Relays once ignored `Retry-After`: after a rejection they avoided the replica for 250 ms,
-//! whatever it asked for. Two replicas that asked for three seconds each got eight requests of one
-//! relay in that time, and four times a second a caller paid for two sends that could not succeed.
+//! Guards against relays that ignore `Retry-After` and avoid the replica for a fixed 250 ms
+//! instead: two replicas that asked for three seconds then got eight requests each of one relay in
+//! that time, and four times a second a caller waited for two sends that could not succeed.
 
 mod harness;
 
@@ -42,8 +42,7 @@
 /// Maximum number of requests of one VM that may reach a replica during its backoff.
 const MAX_UNWANTED: usize = 2;
 
-/// Time over which the retries of callers are spread that were rejected until the same time, in
-/// seconds.
+/// Maximum random delay that a relay adds to the retry time of a refused caller, in seconds.
 const RETRY_SPREAD_S: f64 = 0.25;
 
 /// Pause between two requests of a caller.
@@ -86,28 +85,28 @@
     }
 }
 
-/// A replica that rejects requests while `is_closed`, and asks for a backoff of `retry_after`
+/// A replica that rejects requests while `is_rejecting`, and asks for a backoff of `retry_after`
 /// seconds.
 fn rejects(
-    is_closed: &Arc<AtomicBool>,
+    is_rejecting: &Arc<AtomicBool>,
     retry_after: &'static str,
     times: &RequestTimes,
 ) -> impl Fn(&ReceivedRequest) -> Reply + Send + Sync + 'static {
-    let (is_closed, times) = (is_closed.clone(), times.clone());
+    let (is_rejecting, times) = (is_rejecting.clone(), times.clone());
     move |request| {
         if is_control(request) {
             return respond_healthy(request);
         }
-        let is_closed = is_closed.load(Ordering::SeqCst);
-        times.record(is_closed);
-        match is_closed {
+        let is_rejecting = is_rejecting.load(Ordering::SeqCst);
+        times.record(is_rejecting);
+        match is_rejecting {
             true => with_header(reject(request, 503, None), "Retry-After", retry_after),
             false => respond_healthy(request),
         }
     }
 }
 
-fn closed() -> Arc<AtomicBool> {
+fn always() -> Arc<AtomicBool> {
     Arc::new(AtomicBool::new(true))
 }
 
@@ -120,7 +119,7 @@
     {
         run_test(async {
             let times = RequestTimes::default();
-            let near = StandinReplica::start(rejects(&closed(), "3", &times)).await;
+            let near = StandinReplica::start(rejects(&always(), "3", &times)).await;
             let other = StandinReplica::start(respond_healthy).await;
             let entries = [entry_of("i-1", &near, entry), entry_of("i-2", &other, far(entry))];
             let relay = RunningRelay::start(bounds(), &entries).await;
@@ -138,17 +137,17 @@
     }
 }
 
-/// While all replicas have asked for a backoff, callers are rejected at once, with the time at
-/// which the first replica accepts requests again. None of these requests is sent.
+/// While all replicas have asked for a backoff, callers are refused at once, with the time at which
+/// the first replica accepts requests again. None of these requests is sent.
 #[test]
-fn callers_are_rejected_while_all_replicas_back_off() {
+fn callers_are_refused_while_all_replicas_back_off() {
     for (path, entry) in
         [("/stream/", full_model as fn(SocketAddr) -> Value), ("/safe/", desk_entry)]
     {
         run_test(async {
             let times = [RequestTimes::default(), RequestTimes::default()];
-            let one = StandinReplica::start(rejects(&closed(), "6", &times[0])).await;
-            let two = StandinReplica::start(rejects(&closed(), "4", &times[1])).await;
+            let one = StandinReplica::start(rejects(&always(), "6", &times[0])).await;
+            let two = StandinReplica::start(rejects(&always(), "4", &times[1])).await;
             let entries = [entry_of("i-1", &one, entry), entry_of("i-2", &two, entry)];
             let relay = RunningRelay::start(bounds(), &entries).await;
             wait_until(async || {
@@ -176,11 +175,11 @@
         [("/stream/", full_model as fn(SocketAddr) -> Value), ("/safe/", desk_entry)]
     {
         run_test(async {
-            let (is_closed, times) = (closed(), RequestTimes::default());
-            let replica = StandinReplica::start(rejects(&is_closed, "0.15", &times)).await;
+            let (is_rejecting, times) = (always(), RequestTimes::default());
+            let replica = StandinReplica::start(rejects(&is_rejecting, "0.15", &times)).await;
             let relay = RunningRelay::start(bounds(), &[entry_of("i-1", &replica, entry)]).await;
             relay.get(&format!("{path}first"), "first").await;
-            is_closed.store(false, Ordering::SeqCst);
+            is_rejecting.store(false, Ordering::SeqCst);
             let result = relay.get(&format!("{path}second"), "second").await;
             assert_eq!(result.status, StatusCode::OK, "{path}");
         });
@@ -196,7 +195,7 @@
     {
         run_test(async {
             let times = RequestTimes::default();
-            let replica = StandinReplica::start(rejects(&closed(), "0.15", &times)).await;
+            let replica = StandinReplica::start(rejects(&always(), "0.15", &times)).await;
             let relay = RunningRelay::start(bounds(), &[entry_of("i-1", &replica, entry)]).await;
             relay.get(&format!("{path}first"), "first").await;
             let before = times.len();
--- a/crates/relay/tests/snapshots.rs
+++ b/crates/relay/tests/snapshots.rs
@@ -79,10 +79,11 @@
         let store = StandinStore::start().await;
         store.put(CONFIG_KIND, CONFIG_NAME, samples::config(1, &ROUTES, &[KEY]));
         store.put(REPLICA_KIND, "i-1", desk_entry(replica.address()));
-        let lasting = switchfold_relay::settings::BoundSettings { revoke_ms: 60_000.0, ..bounds() };
-        let first = BoundRelay::new("relay-1", store.clone(), lasting.clone()).await.run();
+        let long_lease =
+            switchfold_relay::settings::BoundSettings { revoke_ms: 60_000.0, ..bounds() };
+        let first = BoundRelay::new("relay-1", store.clone(), long_lease.clone()).await.run();
         first.wait_ready(StatusCode::OK).await;
-        let second = BoundRelay::new("relay-2", store.clone(), lasting).await;
+        let second = BoundRelay::new("relay-2", store.clone(), long_lease).await;
         store.set_behaviour(StoreBehaviour::Unavailable);
         second.exchange_state(&first).await;
         let second = second.run();
--- a/crates/relay/tests/store_restore.rs
+++ b/crates/relay/tests/store_restore.rs
@@ -20,9 +20,9 @@
 /// Duration of the store's outage: shorter than the time after which missing entries expire.
 const OUTAGE: Duration = Duration::from_millis(100);
 
-/// Time after the restore for which the relay must not apply what it knows to be outdated in the
-/// backup. Within it, the store removes the entries of replicas that have ended.
-const DOUBTED_TIME: Duration = Duration::from_millis(1_500);
+/// Time after the restore during which the relay must not apply entries of the backup that it knows
+/// to be outdated. The store removes the entries of ended replicas within this time.
+const UNCONFIRMED_TIME: Duration = Duration::from_millis(1_500);
 
 fn all_layers_entry(address: SocketAddr) -> Value {
     model_entry(address, 0, LAYERS)
@@ -94,7 +94,7 @@
             restore_after_outage(&relay.store).await;
             let restored_at = std::time::Instant::now();
             let mut count = 0;
-            while restored_at.elapsed() < DOUBTED_TIME {
+            while restored_at.elapsed() < UNCONFIRMED_TIME {
                 count += 1;
                 assert_eq!(
                     status_of_revoked_key(&format!("o{count}")).await,
