--- a/crates/relay/src/gossip.rs
+++ b/crates/relay/src/gossip.rs
@@ -309,7 +309,7 @@
     let suspects = state.suspects.shared_with(audience, now);
     let stalls = state.stalls.shared_with(audience, now);
     let slowdowns = state.slowdowns.shared_with(audience, now);
-    let reports = state.quarantine.updates(audience, now);
+    let reports = state.quarantine.shared_with(audience, now);
     let crashes = reports.iter().map(|report| CrashRecord::new(report, now)).collect();
     let cleared = state.quarantine.cleared(now);
     let cleared =
--- a/crates/router/src/membership/proofs.rs
+++ b/crates/router/src/membership/proofs.rs
@@ -75,7 +75,7 @@
 /// incarnation, whose clock is unrelated to the present one. Since a clock starts at 0, times
 /// before the start are negative. If they were clamped to 0, a relay that has just started would
 /// take an old proof for a young one and pass it on as such; if they were dropped, relays would
-/// refuse keys for seconds after a stop of all.
+/// refuse keys for seconds after all of them were restarted.
 pub fn proof_time(stamp: PeerStamp, incarnation: u32, held: Millis, age: Millis) -> Option<i64> {
     let own = stamp.incarnation == incarnation;
     own.then(|| (stamp.time + held) as i64 - age as i64)
--- a/crates/router/src/quarantine.rs
+++ b/crates/router/src/quarantine.rs
@@ -310,7 +310,7 @@
     }
 
     /// Returns the reports to send to other relays now, heaviest first.
-    pub fn updates(&self, audience: UpdateAudience, now: Millis) -> Vec<CrashReport> {
+    pub fn shared_with(&self, audience: UpdateAudience, now: Millis) -> Vec<CrashReport> {
         let shares_all = now < self.share_all_until;
         let is_forwarded = |record: &RequestRecord| {
             audience == UpdateAudience::Members && now.saturating_sub(record.changed) < SHARE_TIME
--- a/crates/router/src/quarantine/record.rs
+++ b/crates/router/src/quarantine/record.rs
@@ -4,8 +4,8 @@
 use crate::{Millis, fingerprint::RequestFingerprint};
 
 /// Weight of a chain of lost runs at which a request is quarantined: three pieces of strong
-/// evidence. Any request may be present at one crash, and with a threshold of two pieces, requests
-/// were quarantined that had only been present at crashes caused by others.
+/// evidence. Any request may be present at one crash, and a threshold of two pieces would
+/// quarantine requests that were merely present at crashes caused by others.
 pub const QUARANTINE_WEIGHT: u32 = 6;
 
 /// Maximum number of runs kept per request.
--- a/crates/router/tests/crash_model/mod.rs
+++ b/crates/router/tests/crash_model/mod.rs
@@ -370,7 +370,7 @@
 
     /// Sends the reports of a relay to the others: to its own data centre only, or `to_all`.
     fn sync(&mut self, relay: usize, to_all: bool, now: u64) {
-        let reports = self.tables[relay].updates(UpdateAudience::Speakers, now);
+        let reports = self.tables[relay].shared_with(UpdateAudience::Speakers, now);
         let cleared = self.tables[relay].cleared(now);
         let is_restarted =
             now < self.started_at[relay] + SYNC_INTERVAL * 2 && self.started_at[relay] > 0;
--- a/crates/router/tests/crashes.rs
+++ b/crates/router/tests/crashes.rs
@@ -186,19 +186,19 @@
     assert!(crash(&mut table, 1, 3, (300, 400)));
     assert_eq!(table.unstored(400).len(), 1, "written to the store");
     assert_eq!(table.unstored(400), [], "only once");
-    let reports = table.updates(UpdateAudience::Speakers, 400);
+    let reports = table.shared_with(UpdateAudience::Speakers, 400);
     let mut other = QuarantineTable::default();
     other.merge(reports, false, 10);
     assert!(other.remaining(&request(1), 10).is_some());
     assert_eq!(other.unstored(10), [], "only the relay that observed a crash writes to the store");
     assert_eq!(
-        other.updates(UpdateAudience::Speakers, 10),
+        other.shared_with(UpdateAudience::Speakers, 10),
         [],
         "reports of other relays are not forwarded"
     );
     other.announce_all(10);
     assert_eq!(
-        other.updates(UpdateAudience::Speakers, 10).len(),
+        other.shared_with(UpdateAudience::Speakers, 10).len(),
         1,
         "except to relays that have just started or returned"
     );
@@ -228,7 +228,7 @@
             CrashReport { fingerprint, remaining: None, runs: vec![run(number + 50, 0, 100)] };
         table.merge(vec![report], false, 4_000 + number);
     }
-    let reports = table.updates(UpdateAudience::Speakers, 4_000);
+    let reports = table.shared_with(UpdateAudience::Speakers, 4_000);
     assert!(
         reports.iter().any(|report| report.fingerprint == request(1)),
         "quarantined requests are reported first"
