--- a/crates/router/src/quarantine/runs.rs
+++ b/crates/router/src/quarantine/runs.rs
@@ -1,24 +1,24 @@
-//! Runs of requests that were lost, and how much they say of their requests.
+//! Lost runs of requests, and how strongly they suggest that the request caused the crash.
 
-use crate::{Millis, life::ReplicaLife};
+use crate::{Millis, instance::ReplicaInstance};
 
-/// Time that a run must go on with events to count as a result, in milliseconds: ten times what a replica took to end
-/// after it had begun the request that ended it.
-pub const PROVEN_AFTER: Millis = 1_000;
+/// Time for which a run must produce events to count as a result, in milliseconds: ten times what a
+/// replica took to crash after it started the request that crashed it.
+pub const SURVIVAL_TIME: Millis = 1_000;
 
-/// Time from its beginning up to which a run that gave something is still a sign, in milliseconds.
-const YOUNG: Millis = 400;
+/// Age of a run up to which its loss is evidence although it produced events, in milliseconds.
+const MAX_EVIDENCE_AGE: Millis = 400;
 
-/// How much a lost run says of its request.
+/// How strongly a lost run suggests that its request caused the crash.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum CrashSign {
-    /// It had not begun, or had begun and given something.
+pub enum CrashEvidence {
+    /// The run had not started, or had started recently and produced events.
     Weak,
-    /// It had begun and given nothing.
+    /// The run had started and produced nothing.
     Strong,
 }
 
-impl CrashSign {
+impl CrashEvidence {
     pub(super) fn weight(self) -> u32 {
         match self {
             Self::Weak => 1,
@@ -27,66 +27,67 @@
     }
 }
 
-/// What had come of a run when it was lost.
+/// How far a run had got when it was lost.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum RunYield {
-    /// Its answer comes as a whole, and had not come.
-    Whole,
-    /// Its answer is a stream, which began at that time and had given so many events.
+pub enum RunProgress {
+    /// The response is not streamed, and had not arrived.
+    Unary,
+    /// The response is a stream.
     Stream {
-        /// When its first replica began to run it; nothing where it had not.
+        /// When the first replica started to run the request; `None` if it had not.
         begun: Option<Millis>,
-        /// Events since.
+        /// Number of events received since then.
         events: u64,
     },
 }
 
-impl RunYield {
-    /// What a run lost at `now` says of its request; nothing where it had gone on for long.
-    pub fn sign(self, now: Millis) -> Option<CrashSign> {
+impl RunProgress {
+    /// Returns the evidence that a run lost at `now` gives against its request, or `None` if it had
+    /// produced events for too long.
+    pub fn evidence(self, now: Millis) -> Option<CrashEvidence> {
         match self {
-            Self::Whole | Self::Stream { begun: Some(_), events: 0 } => Some(CrashSign::Strong),
-            Self::Stream { begun: None, .. } => Some(CrashSign::Weak),
+            Self::Unary | Self::Stream { begun: Some(_), events: 0 } => Some(CrashEvidence::Strong),
+            Self::Stream { begun: None, .. } => Some(CrashEvidence::Weak),
             Self::Stream { begun: Some(begun), .. } => {
-                (now.saturating_sub(begun) < YOUNG).then_some(CrashSign::Weak)
+                (now.saturating_sub(begun) < MAX_EVIDENCE_AGE).then_some(CrashEvidence::Weak)
             }
         }
     }
 }
 
-/// A run that was lost, and its replica with it. Times are by the own clock, which begins at 0: what others saw may lie
-/// before.
+/// A run that was lost in the crash of a replica. Times are by this relay's clock, which starts at
+/// 0; they are negative for what other relays observed before that.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct CrashRun {
-    /// The replica's life that ended.
-    pub life: ReplicaLife,
+    /// The replica that crashed.
+    pub instance: ReplicaInstance,
     /// When the request was sent there.
     pub sent: i64,
     /// When the run was lost.
     pub lost: i64,
-    /// What it says of the request.
-    pub sign: CrashSign,
+    /// Evidence against the request.
+    pub evidence: CrashEvidence,
 }
 
-/// A run that was lost, whose replicas may turn out to have ended.
+/// A run that was lost, before it is known whether one of its replicas crashed.
 #[derive(Clone, Debug)]
 pub struct LostRun<'a> {
-    /// Replicas of its path.
-    pub lives: &'a [ReplicaLife],
-    /// When it was sent.
+    /// Replicas of the path.
+    pub instances: &'a [ReplicaInstance],
+    /// When the request was sent.
     pub sent: Millis,
-    /// What had come of it.
-    pub yielded: RunYield,
+    /// How far the run had got.
+    pub progress: RunProgress,
 }
 
-/// Weight of the heaviest series of runs in which each was sent after the one before was lost. Runs are in order of their
-/// losses.
+/// Returns the weight of the heaviest chain of runs in which each was sent after the one before was
+/// lost. Expects the runs in the order of their losses.
 pub(super) fn chain_weight(runs: &[CrashRun]) -> u32 {
     let mut best: Vec<u32> = Vec::with_capacity(runs.len());
     for run in runs {
         let before = runs.iter().zip(&best).filter(|(earlier, _)| earlier.lost <= run.sent);
         let heaviest = before.map(|(_, weight)| *weight).max().unwrap_or_default();
-        best.push(heaviest + run.sign.weight());
+        best.push(heaviest + run.evidence.weight());
     }
     best.into_iter().max().unwrap_or_default()
 }
--- a/crates/router/src/replicas.rs
+++ b/crates/router/src/replicas.rs
@@ -1,8 +1,8 @@
-//! What a relay believes of the replicas, and how recent that is.
+//! What a relay knows about the replicas, and how recent that is.
 //!
-//! News of a replica comes by three ways: a list of the store, a watch of it, and other relays of the
-//! data centre. All of them are taken over here, each with where it came from, so that whoever holds this
-//! can tell of every change by what it was decided.
+//! Updates of a replica come from lists of the store, from watches of it, and from other relays of
+//! the data centre. All are applied here together with their source, so that the caller can log
+//! what each change was based on.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -13,310 +13,344 @@
 
 use crate::{
     Millis,
-    fleet::{EntryState, FleetChange, FleetView, LayerRange, ReplicaEntry, ReplicaNews},
+    era::era_of,
+    fleet::{EntryState, FleetChange, FleetView, LayerRange, ReplicaEntry, ReplicaUpdate},
     freshness::FreshnessLease,
-    lapse::LapseGrace,
-    life::ReplicaLife,
-    membership::{FOLLOWED_AGE, PeerProof},
-    place::era_of,
+    instance::ReplicaInstance,
+    membership::{MAX_PEER_READ_AGE, PeerProof},
+    missing::MissingEntries,
 };
 
-/// Where news of a replica came from.
+/// Where an update of a replica came from.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
-pub enum NewsSource {
+pub enum UpdateSource {
     /// A list of the store.
     #[display("list")]
     List,
-    /// A list of the store, told by a relay that read it.
+    /// A list of the store, sent by a relay that read it.
     #[display("told")]
-    Told,
+    Snapshot,
     /// A watch of the store.
     #[display("watch")]
     Watch,
     /// Another relay of the data centre, by its address.
     #[display("relay {_0}")]
     Relay(SocketAddr),
-    /// Nothing: it was waited for in vain after an outage of the store.
+    /// Expiry: the entry did not reappear after an outage of the store.
     #[display("lapse")]
-    Lapse,
+    Expiry,
     /// A later start at the same address.
     #[display("successor")]
     Successor,
-    /// The replica itself, when it was asked.
+    /// The replica's own answer to a status request.
     #[display("report")]
     Report,
-    /// The replica itself, with an answer.
+    /// The replica's own response to a request.
     #[display("answer")]
     Answer,
 }
 
-/// News that came, with what it changed.
+/// An applied update, with what it changed.
 #[derive(Clone, Debug, PartialEq)]
-pub struct TakenNews {
+pub struct AppliedUpdate {
     /// Id of the replica.
     pub id: String,
-    /// Its life that the news speaks of; nothing where it was not known.
-    pub life: Option<ReplicaLife>,
-    /// Its life that ended by the news: what is kept of it counts no more.
-    pub ended: Option<ReplicaLife>,
-    /// Whether that one had said that it leaves.
+    /// Instance that the update is about; `None` if it is not known.
+    pub instance: Option<ReplicaInstance>,
+    /// Instance that ended by the update; state kept about it no longer holds.
+    pub ended: Option<ReplicaInstance>,
+    /// Whether the instance that ended had announced that it will leave.
     pub is_planned: bool,
-    /// Address of the replica; nothing where it was not known.
+    /// Address of the replica; `None` if it is not known.
     pub address: Option<SocketAddr>,
-    /// Layers that it holds by this news.
+    /// Layers that it holds according to the update.
     pub layers: Option<LayerRange>,
     /// What changed.
     pub change: FleetChange,
-    /// Revision of the news.
+    /// Revision of the update.
     pub revision: u64,
-    /// Revision of what was held before.
+    /// Revision that was held before.
     pub held: Option<u64>,
-    /// Where the news came from.
-    pub source: NewsSource,
+    /// Where the update came from.
+    pub source: UpdateSource,
 }
 
-/// A whole list, as the store told it.
+/// A full list, as read from the store.
 #[derive(Clone, Debug)]
 pub struct FleetList {
     /// Replicas that are listed.
-    pub listed: Vec<ReplicaNews>,
-    /// Revision of the store at which they were.
+    pub listed: Vec<ReplicaUpdate>,
+    /// Revision of the store that the list belongs to.
     pub at: u64,
 }
 
-/// What taking over a list did.
+/// Result of applying a list.
 #[derive(Clone, Debug, Default)]
-pub struct TakenList {
-    /// News that it brought.
-    pub taken: Vec<TakenNews>,
-    /// Replicas that it lacks, and that are waited for.
+pub struct AppliedList {
+    /// Updates that it contained, with what they changed.
+    pub applied: Vec<AppliedUpdate>,
+    /// Replicas that it lacks and that may reappear.
     pub awaited: Vec<String>,
-    /// Changes that a watch should have told and did not, with what was held: this relay had gone on
-    /// beyond their revisions.
-    pub passed: Vec<(ReplicaNews, Option<u64>)>,
-    /// The era that it is the first list of, where the store came back from a copy.
-    pub began: Option<EraStart>,
+    /// Changes that a watch should have reported and did not, with the revision held: this relay
+    /// had already read beyond their revisions.
+    pub missed: Vec<(ReplicaUpdate, Option<u64>)>,
+    /// The new era, if this is its first list after the store was restored from a backup.
+    pub era_start: Option<EraStart>,
 }
 
-/// The first list after the store came back from a copy of before.
+/// The first list after the store was restored from a backup.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct EraStart {
     /// The era.
     pub era: u64,
-    /// Listed replicas that this relay knows to be gone, and that are not taken back for now.
-    pub doubted: usize,
+    /// Number of listed replicas that this relay knows to be gone, and does not add again for now.
+    pub unconfirmed: usize,
 }
 
-/// Time after the first list of an era for which it brings back no life that was known to be gone, in milliseconds: a
-/// copy names those that have ended since, until the store misses three of their heartbeats of 1.2 s.
-const DOUBT_TIME: Millis = 3_800;
+/// Time after the first list of an era during which no instance that was known to be gone is added
+/// again, in milliseconds. A backup lists replicas that have ended since, until the store misses
+/// three of their heartbeats, which are 1.2 s apart.
+const CONFIRMATION_PERIOD: Millis = 3_800;
 
-/// Listed replicas that are not taken back for now, since a copy of the store names them and they were gone before.
+/// Listed replicas that are not added for now, since the list comes from a restored backup and they
+/// were gone before the restore.
 #[derive(Clone, Debug, Default)]
-struct DoubtedNews {
+struct UnconfirmedUpdates {
     until: Millis,
-    news: BTreeMap<String, ReplicaNews>,
+    updates: BTreeMap<String, ReplicaUpdate>,
 }
 
-impl DoubtedNews {
-    /// Drops what newer news of the replica overtakes.
-    fn note_news(&mut self, news: &ReplicaNews) {
-        if self.news.get(&news.id).is_some_and(|doubted| doubted.revision < news.revision) {
-            self.news.remove(&news.id);
+impl UnconfirmedUpdates {
+    /// Drops the unconfirmed entry of a replica if the update is newer.
+    fn record_update(&mut self, update: &ReplicaUpdate) {
+        if self
+            .updates
+            .get(&update.id)
+            .is_some_and(|unconfirmed| unconfirmed.revision < update.revision)
+        {
+            self.updates.remove(&update.id);
         }
     }
 }
 
-/// What a relay believes of the replicas.
+/// What a relay knows about the replicas.
 #[derive(Clone, Debug, Default)]
-pub struct FleetBelief {
-    /// The replicas.
+pub struct FleetTracker {
+    /// The listed replicas.
     pub view: FleetView,
-    lapses: LapseGrace,
-    doubted: DoubtedNews,
+    missing: MissingEntries,
+    unconfirmed: UnconfirmedUpdates,
     lease: FreshnessLease,
-    watched: u64,
-    /// When this relay last had an answer of the store itself.
-    own_answer: Option<Millis>,
+    read_up_to: u64,
+    /// When the store last answered this relay itself.
+    last_own_answer: Option<Millis>,
 }
 
-/// Entries that are told apart by id; far more than other writers leave at a time.
-const MOST_ODD: usize = 1_024;
+/// Maximum number of ids that are kept; far more than other writers leave at a time.
+const MAX_FOREIGN_IDS: usize = 1_024;
 
-/// Entries in the list that are no replica's own, so that each is told of once for each revision.
+/// Listed entries that no replica wrote, so that each is reported once for each revision.
 #[derive(Clone, Debug, Default)]
-pub struct OddEntries {
+pub struct ForeignEntries {
     seen: HashMap<String, u64>,
 }
 
-impl OddEntries {
-    /// Notes an entry; tells whether it is news.
-    pub fn note(&mut self, id: &str, revision: u64) -> bool {
-        if self.seen.len() >= MOST_ODD && !self.seen.contains_key(id) {
+impl ForeignEntries {
+    /// Records an entry; returns whether it is new.
+    pub fn record(&mut self, id: &str, revision: u64) -> bool {
+        if self.seen.len() >= MAX_FOREIGN_IDS && !self.seen.contains_key(id) {
             self.seen.clear();
         }
         self.seen.insert(id.to_owned(), revision) != Some(revision)
     }
 }
 
-/// Age up to which the list of replicas counts as recent, in milliseconds: two waits of its watch, and
-/// the time that a store in trouble takes.
-pub const FRESH_FLEET: Millis = 5_000;
+/// Age up to which the list of replicas counts as recent, in milliseconds: two waits of its watch,
+/// and the time that a slow store takes.
+pub const FLEET_MAX_AGE: Millis = 5_000;
 
-/// The same, where this relay has lost the store and only hears from others: their proofs are up to
-/// two waits of a second old, and what they tell a little more.
-pub const TOLD_FLEET: Millis = 3_500;
+/// Like [`FLEET_MAX_AGE`], for a relay that has lost the store and depends on others: their proofs
+/// are up to two waits of a second old, and slightly older when they arrive.
+pub const FLEET_MAX_AGE_LOST: Millis = 3_500;
 
-impl FleetBelief {
-    /// Takes over a whole list of the store, sent for at `sent`; `source` tells how it came.
-    pub fn take_list(
+impl FleetTracker {
+    /// Applies a full list of the store that was requested at `sent`.
+    pub fn apply_list(
         &mut self,
         list: FleetList,
-        source: NewsSource,
+        source: UpdateSource,
         sent: Millis,
         now: Millis,
-    ) -> TakenList {
+    ) -> AppliedList {
         let FleetList { mut listed, at } = list;
-        let mut result = TakenList { passed: self.passed_by(&listed), ..TakenList::default() };
-        let is_new_era = self.watched > 0 && era_of(at) > era_of(self.watched);
+        let mut result =
+            AppliedList { missed: self.missed_by_watch(&listed), ..AppliedList::default() };
+        let is_new_era = self.read_up_to > 0 && era_of(at) > era_of(self.read_up_to);
         if is_new_era {
-            self.lapses.note_copy(sent);
-            self.view.keep_leaving();
-            self.doubted = DoubtedNews { until: now + DOUBT_TIME, news: BTreeMap::new() };
+            self.missing.record_restore(sent);
+            self.view.pin_draining();
+            self.unconfirmed =
+                UnconfirmedUpdates { until: now + CONFIRMATION_PERIOD, updates: BTreeMap::new() };
         }
-        self.set_doubted_apart(&mut listed, now);
-        result.began =
-            is_new_era.then(|| EraStart { era: era_of(at), doubted: self.doubted.news.len() });
+        self.set_aside_unconfirmed(&mut listed, now);
+        result.era_start = is_new_era
+            .then(|| EraStart { era: era_of(at), unconfirmed: self.unconfirmed.updates.len() });
         for id in self.view.missing_from(&listed, at) {
-            match self.lapses.keeps(&id, at, sent) {
+            match self.missing.should_keep(&id, at, sent) {
                 true => result.awaited.push(id),
                 false => {
-                    let news = ReplicaNews { id, revision: at, entry: None };
-                    result.taken.push(self.take_one(news, source, now));
+                    let update = ReplicaUpdate { id, revision: at, entry: None };
+                    result.applied.push(self.apply_one(update, source, now));
                 }
             }
         }
-        result.taken.extend(self.take_all(listed, source, now));
+        result.applied.extend(self.apply_all(listed, source, now));
         result
     }
 
-    /// Sets replicas of a list apart that were gone before the store came back from a copy. What an earlier list named and
-    /// this one lacks has ended.
-    fn set_doubted_apart(&mut self, listed: &mut Vec<ReplicaNews>, now: Millis) {
-        self.doubted.news.clear();
-        if now >= self.doubted.until {
+    /// Removes from a list those replicas that were gone before the store was restored from a
+    /// backup. Unconfirmed entries of an earlier list that this one lacks have ended.
+    fn set_aside_unconfirmed(&mut self, listed: &mut Vec<ReplicaUpdate>, now: Millis) {
+        self.unconfirmed.updates.clear();
+        if now >= self.unconfirmed.until {
             return;
         }
-        let was_gone = |news: &mut ReplicaNews| self.view.was_gone_before(news);
-        for news in listed.extract_if(.., was_gone) {
-            self.doubted.news.insert(news.id.clone(), news);
+        let was_removed = |update: &mut ReplicaUpdate| self.view.was_removed_before(update);
+        for update in listed.extract_if(.., was_removed) {
+            self.unconfirmed.updates.insert(update.id.clone(), update);
         }
     }
 
-    fn passed_by(&self, listed: &[ReplicaNews]) -> Vec<(ReplicaNews, Option<u64>)> {
-        let due = listed.iter().filter(|news| news.revision <= self.watched);
-        let with_held = due.map(|news| (news, self.view.revision(&news.id)));
-        let passed = with_held.filter(|(news, held)| held.is_none_or(|held| held < news.revision));
-        passed.map(|(news, held)| (news.clone(), held)).collect()
+    fn missed_by_watch(&self, listed: &[ReplicaUpdate]) -> Vec<(ReplicaUpdate, Option<u64>)> {
+        let due = listed.iter().filter(|update| update.revision <= self.read_up_to);
+        let with_held = due.map(|update| (update, self.view.revision(&update.id)));
+        let missed =
+            with_held.filter(|(update, held)| held.is_none_or(|held| held < update.revision));
+        missed.map(|(update, held)| (update.clone(), held)).collect()
     }
 
-    /// Takes over news; what is older than what is known changes nothing.
-    pub fn take_all(
+    /// Applies updates; one that is older than the known state changes nothing.
+    pub fn apply_all(
         &mut self,
-        news: Vec<ReplicaNews>,
-        source: NewsSource,
+        updates: Vec<ReplicaUpdate>,
+        source: UpdateSource,
         now: Millis,
-    ) -> Vec<TakenNews> {
-        let mut taken = Vec::with_capacity(news.len());
-        for one in news {
-            let named = one.entry.as_ref().is_some_and(|entry| self.view.names_service(entry));
-            let (revision, first) = (one.revision, self.take_one(one, source, now));
-            let joins = first.change == FleetChange::Joined && named;
-            let joined = first.address.filter(|_| joins);
+    ) -> Vec<AppliedUpdate> {
+        let mut applied = Vec::with_capacity(updates.len());
+        for update in updates {
+            let is_configured =
+                update.entry.as_ref().is_some_and(|entry| self.view.names_service(entry));
+            let (revision, first) = (update.revision, self.apply_one(update, source, now));
+            let has_joined = first.change == FleetChange::Joined && is_configured;
+            let joined = first.address.filter(|_| has_joined);
             let id = first.id.clone();
-            taken.push(first);
+            applied.push(first);
             let Some(address) = joined else { continue };
             for old in self.view.predecessors(&id, address) {
-                let news = ReplicaNews { id: old, revision, entry: None };
-                taken.push(self.take_one(news, NewsSource::Successor, now));
+                let update = ReplicaUpdate { id: old, revision, entry: None };
+                applied.push(self.apply_one(update, UpdateSource::Successor, now));
             }
         }
-        taken
+        applied
     }
 
-    /// Whether no list was ever read or told. One that is empty since all entries lapsed is a list: relays that ask each other
-    /// for more, as those do that start, would believe each other's and read the store no more.
-    pub fn holds_none(&self) -> bool {
-        self.watched == 0
+    /// Returns whether no list was ever read or received. A list that is empty since all entries
+    /// expired counts as one: otherwise starting relays, which ask each other, would accept each
+    /// other's empty lists and no longer read the store.
+    pub fn has_no_list(&self) -> bool {
+        self.read_up_to == 0
     }
 
-    /// Era of the store up to which the list was read.
+    /// Returns the store's era of the last list or change that was read.
     pub fn era(&self) -> u64 {
-        era_of(self.watched)
+        era_of(self.read_up_to)
     }
 
-    /// Whether what was read up to a place is of an earlier era than what this relay read: it holds no longer.
+    /// Returns whether a revision is of an earlier era than the one that this relay has read; state
+    /// of an earlier era no longer holds.
     pub fn is_of_earlier_era(&self, at: u64) -> bool {
-        era_of(at) < era_of(self.watched)
+        era_of(at) < era_of(self.read_up_to)
     }
 
-    fn take_one(&mut self, news: ReplicaNews, source: NewsSource, now: Millis) -> TakenNews {
-        let news = self.without_lost_start(news);
-        self.doubted.note_news(&news);
-        let (id, revision) = (news.id.clone(), news.revision);
-        let layers = news.entry.as_ref().and_then(|entry| entry.layers);
-        let known = self.view.get(&id).map(|entry| (entry.life.clone(), entry.address));
+    fn apply_one(
+        &mut self,
+        update: ReplicaUpdate,
+        source: UpdateSource,
+        now: Millis,
+    ) -> AppliedUpdate {
+        let update = self.check_start(update);
+        self.unconfirmed.record_update(&update);
+        let (id, revision) = (update.id.clone(), update.revision);
+        let layers = update.entry.as_ref().and_then(|entry| entry.layers);
+        let known = self.view.get(&id).map(|entry| (entry.instance.clone(), entry.address));
         let is_planned =
             self.view.get(&id).is_some_and(|entry| entry.state == EntryState::Draining);
-        let told = news.entry.as_ref().map(|entry| (entry.life.clone(), entry.address));
-        let (life, address) = told.or(known.clone()).unzip();
+        let reported = update.entry.as_ref().map(|entry| (entry.instance.clone(), entry.address));
+        let (instance, address) = reported.or(known.clone()).unzip();
         let held = self.view.revision(&id);
         let change = match self.is_of_earlier_era(revision) {
-            // A relay that stood still tells what it read before.
+            // A relay that was paused sends what it read before.
             true => FleetChange::Older,
-            false => self.view.take(news, now),
+            false => self.view.apply(update, now),
         };
         match change {
             FleetChange::Older => {}
-            FleetChange::Gone => self.lapses.note_gone(&id),
-            _ => self.lapses.note_listed(&id, revision),
+            FleetChange::Gone => self.missing.record_gone(&id),
+            _ => self.missing.record_listed(&id, revision),
         }
         let ends = matches!(change, FleetChange::Gone | FleetChange::Restarted);
-        let ended = known.map(|(life, _)| life).filter(|_| ends);
-        TakenNews { id, life, ended, is_planned, address, layers, change, revision, held, source }
+        let ended = known.map(|(instance, _)| instance).filter(|_| ends);
+        AppliedUpdate {
+            id,
+            instance,
+            ended,
+            is_planned,
+            address,
+            layers,
+            change,
+            revision,
+            held,
+            source,
+        }
     }
 
-    /// An entry that tells no start, where the replica's own entry told one, is another writer's.
-    fn without_lost_start(&self, news: ReplicaNews) -> ReplicaNews {
-        let told = news.entry.as_ref().map(|entry| entry.life.born());
-        let held = self.view.get(&news.id).map_or(0, |held| held.life.born());
-        match told {
-            Some(0) if held > 0 => self.overwritten(&news.id, news.revision).unwrap_or(news),
-            _ => news,
+    /// Treats an entry without a start time, of a replica whose own entry had one, as another
+    /// writer's.
+    fn check_start(&self, update: ReplicaUpdate) -> ReplicaUpdate {
+        let reported = update.entry.as_ref().map(|entry| entry.instance.started_at());
+        let held = self.view.get(&update.id).map_or(0, |held| held.instance.started_at());
+        match reported {
+            Some(0) if held > 0 => self.overwritten(&update.id, update.revision).unwrap_or(update),
+            _ => update,
         }
     }
 
-    /// News of a replica in whose place another writer's entry stands. Nothing where the replica is not known: it
-    /// names none then.
-    pub fn overwritten(&self, id: &str, revision: u64) -> Option<ReplicaNews> {
+    /// Returns the update of a replica whose entry another writer has replaced; `None` for an
+    /// unknown replica, since the entry describes none then.
+    pub fn overwritten(&self, id: &str, revision: u64) -> Option<ReplicaUpdate> {
         let held = self.view.get(id)?;
         let state = match held.state {
-            // It said that it leaves, and does.
+            // The replica announced that it will leave; that still holds.
             EntryState::Draining => EntryState::Draining,
             EntryState::Ready | EntryState::Overwritten => EntryState::Overwritten,
         };
         let entry = ReplicaEntry { state, ..held.clone() };
-        Some(ReplicaNews { id: id.to_owned(), revision, entry: Some(entry) })
+        Some(ReplicaUpdate { id: id.to_owned(), revision, entry: Some(entry) })
     }
 
-    /// Takes a replica's own word of when it started; gives what it changed.
-    pub fn take_start(&mut self, id: &str, born: Millis, now: Millis) -> Option<TakenNews> {
-        let ended = self.view.note_start(id, born, now)?;
+    /// Records a replica's own report of its start; returns what it changed.
+    pub fn apply_start(
+        &mut self,
+        id: &str,
+        started_at: Millis,
+        now: Millis,
+    ) -> Option<AppliedUpdate> {
+        let ended = self.view.apply_restart(id, started_at, now)?;
         let entry = self.view.get(id)?;
         let revision = self.view.revision(id)?;
-        Some(TakenNews {
+        Some(AppliedUpdate {
             id: id.to_owned(),
-            life: Some(entry.life.clone()),
+            instance: Some(entry.instance.clone()),
             ended: Some(ended),
             is_planned: false,
             address: Some(entry.address),
@@ -324,20 +358,20 @@
             change: FleetChange::Restarted,
             revision,
             held: Some(revision),
-            source: NewsSource::Report,
+            source: UpdateSource::Report,
         })
     }
 
-    /// Takes a replica's own word that it is leaving; gives what it changed.
-    pub fn take_leaving(&mut self, life: &ReplicaLife) -> Option<TakenNews> {
-        if !self.view.note_leaving(life) {
+    /// Records a replica's own announcement that it will leave; returns what it changed.
+    pub fn apply_draining(&mut self, instance: &ReplicaInstance) -> Option<AppliedUpdate> {
+        if !self.view.mark_draining(instance) {
             return None;
         }
-        let entry = self.view.living(life)?;
-        let revision = self.view.revision(life.id())?;
-        Some(TakenNews {
-            id: life.id().to_owned(),
-            life: Some(life.clone()),
+        let entry = self.view.get_current(instance)?;
+        let revision = self.view.revision(instance.id())?;
+        Some(AppliedUpdate {
+            id: instance.id().to_owned(),
+            instance: Some(instance.clone()),
             ended: None,
             is_planned: true,
             address: Some(entry.address),
@@ -345,115 +379,121 @@
             change: FleetChange::Draining,
             revision,
             held: Some(revision),
-            source: NewsSource::Answer,
+            source: UpdateSource::Answer,
         })
     }
 
-    /// Notes that a read sent at `sent`, which reached the revision `at`, was answered.
-    pub fn note_read(&mut self, sent: Millis, at: u64, now: Millis) {
-        self.watched = at;
-        self.own_answer = Some(now);
-        self.note_proof(PeerProof { proved: Some(sent as i64), answered: Some(now) });
+    /// Records that the store answered a read sent at `sent`, up to the revision `at`.
+    pub fn record_read(&mut self, sent: Millis, at: u64, now: Millis) {
+        self.read_up_to = at;
+        self.last_own_answer = Some(now);
+        self.record_proof(PeerProof { proved: Some(sent as i64), answered: Some(now) });
     }
 
-    /// Notes that another relay told its whole list, which it read up to the revision `at`.
-    pub fn note_told(&mut self, proof: PeerProof, at: u64) {
-        self.watched = at;
-        self.own_answer = None;
-        self.note_proof(proof);
+    /// Records that another relay sent its full list, which it had read up to the revision `at`.
+    pub fn record_snapshot(&mut self, proof: PeerProof, at: u64) {
+        self.read_up_to = at;
+        self.last_own_answer = None;
+        self.record_proof(proof);
     }
 
-    /// Time since the store last answered this relay itself, in milliseconds; nothing where another one follows
-    /// for it, or told it the list.
+    /// Returns the time since the store last answered this relay itself, in milliseconds; `None` if
+    /// another relay reads on its behalf, or sent it the list.
     pub fn read_age(&self, now: Millis) -> Option<Millis> {
-        self.own_answer.map(|answered| now.saturating_sub(answered))
+        self.last_own_answer.map(|answered| now.saturating_sub(answered))
     }
 
-    /// The list as the store told it, for another relay: without entries that it lacks and that are awaited.
-    /// Whoever takes it decides for itself which of its own it awaits.
-    pub fn told_list(&self) -> FleetList {
-        let news = self.view.news().filter(|news| !self.lapses.is_awaited(&news.id));
-        FleetList { listed: news.collect(), at: self.watched }
+    /// Returns the list as the store reported it, for another relay: without the awaited entries,
+    /// which the store does not list. The receiver decides for itself which of its own entries it
+    /// awaits.
+    pub fn shareable_list(&self) -> FleetList {
+        let updates = self.view.updates().filter(|update| !self.missing.is_awaited(&update.id));
+        FleetList { listed: updates.collect(), at: self.read_up_to }
     }
 
-    /// Notes how recent the list held is, by a read or by another relay's word.
-    pub fn note_proof(&mut self, proof: PeerProof) {
-        proof.answered.into_iter().for_each(|answered| self.lease.note_answer(answered));
+    /// Records how recent the list is, by a read or by another relay's proof.
+    pub fn record_proof(&mut self, proof: PeerProof) {
+        proof.answered.into_iter().for_each(|answered| self.lease.record_answer(answered));
         let Some(proved) = proof.proved else { return };
-        self.lease.prove_at(proved);
-        // What was sent before this start says nothing of an outage seen since.
-        self.lapses.note_answer(proved.max(0) as Millis);
+        self.lease.record_proof_at(proved);
+        // A read sent before this start says nothing about an outage seen since.
+        self.missing.record_answer(proved.max(0) as Millis);
     }
 
-    /// Time since the store last answered for the list, in milliseconds; nothing while entries are awaited
-    /// that its list lacks: what is held is then not what the store says, and spares nobody a read.
+    /// Returns the time since the store last answered for the list, in milliseconds. Returns `None`
+    /// while entries are awaited: the list then differs from the store's, and must not replace
+    /// another relay's read.
     pub fn answer_age(&self, now: Millis) -> Option<Millis> {
         let answer_age = self.lease.answer_age(now);
-        answer_age.filter(|_| !self.lapses.awaits_any())
+        answer_age.filter(|_| !self.missing.awaits_any())
     }
 
-    /// Time since the store last answered for the list as it is held, awaited entries and all, in
-    /// milliseconds.
-    pub fn held_answer_age(&self, now: Millis) -> Option<Millis> {
+    /// Returns the time since the store last answered for the list, in milliseconds, even while
+    /// entries are awaited.
+    pub fn known_answer_age(&self, now: Millis) -> Option<Millis> {
         self.lease.answer_age(now)
     }
 
-    /// Notes that a read sent at `sent` got no answer.
-    pub fn note_lost(&mut self, sent: Millis) {
-        self.lease.note_lost(sent);
-        self.lapses.note_lost(sent);
+    /// Records that a read sent at `sent` got no answer.
+    pub fn record_loss(&mut self, sent: Millis) {
+        self.lease.record_loss(sent);
+        self.missing.record_loss(sent);
     }
 
-    /// Notes that the store did not answer this relay for another kind of object, which tells the same where
-    /// it does not read the list itself.
-    pub fn note_lost_by_other(&mut self, sent: Millis, now: Millis) {
-        if self.read_age(now).is_none_or(|age| age >= FOLLOWED_AGE) {
-            self.note_lost(sent);
+    /// Records that the store did not answer this relay for another kind of object, which shows the
+    /// same if this relay does not read the list itself.
+    pub fn record_loss_elsewhere(&mut self, sent: Millis, now: Millis) {
+        if self.read_age(now).is_none_or(|age| age >= MAX_PEER_READ_AGE) {
+            self.record_loss(sent);
         }
     }
 
-    /// Takes the news of replicas that were waited for too long: they are gone.
-    pub fn lapsed(&mut self, now: Millis) -> Vec<ReplicaNews> {
-        let overdue = self.lapses.take_overdue(now).into_iter();
-        let gone = overdue.map(|(id, revision)| ReplicaNews { id, revision, entry: None });
+    /// Returns the removals of replicas that were awaited for too long.
+    pub fn take_expired(&mut self, now: Millis) -> Vec<ReplicaUpdate> {
+        let overdue = self.missing.take_overdue(now).into_iter();
+        let gone = overdue.map(|(id, revision)| ReplicaUpdate { id, revision, entry: None });
         gone.collect()
     }
 
-    /// Whether the store is to be read anew, since entries were doubted and the time for that is over: whether they are listed
-    /// still, a relay that goes by another's word has not heard, and one that followed it may have missed.
-    pub fn wants_list(&self, now: Millis) -> bool {
-        !self.doubted.news.is_empty() && now >= self.doubted.until
+    /// Returns whether the store is to be read again, since entries are unconfirmed and the time
+    /// for that is over. A relay that relies on another one's reads may have missed whether they
+    /// are still listed.
+    pub fn needs_full_list(&self, now: Millis) -> bool {
+        !self.unconfirmed.updates.is_empty() && now >= self.unconfirmed.until
     }
 
-    /// Listed news that ends a doubt: the relays that go by this one's word are to hear of them at once, since they count none of
-    /// it in what they compare.
-    pub fn cleared_by(&self, list: &FleetList, now: Millis) -> Vec<ReplicaNews> {
-        // The first list of another era is of another copy, and begins another doubt.
-        if !self.wants_list(now) || era_of(list.at) != era_of(self.watched) {
+    /// Returns the updates of a list that confirm unconfirmed entries. They must be sent at once to
+    /// the relays that rely on this one's reads, since unconfirmed entries are not in the digests
+    /// that these compare.
+    pub fn confirmed_by(&self, list: &FleetList, now: Millis) -> Vec<ReplicaUpdate> {
+        // The first list of another era belongs to another backup, and starts a new confirmation
+        // period.
+        if !self.needs_full_list(now) || era_of(list.at) != era_of(self.read_up_to) {
             return Vec::new();
         }
-        let is_cleared = |news: &&ReplicaNews| self.doubted.news.contains_key(&news.id);
-        list.listed.iter().filter(is_cleared).cloned().collect()
+        let is_confirmed =
+            |update: &&ReplicaUpdate| self.unconfirmed.updates.contains_key(&update.id);
+        list.listed.iter().filter(is_confirmed).cloned().collect()
     }
 
-    /// Whether a replica is missing from the list, and waited for.
+    /// Returns whether a replica is missing from the list, and may reappear.
     pub fn is_awaited(&self, id: &str) -> bool {
-        self.lapses.is_awaited(id)
+        self.missing.is_awaited(id)
     }
 
-    /// Age of the last proof of the list, in milliseconds.
+    /// Returns the age of the last proof of the list, in milliseconds.
     pub fn age(&self, now: Millis) -> Option<Millis> {
         self.lease.age(now)
     }
 
-    /// Whether the last read of the list got no answer, and no other relay proved it since.
+    /// Returns whether the last read of the list got no answer, and no other relay proved it since.
     pub fn is_lost(&self) -> bool {
         self.lease.is_lost()
     }
 
-    /// Whether the list is recent, as far as can be told.
+    /// Returns whether the list is recent, as far as this relay can tell.
     pub fn is_fresh(&self, now: Millis) -> bool {
-        let most = if self.is_lost() { TOLD_FLEET } else { FRESH_FLEET };
-        self.age(now).is_some_and(|age| age < most)
+        let max_age = if self.is_lost() { FLEET_MAX_AGE_LOST } else { FLEET_MAX_AGE };
+        self.age(now).is_some_and(|age| age < max_age)
     }
 }
