--- a/crates/ctl/src/explain.rs
+++ b/crates/ctl/src/explain.rs
@@ -26,8 +26,8 @@
     },
 }
 
-/// Events that tell how a request ended, the most specific first. The last line with the first of
-/// these events that the request has is the deciding one.
+/// Events that report how a request ended, the most specific first. The deciding line is the last
+/// one with the first of these events that the request has.
 const DECIDING_EVENTS: [&str; 7] = [
     "refused",
     "stream-broken",
@@ -38,7 +38,7 @@
     "answered",
 ];
 
-/// Events that change what a process knows of replicas, store and configuration.
+/// Events that report a change of a process's state of replicas, store and configuration.
 const STATE_CHANGES: [&str; 20] = [
     "suspect",
     "suspect-heard",
@@ -98,7 +98,7 @@
     text.push_str(&format!("\ndecided by {:?} at {}\n", deciding.event, deciding.source));
     let changes = state_changes_before(&lines, deciding);
     if !changes.is_empty() {
-        text.push_str("\nwhat that process came to believe shortly before:\n");
+        text.push_str("\nstate changes of that process shortly before:\n");
         changes.iter().for_each(|line| text.push_str(&format!("  {}\n", line.render())));
     }
     Ok(text)
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -2,7 +2,7 @@
 //! logs.
 //!
 //! [`ask`] sends a statement to an entry, [`check`] finds all errors of a settings file, and
-//! [`inspect`] computes from a deployment file what the system would decide, without running any
+//! [`inspect`] computes decisions of the system from a deployment file, without running any
 //! process. [`explain`] finds the cause of one request's outcome in the logs, [`account`] counts
 //! the causes over all requests, and [`calls`] counts the calls of the store.
 
--- a/crates/ctl/tests/account.rs
+++ b/crates/ctl/tests/account.rs
@@ -40,18 +40,18 @@
             "stream broken",
             stream("a", DISPATCH, &[("answered", &answered(90)), ("stream-broken", "")]),
         ),
-        ("no answer", stream("a", DISPATCH, &[])),
+        ("no response", stream("a", DISPATCH, &[])),
         (
-            "answered with status 500",
+            "response with status 500",
             stream("a", "", &[("answered", "\"status\":500,\"took_ms\":9")]),
         ),
         ("stream not ended", stream("a", DISPATCH, &[("answered", &answered(90))])),
         (
-            "late: waited for room",
+            "late: waited for capacity",
             stream("a", &waited, &[("answered", &answered(600)), ("stream-ended", &ended(80))]),
         ),
         (
-            "late: slow to begin",
+            "late: slow to respond",
             stream("a", DISPATCH, &[("answered", &answered(600)), ("stream-ended", &ended(80))]),
         ),
         (
@@ -67,7 +67,7 @@
             ),
         ),
         (
-            "pause: taken up",
+            "pause: resumed",
             stream(
                 "a",
                 DISPATCH,
--- a/crates/ctl/tests/explain.rs
+++ b/crates/ctl/tests/explain.rs
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn the_word_before_the_object_is_the_source() {
+fn the_last_word_before_the_json_object_is_the_source() {
     let logs = [log("all", &[format!("  3.9 edge-1 {}", line("10.000", "refused", REQUEST_A))])];
     assert!(explain("a", &logs).expect("explained").contains("at edge-1"));
 }
--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -46,7 +46,7 @@
     pub false_not_run: u64,
     /// Requests with unknown outcome that were in flight during planned changes and no other fault.
     pub cut_in_flight: u64,
-    /// Requests that VMs accepted more than 3 s after they were told to leave or stop.
+    /// Requests that VMs accepted more than 3 s after they were marked as leaving or stopped.
     pub work_to_leaving: u64,
     /// Times that an entry went back to an older version of a configuration object.
     pub config_reverted: u64,
@@ -81,7 +81,7 @@
 /// Number of calls of the store.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize)]
 pub struct StoreUse {
-    /// Reads that are no watches.
+    /// Reads other than watches.
     pub reads: u64,
     /// Writes and deletes.
     pub writes: u64,
@@ -263,7 +263,7 @@
     Percentiles { p50: quantile_ms(0.5), p95: quantile_ms(0.95), p99: quantile_ms(0.99) }
 }
 
-/// Measures how long it took until every stream that was in flight at the fault had received a token or
+/// Measures the time until every stream that was in flight at the fault had received a token or
 /// ended.
 fn measure_recovery(fault: &InjectedFault, calls: &[CallRecord], median: u64) -> FaultRecovery {
     let at = fault.at_micros;
--- a/crates/local/src/checks.rs
+++ b/crates/local/src/checks.rs
@@ -23,7 +23,7 @@
     profile::LocalProfile,
 };
 
-/// Grace period after a VM was told to leave or stop; requests that it accepts later are violations.
+/// Grace period after a VM was marked as leaving or stopped; requests that it accepts later are violations.
 const LEAVING_GRACE_MS: u64 = 3_000;
 
 /// Interval at which the effective configuration versions are read from every entry.
@@ -119,8 +119,8 @@
     if needed == 0 { 0.0 } else { (ran / needed as f64 - 1.0).max(0.0) }
 }
 
-/// Counts the requests that engine VMs accepted later than [`LEAVING_GRACE_MS`] after they were told
-/// to leave or stop.
+/// Counts the requests that engine VMs accepted later than [`LEAVING_GRACE_MS`] after they were
+/// marked as leaving or stopped.
 pub(crate) async fn count_late_requests(
     cluster: SharedCluster,
     faults: Vec<PlannedFault>,
--- a/crates/local/src/measure.rs
+++ b/crates/local/src/measure.rs
@@ -1,7 +1,7 @@
 //! Measurements of the control plane's overhead at different deployment sizes.
 //!
 //! Bytes are counted at the loopback device and include the headers of all protocol layers. Processor
-//! time and memory are those of this process as a whole, which runs the complete deployment. The slope
+//! time and memory are those of this process, which runs the complete deployment. The slope
 //! between two sizes is the cost of one additional entry, agent or link.
 
 use std::time::Duration;
@@ -53,9 +53,9 @@
     pub organisations: u32,
     /// Bytes per second over loopback, both directions of every connection.
     pub bytes_per_s: f64,
-    /// Processor use of the whole deployment; 1.0 is one core.
+    /// Processor use of the complete deployment; 1.0 is one core.
     pub core_share: f64,
-    /// Resident memory of the whole deployment in megabytes.
+    /// Resident memory of the complete deployment in megabytes.
     pub rss_mb: f64,
     /// Store calls per second, watches included.
     pub store_calls_per_s: f64,
--- a/crates/local/src/vm.rs
+++ b/crates/local/src/vm.rs
@@ -63,7 +63,7 @@
     /// Ends the VM immediately, closes all its connections and waits for its thread.
     pub fn kill(&mut self) {
         if let Some(kill) = self.kill.take() {
-            let _ended_by_itself = kill.send(());
+            let _already_ended = kill.send(());
         }
         self.join();
     }
--- a/crates/soak/src/bin/switchfold-soak.rs
+++ b/crates/soak/src/bin/switchfold-soak.rs
@@ -18,15 +18,15 @@
 };
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Exit code if at least one promise was broken.
+/// Exit code if at least one guarantee was violated.
 const EXIT_VIOLATION: u8 = 1;
 
 /// Exit code if a run could not be carried out.
 const EXIT_RUN_FAILED: u8 = 3;
 
-/// Injects randomized faults into relays that run as processes, and checks the relay's promises.
+/// Injects randomized faults into relays that run as processes, and checks the relay's guarantees.
 ///
-/// Exit codes: 0 no promise broken; 1 at least one promise broken, logs kept; 2 invalid arguments;
+/// Exit codes: 0 no violations; 1 violations, logs kept; 2 invalid arguments;
 /// 3 a run could not be carried out.
 #[derive(Debug, Parser)]
 #[command(version, after_help = "Example:\n  switchfold-soak run --seed 1 --seeds 50 --jobs 3")]
@@ -37,7 +37,7 @@
 
 #[derive(Debug, Subcommand)]
 enum SoakCommand {
-    /// Runs seeds and reports which promises were broken.
+    /// Runs seeds and reports violated guarantees.
     Run(RunArguments),
     /// Runs one stand-in replica. The soak starts these processes itself.
     Replica(ReplicaArguments),
@@ -150,7 +150,7 @@
     for (outcome, count) in outcomes {
         println!("{count:8} {outcome}");
     }
-    println!("{passed} seeds without a broken promise, {failed} with");
+    println!("{passed} seeds without violations, {failed} with violations");
     Ok(failed == 0)
 }
 
@@ -158,7 +158,7 @@
     let calls: usize = report.outcomes.values().sum();
     let (after, served) = report.after_faults;
     println!(
-        "seed {}: {} faults, {calls} calls, {served} of {after} served after them, {} broken",
+        "seed {}: {} faults, {calls} calls, {served} of {after} served after them, {} violations",
         report.seed,
         report.faults,
         report.violations.len()
--- a/crates/soak/src/caller.rs
+++ b/crates/soak/src/caller.rs
@@ -55,7 +55,7 @@
     pub name: String,
 }
 
-/// What a caller chooses its relay, key and requests from.
+/// Provides a caller with relays, keys and requests.
 pub trait CallerContext: Send + Sync + 'static {
     /// Returns the number and address of a relay that the load balancer uses.
     fn choose_relay(&self, random: &mut ChaCha8Rng) -> (usize, SocketAddr);
@@ -201,7 +201,7 @@
         complete,
         body: String::from_utf8_lossy(&bytes).into_owned(),
     };
-    (CallOutcome::Answered(response), complete && !closes)
+    (CallOutcome::Responded(response), complete && !closes)
 }
 
 /// Whether a relay reports itself ready within 500 ms.
--- a/crates/soak/src/checks.rs
+++ b/crates/soak/src/checks.rs
@@ -1,7 +1,7 @@
-//! The promises that a run is checked against.
+//! The guarantees that a run is checked against.
 //!
-//! Each check is a function of what callers and replicas recorded. Promises with a time bound are
-//! checked only where no fault was near; the bound on removed keys is checked always.
+//! Each check is a function of what callers and replicas recorded. Guarantees with a time
+//! bound are checked only where no fault was near; the bound on removed keys is always checked.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -28,12 +28,12 @@
 /// Largest number of replicas that one request may run on.
 const MAX_ATTEMPTS: usize = 2;
 
-/// Number of calls that may exceed that. A replica that fails during a call may cause one more
+/// Number of calls that may exceed [`MAX_ATTEMPTS`]. A replica that fails during a call may cause one more
 /// attempt, and the check cannot tell these calls apart.
 const TOLERATED_CALLS: usize = 3;
 
-/// Time that a relay has to act on what a replica's response says, in microseconds. Requests that
-/// arrive earlier may have been sent before.
+/// Time within which a relay must act on the headers of a replica's response, in microseconds.
+/// Requests that arrive earlier may have been sent before.
 const PROPAGATION_TIME: Micros = 500_000;
 
 /// Largest number of requests that may arrive while the replica has asked for none.
@@ -42,12 +42,13 @@
 /// Number of replicas that a request may crash before relays must quarantine it.
 const CRASHES_BEFORE_QUARANTINE: usize = 3;
 
-/// Largest number of replicas that the request may crash later than [`SETTLE_TIME`] after that.
+/// Largest number of replicas that the request may crash later than [`SETTLE_TIME`] after the last
+/// of those.
 const MAX_LATE_CRASHES: usize = 3;
 
-/// A promise of the relay, as a report names it.
+/// A guarantee of the relay. `Display` is its name in reports.
 #[derive(Clone, Copy, Debug, Display, Eq, Hash, Ord, PartialEq, PartialOrd)]
-pub enum Promise {
+pub enum Guarantee {
     /// A caller gets the response to its own request: signed and as the replica sent it, or an
     /// error of the relay without a signature.
     #[display("own-answer")]
@@ -102,21 +103,21 @@
     Recovery,
 }
 
-/// A broken promise.
+/// A violated guarantee.
 #[derive(Clone, Debug, Display, Eq, PartialEq)]
-#[display("{promise}: {detail}")]
+#[display("{guarantee}: {detail}")]
 pub struct Violation {
-    /// The promise that was broken.
-    pub promise: Promise,
+    /// The guarantee that was violated.
+    pub guarantee: Guarantee,
     /// What was observed.
     pub detail: String,
 }
 
-fn violation(promise: Promise, detail: impl Into<String>) -> Violation {
-    Violation { promise, detail: detail.into() }
+fn violation(guarantee: Guarantee, detail: impl Into<String>) -> Violation {
+    Violation { guarantee, detail: detail.into() }
 }
 
-/// Checks a run against all promises.
+/// Checks a run against all guarantees.
 pub fn check(history: &RunHistory, organisation: &str) -> Vec<Violation> {
     let mut runs: HashMap<&str, Vec<&RunRecord>> = HashMap::new();
     for run in &history.runs {
@@ -142,7 +143,7 @@
 }
 
 fn check_response(call: &CallRecord) -> Option<Violation> {
-    let CallOutcome::Answered(response) = &call.outcome else { return None };
+    let CallOutcome::Responded(response) = &call.outcome else { return None };
     if call.kind.is_stream() && response.status == 200 {
         return check_events(call, response);
     }
@@ -153,7 +154,7 @@
         _ => response.signed,
     };
     let detail = || format!("{} got status {} with {:?}", call.id, response.status, response.body);
-    is_wrong.then(|| violation(Promise::OwnResponse, detail()))
+    is_wrong.then(|| violation(Guarantee::OwnResponse, detail()))
 }
 
 /// Body of a response of the plain service to the request with this id.
@@ -164,8 +165,8 @@
 fn check_events(call: &CallRecord, response: &CallResponse) -> Option<Violation> {
     if !response.signed {
         return Some(violation(
-            Promise::OwnResponse,
-            format!("{}: a stream without seal", call.id),
+            Guarantee::OwnResponse,
+            format!("{}: stream response is not signed", call.id),
         ));
     }
     let mut expected = 0;
@@ -173,12 +174,13 @@
         let expected_event = format!("id: {expected}\ndata: piece {expected} of {}", call.id);
         if event != expected_event {
             let detail = format!("{}: {event:?} instead of event {expected}", call.id);
-            return Some(violation(Promise::EventOrder, detail));
+            return Some(violation(Guarantee::EventOrder, detail));
         }
         expected += 1;
     }
     let is_short = response.complete && expected != EVENT_COUNT;
-    is_short.then(|| violation(Promise::EventOrder, format!("{}: ends after {expected}", call.id)))
+    is_short
+        .then(|| violation(Guarantee::EventOrder, format!("{}: ends after {expected}", call.id)))
 }
 
 fn check_runs(call: &CallRecord, runs: &[&RunRecord]) -> Vec<Violation> {
@@ -188,26 +190,25 @@
     }
     let count = runs.iter().filter(|run| run.ran).count();
     if count > 1 {
-        violations.push(violation(Promise::AtMostOnce, format!("{} ran {count} times", call.id)));
+        violations.push(violation(Guarantee::AtMostOnce, format!("{} ran {count} times", call.id)));
     }
-    if let CallOutcome::Answered(response) = &call.outcome
+    if let CallOutcome::Responded(response) = &call.outcome
         && matches!(response.status, 408 | 421 | 429 | 503)
         && count > 0
     {
         let detail = format!("{} got status {} and ran", call.id, response.status);
-        violations.push(violation(Promise::AccurateRefusal, detail));
+        violations.push(violation(Guarantee::AccurateRefusal, detail));
     }
     violations
 }
 
-/// A request that a replica ran, taken by a relay that is stopping as planned, gets its complete
-/// response.
+/// A request that a replica ran through a relay during its planned stop gets a complete response.
 fn check_planned_stop(
     history: &RunHistory,
     call: &CallRecord,
     runs: &[&RunRecord],
 ) -> Option<Violation> {
-    let complete = matches!(&call.outcome, CallOutcome::Answered(response) if response.complete);
+    let complete = matches!(&call.outcome, CallOutcome::Responded(response) if response.complete);
     let is_stopped = history.disruptions.iter().any(|disruption| {
         disruption.kind == DisruptionKind::PlannedStop(call.relay)
             && disruption.from <= call.ended_at
@@ -216,8 +217,9 @@
     let ran = runs.iter().any(|run| run.ran);
     let is_cut =
         is_stopped && ran && !complete && history.is_free_of_faults(call.sent_at, call.ended_at);
-    is_cut
-        .then(|| violation(Promise::PlannedStop, format!("{} was cut: {}", call.id, call.outcome)))
+    is_cut.then(|| {
+        violation(Guarantee::PlannedStop, format!("{} was cut: {:?}", call.id, call.outcome))
+    })
 }
 
 fn check_attempts(
@@ -233,7 +235,7 @@
     });
     let excessive: Vec<&str> = excessive.map(|call| call.id.as_str()).collect();
     let detail = || format!("{excessive:?} ran on more than {MAX_ATTEMPTS} replicas");
-    (excessive.len() > TOLERATED_CALLS).then(|| violation(Promise::MaxAttempts, detail()))
+    (excessive.len() > TOLERATED_CALLS).then(|| violation(Guarantee::MaxAttempts, detail()))
 }
 
 fn check_unchanged_requests(history: &RunHistory, organisation: &str) -> Vec<Violation> {
@@ -242,7 +244,7 @@
     let changed = ran.filter(|run| {
         !known.contains(run.id.as_str()) || !run.intact || run.organisation != organisation
     });
-    changed.map(|run| violation(Promise::UnchangedRequest, format!("{run:?}"))).collect()
+    changed.map(|run| violation(Guarantee::UnchangedRequest, format!("{run:?}"))).collect()
 }
 
 fn check_keys(history: &RunHistory, runs: &HashMap<&str, Vec<&RunRecord>>) -> Vec<Violation> {
@@ -258,14 +260,14 @@
             let after_ms = (call.sent_at - at) / 1_000;
             let detail =
                 format!("{} ran with {key}, sent {after_ms} ms after its removal", call.id);
-            violation(Promise::RemovedKey, detail)
+            violation(Guarantee::RemovedKey, detail)
         }));
     }
     violations
 }
 
-/// A leaving replica gets no requests from a relay that is stable when it sends, whatever happened
-/// before: a relay that missed the change must know of it once it follows the store again.
+/// A leaving replica gets no requests from a relay that is stable when it sends, whatever faults
+/// came before: a relay that missed the change must learn of it once it follows the store again.
 fn check_leaving_entries(history: &RunHistory) -> Vec<Violation> {
     let relays: HashMap<&str, usize> =
         history.calls.iter().map(|call| (call.id.as_str(), call.relay)).collect();
@@ -280,8 +282,11 @@
         });
         violations.extend(late.map(|run| {
             let after_ms = (run.at - at) / 1_000;
-            let detail = format!("{} reached {replica} {after_ms} ms after it said so", run.id);
-            violation(Promise::LeavingReplica, detail)
+            let detail = format!(
+                "{} reached {replica} {after_ms} ms after its announcement to leave",
+                run.id
+            );
+            violation(Guarantee::LeavingReplica, detail)
         }));
     }
     violations
@@ -312,10 +317,10 @@
 }
 
 /// Between [`PROPAGATION_TIME`] after a replica asked a relay for time without requests and the end
-/// of that time, at most [`MAX_REQUESTS_IN_BACKOFF`] of the relay's requests arrive. Excused are a
-/// start, stop or pause of the relay and a fault of the link between the two. A relay that gave up
-/// the request before the replica read it (because the replica was paused) does not get the
-/// response, so that it is excused as well.
+/// of that time, at most [`MAX_REQUESTS_IN_BACKOFF`] of the relay's requests arrive. Not checked
+/// across a start, stop or pause of the relay or a fault of the link between the two, nor if the
+/// relay gave up the request before the replica read it (because the replica was paused): the relay
+/// then did not get the response.
 fn check_retry_after(history: &RunHistory) -> Vec<Violation> {
     let mut violations = Vec::new();
     let calls = calls_by_id(history);
@@ -333,29 +338,29 @@
                     "{replica} asked relay {relay} for {wait_ms} ms ({}), and got {arrived} requests",
                     rejected.id
                 );
-                violations.push(violation(Promise::RetryAfter, detail));
+                violations.push(violation(Guarantee::RetryAfter, detail));
             }
         }
     }
     violations
 }
 
-/// A request that was sent more than [`DRAIN_TIME`] after a relay passed on a response that says
-/// the replica is leaving does not reach that replica through that relay. A start, stop or pause of
+/// A request that was sent more than [`DRAIN_TIME`] after a relay passed on a response with
+/// `Server-Leaving` does not reach that replica through that relay. A start, stop or pause of
 /// the relay since then excuses it.
 fn check_leaving_notices(history: &RunHistory) -> Vec<Violation> {
     let calls = calls_by_id(history);
     let mut violations = Vec::new();
     for ((relay, replica), runs) in runs_by_relay_and_replica(history, &calls) {
-        let says_leaving = |run: &&&RunRecord| run.leaving && run.ran && run.bad.is_none();
-        let passed_on = runs.iter().filter(says_leaving).filter_map(|run| {
+        let announces_leaving = |run: &&&RunRecord| run.leaving && run.ran && run.bad.is_none();
+        let passed_on = runs.iter().filter(announces_leaving).filter_map(|run| {
             let call = calls[run.id.as_str()];
             let is_signed =
-                matches!(&call.outcome, CallOutcome::Answered(response) if response.signed);
+                matches!(&call.outcome, CallOutcome::Responded(response) if response.signed);
             is_signed.then_some(call.ended_at)
         });
         let Some(passed_on_at) = passed_on.min() else { continue };
-        // A replica that restarted under its id no longer says so.
+        // A replica that restarted under the same id no longer sends the header.
         let is_late = |run: &&&RunRecord| {
             run.leaving && calls[run.id.as_str()].sent_at > passed_on_at + DRAIN_TIME
         };
@@ -365,7 +370,7 @@
             let after_ms = (calls[late.id.as_str()].sent_at - passed_on_at) / 1_000;
             let detail =
                 format!("{} by relay {relay} reached {replica}, sent {after_ms} ms after", late.id);
-            violations.push(violation(Promise::LeavingNotice, detail));
+            violations.push(violation(Guarantee::LeavingNotice, detail));
         }
     }
     violations
@@ -374,13 +379,13 @@
 /// Time span over which requests are counted against a limit, in microseconds.
 const LIMIT_WINDOW: Micros = 4_000_000;
 
-/// A replica may get its limit times `LIMIT_TOLERANCE`, plus `LIMIT_ALLOWANCE` requests, in that
-/// time.
+/// A replica may get its limit times `LIMIT_TOLERANCE`, plus `LIMIT_ALLOWANCE` requests, in one
+/// [`LIMIT_WINDOW`].
 const LIMIT_TOLERANCE: f64 = 1.5;
 const LIMIT_ALLOWANCE: f64 = 5.0;
 
-/// From [`SETTLE_TIME`] after a replica first sends a limit, it gets not much more than that from
-/// the relays that passed on a response with a limit at least [`PROPAGATION_TIME`] before. A start,
+/// From [`SETTLE_TIME`] after a replica first sends a limit, it gets no more requests than the
+/// tolerance allows from the relays that passed on a response with a limit at least [`PROPAGATION_TIME`] before. A start,
 /// stop or pause of a relay excuses that relay. Time spans in which the replica was paused or its
 /// link disrupted are skipped, since delayed requests arrive all at once.
 fn check_limits(history: &RunHistory) -> Vec<Violation> {
@@ -434,7 +439,7 @@
         if arrived as f64 > allowed {
             let detail =
                 format!("{replica} got {arrived} requests in 4 s from {from}, {allowed} allowed");
-            return Some(violation(Promise::Limit, detail));
+            return Some(violation(Guarantee::Limit, detail));
         }
     }
     None
@@ -461,22 +466,24 @@
         });
         let late = late.count();
         if late > MAX_LATE_CRASHES {
-            let detail = format!("{name} ended {} replicas, {late} of them late", runs.len());
-            violations.push(violation(Promise::CrashRequest, detail));
+            let detail = format!("{name} crashed {} replicas, {late} of them late", runs.len());
+            violations.push(violation(Guarantee::CrashRequest, detail));
         }
     }
     violations
 }
 
 fn check_processes(history: &RunHistory) -> Vec<Violation> {
-    let exits =
-        history.unexpected_exits.iter().map(|exit| violation(Promise::ProcessExit, exit.as_str()));
+    let exits = history
+        .unexpected_exits
+        .iter()
+        .map(|exit| violation(Guarantee::ProcessExit, exit.as_str()));
     let over_limit = history.memory_kb.iter().filter(|kb| **kb > MAX_MEMORY_KB);
-    let over_limit =
-        over_limit.map(|kb| violation(Promise::Memory, format!("a relay holds {kb} KB")));
+    let over_limit = over_limit
+        .map(|kb| violation(Guarantee::Memory, format!("a relay uses {kb} KB of memory")));
     let (calls, served) = history.after_faults;
     let not_recovered = calls > 0 && served * 4 < calls;
-    let not_recovered =
-        not_recovered.then(|| violation(Promise::Recovery, format!("{served} of {calls} served")));
+    let not_recovered = not_recovered
+        .then(|| violation(Guarantee::Recovery, format!("{served} of {calls} served")));
     exits.chain(over_limit).chain(not_recovered).collect()
 }
--- a/crates/soak/src/cluster.rs
+++ b/crates/soak/src/cluster.rs
@@ -179,14 +179,15 @@
         (0..self.relays.len()).filter(|other| other % DATA_CENTRES.len() == data_centre).collect()
     }
 
-    /// Returns a replica of the plain service that takes long to leave.
+    /// Returns a replica of the plain service that keeps serving for [`LONG_LINGER`] after it
+    /// announced that it is leaving.
     ///
     /// # Panics
     ///
     /// Panics if the cluster has fewer than two replicas of that service.
     pub fn lingering_desk(&self) -> usize {
         let mut desks = self.config.size.engines..self.replicas.len();
-        desks.find(|number| lingers_long(*number)).expect("one of two neighbours has an odd number")
+        desks.find(|number| lingers_long(*number)).expect("one of two consecutive numbers is odd")
     }
 
     /// The stand-in store.
@@ -275,7 +276,7 @@
         lock(&self.replicas[number].slot).kill(downtime);
     }
 
-    /// Tells a relay to stop. It is killed after the grace period.
+    /// Sends SIGTERM to a relay, and kills it if it has not exited after the grace period.
     pub fn stop_relay(&self, number: usize) {
         let mut slot = lock(&self.relays[number].slot);
         if slot.stop_with(Signal::SIGTERM) {
@@ -284,9 +285,9 @@
         }
     }
 
-    /// Tells a replica to leave and exit.
+    /// Sends SIGTERM to a replica, which announces that it is leaving, drains and exits.
     pub fn drain_replica(&self, number: usize) {
-        // A replica that announced that it leaves does not return under the same id.
+        // A replica that announced that it is leaving does not restart under the same id.
         lock(&self.replicas[number].reused_id).take();
         lock(&self.replicas[number].slot).stop_with(Signal::SIGTERM);
     }
@@ -320,7 +321,7 @@
         lock(&self.keys).valid.iter().any(|valid| valid == key)
     }
 
-    /// Tells the callers to stop.
+    /// Makes the callers stop after their current call.
     pub fn stop_callers(&self) {
         self.is_running.store(false, Ordering::Relaxed);
     }
@@ -336,7 +337,7 @@
             process.signal(Signal::SIGTERM);
             let exit_status = process.wait(Duration::from_secs(GRACE_PERIOD_S)).await;
             if !exit_status.is_some_and(|exit_status| exit_status.success()) {
-                let detail = format!("relay {number} ended with {exit_status:?} when told to stop");
+                let detail = format!("relay {number} exited with {exit_status:?} after SIGTERM");
                 self.history().unexpected_exits.push(detail);
             }
         }
@@ -463,7 +464,7 @@
                 }
                 self.history().runs.push(record);
             } else {
-                // An incomplete line, since the replica was killed while writing it.
+                // The line is incomplete because the replica was killed while writing it.
                 eprintln!("unexpected line from replica {id}: {line:?}");
             }
         }
@@ -538,14 +539,14 @@
     }
 }
 
-/// Whether a replica takes long to leave.
+/// Whether a replica keeps serving for [`LONG_LINGER`] once it is leaving. Every other one does.
 fn lingers_long(number: usize) -> bool {
     !number.is_multiple_of(2)
 }
 
 /// Returns loopback ports that nothing listens on. They are outside the range of ephemeral ports,
-/// so that a relay can bind them again after a restart. No port is returned twice, also not to runs
-/// at the same time.
+/// so that a relay can bind them again after a restart. No port is returned twice, not even to
+/// concurrent runs.
 fn free_ports<const COUNT: usize>() -> io::Result<[SocketAddr; COUNT]> {
     const PORTS: std::ops::Range<u16> = 12_000..30_000;
     static USED_PORTS: Mutex<BTreeSet<u16>> = Mutex::new(BTreeSet::new());
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -4,20 +4,20 @@
 //! them: signals, loopback proxies that delay, reset, pause or cut a link in one direction, and a
 //! store that rejects calls, does not respond or loses its history. Callers keep their connections
 //! for as long as the relay does. What callers received and what replicas ran is checked against
-//! the promises in the platform's documentation; no internal state of a relay is read.
+//! the guarantees in the platform's documentation; no internal state of a relay is read.
 //!
 //! | module | contents |
 //! |---|---|
 //! | [`plan`] | the faults of a seed |
 //! | [`cluster`], [`process`], [`proxy`] | processes and links, and the faults injected into them; `slot` restarts processes |
-//! | [`replica`], [`notices`] | the stand-in replica as a program, and what it says about itself in responses |
+//! | [`replica`], [`notices`] | the stand-in replica as a program, and the notices in its response headers |
 //! | [`caller`] | callers |
-//! | [`record`], [`checks`] | what was recorded, and the promises it is checked against |
+//! | [`record`], [`checks`] | what was recorded, and the guarantees it is checked against |
 //! | [`run`] | one run of a seed |
 //!
 //! In contrast to the tests in virtual time, a run depends on how the system schedules its
 //! processes. A seed therefore determines the schedule of faults, but not the outcome. Logs of a
-//! run are kept if it broke a promise.
+//! run are kept if it violated a guarantee.
 
 pub mod caller;
 pub mod checks;
--- a/crates/soak/src/notices.rs
+++ b/crates/soak/src/notices.rs
@@ -1,4 +1,4 @@
-//! What a stand-in replica says about itself in its responses when the soak signals it to.
+//! Notices that a stand-in replica sends in response headers, switched on by signals of the soak.
 
 use std::{
     sync::{
@@ -42,7 +42,7 @@
     (Some(6.2), "6.2"),
 ];
 
-/// What a replica currently says about itself.
+/// The notices that a replica currently sends.
 #[derive(Clone, Debug, Default)]
 pub struct ReplicaNotices {
     rejects_until: Arc<AtomicU64>,
@@ -54,7 +54,7 @@
 
 impl ReplicaNotices {
     /// Starts to listen for signals of the soak. SIGUSR1 makes the replica reject requests for
-    /// [`REJECT_DURATION`], SIGUSR2 makes it say that it is leaving, and SIGHUP makes it send the
+    /// [`REJECT_DURATION`], SIGUSR2 makes it send `Server-Leaving`, and SIGHUP makes it send the
     /// next limit for [`LIMIT_DURATION`].
     ///
     /// # Errors
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -37,11 +37,11 @@
     KillRelay(usize),
     /// All relays are killed at once.
     KillAllRelays,
-    /// A relay is told to stop, and restarted once it has.
+    /// A relay is stopped as planned (SIGTERM), and restarted once it has exited.
     StopRelay(usize),
     /// A relay is paused (SIGSTOP).
     PauseRelay(usize),
-    /// A relay is told to reload its settings file (SIGHUP).
+    /// A relay reloads its settings file (SIGHUP).
     ReloadRelay(usize),
     /// A replica is killed, and restarted without state at the end.
     KillReplica(usize),
@@ -64,7 +64,7 @@
     NewConfigVersion,
     /// The operator removes a key.
     RemoveKey,
-    /// From now on a request that crashes the replicas that run it is sent again and again.
+    /// From now on a request that crashes the replicas that run it is sent repeatedly.
     CrashRequest(CallKind, CrashTarget),
     /// A relay is paused for longer than the bound on removed keys. A key is removed meanwhile, and
     /// the relay cannot reach the store for a while after it resumes.
@@ -73,15 +73,15 @@
     RestoreStore,
     /// A replica rejects requests for a while, with a `Retry-After` header.
     RejectRequests(usize),
-    /// A replica says in its responses that it is leaving, but not in its entry. It is killed at
-    /// the end, and restarted.
+    /// A replica announces in its responses, but not in its entry, that it is leaving. It is killed
+    /// at the end, and restarted.
     AnnounceLeaving(usize),
     /// A replica sends a request limit for a while.
     SetLimit(usize),
 }
 
-/// Plans faults by which replicas say something about themselves: some reject requests (one replica
-/// or several neighbours), and one says in its responses, but not in its entry, that it is leaving.
+/// Plans notices of replicas: some reject requests (one replica or several with consecutive
+/// numbers), and one announces in its responses, but not in its entry, that it is leaving.
 /// Uses a random generator of its own, as [`make_crash_faults`] does.
 pub fn make_notice_faults(seed: u64, size: &ClusterSize, length: Duration) -> Vec<PlannedFault> {
     let mut random = ChaCha8Rng::seed_from_u64(seed.rotate_left(32) ^ SEED_SALT);
@@ -97,7 +97,7 @@
     planned
 }
 
-/// Plans the same fault for one or more neighbouring replicas, at a time of at most `max_at`
+/// Plans the same fault for one or more replicas with consecutive numbers, at a time of at most `max_at`
 /// milliseconds.
 fn plan_for_replicas(
     random: &mut ChaCha8Rng,
--- a/crates/soak/src/process.rs
+++ b/crates/soak/src/process.rs
@@ -59,7 +59,7 @@
     /// Sends a signal. Does nothing if the process has exited and was reaped.
     pub fn signal(&self, signal: Signal) {
         if let Some(id) = self.child.id() {
-            // The process may exit at this moment; whoever waits for it sees that.
+            // The process may have just exited; the next poll or wait reports it.
             let _already_exited = kill(Pid::from_raw(id as i32), signal);
         }
     }
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -120,7 +120,7 @@
     let _closes_anyway = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
-/// Forwards one direction of a connection until it ends, and ends the other side in the same way:
+/// Forwards one direction of a connection until it ends, then ends the other side in the same way:
 /// closed or reset.
 async fn pump(
     mut from: OwnedReadHalf,
@@ -139,7 +139,7 @@
                 let _already_closed = to.shutdown().await;
                 return;
             }
-            Ok(len) if wait_for_passage(direction, &mut condition).await => {
+            Ok(len) if wait_until_passable(direction, &mut condition).await => {
                 if to.write_all(&buffer[..len]).await.is_err() {
                     break;
                 }
@@ -157,8 +157,8 @@
     }
 }
 
-/// Waits until bytes may pass, and returns whether they may at all.
-async fn wait_for_passage(
+/// Waits until bytes may pass. Returns `false` if the connection must be reset instead.
+async fn wait_until_passable(
     direction: LinkDirection,
     condition: &mut watch::Receiver<LinkCondition>,
 ) -> bool {
--- a/crates/soak/src/record.rs
+++ b/crates/soak/src/record.rs
@@ -3,7 +3,6 @@
 //! Times are in microseconds since the Unix epoch. All processes of a soak run on one machine and
 //! share its clock.
 
-use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
 /// Microseconds since the Unix epoch, or a time span in microseconds.
@@ -47,22 +46,19 @@
     }
 }
 
-/// Outcome of a call for its caller. `Display` is the form that reports print.
-#[derive(Clone, Debug, Display, Eq, PartialEq)]
+/// Outcome of a call for its caller.
+#[derive(Clone, Debug, Eq, PartialEq)]
 pub enum CallOutcome {
     /// The connection could not be opened.
     NotConnected,
     /// The connection was closed without a response, or the call timed out.
-    #[display("NoAnswer")]
     NoResponse,
     /// A response arrived, completely or in part.
-    #[display("Answered({_0})")]
-    Answered(CallResponse),
+    Responded(CallResponse),
 }
 
-/// The received part of a response. `Display` is the form that reports print.
-#[derive(Clone, Debug, Display, Eq, PartialEq)]
-#[display("CallAnswer {{ status: {status}, sealed: {signed}, whole: {complete}, body: {body:?} }}")]
+/// The received part of a response.
+#[derive(Clone, Debug, Eq, PartialEq)]
 pub struct CallResponse {
     /// HTTP status.
     pub status: u16,
@@ -115,7 +111,7 @@
     /// if it asked for none or the header was malformed.
     #[serde(default)]
     pub asked: Option<u64>,
-    /// Whether the response says that the replica is leaving.
+    /// Whether the response has the header `Server-Leaving`.
     #[serde(default)]
     pub leaving: bool,
     /// Limit in the response: the requests a second that the replica accepts from all relays
@@ -180,14 +176,14 @@
     pub calls: Vec<CallRecord>,
     /// Requests, as replicas saw them.
     pub runs: Vec<RunRecord>,
-    /// Removed keys, with the time at which the store had the removal.
+    /// Removed keys, with the time at which the removal was in the store.
     pub revoked: Vec<(String, Micros)>,
-    /// Ids of replicas that announced in the store that they leave, with the time at which the
-    /// store had it.
+    /// Ids of replicas that announced in the store that they are leaving, with the time at which
+    /// the announcement was in the store.
     pub leaving: Vec<(String, Micros)>,
     /// Faults and planned work.
     pub disruptions: Vec<Disruption>,
-    /// Processes that exited by themselves, or did not exit when told to.
+    /// Processes that exited unexpectedly, or did not exit after a signal to stop.
     pub unexpected_exits: Vec<String>,
     /// Resident memory of each relay at the end, in KB.
     pub memory_kb: Vec<u64>,
@@ -252,5 +248,5 @@
     }
 }
 
-/// Time after a fault in which promises with a time bound are not checked, in microseconds.
+/// Time after a fault in which guarantees with a time bound are not checked, in microseconds.
 pub const SETTLE_TIME: Micros = 3_000_000;
--- a/crates/soak/src/replica.rs
+++ b/crates/soak/src/replica.rs
@@ -50,7 +50,7 @@
 /// Time for which a leaving replica keeps serving once the store has its announcement.
 pub const LINGER: Duration = Duration::from_millis(2_600);
 
-/// The same, for replicas that take long to leave.
+/// The same, for replicas that serve for longer after their announcement.
 pub const LONG_LINGER: Duration = Duration::from_millis(8_000);
 
 /// Time for which a leaving replica keeps writing its entry. After that the entry expires while the
@@ -139,8 +139,8 @@
     Ok(())
 }
 
-/// Exits when the soak that started this process is gone. The pipe to standard input is closed
-/// then.
+/// Exits when the soak that started this process has exited, which closes the pipe to standard
+/// input.
 fn exit_with_parent() {
     std::thread::spawn(|| {
         // An error means the same as the end of input.
@@ -210,7 +210,7 @@
             body.len()
         );
         let Ok(mut stream) = TcpStream::connect(address).await else { return };
-        // If the second replica is already gone, there is nothing to crash.
+        // If the second replica has already exited, there is nothing to crash.
         let _sent = stream.write_all((head + &body).as_bytes()).await;
         sleep(CRASH_DELAY * 2).await;
     });
@@ -276,7 +276,7 @@
             }
         });
         match notices.add_headers(reply) {
-            // The stream starts and never ends: the replica that runs it crashes before.
+            // The stream starts and sends nothing more, since the replica that runs it crashes.
             Reply::Stream { head, pause, owner, gate, .. } if bad.is_some() => {
                 Reply::Stream { head, ids: 0..0, pause, end: StreamEnd::Silence, owner, gate }
             }
@@ -318,7 +318,7 @@
     Some(notices.add_headers(reply))
 }
 
-/// What a record contains besides the request itself.
+/// Fields of a [`RunRecord`] that do not come from the request.
 #[derive(Debug, Default)]
 struct RunDetails {
     ran: bool,
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -41,7 +41,7 @@
 pub struct SoakReport {
     /// Seed of the run.
     pub seed: u64,
-    /// Promises that were broken.
+    /// Violated guarantees.
     pub violations: Vec<Violation>,
     /// Number of calls by kind and outcome.
     pub outcomes: BTreeMap<String, usize>,
@@ -126,7 +126,7 @@
 }
 
 fn is_served(call: &CallRecord) -> bool {
-    matches!(&call.outcome, CallOutcome::Answered(response) if response.signed && response.complete)
+    matches!(&call.outcome, CallOutcome::Responded(response) if response.signed && response.complete)
 }
 
 fn describe_outcome(call: &CallRecord) -> String {
@@ -138,11 +138,11 @@
     };
     match &call.outcome {
         CallOutcome::NotConnected => format!("{kind} not connected"),
-        CallOutcome::NoResponse => format!("{kind} no answer"),
-        CallOutcome::Answered(response) if response.complete => {
+        CallOutcome::NoResponse => format!("{kind} no response"),
+        CallOutcome::Responded(response) if response.complete => {
             format!("{kind} {}", response.status)
         }
-        CallOutcome::Answered(response) => format!("{kind} {} cut", response.status),
+        CallOutcome::Responded(response) => format!("{kind} {} cut", response.status),
     }
 }
 
@@ -265,9 +265,9 @@
     }
 }
 
-/// Freezes a relay for longer than the bound on removed keys, removes a key meanwhile, and keeps
-/// the store out of its reach for a while after. The relay must find out from its own clocks that
-/// its configuration is too old.
+/// Freezes a relay for longer than the bound on removed keys, removes a key meanwhile, and cuts its
+/// link to the store for [`STORE_OUTAGE_AFTER_FREEZE`] after that. The relay must detect by its own
+/// clocks that its configuration is too old.
 async fn freeze_relay(cluster: &SoakCluster, number: usize, duration: Duration) {
     cluster.record_disruption(
         DisruptionKind::RelayFault(number),
@@ -321,14 +321,14 @@
 const RECONNECT_TIME: Duration = Duration::from_millis(3_500);
 
 /// Time from the relays' loss of the store to the drain of a replica, and from that to the outage
-/// of the store. A replica announces within one heartbeat that it leaves.
+/// of the store. A replica announces within one heartbeat that it is leaving.
 const OUTAGE_STEP: Duration = Duration::from_millis(500);
 
-/// Duration of the outage of the store for all. Entries expire after three heartbeats.
+/// Duration of the store outage for all relays and replicas. Entries expire after three heartbeats.
 const STORE_OUTAGE: Duration = Duration::from_millis(1_500);
 
 /// Drains a replica of the plain service while the relays of one data centre cannot reach the
-/// store, and lets its entry expire in an outage of the store before they can. They must know of
+/// store, and lets its entry expire in an outage of the store before they can. They must learn of
 /// the drain once they follow the store again.
 async fn drain_during_outage(cluster: &SoakCluster, seed: u64) {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
--- a/crates/soak/src/slot.rs
+++ b/crates/soak/src/slot.rs
@@ -1,4 +1,4 @@
-//! A child process that is restarted after it exits, and the stop that was requested of it.
+//! A child process that is restarted after it exits, with its pending stop or restart.
 
 use std::{
     io,
@@ -17,7 +17,7 @@
 pub(crate) struct ProcessSlot {
     pub(crate) process: Option<SoakProcess>,
     pub(crate) starts: u32,
-    /// Whether it was told to exit.
+    /// Whether it was sent a signal that ends it.
     stop_requested: bool,
     down_until: Option<Instant>,
     /// Time at which it is killed unless it has exited.
@@ -28,14 +28,14 @@
 
 impl ProcessSlot {
     /// Checks whether the process has exited or must be killed. Returns a description if this was
-    /// unexpected. A process that exited by itself with `expected_code` is restarted after
+    /// unexpected. A process that exited with `expected_code` is restarted after
     /// [`EXPECTED_EXIT_DOWNTIME`].
     pub(crate) fn poll(&mut self, expected_code: Option<i32>) -> Option<String> {
         let process = self.process.as_mut()?;
         if let Some(exit_status) = process.exit_status() {
             let is_expected = expected_code.is_some() && exit_status.code() == expected_code;
             let problem = !self.stop_requested && !is_expected;
-            let problem = problem.then(|| format!("ended by itself with {exit_status}"));
+            let problem = problem.then(|| format!("exited unexpectedly with {exit_status}"));
             if is_expected {
                 self.down_until = Some(Instant::now() + EXPECTED_EXIT_DOWNTIME);
             }
@@ -45,7 +45,7 @@
         if !self.is_frozen && self.kill_at.is_some_and(|at| Instant::now() > at) {
             process.signal(Signal::SIGKILL);
             self.kill_at = None;
-            return Some("was still there after the grace time".to_owned());
+            return Some("did not exit within the grace period and was killed".to_owned());
         }
         None
     }
--- a/crates/soak/tests/checks.rs
+++ b/crates/soak/tests/checks.rs
@@ -1,7 +1,9 @@
-//! Checks that each broken promise is reported, and that excused cases are not.
+//! Checks that each violated guarantee is reported, and that excused cases are not.
 
 use switchfold_soak::{
-    checks::{DRAIN_TIME, EVENT_COUNT, MAX_MEMORY_KB, Promise, REVOKE_TIME, check, response_body},
+    checks::{
+        DRAIN_TIME, EVENT_COUNT, Guarantee, MAX_MEMORY_KB, REVOKE_TIME, check, response_body,
+    },
     record::{
         CallKind, CallOutcome, CallRecord, CallResponse, Disruption, DisruptionKind, RunHistory,
         RunRecord, SETTLE_TIME,
@@ -11,7 +13,7 @@
 const ORGANISATION: &str = "fisher";
 
 fn response(status: u16, signed: bool, complete: bool, body: &str) -> CallOutcome {
-    CallOutcome::Answered(CallResponse { status, signed, complete, body: body.to_owned() })
+    CallOutcome::Responded(CallResponse { status, signed, complete, body: body.to_owned() })
 }
 
 fn call(id: &str, kind: CallKind, outcome: CallOutcome) -> CallRecord {
@@ -47,8 +49,8 @@
     events.collect()
 }
 
-fn broken_promises(history: &RunHistory) -> Vec<Promise> {
-    check(history, ORGANISATION).into_iter().map(|violation| violation.promise).collect()
+fn violated_guarantees(history: &RunHistory) -> Vec<Guarantee> {
+    check(history, ORGANISATION).into_iter().map(|violation| violation.guarantee).collect()
 }
 
 /// A history of one call and its runs.
@@ -67,7 +69,7 @@
 }
 
 #[test]
-fn requests_within_retry_after() {
+fn requests_within_retry_after_are_reported() {
     let rejected = RunRecord { ran: false, asked: Some(2_000), ..run("a", "i-1-0") };
     let at = |id: &str, at: u64| RunRecord { at, ..run(id, "i-1-0") };
     let rejected_at = rejected.at;
@@ -78,13 +80,13 @@
             times.iter().enumerate().map(|(number, time)| at(&format!("b{number}"), *time));
         history_of_runs(std::iter::once(rejected.clone()).chain(arrivals).collect())
     };
-    assert_eq!(broken_promises(&with(&within)), [Promise::RetryAfter]);
-    assert_eq!(broken_promises(&with(&within[..2])), []);
-    assert_eq!(broken_promises(&with(&outside)), []);
+    assert_eq!(violated_guarantees(&with(&within)), [Guarantee::RetryAfter]);
+    assert_eq!(violated_guarantees(&with(&within[..2])), []);
+    assert_eq!(violated_guarantees(&with(&outside)), []);
     // The relay gave up the request before the replica read it.
     let mut gave_up = with(&within);
     gave_up.calls[0].ended_at = rejected_at - 1;
-    assert_eq!(broken_promises(&gave_up), []);
+    assert_eq!(violated_guarantees(&gave_up), []);
     for (kind, excuses) in [
         (DisruptionKind::RelayFault(0), true),
         (DisruptionKind::PlannedStop(0), true),
@@ -97,34 +99,43 @@
         let mut history = with(&within);
         let from = rejected_at + 650_000;
         history.disruptions.push(Disruption { kind, from, to: from + 1 });
-        assert_eq!(broken_promises(&history).is_empty(), excuses, "{kind:?}");
+        assert_eq!(violated_guarantees(&history).is_empty(), excuses, "{kind:?}");
     }
 }
 
 #[test]
-fn requests_after_server_leaving() {
-    let saying = |id: &str, at: u64| RunRecord { at, leaving: true, ..run(id, "i-1-0") };
+fn requests_after_server_leaving_are_reported() {
+    let leaving_run = |id: &str, at: u64| RunRecord { at, leaving: true, ..run(id, "i-1-0") };
     let late = 1_101_000 + DRAIN_TIME + 1;
     assert_eq!(
-        broken_promises(&history_of_runs(vec![saying("a", 1_100_000), saying("b", late)])),
-        [Promise::LeavingNotice]
+        violated_guarantees(&history_of_runs(vec![
+            leaving_run("a", 1_100_000),
+            leaving_run("b", late)
+        ])),
+        [Guarantee::LeavingNotice]
+    );
+    assert_eq!(
+        violated_guarantees(&history_of_runs(vec![
+            leaving_run("a", 1_100_000),
+            leaving_run("b", late - 1)
+        ])),
+        []
     );
+    let restarted = RunRecord { leaving: false, ..leaving_run("b", late) };
     assert_eq!(
-        broken_promises(&history_of_runs(vec![saying("a", 1_100_000), saying("b", late - 1)])),
+        violated_guarantees(&history_of_runs(vec![leaving_run("a", 1_100_000), restarted])),
         []
     );
-    let restarted = RunRecord { leaving: false, ..saying("b", late) };
-    assert_eq!(broken_promises(&history_of_runs(vec![saying("a", 1_100_000), restarted])), []);
-    let mut history = history_of_runs(vec![saying("a", 1_100_000), saying("b", late)]);
+    let mut history = history_of_runs(vec![leaving_run("a", 1_100_000), leaving_run("b", late)]);
     let kind = DisruptionKind::RelayFault(0);
     history.disruptions.push(Disruption { kind, from: 1_200_000, to: 1_300_000 });
-    assert_eq!(broken_promises(&history), []);
+    assert_eq!(violated_guarantees(&history), []);
 }
 
 /// A replica that limits itself to one request a second may get eleven in four seconds, counted
 /// from three seconds after it first sent the limit.
 #[test]
-fn requests_over_server_limit() {
+fn requests_over_server_limit_are_reported() {
     let first_at = 1_100_000;
     let with = |limit: Option<f64>, interval: u64, count: u64| {
         let limited_runs = (0..count).map(|number| RunRecord {
@@ -136,14 +147,18 @@
     };
     let rows = [
         (Some(1.0), 370_000, vec![]),
-        (Some(1.0), 320_000, vec![Promise::Limit]),
+        (Some(1.0), 320_000, vec![Guarantee::Limit]),
         (Some(2.0), 320_000, vec![]),
         (None, 320_000, vec![]),
     ];
     for (limit, interval, expected) in rows {
-        assert_eq!(broken_promises(&with(limit, interval, 40)), expected, "{limit:?} {interval}");
+        assert_eq!(
+            violated_guarantees(&with(limit, interval, 40)),
+            expected,
+            "{limit:?} {interval}"
+        );
     }
-    assert_eq!(broken_promises(&with(Some(1.0), 20_000, 100)), [], "within the settle time");
+    assert_eq!(violated_guarantees(&with(Some(1.0), 20_000, 100)), [], "within the settle time");
     for (kind, excuses) in [
         (DisruptionKind::LinkFault(1), true),
         (DisruptionKind::ReplicaPause(1), true),
@@ -154,12 +169,12 @@
         let mut history = with(Some(1.0), 320_000, 26);
         let at = first_at + SETTLE_TIME;
         history.disruptions.push(Disruption { kind, from: at, to: at + 1 });
-        assert_eq!(broken_promises(&history).is_empty(), excuses, "{kind:?}");
+        assert_eq!(violated_guarantees(&history).is_empty(), excuses, "{kind:?}");
     }
 }
 
 #[test]
-fn wrong_responses() {
+fn wrong_responses_are_reported() {
     use CallKind::{Safe, Stream};
     let own = response_body("a");
     let rows = [
@@ -167,30 +182,30 @@
         (Safe, response(200, true, false, "answer"), None),
         (Safe, response(500, true, true, &own), None),
         (Safe, response(502, false, true, ""), None),
-        (Safe, response(200, false, true, &own), Some(Promise::OwnResponse)),
-        (Safe, response(200, true, true, &response_body("b")), Some(Promise::OwnResponse)),
-        (Safe, response(500, false, true, ""), Some(Promise::OwnResponse)),
-        (Safe, response(503, true, true, ""), Some(Promise::OwnResponse)),
+        (Safe, response(200, false, true, &own), Some(Guarantee::OwnResponse)),
+        (Safe, response(200, true, true, &response_body("b")), Some(Guarantee::OwnResponse)),
+        (Safe, response(500, false, true, ""), Some(Guarantee::OwnResponse)),
+        (Safe, response(503, true, true, ""), Some(Guarantee::OwnResponse)),
         (Stream, response(200, true, true, &stream("a", 0..EVENT_COUNT)), None),
         (Stream, response(200, true, false, &stream("a", 0..3)), None),
         (
             Stream,
             response(200, false, true, &stream("a", 0..EVENT_COUNT)),
-            Some(Promise::OwnResponse),
+            Some(Guarantee::OwnResponse),
         ),
-        (Stream, response(200, true, true, &stream("a", 0..3)), Some(Promise::EventOrder)),
-        (Stream, response(200, true, false, &stream("a", [0, 2])), Some(Promise::EventOrder)),
-        (Stream, response(200, true, false, &stream("a", [0, 0])), Some(Promise::EventOrder)),
-        (Stream, response(200, true, false, &stream("b", 0..3)), Some(Promise::EventOrder)),
+        (Stream, response(200, true, true, &stream("a", 0..3)), Some(Guarantee::EventOrder)),
+        (Stream, response(200, true, false, &stream("a", [0, 2])), Some(Guarantee::EventOrder)),
+        (Stream, response(200, true, false, &stream("a", [0, 0])), Some(Guarantee::EventOrder)),
+        (Stream, response(200, true, false, &stream("b", 0..3)), Some(Guarantee::EventOrder)),
     ];
     for (kind, outcome, expected) in rows {
         let history = history(call("a", kind, outcome.clone()), vec![run("a", "i-1")]);
-        assert_eq!(broken_promises(&history), Vec::from_iter(expected), "{kind:?} {outcome:?}");
+        assert_eq!(violated_guarantees(&history), Vec::from_iter(expected), "{kind:?} {outcome:?}");
     }
 }
 
 #[test]
-fn repeated_and_refused_runs() {
+fn repeated_runs_and_runs_of_refused_requests_are_reported() {
     use CallKind::{Once, Safe, StreamOnce};
     let two_runs = || vec![run("a", "i-1"), run("a", "i-2")];
     let refused = || response(503, false, true, "");
@@ -199,19 +214,19 @@
         (Safe, refused(), vec![run("a", "i-1")], None),
         (Once, CallOutcome::NoResponse, vec![run("a", "i-1")], None),
         (Once, refused(), vec![], None),
-        (Once, CallOutcome::NoResponse, two_runs(), Some(Promise::AtMostOnce)),
-        (StreamOnce, CallOutcome::NoResponse, two_runs(), Some(Promise::AtMostOnce)),
-        (Once, refused(), vec![run("a", "i-1")], Some(Promise::AccurateRefusal)),
+        (Once, CallOutcome::NoResponse, two_runs(), Some(Guarantee::AtMostOnce)),
+        (StreamOnce, CallOutcome::NoResponse, two_runs(), Some(Guarantee::AtMostOnce)),
+        (Once, refused(), vec![run("a", "i-1")], Some(Guarantee::AccurateRefusal)),
         (Once, refused(), vec![RunRecord { ran: false, ..run("a", "i-1") }], None),
     ];
     for (kind, outcome, runs, expected) in rows {
         let history = history(call("a", kind, outcome), runs);
-        assert_eq!(broken_promises(&history), Vec::from_iter(expected), "{history:?}");
+        assert_eq!(violated_guarantees(&history), Vec::from_iter(expected), "{history:?}");
     }
 }
 
 #[test]
-fn requests_that_no_caller_sent() {
+fn requests_that_no_caller_sent_are_reported() {
     let call = call("a", CallKind::Safe, CallOutcome::NoResponse);
     let wrong = [
         run("b", "i-1"),
@@ -220,14 +235,14 @@
     ];
     for run in wrong {
         let history = history(call.clone(), vec![run]);
-        assert_eq!(broken_promises(&history), [Promise::UnchangedRequest], "{history:?}");
+        assert_eq!(violated_guarantees(&history), [Guarantee::UnchangedRequest], "{history:?}");
     }
 }
 
-/// The bound on removed keys holds under any fault; the one on leaving replicas only without faults
-/// nearby.
+/// The bound on removed keys is checked under any fault; the one on leaving replicas only where no
+/// fault is near.
 #[test]
-fn time_bounds_of_keys_and_drains() {
+fn late_requests_after_removals_and_drains_are_reported() {
     let sent_at = 20_000_000;
     let call_after_removal = |at: u64| {
         let call = CallRecord { sent_at, ..call("a", CallKind::Safe, CallOutcome::NoResponse) };
@@ -240,10 +255,10 @@
         });
         history
     };
-    assert_eq!(broken_promises(&call_after_removal(sent_at - REVOKE_TIME)), []);
+    assert_eq!(violated_guarantees(&call_after_removal(sent_at - REVOKE_TIME)), []);
     assert_eq!(
-        broken_promises(&call_after_removal(sent_at - REVOKE_TIME - 1)),
-        [Promise::RemovedKey]
+        violated_guarantees(&call_after_removal(sent_at - REVOKE_TIME - 1)),
+        [Guarantee::RemovedKey]
     );
 
     let leaving = |at: u64, fault: Option<u64>| {
@@ -255,19 +270,19 @@
         history
     };
     let left_at = sent_at - DRAIN_TIME - 1;
-    assert_eq!(broken_promises(&leaving(left_at + 1, None)), []);
-    assert_eq!(broken_promises(&leaving(left_at, None)), [Promise::LeavingReplica]);
-    assert_eq!(broken_promises(&leaving(left_at, Some(left_at - SETTLE_TIME))), []);
+    assert_eq!(violated_guarantees(&leaving(left_at + 1, None)), []);
+    assert_eq!(violated_guarantees(&leaving(left_at, None)), [Guarantee::LeavingReplica]);
+    assert_eq!(violated_guarantees(&leaving(left_at, Some(left_at - SETTLE_TIME))), []);
     assert_eq!(
-        broken_promises(&leaving(left_at, Some(left_at - SETTLE_TIME - 1))),
-        [Promise::LeavingReplica]
+        violated_guarantees(&leaving(left_at, Some(left_at - SETTLE_TIME - 1))),
+        [Guarantee::LeavingReplica]
     );
 }
 
 /// A relay that could not reach the store when a replica announced that it leaves must know of it
 /// once it follows the store again.
 #[test]
-fn drain_that_a_relay_missed() {
+fn requests_after_a_missed_drain_are_reported() {
     let sent_at = 20_000_000;
     let left_at = sent_at - 12_060_000;
     let with = |kind: DisruptionKind, from: u64, to: u64| {
@@ -275,10 +290,10 @@
         let mut history = history(call, vec![RunRecord { at: sent_at, ..run("a", "i-1") }]);
         history.leaving.push(("i-1".to_owned(), left_at));
         history.disruptions.push(Disruption { kind, from, to });
-        broken_promises(&history)
+        violated_guarantees(&history)
     };
     let last_fault = sent_at - SETTLE_TIME - 1;
-    let late = vec![Promise::LeavingReplica];
+    let late = vec![Guarantee::LeavingReplica];
     assert_eq!(with(DisruptionKind::RelayFault(0), left_at - 1, last_fault), late);
     assert_eq!(with(DisruptionKind::RelayFault(0), left_at - 1, last_fault + 1), []);
     assert_eq!(
@@ -295,7 +310,7 @@
 }
 
 #[test]
-fn planned_stop_that_cuts_a_call() {
+fn planned_stops_that_cut_a_call_are_reported() {
     let stop =
         |relay| Disruption { kind: DisruptionKind::PlannedStop(relay), from: 0, to: 9_000_000 };
     let fault = Disruption { kind: DisruptionKind::Fault, from: 0, to: 10 };
@@ -304,42 +319,45 @@
     let with = |disruptions: &[Disruption]| {
         let mut history = interrupted();
         history.disruptions.extend_from_slice(disruptions);
-        broken_promises(&history)
+        violated_guarantees(&history)
     };
-    assert_eq!(with(&[stop(0)]), [Promise::PlannedStop]);
+    assert_eq!(with(&[stop(0)]), [Guarantee::PlannedStop]);
     assert_eq!(with(&[stop(1)]), []);
     assert_eq!(with(&[stop(0), fault]), []);
     let mut not_run = interrupted();
     not_run.runs.clear();
     not_run.disruptions.push(stop(0));
-    assert_eq!(broken_promises(&not_run), []);
+    assert_eq!(violated_guarantees(&not_run), []);
 }
 
 #[test]
-fn process_exits_memory_and_recovery() {
+fn process_exits_memory_and_recovery_are_checked() {
     let rows = [
         (
             RunHistory { unexpected_exits: vec!["relay 0".to_owned()], ..Default::default() },
-            Promise::ProcessExit,
+            Guarantee::ProcessExit,
+        ),
+        (
+            RunHistory { memory_kb: vec![MAX_MEMORY_KB + 1], ..Default::default() },
+            Guarantee::Memory,
         ),
-        (RunHistory { memory_kb: vec![MAX_MEMORY_KB + 1], ..Default::default() }, Promise::Memory),
-        (RunHistory { after_faults: (100, 24), ..Default::default() }, Promise::Recovery),
+        (RunHistory { after_faults: (100, 24), ..Default::default() }, Guarantee::Recovery),
     ];
     for (history, expected) in rows {
-        assert_eq!(broken_promises(&history), [expected]);
+        assert_eq!(violated_guarantees(&history), [expected]);
     }
     let unbroken = RunHistory {
         memory_kb: vec![MAX_MEMORY_KB],
         after_faults: (100, 25),
         ..RunHistory::default()
     };
-    assert_eq!(broken_promises(&unbroken), []);
+    assert_eq!(violated_guarantees(&unbroken), []);
 }
 
 /// A request that crashes one replica after the other: three times before the settle time, and
 /// again after it.
 #[test]
-fn crash_request_that_is_not_quarantined() {
+fn crash_requests_that_are_not_quarantined_are_reported() {
     let third_at = 3_000_000;
     let with = |late: u64, disruptions: &[DisruptionKind]| {
         let mut history = RunHistory::default();
@@ -354,28 +372,28 @@
         }
         let fault = |kind| Disruption { kind, from: third_at, to: third_at + SETTLE_TIME };
         history.disruptions.extend(disruptions.iter().copied().map(fault));
-        broken_promises(&history)
+        violated_guarantees(&history)
     };
     assert_eq!(with(3, &[]), []);
-    assert_eq!(with(4, &[]), [Promise::CrashRequest]);
+    assert_eq!(with(4, &[]), [Guarantee::CrashRequest]);
     assert_eq!(
         with(4, &[DisruptionKind::ReplicaCrash]),
-        [Promise::CrashRequest],
-        "a crash by the request itself is no excuse"
+        [Guarantee::CrashRequest],
+        "a crash that the request itself caused does not excuse"
     );
     assert_eq!(with(4, &[DisruptionKind::RelayFault(0)]), [], "the relay was not stable");
 }
 
 #[test]
-fn more_attempts_than_allowed() {
+fn more_attempts_than_allowed_are_reported() {
     let mut history = RunHistory::default();
     for number in 0..4 {
         let id = format!("a{number}");
         history.runs.extend(["i-1", "i-2", "i-3"].map(|replica| run(&id, replica)));
         history.calls.push(call(&id, CallKind::Safe, CallOutcome::NoResponse));
     }
-    assert_eq!(broken_promises(&history), [Promise::MaxAttempts]);
+    assert_eq!(violated_guarantees(&history), [Guarantee::MaxAttempts]);
     history.calls.pop();
     history.runs.truncate(9);
-    assert_eq!(broken_promises(&history), []);
+    assert_eq!(violated_guarantees(&history), []);
 }
--- a/crates/soak/tests/short.rs
+++ b/crates/soak/tests/short.rs
@@ -1,4 +1,4 @@
-//! A short run of one seed, as part of CI. Start longer ones by hand with `switchfold-soak run`.
+//! A short run of one seed for CI. `switchfold-soak run` makes longer ones.
 
 use std::{
     fs,
@@ -28,7 +28,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_short_run_breaks_no_promise() {
+async fn a_short_run_violates_no_guarantee() {
     let folder = std::env::temp_dir().join(format!("switchfold-soak-{}", std::process::id()));
     fs::create_dir_all(&folder).expect("the folder can be created");
     let config = ClusterConfig {
--- a/crates/standin/src/model.rs
+++ b/crates/standin/src/model.rs
@@ -52,7 +52,7 @@
     }
 }
 
-/// Returns the number that takes the place of a model's weights.
+/// Returns the number that stands in for the weights of a model.
 pub fn model_seed(model: &str) -> u64 {
     hash_bytes(7, model.as_bytes())
 }
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -68,7 +68,7 @@
 /// Number of calls of the store.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize)]
 pub struct StoreCalls {
-    /// Reads that are no watches.
+    /// Reads other than watches.
     pub reads: u64,
     /// Writes and deletes.
     pub writes: u64,
