--- a/crates/relay/src/engines.rs
+++ b/crates/relay/src/engines.rs
@@ -231,8 +231,10 @@
 }
 
 async fn probe(relay: &Relay, address: SocketAddr) -> ProbeOutcome {
-    probe_with_retry(async |fresh| {
-        exchange(relay, address, Method::GET, REPORT_PATH, Vec::new(), fresh).await.map(drop)
+    probe_with_retry(async |new_connection| {
+        exchange(relay, address, Method::GET, REPORT_PATH, Vec::new(), new_connection)
+            .await
+            .map(drop)
     })
     .await
 }
@@ -255,11 +257,12 @@
     method: Method,
     path: &str,
     body: Vec<u8>,
-    fresh: bool,
+    new_connection: bool,
 ) -> Result<(StatusCode, Bytes), SendError> {
     let request = engine_request(address, method, path, body);
     let sent_at = now_millis();
-    let (response, connection) = relay.pool.send(address, request, fresh, || Ok(())).await?;
+    let (response, connection) =
+        relay.pool.send(address, request, new_connection, || Ok(())).await?;
     let (parts, body) = response.into_parts();
     let headers = read_response_headers(&parts.headers);
     apply_notices_at(
--- a/crates/relay/src/logs.rs
+++ b/crates/relay/src/logs.rs
@@ -18,7 +18,7 @@
 /// Maximum number of queued lines; further ones are dropped.
 const MAX_QUEUED_LINES: usize = 4_096;
 
-/// Maximum number of lines per second at the levels info and below: some for each of 50 requests.
+/// Maximum number of lines per second at the levels info and below: a few for each of 50 requests.
 pub const MAX_INFO_LINES: u64 = 200;
 
 /// Maximum number of warnings and errors per second.
--- a/crates/relay/src/paths.rs
+++ b/crates/relay/src/paths.rs
@@ -88,8 +88,8 @@
 ///
 /// In a data centre with many replicas, the path is chosen among those of two randomly drawn
 /// planning groups, each of which covers the model, because choosing among thousands takes too much
-/// of a small VM. If the drawn groups leave a gap, all replicas are considered; if they are only
-/// short of memory, `None` is returned and the next call draws other groups.
+/// processor time of a small VM. If the drawn groups leave a gap, all replicas are considered; if
+/// they are only short of memory, `None` is returned and the next call draws other groups.
 pub fn find_path(
     relay: &Relay,
     criteria: &PathCriteria<'_>,
--- a/crates/relay/src/registry.rs
+++ b/crates/relay/src/registry.rs
@@ -1,9 +1,9 @@
 //! Addresses of the relays: one object for each in the store.
 //!
 //! A relay writes its address to the store once, and learns those of the others. The first relay of
-//! a data centre lists them from time to time; the others, and relays that restart, ask that one.
-//! So a hundred relays that restart together make no calls of their own, provided that one relay
-//! of each data centre stayed up.
+//! a data centre lists them at regular intervals; the others, and relays that restart, ask that
+//! one. So a hundred relays that restart together make no calls of their own, provided that one
+//! relay of each data centre stayed up.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
--- a/crates/relay/tests/notices.rs
+++ b/crates/relay/tests/notices.rs
@@ -106,7 +106,7 @@
     }
 }
 
-fn always() -> Arc<AtomicBool> {
+fn always_rejecting() -> Arc<AtomicBool> {
     Arc::new(AtomicBool::new(true))
 }
 
@@ -119,7 +119,7 @@
     {
         run_test(async {
             let times = RequestTimes::default();
-            let near = StandinReplica::start(rejects(&always(), "3", &times)).await;
+            let near = StandinReplica::start(rejects(&always_rejecting(), "3", &times)).await;
             let other = StandinReplica::start(respond_healthy).await;
             let entries = [entry_of("i-1", &near, entry), entry_of("i-2", &other, far(entry))];
             let relay = RunningRelay::start(bounds(), &entries).await;
@@ -146,8 +146,8 @@
     {
         run_test(async {
             let times = [RequestTimes::default(), RequestTimes::default()];
-            let one = StandinReplica::start(rejects(&always(), "6", &times[0])).await;
-            let two = StandinReplica::start(rejects(&always(), "4", &times[1])).await;
+            let one = StandinReplica::start(rejects(&always_rejecting(), "6", &times[0])).await;
+            let two = StandinReplica::start(rejects(&always_rejecting(), "4", &times[1])).await;
             let entries = [entry_of("i-1", &one, entry), entry_of("i-2", &two, entry)];
             let relay = RunningRelay::start(bounds(), &entries).await;
             wait_until(async || {
@@ -175,7 +175,7 @@
         [("/stream/", full_model as fn(SocketAddr) -> Value), ("/safe/", desk_entry)]
     {
         run_test(async {
-            let (is_rejecting, times) = (always(), RequestTimes::default());
+            let (is_rejecting, times) = (always_rejecting(), RequestTimes::default());
             let replica = StandinReplica::start(rejects(&is_rejecting, "0.15", &times)).await;
             let relay = RunningRelay::start(bounds(), &[entry_of("i-1", &replica, entry)]).await;
             relay.get(&format!("{path}first"), "first").await;
@@ -195,7 +195,7 @@
     {
         run_test(async {
             let times = RequestTimes::default();
-            let replica = StandinReplica::start(rejects(&always(), "0.15", &times)).await;
+            let replica = StandinReplica::start(rejects(&always_rejecting(), "0.15", &times)).await;
             let relay = RunningRelay::start(bounds(), &[entry_of("i-1", &replica, entry)]).await;
             relay.get(&format!("{path}first"), "first").await;
             let before = times.len();
--- a/crates/relay/tests/probes.rs
+++ b/crates/relay/tests/probes.rs
@@ -32,7 +32,7 @@
 /// Probes a replica that never responds. If its pooled connection is dead, the first request fails
 /// at once, so the second one starts earlier than those of the other replicas.
 async fn probe_silent(pooled_is_dead: bool) -> ProbeOutcome {
-    let send = async |fresh: bool| match pooled_is_dead && !fresh {
+    let send = async |new_connection: bool| match pooled_is_dead && !new_connection {
         true => Err("reset"),
         false => pending().await,
     };
