--- a/crates/router/src/quarantine.rs
+++ b/crates/router/src/quarantine.rs
@@ -18,7 +18,7 @@
 //!
 //! The trade-off is the number of replicas that a request may crash: three before it is
 //! quarantined, one or two more if several requests share its crashes, plus those of sends that
-//! relays make before they hear of the quarantine. Worst case for memory: [`MAX_RECORDS`] requests
+//! relays make before they learn of the quarantine. Worst case for memory: [`MAX_RECORDS`] requests
 //! with [`MAX_RUNS`] runs each, some 600 kB. Without crashes nothing is kept.
 
 use std::{
@@ -303,14 +303,14 @@
         }
     }
 
-    /// Shares all quarantined requests for a while, after a relay has started or is heard again
+    /// Shares all quarantined requests for a while, after a relay has started or is live again
     /// after a silence.
     pub fn announce_all(&mut self, now: Millis) {
         self.share_all_until = now + SHARE_TIME;
     }
 
     /// Returns the reports to send to other relays now, heaviest first.
-    pub fn updates(&self, audience: UpdateAudience, now: Millis) -> Vec<CrashReport> {
+    pub fn shared_with(&self, audience: UpdateAudience, now: Millis) -> Vec<CrashReport> {
         let shares_all = now < self.share_all_until;
         let is_forwarded = |record: &RequestRecord| {
             audience == UpdateAudience::Members && now.saturating_sub(record.changed) < SHARE_TIME
