--- a/crates/load/src/caller.rs
+++ b/crates/load/src/caller.rs
@@ -13,7 +13,8 @@
 
 use crate::{Arrival, CallRecord, ClassLoad, WorkKind, Workload};
 
-/// Longest time between two frames of a response body, and to read a complete body that is not a stream.
+/// Longest time between two frames of a response body, and to read a complete body that is not a
+/// stream.
 const BODY_READ_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Outcome of a request from the caller's view.
--- a/crates/load/src/driver.rs
+++ b/crates/load/src/driver.rs
@@ -66,7 +66,8 @@
     record
 }
 
-/// Computes the expected tokens of all requests before the run, so that checking does not slow it down.
+/// Computes the expected tokens of all requests before the run, so that checking does not slow it
+/// down.
 async fn compute_expected_tokens(
     config: &DriveConfig,
     workload: &Workload,
--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -1,13 +1,13 @@
 //! Open-loop load generator with an initial surge, and reports of its runs.
 //!
-//! The arrival times are generated from a seed before the run starts, and each request is sent at its
-//! time regardless of whether earlier requests have completed. Latency is measured from the scheduled
-//! send time, so that a delay in the load generator does not make the system look faster; late sends
-//! are counted.
+//! The arrival times are generated from a seed before the run starts, and each request is sent at
+//! its time regardless of whether earlier requests have completed. Latency is measured from the
+//! scheduled send time, so that a delay in the load generator does not make the system look faster;
+//! late sends are counted.
 //!
-//! Every completion is compared with the oracle of the stand-in model. After the run, the run logs of
-//! the stand-ins are compared with the outcomes that callers received. Both checks are reported as
-//! [`Violations`].
+//! Every completion is compared with the oracle of the stand-in model. After the run, the run logs
+//! of the stand-ins are compared with the outcomes that callers received. Both checks are reported
+//! as [`Violations`].
 
 mod caller;
 mod driver;
--- a/crates/load/src/model.rs
+++ b/crates/load/src/model.rs
@@ -1,9 +1,10 @@
 //! Queueing model for comparing path policies with the same seeds.
 //!
 //! The model has batch servers in three stages; it does not simulate the whole system. Each request
-//! passes through its path once per token, engines run batches, and links add a delay. Paths are chosen
-//! by [`choose_replica`] of the core crate; entries see the load of each replica as of the last report,
-//! plus the requests that they sent since. Time is simulated, so that runs are deterministic.
+//! passes through its path once per token, engines run batches, and links add a delay. Paths are
+//! chosen by [`choose_replica`] of the core crate; entries see the load of each replica as of the
+//! last report, plus the requests that they sent since. Time is simulated, so that runs are
+//! deterministic.
 
 use std::{
     cmp::Reverse,
@@ -25,8 +26,8 @@
 /// Number of layers of one stage.
 const STAGE_LAYERS: u32 = 16;
 
-/// Accelerator types: maximum sequences of a batch, microseconds for each batch, microseconds for each
-/// sequence. The fastest has eight times the throughput of the slowest.
+/// Accelerator types: maximum sequences of a batch, microseconds for each batch, microseconds for
+/// each sequence. The fastest has eight times the throughput of the slowest.
 const ACCELERATORS: [(usize, u64, u64); 4] =
     [(16, 2_400, 100), (12, 3_200, 200), (8, 4_000, 400), (4, 4_500, 875)];
 
@@ -40,7 +41,8 @@
     pub policy: PathPolicy,
     /// Number of entries.
     pub entries: usize,
-    /// Interval of the load reports in milliseconds; 0 means that entries always see the current load.
+    /// Interval of the load reports in milliseconds; 0 means that entries always see the current
+    /// load.
     pub lag_ms: u64,
     /// Offered load in percent of the throughput bound.
     pub offered_hundredths: u64,
--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -74,7 +74,8 @@
     pub ms: f64,
     /// Number of streams in flight when the fault was injected.
     pub in_flight: usize,
-    /// Number of these streams that waited for more than three times the median time between tokens.
+    /// Number of these streams that waited for more than three times the median time between
+    /// tokens.
     pub held_up: usize,
 }
 
@@ -133,7 +134,8 @@
     pub store_calls: StoreUse,
     /// Resource use by process.
     pub control: BTreeMap<String, ControlUse>,
-    /// Ratio of superfluous to necessary positions run by engines; 0.1 means 10 % more than necessary.
+    /// Ratio of superfluous to necessary positions run by engines; 0.1 means 10 % more than
+    /// necessary.
     pub repeated_work: f64,
 }
 
@@ -166,11 +168,12 @@
 /// Delay from which a send counts as late, in microseconds.
 const LATE_SEND_MICROS: u64 = 10_000;
 
-/// Time at the start of the surge that is left out of the throughput, because the pipelines still fill
-/// up.
+/// Time at the start of the surge that is left out of the throughput, because the pipelines still
+/// fill up.
 const RAMP_MICROS: u64 = 1_000_000;
 
-/// Largest value that the histograms can hold, in microseconds; larger ones are recorded as this value.
+/// Largest value that the histograms can hold, in microseconds; larger ones are recorded as this
+/// value.
 const MAX_MICROS: u64 = 600_000_000;
 
 /// Builds the report of a run from its record and the data of the deployment.
--- a/crates/load/tests/load.rs
+++ b/crates/load/tests/load.rs
@@ -87,8 +87,8 @@
     }
 }
 
-/// Requests with unknown outcome count as cut only if no fault other than planned changes occurred while
-/// they were in flight.
+/// Requests with unknown outcome count as cut only if no fault other than planned changes occurred
+/// while they were in flight.
 #[test]
 fn reports_count_requests_cut_by_planned_changes_and_measure_recovery() {
     let injected = |at: u64, fault: FaultKind| InjectedFault {
--- a/crates/local/src/bin/switchfold-local.rs
+++ b/crates/local/src/bin/switchfold-local.rs
@@ -17,11 +17,11 @@
     table::render_report,
 };
 
-/// Starts entries, agents and stand-ins in one process, runs the workload and faults of a profile, and
-/// prints a report.
+/// Starts entries, agents and stand-ins in one process, runs the workload and faults of a profile,
+/// and prints a report.
 ///
-/// Exit codes: 0 no violations; 1 violations; 2 invalid arguments; 3 the deployment did not start or the
-/// report could not be written.
+/// Exit codes: 0 no violations; 1 violations; 2 invalid arguments; 3 the deployment did not start
+/// or the report could not be written.
 #[derive(Debug, Parser)]
 #[command(
     version,
--- a/crates/local/src/checks.rs
+++ b/crates/local/src/checks.rs
@@ -1,5 +1,5 @@
-//! Checks that need data from inside the deployment: the run logs of the stand-ins are compared with
-//! the outcomes that callers received.
+//! Checks that need data from inside the deployment: the run logs of the stand-ins are compared
+//! with the outcomes that callers received.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -23,7 +23,8 @@
     profile::LocalProfile,
 };
 
-/// Grace period after a VM was marked as leaving or stopped; requests that it accepts later are violations.
+/// Grace period after a VM was marked as leaving or stopped; requests that it accepts later are
+/// violations.
 const LEAVING_GRACE_MS: u64 = 3_000;
 
 /// Interval at which the effective configuration versions are read from every entry.
--- a/crates/local/src/cluster.rs
+++ b/crates/local/src/cluster.rs
@@ -420,7 +420,8 @@
     }
 }
 
-/// Sends an operator's statement to an entry. Statements that change something return an empty table.
+/// Sends an operator's statement to an entry. Statements that change something return an empty
+/// table.
 ///
 /// # Errors
 ///
--- a/crates/local/src/faults.rs
+++ b/crates/local/src/faults.rs
@@ -12,8 +12,8 @@
 /// Cluster that the fault injection and the checks share.
 pub type SharedCluster = Arc<Mutex<LocalCluster>>;
 
-/// Injects all planned faults of a run, in their order. Returns the faults that succeeded with the time
-/// of each; a fault that cannot be injected is reported on standard error and left out.
+/// Injects all planned faults of a run, in their order. Returns the faults that succeeded with the
+/// time of each; a fault that cannot be injected is reported on standard error and left out.
 pub async fn inject_faults(
     cluster: SharedCluster,
     faults: Vec<PlannedFault>,
--- a/crates/local/src/measure.rs
+++ b/crates/local/src/measure.rs
@@ -1,8 +1,8 @@
 //! Measurements of the control plane's overhead at different deployment sizes.
 //!
-//! Bytes are counted at the loopback device and include the headers of all protocol layers. Processor
-//! time and memory are those of this process, which runs the complete deployment. The slope
-//! between two sizes is the cost of one additional entry, agent or link.
+//! Bytes are counted at the loopback device and include the headers of all protocol layers.
+//! Processor time and memory are those of this process, which runs the complete deployment. The
+//! slope between two sizes is the cost of one additional entry, agent or link.
 
 use std::time::Duration;
 
--- a/crates/local/src/profile.rs
+++ b/crates/local/src/profile.rs
@@ -114,8 +114,8 @@
 /// Number of stages into which the layers of each model are split.
 const STAGES: u32 = 3;
 
-/// Request slots of an engine for each sequence of a full batch. A request is at only one stage at a
-/// time, so keeping all stages busy takes several times as many requests as fit in one batch.
+/// Request slots of an engine for each sequence of a full batch. A request is at only one stage at
+/// a time, so keeping all stages busy takes several times as many requests as fit in one batch.
 const SLOTS_PER_SEQUENCE: u32 = 10;
 
 /// Returns the profile of this name, or `None` if it is not one of [`PROFILES`].
@@ -145,15 +145,15 @@
     }
 }
 
-/// Creates `count` engine VMs and assigns stages, accelerator types and data centres in turn, so that
-/// each stage gets a mix of accelerators.
+/// Creates `count` engine VMs and assigns stages, accelerator types and data centres in turn, so
+/// that each stage gets a mix of accelerators.
 fn engines(model: &ModelConfig, data_centres: &[String], count: usize) -> Vec<EngineVm> {
     let assign = |index: usize| {
         let stage = index as u32 % STAGES;
         let round = index / STAGES as usize;
         let accelerator = ACCELERATORS[round % ACCELERATORS.len()];
-        // Spreads the replicas of each stage over all data centres, so that the loss of one data centre
-        // leaves replicas of every layer.
+        // Spreads the replicas of each stage over all data centres, so that the loss of one data
+        // centre leaves replicas of every layer.
         let data_centre = (index + round) % data_centres.len();
         EngineVm {
             name: format!("engine-{index}"),
@@ -218,8 +218,8 @@
     profile.workload.surge_ms = 2_500;
     profile.workload.surge_per_s = 50.0;
     profile.faults.clear();
-    // Longer timeouts: on a busy test machine an agent must not be treated as lost and requests must
-    // not exceed their deadlines.
+    // Longer timeouts: on a busy test machine an agent must not be treated as lost and requests
+    // must not exceed their deadlines.
     profile.tuning.silence_ms = 5_000;
     for class in &mut profile.event.classes {
         class.deadline_ms = 20_000;
@@ -268,8 +268,8 @@
     }
 }
 
-/// Returns a profile like the user Northcatch: three data centres, 40 model replicas, three replicas of
-/// the bidding service, ten organisations.
+/// Returns a profile like the user Northcatch: three data centres, 40 model replicas, three
+/// replicas of the bidding service, ten organisations.
 fn northcatch() -> LocalProfile {
     let model = ModelConfig { name: "auction".to_owned(), layers: 48 };
     let halls = ["winnipeg-hall", "brandon-hall", "selkirk-hall"];
@@ -318,8 +318,8 @@
     }
 }
 
-/// Returns a profile like the customs agency: three data centres, 40 replicas of the review model, three
-/// replicas of the portal service.
+/// Returns a profile like the customs agency: three data centres, 40 replicas of the review model,
+/// three replicas of the portal service.
 fn customs() -> LocalProfile {
     let model = ModelConfig { name: "review".to_owned(), layers: 48 };
     let sites = ["sejong-a", "sejong-b", "sejong-c"];
@@ -365,12 +365,12 @@
     }
 }
 
-/// Divisor of the cost of a sequence that gives the cost of one additional prompt position; the same
-/// value as in the stand-in engine.
+/// Divisor of the cost of a sequence that gives the cost of one additional prompt position; the
+/// same value as in the stand-in engine.
 const PREFILL_DISCOUNT: f64 = 16.0;
 
-/// Returns the upper bound of the throughput for this workload in tokens per second: the maximum flow
-/// through the engines at full batches, including the cost of the prompts.
+/// Returns the upper bound of the throughput for this workload in tokens per second: the maximum
+/// flow through the engines at full batches, including the cost of the prompts.
 pub fn throughput_bound(engines: &[EngineVm], workload: &Workload, layers: u32) -> f64 {
     let prompt_share = prompt_positions_per_token(workload);
     let replica = |vm: &EngineVm| {
@@ -390,7 +390,8 @@
     flow_bound(&replicas, &[], layers).milli_rate as f64 / 1e3
 }
 
-/// Returns the mean number of prompt positions beyond the first per generated token, over all classes.
+/// Returns the mean number of prompt positions beyond the first per generated token, over all
+/// classes.
 fn prompt_positions_per_token(workload: &Workload) -> f64 {
     let (mut positions, mut tokens) = (0.0, 0.0);
     for class in &workload.classes {
--- a/crates/local/src/vm.rs
+++ b/crates/local/src/vm.rs
@@ -19,8 +19,8 @@
 }
 
 impl LocalVm {
-    /// Starts a VM that runs `work` until it completes or the VM is killed. `work` receives the signal
-    /// that [`stop`](Self::stop) raises.
+    /// Starts a VM that runs `work` until it completes or the VM is killed. `work` receives the
+    /// signal that [`stop`](Self::stop) raises.
     ///
     /// # Errors
     ///
--- a/crates/local/tests/contracts.rs
+++ b/crates/local/tests/contracts.rs
@@ -366,8 +366,8 @@
     assert_eq!(unauthorised_response.status, StatusCode::UNAUTHORIZED);
 }
 
-/// If the response of a store write is lost after the write took effect, the entry reads the object back
-/// and recognises its own write by the command's identifier.
+/// If the response of a store write is lost after the write took effect, the entry reads the object
+/// back and recognises its own write by the command's identifier.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn statements_succeed_when_the_store_response_is_lost() {
     let deployment = start_deployment(|_| {}).await;
@@ -420,7 +420,8 @@
     assert!(text.contains("switchfold_first_token_milliseconds_bucket{class="), "{text}");
 }
 
-/// A caller that disconnects cancels its request at all stages of the path, which frees their slots.
+/// A caller that disconnects cancels its request at all stages of the path, which frees their
+/// slots.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn disconnected_callers_free_the_slots_of_their_stages() {
     let deployment = start_deployment(|_| {}).await;
@@ -498,8 +499,8 @@
     Ok(())
 }
 
-/// An entry without contact to the store and to all peers fails its readiness check, so that the load
-/// balancer sends it no requests.
+/// An entry without contact to the store and to all peers fails its readiness check, so that the
+/// load balancer sends it no requests.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn an_isolated_entry_is_not_ready() {
     let mut deployment = start_deployment(|profile| profile.tuning.cut_off_ms = 1_500).await;
--- a/crates/local/tests/faults.rs
+++ b/crates/local/tests/faults.rs
@@ -1,7 +1,7 @@
 //! Fault injection into a complete deployment over sockets.
 //!
-//! Each test is given by its faults with their times, and by the outcomes that requests may have. No test
-//! may report a violation. Durations are not asserted.
+//! Each test is given by its faults with their times, and by the outcomes that requests may have.
+//! No test may report a violation. Durations are not asserted.
 
 use switchfold_load::{FaultKind, LoadReport, PlannedFault};
 use switchfold_local::{Experiment, run_experiment};
@@ -10,7 +10,8 @@
 struct Expected {
     /// No request may have the outcome `unknown`.
     none_unknown: bool,
-    /// Every request must have the outcome `done`, or be a duplicate of a request with the same key.
+    /// Every request must have the outcome `done`, or be a duplicate of a request with the same
+    /// key.
     all_done: bool,
 }
 
@@ -18,8 +19,8 @@
 const NONE_UNKNOWN: Expected = Expected { none_unknown: true, all_done: false };
 const ANY_OUTCOME: Expected = Expected { none_unknown: false, all_done: false };
 
-/// Returns whether an entry can detect the fault only by a timeout: a frozen agent keeps its links open,
-/// while the loss of an agent closes them.
+/// Returns whether an entry can detect the fault only by a timeout: a frozen agent keeps its links
+/// open, while the loss of an agent closes them.
 fn is_freeze(fault: &FaultKind) -> bool {
     matches!(fault, FaultKind::Freeze { vm, .. } if vm.starts_with("engine"))
 }
--- a/crates/local/tests/interleavings.rs
+++ b/crates/local/tests/interleavings.rs
@@ -1,11 +1,11 @@
-//! Randomised simulation of an entry and its agents under message loss, duplication and reordering, and
-//! under kills and restarts of agents.
+//! Randomised simulation of an entry and its agents under message loss, duplication and reordering,
+//! and under kills and restarts of agents.
 //!
 //! The state machines of the programs are connected without sockets or clocks. A seeded generator
-//! chooses the next event: a message is delivered, duplicated or lost; an engine runs a step; an agent is
-//! killed, loses its link, or restarts with a new incarnation. For every order of events, the generated
-//! tokens must equal those of the oracle, a request that ended as `not-run` must not have started, and a
-//! request that must run at most once must not have started twice.
+//! chooses the next event: a message is delivered, duplicated or lost; an engine runs a step; an
+//! agent is killed, loses its link, or restarts with a new incarnation. For every order of events,
+//! the generated tokens must equal those of the oracle, a request that ended as `not-run` must not
+//! have started, and a request that must run at most once must not have started twice.
 
 use std::{
     collections::{BTreeMap, HashMap, HashSet, VecDeque},
@@ -565,8 +565,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 96, ..ProptestConfig::default() })]
 
-    /// Links behave like TCP connections: messages arrive in order and once until the link is closed.
-    /// Agents are killed and restarted.
+    /// Links behave like TCP connections: messages arrive in order and once until the link is
+    /// closed. Agents are killed and restarted.
     #[test]
     fn guarantees_hold_under_kills_and_disconnects(seed in any::<u64>(), kill in 0_u32..120, disconnect in 0_u32..120) {
         run(seed, FaultRates { kill, disconnect, ..NO_FAULTS })?;
--- a/crates/local/tests/processes.rs
+++ b/crates/local/tests/processes.rs
@@ -214,8 +214,8 @@
             .expect("well-formed")
     }
 
-    /// Requests a completion and compares it with the oracle. Retries only if there is no response or the
-    /// outcome is `not-run`.
+    /// Requests a completion and compares it with the oracle. Retries only if there is no response
+    /// or the outcome is `not-run`.
     async fn request_completion(&self, entry: usize, tokens: u32) {
         for _ in 0..600 {
             let response = self.http.call(self.request(entry, tokens, false)).await;
--- a/crates/soak/src/bin/switchfold-soak.rs
+++ b/crates/soak/src/bin/switchfold-soak.rs
@@ -26,8 +26,8 @@
 
 /// Injects randomized faults into relays that run as processes, and checks the relay's guarantees.
 ///
-/// Exit codes: 0 no violations; 1 violations, logs kept; 2 invalid arguments;
-/// 3 a run could not be carried out.
+/// Exit codes: 0 no violations; 1 violations, logs kept; 2 invalid arguments; 3 a run could not be
+/// carried out.
 #[derive(Debug, Parser)]
 #[command(version, after_help = "Example:\n  switchfold-soak run --seed 1 --seeds 50 --jobs 3")]
 struct SoakArguments {
--- a/crates/soak/src/checks.rs
+++ b/crates/soak/src/checks.rs
@@ -1,7 +1,7 @@
 //! The guarantees that a run is checked against.
 //!
-//! Each check is a function of what callers and replicas recorded. Guarantees with a time
-//! bound are checked only where no fault was near; the bound on removed keys is always checked.
+//! Each check is a function of what callers and replicas recorded. Guarantees with a time bound are
+//! checked only where no fault was near; the bound on removed keys is always checked.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -28,8 +28,8 @@
 /// Largest number of replicas that one request may run on.
 const MAX_ATTEMPTS: usize = 2;
 
-/// Number of calls that may exceed [`MAX_ATTEMPTS`]. A replica that fails during a call may cause one more
-/// attempt, and the check cannot tell these calls apart.
+/// Number of calls that may exceed [`MAX_ATTEMPTS`]. A replica that fails during a call may cause
+/// one more attempt, and the check cannot tell these calls apart.
 const TOLERATED_CALLS: usize = 3;
 
 /// Time within which a relay must act on the headers of a replica's response, in microseconds.
@@ -346,8 +346,8 @@
 }
 
 /// A request that was sent more than [`DRAIN_TIME`] after a relay passed on a response with
-/// `Server-Leaving` does not reach that replica through that relay. A start, stop or pause of
-/// the relay since then excuses it.
+/// `Server-Leaving` does not reach that replica through that relay. A start, stop or pause of the
+/// relay since then excuses it.
 fn check_leaving_notices(history: &RunHistory) -> Vec<Violation> {
     let calls = calls_by_id(history);
     let mut violations = Vec::new();
@@ -379,15 +379,17 @@
 /// Time span over which requests are counted against a limit, in microseconds.
 const LIMIT_WINDOW: Micros = 4_000_000;
 
-/// A replica may get its limit times `LIMIT_TOLERANCE`, plus `LIMIT_ALLOWANCE` requests, in one
-/// [`LIMIT_WINDOW`].
+/// Factor by which the requests in one [`LIMIT_WINDOW`] may exceed the limit.
 const LIMIT_TOLERANCE: f64 = 1.5;
+
+/// Number of requests that may arrive in one [`LIMIT_WINDOW`] in addition to that.
 const LIMIT_ALLOWANCE: f64 = 5.0;
 
 /// From [`SETTLE_TIME`] after a replica first sends a limit, it gets no more requests than the
-/// tolerance allows from the relays that passed on a response with a limit at least [`PROPAGATION_TIME`] before. A start,
-/// stop or pause of a relay excuses that relay. Time spans in which the replica was paused or its
-/// link disrupted are skipped, since delayed requests arrive all at once.
+/// tolerance allows from the relays that passed on a response with a limit at least
+/// [`PROPAGATION_TIME`] before. A start, stop or pause of a relay excuses that relay. Time spans in
+/// which the replica was paused or its link disrupted are skipped, since delayed requests arrive
+/// all at once.
 fn check_limits(history: &RunHistory) -> Vec<Violation> {
     let calls = calls_by_id(history);
     let mut replicas: BTreeMap<&str, Vec<&RunRecord>> = BTreeMap::new();
--- a/crates/soak/src/cluster.rs
+++ b/crates/soak/src/cluster.rs
@@ -226,8 +226,8 @@
         lock(&self.relays[number].slot).signal(signal);
     }
 
-    /// Pauses a relay until [`Self::unfreeze_relay`]. Meanwhile it is not killed for
-    /// exceeding its grace period, since it cannot react to signals.
+    /// Pauses a relay until [`Self::unfreeze_relay`]. Meanwhile it is not killed for exceeding its
+    /// grace period, since it cannot react to signals.
     pub fn freeze_relay(&self, number: usize) {
         let mut slot = lock(&self.relays[number].slot);
         slot.is_frozen = true;
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -81,8 +81,8 @@
 }
 
 /// Plans notices of replicas: some reject requests (one replica or several with consecutive
-/// numbers), and one announces in its responses, but not in its entry, that it is leaving.
-/// Uses a random generator of its own, as [`make_crash_faults`] does.
+/// numbers), and one announces in its responses, but not in its entry, that it is leaving. Uses a
+/// random generator of its own, as [`make_crash_faults`] does.
 pub fn make_notice_faults(seed: u64, size: &ClusterSize, length: Duration) -> Vec<PlannedFault> {
     let mut random = ChaCha8Rng::seed_from_u64(seed.rotate_left(32) ^ SEED_SALT);
     let length_ms = length.as_millis() as u64;
@@ -97,8 +97,8 @@
     planned
 }
 
-/// Plans the same fault for one or more replicas with consecutive numbers, at a time of at most `max_at`
-/// milliseconds.
+/// Plans the same fault for one or more replicas with consecutive numbers, at a time of at most
+/// `max_at` milliseconds.
 fn plan_for_replicas(
     random: &mut ChaCha8Rng,
     size: &ClusterSize,
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -283,9 +283,10 @@
     cluster.store_link(number).set_condition(LinkCondition::Healthy);
 }
 
-/// Downtime of the store before it is restored from a backup, and the time from then until the
-/// operator writes the configuration again.
+/// Downtime of the store before it is restored from a backup.
 const RESTORE_DOWNTIME: Duration = Duration::from_millis(300);
+
+/// Time from the restore until the operator writes the configuration again.
 const REWRITE_DELAY: Duration = Duration::from_millis(500);
 
 /// Number and kind of unrelated objects that are written between the backup and the restore.
--- a/crates/standin/src/bin/switchfold-standin.rs
+++ b/crates/standin/src/bin/switchfold-standin.rs
@@ -14,10 +14,11 @@
 };
 use tokio::net::TcpListener;
 
-/// Runs a stand-in for the platform, an engine or a service, for tests and measurements. State is kept
-/// in memory only.
+/// Runs a stand-in for the platform, an engine or a service, for tests and measurements. State is
+/// kept in memory only.
 ///
-/// Exit codes: 0 stopped; 2 invalid arguments or any failure of an engine; 3 the address cannot be bound.
+/// Exit codes: 0 stopped; 2 invalid arguments or any failure of an engine; 3 the address cannot be
+/// bound.
 #[derive(Debug, Parser)]
 #[command(
     version,
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -1,9 +1,9 @@
 //! Model engine with a range of layers and continuous batching.
 //!
-//! A batch takes `fixed + item * sequences` microseconds, plus the cost of prompt positions. The start
-//! of a batch is computed from the end of the previous one and not from the time at which the timer
-//! fired, so that timer delays do not lower the throughput under load. The engine counts the positions
-//! that it runs, by which tests detect repeated work.
+//! A batch takes `fixed + item * sequences` microseconds, plus the cost of prompt positions. The
+//! start of a batch is computed from the end of the previous one and not from the time at which the
+//! timer fired, so that timer delays do not lower the throughput under load. The engine counts the
+//! positions that it runs, by which tests detect repeated work.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -198,8 +198,8 @@
         &self.log
     }
 
-    /// Sets the duration of batches in percent of the configured one: 300 makes the engine three times
-    /// as slow.
+    /// Sets the duration of batches in percent of the configured one: 300 makes the engine three
+    /// times as slow.
     pub fn set_slowdown(&self, percent: u64) {
         self.state().slowdown_percent = percent;
     }
@@ -265,7 +265,8 @@
             let Some(outputs) = &state.outputs else {
                 continue;
             };
-            // If the agent has closed the stream, the output is dropped; a new stream clears all state.
+            // If the agent has closed the stream, the output is dropped; a new stream clears all
+            // state.
             let _sent = outputs.send(output);
         }
         self.log.batches.fetch_add(1, Ordering::Relaxed);
--- a/crates/standin/src/model.rs
+++ b/crates/standin/src/model.rs
@@ -1,8 +1,9 @@
 //! A deterministic model whose layers are hash functions.
 //!
-//! The cache of a layer is one number for each request, which every position updates. The activation of
-//! a position depends on the caches of all preceding layers. If a layer is skipped, runs twice, runs
-//! out of order, or runs with the cache of another request, all following tokens change.
+//! The cache of a layer is one number for each request, which every position updates. The
+//! activation of a position depends on the caches of all preceding layers. If a layer is skipped,
+//! runs twice, runs out of order, or runs with the cache of another request, all following tokens
+//! change.
 
 use switchfold_core::hash::hash_bytes;
 
@@ -42,7 +43,8 @@
         self.caches.iter().flat_map(|cache| cache.to_le_bytes()).collect()
     }
 
-    /// Restores exported caches; returns `None` if the size does not match the layers `[first, end)`.
+    /// Restores exported caches; returns `None` if the size does not match the layers
+    /// `[first, end)`.
     pub fn from_bytes(first: u32, end: u32, bytes: &[u8]) -> Option<Self> {
         let chunks = bytes.chunks_exact(8);
         let caches: Vec<u64> =
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -1,7 +1,7 @@
 //! Object store and VM list of the platform, with fault injection.
 //!
-//! Every call counts against the rate limits of the store; a watch counts as one read. The store can be
-//! unavailable, slow, or lose the response of a write that took effect.
+//! Every call counts against the rate limits of the store; a watch counts as one read. The store
+//! can be unavailable, slow, or lose the response of a write that took effect.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -176,8 +176,8 @@
         state.vms.revision += 1;
     }
 
-    /// Writes an object directly, without rate limits and faults, for the setup of tests. Returns its
-    /// version.
+    /// Writes an object directly, without rate limits and faults, for the setup of tests. Returns
+    /// its version.
     pub fn put(&self, key: &ObjectKey, value: &[u8]) -> u64 {
         let mut state = self.state();
         let expected = state.objects.get(key).map_or(0, |copy| copy.version);
