--- a/crates/core/src/ledger.rs
+++ b/crates/core/src/ledger.rs
@@ -173,7 +173,7 @@
     }
 
     fn restart(&mut self, id: RequestId, attempt: u32) {
-        self.eviction_order.retain(|closed| *closed != id);
+        self.eviction_order.retain(|finished| *finished != id);
         self.states.insert(id, LedgerState::Running { attempt });
     }
 
--- a/crates/kernel/src/http.rs
+++ b/crates/kernel/src/http.rs
@@ -1,7 +1,7 @@
 //! HTTP server and client on `hyper`, with limits on time and size.
 //!
 //! The server passes requests to a handler. It limits connections, headers and idle time, and
-//! [`read_body`] limits bodies. On shutdown it goes on serving for a second, then accepts no
+//! [`read_body`] limits bodies. On shutdown it keeps serving for a second, then accepts no
 //! further connections and closes each one after the current request. The client limits the time
 //! and size of each response.
 
@@ -60,9 +60,9 @@
 #[display("connection dropped without a response")]
 pub struct ConnectionDropped;
 
-/// Time for which a server goes on accepting connections and requests after the shutdown signal, so
+/// Time for which a server keeps accepting connections and requests after the shutdown signal, so
 /// that its handler can refuse them. If a connection is closed at the moment at which a caller
-/// reuses it, the caller cannot tell whether its request ran.
+/// reuses it, the caller does not know whether its request ran.
 const SHUTDOWN_GRACE: Duration = Duration::from_secs(1);
 
 /// Time for which the client keeps an idle connection: half of [`SHUTDOWN_GRACE`].
@@ -74,9 +74,8 @@
 
 /// Serves requests until shutdown.
 ///
-/// After the signal is raised, the server goes on for a second, and each response then closes its
-/// connection. After that it closes the idle connections, and returns when the last request has
-/// been answered.
+/// After the signal is raised, the server serves for another second, in which each response closes
+/// its connection. Then it closes the idle connections, and returns after the last response.
 pub async fn serve<F, R>(
     listener: TcpListener,
     limits: HttpLimits,
--- a/crates/kernel/tests/calls.rs
+++ b/crates/kernel/tests/calls.rs
@@ -3,11 +3,7 @@
 //! A client that was idle for longer than the grace period of a stopping entry wrote its next
 //! request to a connection that the entry had just closed. The client had not noticed, because its
 //! task had not run yet at a load average of 28. Such a request may or may not have run, so the
-//! call ended as unknown:
-//!
-//! ```text
-//! unknown: no answer: client error (SendRequest)
-//! ```
+//! call failed with `no response: client error (SendRequest)` and an unknown outcome.
 
 use std::{
     io::{Read, Write},
--- a/crates/lang/src/parser.rs
+++ b/crates/lang/src/parser.rs
@@ -169,7 +169,8 @@
     let rule = pair.as_rule();
     let span = pair.as_span();
     let mut parts = inner_pairs(pair);
-    let mut next = || parts.next().ok_or_else(|| syntax_error(span, "expected more".to_owned()));
+    let mut next =
+        || parts.next().ok_or_else(|| syntax_error(span, "expected another argument".to_owned()));
     let subject = next()?;
     Ok(match rule {
         Rule::set_class => {
--- a/crates/proto/src/convert.rs
+++ b/crates/proto/src/convert.rs
@@ -27,13 +27,13 @@
 }
 
 impl From<&RouteStage> for link::Stage {
-    fn from(place: &RouteStage) -> Self {
+    fn from(stage: &RouteStage) -> Self {
         Self {
-            address: place.address.clone(),
-            first_layer: place.layers.first(),
-            end_layer: place.layers.end(),
-            joined: place.joined_attempt,
-            process: place.process.clone(),
+            address: stage.address.clone(),
+            first_layer: stage.layers.first(),
+            end_layer: stage.layers.end(),
+            joined: stage.joined_attempt,
+            process: stage.process.clone(),
         }
     }
 }
@@ -59,9 +59,9 @@
     /// Fails if a range is empty, or if the ranges do not cover the layers from 0 to the end of the
     /// last stage without gap or overlap.
     pub fn pipeline(&self) -> Result<PipelineRoute, Error> {
-        let places: Result<Vec<RouteStage>, Error> =
+        let stages: Result<Vec<RouteStage>, Error> =
             self.stages.iter().map(RouteStage::try_from).collect();
         let layers = self.stages.last().map_or(0, |stage| stage.end_layer);
-        PipelineRoute::new(places?, layers)
+        PipelineRoute::new(stages?, layers)
     }
 }
--- a/crates/relay/src/engines.rs
+++ b/crates/relay/src/engines.rs
@@ -157,16 +157,16 @@
 }
 
 /// Orders an engine to load other layers. The engine accepts the order only if it has taken
-/// `orders_taken` orders so far.
+/// `orders_accepted` orders so far.
 pub async fn order_layers(
     relay: &Relay,
     address: SocketAddr,
     range: LayerRange,
     unload_mode: UnloadMode,
-    orders_taken: u64,
+    orders_accepted: u64,
 ) -> OrderOutcome {
     count(&relay.counts.orders);
-    order(relay, address, encode_place_order(range, unload_mode, orders_taken)).await
+    order(relay, address, encode_place_order(range, unload_mode, orders_accepted)).await
 }
 
 /// Orders the first engine of a request's path to continue over another path.
--- a/crates/relay/src/placer.rs
+++ b/crates/relay/src/placer.rs
@@ -496,7 +496,7 @@
     }
     let unload_mode = order.reason.unload_mode();
     let outcome =
-        order_layers(relay, replica.address, range, unload_mode, report.orders_taken).await;
+        order_layers(relay, replica.address, range, unload_mode, report.orders_accepted).await;
     tracing::info!(
         event = "order",
         replica = %replica.instance,
@@ -506,7 +506,7 @@
         to,
         reason = ?order.reason,
         give_up = ?unload_mode,
-        orders_taken = report.orders_taken,
+        orders_taken = report.orders_accepted,
         end = ?outcome,
     );
     if outcome == OrderOutcome::NotSent {
--- a/crates/relay/src/quarantine.rs
+++ b/crates/relay/src/quarantine.rs
@@ -301,7 +301,7 @@
 }
 
 fn apply_object_change(relay: &Relay, change: &ObjectChange, stored: &mut ExpiryTimes) {
-    if !change.gone {
+    if !change.removed {
         return merge_objects(relay, std::slice::from_ref(&change.object), stored);
     }
     let Some(fingerprint) = RequestFingerprint::parse(&change.object.metadata.name) else { return };
--- a/crates/relay/src/replicas.rs
+++ b/crates/relay/src/replicas.rs
@@ -122,7 +122,7 @@
 }
 
 fn change_update(relay: &Relay, change: ObjectChange) -> Option<ReplicaUpdate> {
-    match change.gone {
+    match change.removed {
         true => Some(removal(change.object.metadata.name, change.object.metadata.revision)),
         false => read_update(relay, &change.object),
     }
--- a/crates/relay/src/request.rs
+++ b/crates/relay/src/request.rs
@@ -124,7 +124,7 @@
         let mut headers = self.raw_headers.clone();
         let forward_headers = ForwardHeaders {
             replica: target.replica.instance.id(),
-            time_left: self.time_remaining(now_millis()).max(1),
+            time_remaining: self.time_remaining(now_millis()).max(1),
             organisation: permit.organisation.as_deref(),
             priority: target.path.is_some().then_some(self.priority(permit, target)),
             path: target.path,
--- a/crates/relay/src/watch.rs
+++ b/crates/relay/src/watch.rs
@@ -63,7 +63,7 @@
             list.items.iter().for_each(|item| read_config(relay, item, list.revision))
         },
         apply_changes: |relay, changes| {
-            let present = changes.events.decoded.iter().filter(|change| !change.gone);
+            let present = changes.events.decoded.iter().filter(|change| !change.removed);
             present.for_each(|change| read_config(relay, &change.object, changes.revision));
         },
         record_read: |relay, sent, at| {
--- a/crates/relay/tests/streams.rs
+++ b/crates/relay/tests/streams.rs
@@ -342,7 +342,7 @@
         // Alone it cannot hold the model: layers use at most nine tenths of its memory, the rest is
         // for requests.
         let to = u64::from(LAYERS) - 1;
-        assert_eq!(replica.orders()[0], ReceivedOrder::Place { from: 0, to, orders_taken: 3 });
+        assert_eq!(replica.orders()[0], ReceivedOrder::Place { from: 0, to, orders_accepted: 3 });
         let called = relay.get("/stream/a", "a").await;
         assert_eq!(called.status, StatusCode::SERVICE_UNAVAILABLE);
         assert!(called.headers.contains_key("retry-after"));
--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -247,9 +247,9 @@
             Err(StoreError::Malformed { detail }) => return Err(StoreError::Malformed { detail }),
             Err(error) => return Err(StoreError::OutcomeUnknown { detail: error.to_string() }),
         };
-        let own = stored.value.as_deref().is_some_and(is_own);
+        let is_written = stored.value.as_deref().is_some_and(is_own);
         match stored.version {
-            version if own => Ok(WriteState::Written(version)),
+            version if is_written => Ok(WriteState::Written(version)),
             version if version == expected => Ok(WriteState::Unwritten),
             version => Err(StoreError::Conflict { version }),
         }
