--- a/crates/lang/src/parser.rs
+++ b/crates/lang/src/parser.rs
@@ -25,7 +25,7 @@
 ///
 /// # Errors
 ///
-/// Returns the position of the first mistake and what was expected there.
+/// Returns the position of the first error and what was expected there.
 pub fn parse(text: &str) -> Result<Statement, LangError> {
     if text.len() > MAX_STATEMENT_BYTES {
         let detail =
--- a/crates/lang/tests/statements.rs
+++ b/crates/lang/tests/statements.rs
@@ -68,8 +68,9 @@
         command(r#"create event {"name": "x", "classes": []}"#),
         Command::CreateEvent { json } if json.trim() == r#"{"name": "x", "classes": []}"#
     );
-    let expected =
-        parse(r#"open event "dawn" expect version 12"#).expect("understood").expected_version;
+    let expected = parse(r#"open event "dawn" expect version 12"#)
+        .expect("a valid statement")
+        .expected_version;
     assert_eq!(expected, Some(12));
 }
 
@@ -97,7 +98,7 @@
         assert_eq!((error.line, error.column), (1, column), "{text}: {error}");
         assert!(error.detail.contains(expected), "{text}: {error}");
     }
-    let second_line = parse("show events\n  wher state = 1").expect_err("a mistake");
+    let second_line = parse("show events\n  wher state = 1").expect_err("a syntax error");
     assert_eq!((second_line.line, second_line.column), (2, 3));
     assert!(parse(&"x".repeat(MAX_STATEMENT_BYTES + 1)).is_err());
 }
--- a/crates/link/src/queue.rs
+++ b/crates/link/src/queue.rs
@@ -19,7 +19,7 @@
 impl LinkSender {
     /// Queues a message and returns whether that succeeded.
     ///
-    /// It fails if the link has ended or the queue is full. The caller should give the link up in
+    /// It fails if the link has ended or the queue is full. The caller should close the link in
     /// both cases: the queue fills up only if the other side has stopped reading.
     pub fn send(&self, body: Body) -> bool {
         self.queue.try_send(body.into()).is_ok()
--- a/crates/link/src/server.rs
+++ b/crates/link/src/server.rs
@@ -89,7 +89,7 @@
         let (hello, rest) = read_hello(&mut frames).await?;
         if !rest.is_empty() {
             return Err(Status::invalid_argument(
-                "the first frame of a link must hold the hello alone",
+                "the first frame of a link must contain only the hello",
             ));
         }
         let (sender, queue) = link_queue();
