--- a/crates/ctl/src/account.rs
+++ b/crates/ctl/src/account.rs
@@ -29,6 +29,7 @@
 /// Data of one attempt, collected from its log lines.
 #[derive(Clone, Debug, Default)]
 struct AttemptSummary {
+    /// Time of its first log line, in milliseconds since midnight.
     began_at: u64,
     refusal: Option<String>,
     stream_broken: bool,
--- a/crates/ctl/src/ask.rs
+++ b/crates/ctl/src/ask.rs
@@ -23,7 +23,7 @@
     pub token: String,
     /// Statement in the operators' language.
     pub statement: String,
-    /// Id of the command, if it has one. The same id again does not run it twice.
+    /// Id of the command, if it has one. A command whose id was used before is not run again.
     pub command: Option<String>,
     /// Whether to return JSON instead of a table.
     pub json: bool,
--- a/crates/ctl/src/bin/switchfold-ctl.rs
+++ b/crates/ctl/src/bin/switchfold-ctl.rs
@@ -40,7 +40,8 @@
         /// The operators' bearer token.
         #[arg(long, env = "SWITCHFOLD_TOKEN", hide_env_values = true)]
         token: String,
-        /// Id of the command: letters, digits and -. The same id again does not run it twice.
+        /// Id of the command: letters, digits and -. A command whose id was used before is not run
+        /// again.
         #[arg(long)]
         command: Option<String>,
         /// Print JSON instead of a table.
@@ -67,7 +68,7 @@
     },
     /// Print the log lines of one request in order of time, and the one that decided its outcome.
     Explain {
-        /// Id of the request, that is of one attempt of the caller.
+        /// Id of the request. Each attempt of a caller has its own.
         request: String,
         /// Log files, each of one process or of several combined.
         #[arg(long, value_name = "FILE", num_args = 1.., required = true)]
--- a/crates/local/tests/interleavings.rs
+++ b/crates/local/tests/interleavings.rs
@@ -46,7 +46,7 @@
     reorder: bool,
 }
 
-/// An engine: for each request the caches and the number of cached positions, and the queued steps.
+/// An engine: the caches and the number of cached positions of each request, and the queued steps.
 #[derive(Default)]
 struct EngineModel {
     caches: HashMap<RequestId, (LayerCaches, u32)>,
