--- a/crates/agent/src/gate/mod.rs
+++ b/crates/agent/src/gate/mod.rs
@@ -73,12 +73,12 @@
     window: SlotWindow,
     next_ticket: u64,
     entries: BTreeMap<EntryKey, EntryState>,
-    /// Number of rounds of offers and heartbeats. It rotates the remainder of the credits among the
-    /// entries.
+    /// Number of times that offers or heartbeats were prepared. It determines which entries get the
+    /// remainder when the credits are divided.
     report_count: u64,
     /// Whether an entry reported that this VM drains.
     drain_ordered: bool,
-    /// Whether this process was told to stop.
+    /// Whether this process is shutting down.
     is_stopping: bool,
     endpoint_up: bool,
     /// Version of the plan of the last order passed to the engine.
@@ -131,8 +131,8 @@
         self.is_stopping && self.in_flight() == 0 && all_acknowledged
     }
 
-    /// Begins to refuse new requests, because this process was told to stop. A later message that
-    /// the VM no longer drains does not end this.
+    /// Begins to refuse new requests, because this process is shutting down. A later message that
+    /// the VM no longer drains has no effect on this.
     pub fn begin_drain(&mut self) -> Vec<GateAction> {
         self.is_stopping = true;
         self.make_offers()
@@ -165,7 +165,7 @@
     }
 
     /// Handles the end of an entry's link. The entry's requests are released; its service calls run
-    /// to their end.
+    /// to completion.
     pub fn entry_disconnected(&mut self, entry: &EntryKey) -> Vec<GateAction> {
         self.entries.remove(entry);
         let owned = self.requests.iter().filter(|(_, state)| state.entry == *entry);
--- a/crates/agent/src/gate/request.rs
+++ b/crates/agent/src/gate/request.rs
@@ -54,8 +54,8 @@
         self.pipeline.stages().get(self.stage_index + 1)
     }
 
-    /// Returns the number of hops, as a value for `resend`, within which a repeated step passes the
-    /// whole pipeline and returns to this stage.
+    /// Returns the value of `resend` with which a repeated step passes through the whole pipeline
+    /// and returns to this stage.
     pub(super) fn round_trip(&self) -> u32 {
         2 * self.pipeline.stages().len() as u32
     }
--- a/crates/agent/src/gate/steps.rs
+++ b/crates/agent/src/gate/steps.rs
@@ -76,7 +76,8 @@
         })
     }
 
-    /// Handles a token that the last stage sent to this, the first one: it starts the next step.
+    /// Handles a token that the last stage sent to this stage, the first one. The token is the
+    /// input of the next step.
     pub(super) fn on_token(&mut self, token: &link::Token) -> Vec<GateAction> {
         let Some(id) = token.request.map(RequestId::from) else {
             return self.unexpected();
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -10,7 +10,7 @@
 //!
 //! - A step runs only after the step before it, and only once.
 //! - A refused request did not run here, and a voided request never will.
-//! - Once told to drain, the agent admits no new request.
+//! - Once it is draining, the agent admits no new request.
 //! - A graceful shutdown waits for the requests in flight.
 
 pub mod admin;
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -23,7 +23,7 @@
 /// Number of attempts to reach the engine at the start before the agent fails.
 const MAX_CONNECT_ATTEMPTS: u32 = 50;
 
-/// Time between these attempts.
+/// Time between attempts to reach the engine at the start.
 const CONNECT_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Listening sockets of an agent, bound before it starts.
--- a/crates/agent/src/service.rs
+++ b/crates/agent/src/service.rs
@@ -126,7 +126,7 @@
 /// An interval of the gate ended; sent every `offer_ms` milliseconds.
 pub(crate) struct GateTick;
 
-/// The process was told to stop. The guard is dropped once the gate is drained.
+/// The process is shutting down. The guard is dropped once the gate is drained.
 pub struct BeginDrain(pub WorkGuard);
 
 /// Requests the status and counters of the gate.
--- a/crates/agent/src/settings.rs
+++ b/crates/agent/src/settings.rs
@@ -54,7 +54,7 @@
     pub address: String,
     /// Maximum number of concurrent calls.
     pub slots: u32,
-    /// Time-out of a call, in milliseconds.
+    /// Timeout of a call, in milliseconds.
     #[serde(default = "default_call_ms")]
     pub call_ms: u64,
 }
@@ -101,7 +101,7 @@
         name: "call_ms",
         kind: FieldKind::Integer(1, 3_600_000),
         required: false,
-        help: "time-out of a call in milliseconds",
+        help: "timeout of a call in milliseconds",
     },
 ];
 
--- a/crates/entry/src/claims.rs
+++ b/crates/entry/src/claims.rs
@@ -110,7 +110,7 @@
         let AcquireClaim { proposal, timeout } = message.0;
         let number = proposal.key.shard();
         let pending = PendingClaim { proposal, deadline: Instant::now() + timeout, result };
-        let _worker_lives_with_service = self.shard(number).send(pending);
+        let _worker_runs_until_sender_drops = self.shard(number).send(pending);
         receiver
     }
 }
--- a/crates/entry/src/config/gossip.rs
+++ b/crates/entry/src/config/gossip.rs
@@ -137,7 +137,7 @@
     }
 }
 
-/// Sends each change to this entry's children in the tree of the push.
+/// Sends each push to the children of this entry in the tree of its root.
 pub async fn push_changes(
     directory: PeerDirectory,
     mut pushes: mpsc::UnboundedReceiver<PendingPush>,
@@ -166,7 +166,7 @@
     }
 }
 
-/// Exchanges digests with a random entry each second and updates both sides.
+/// Exchanges digests with a random other entry each second, which updates both entries.
 pub async fn exchange_digests(
     directory: PeerDirectory,
     config: Address<ConfigService>,
@@ -215,7 +215,7 @@
     config.send(Merge { copies, origin: MergeOrigin::Exchanged }).await.ok()?;
     let newer = config.send(CollectNewer(response.versions)).await.ok()?;
     if !newer.is_empty() {
-        // The empty sender marks the push as part of an exchange: the peer does not push it on.
+        // The empty sender marks the push as part of an exchange, which the peer does not forward.
         let push = ObjectPush { sender: String::new(), objects: newer, hops: 0 };
         client.push(push).await.ok()?;
     }
--- a/crates/entry/src/config/service.rs
+++ b/crates/entry/src/config/service.rs
@@ -37,17 +37,18 @@
     last_contact: watch::Sender<Millis>,
 }
 
-/// Source of merged objects, which determines whether they are pushed on.
+/// Source of merged objects, which determines to which entries they are pushed.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum MergeOrigin {
     /// The store, or a write of this entry: pushed to all entries.
     Local,
-    /// A push that started at the entry `root`: pushed on along its tree.
+    /// A push that started at the entry `root`: forwarded to the children of this entry in the tree
+    /// of that root.
     Pushed {
         /// Entry at which the push started.
         root: String,
     },
-    /// A digest exchange: not pushed on, since the other entries exchange digests themselves.
+    /// A digest exchange: not forwarded, since the other entries exchange digests themselves.
     Exchanged,
 }
 
@@ -250,7 +251,7 @@
 }
 
 impl ConfigService {
-    /// Returns the objects with a larger version than in `versions`, or without one there.
+    /// Returns the objects that have a larger version than in `versions` or are not listed there.
     fn newer_than(&self, versions: &[peer::ObjectVersion]) -> Vec<peer::ObjectCopy> {
         let known = versions.iter();
         let known: BTreeMap<ObjectKey, u64> = known
@@ -263,7 +264,7 @@
         newer.map(|(key, copy)| copy_to_message(key, copy)).collect()
     }
 
-    /// Records the result of an exchange, and that the peer was in contact.
+    /// Records the result of an exchange, and its time as the last contact to another entry.
     fn record_peer_hash(&mut self, peer: &str, hash: u64) {
         let now = now_millis();
         self.last_contact.send_replace(now);
--- a/crates/entry/src/dispatch/counts.rs
+++ b/crates/entry/src/dispatch/counts.rs
@@ -31,7 +31,7 @@
     pub repeated_tokens: u64,
     /// Tokens of abandoned attempts or ended requests, or past the end of the completion.
     pub late_tokens: u64,
-    /// Agents lost: their link ended or they fell silent.
+    /// Agents lost: their link ended, or no message arrived within their timeout.
     pub replicas_lost: u64,
     /// Ejections of slow or failing replicas.
     pub ejections: u64,
--- a/crates/entry/src/dispatch/loss.rs
+++ b/crates/entry/src/dispatch/loss.rs
@@ -2,8 +2,8 @@
 //!
 //! An agent is lost if its link ends or it sends no message for too long. A request that must not
 //! be repeated then waits for the agent of its first stage to return, since only that agent can
-//! confirm that the request never ran. Other completions go on to [`recovery`](super::recovery),
-//! and other service calls return to their queue.
+//! confirm that the request never ran. Other completions are recovered by
+//! [`recovery`](super::recovery), and other service calls return to their queue.
 
 use switchfold_core::{Millis, id::RequestId};
 use switchfold_proto::link::{self, message::Body};
@@ -97,7 +97,7 @@
         self.mark_stage_lost(now, id, stage, once)
     }
 
-    /// Lets a request wait for its lost agent, and releases it at all other stages.
+    /// Makes a request wait for its lost agent, and releases it at all other stages.
     fn begin_void(&mut self, id: RequestId, pending: PendingVoid) -> Vec<DispatchAction> {
         let lost = pending.process.clone();
         let Some(request) = self.requests.get_mut(&id) else {
--- a/crates/entry/src/dispatch/messages.rs
+++ b/crates/entry/src/dispatch/messages.rs
@@ -182,8 +182,8 @@
                 self.mark_stage_lost(now, id, stage, once)
             }
             RefusalReason::NextStageLost => {
-                let run = request.run().and_then(|run| run.pipeline.as_ref());
-                let lost = run.and_then(|pipeline| pipeline.position(&refusal.about));
+                let pipeline = request.run().and_then(|run| run.pipeline.as_ref());
+                let lost = pipeline.and_then(|pipeline| pipeline.position(&refusal.about));
                 lost.map(|lost| self.mark_stage_lost(now, id, lost, once)).unwrap_or_default()
             }
             RefusalReason::Gap => self.fill_gap(now, id, stage),
--- a/crates/entry/src/dispatch/mod.rs
+++ b/crates/entry/src/dispatch/mod.rs
@@ -189,7 +189,7 @@
         }
     }
 
-    /// Handles all time-outs: deadlines, silent agents and stalled requests. Should be called about
+    /// Handles all timeouts: deadlines, silent agents and stalled requests. Should be called about
     /// every 50 ms.
     pub fn tick(&mut self, now: Millis) -> Vec<DispatchAction> {
         self.discount_own_pause(now);
@@ -202,7 +202,7 @@
         actions
     }
 
-    /// Extends the time-outs of agents and requests if this process was paused: messages that
+    /// Extends the timeouts of agents and requests if this process was paused: messages that
     /// arrived during the pause have not been handled yet, so agents only appear to be silent.
     fn discount_own_pause(&mut self, now: Millis) {
         let last = self.last_tick.replace(now).unwrap_or(now);
--- a/crates/entry/src/dispatch/replica.rs
+++ b/crates/entry/src/dispatch/replica.rs
@@ -168,8 +168,8 @@
 
     /// Takes one credit for a request.
     ///
-    /// If the agent was idle, its time-out starts now: idle agents send heartbeats less often, so
-    /// its last message may be older than the time-out for busy agents.
+    /// If the agent was idle, its timeout starts now: idle agents send heartbeats less often, so
+    /// its last message may be older than the timeout for busy agents.
     pub fn use_credit(&mut self, now: Millis) {
         if self.in_flight == 0 {
             self.last_message_at = self.last_message_at.max(now);
--- a/crates/entry/src/dispatch/submission.rs
+++ b/crates/entry/src/dispatch/submission.rs
@@ -21,7 +21,7 @@
     pub class: Arc<str>,
     /// Name of the model or service.
     pub target: String,
-    /// Priority of its class; a higher one goes first.
+    /// Priority of its class; requests with a higher priority are dispatched first.
     pub priority: u8,
     /// Time by which the request must be dispatched.
     pub deadline: Millis,
@@ -167,7 +167,7 @@
     Done,
     /// The request did not run and never will, so it is safe to send again.
     NotRun(NotRunReason),
-    /// The request may have run, in part or whole.
+    /// The request may have run, partly or completely.
     Unknown(UnknownReason),
 }
 
--- a/crates/entry/src/run.rs
+++ b/crates/entry/src/run.rs
@@ -235,7 +235,7 @@
     assignments.collect()
 }
 
-/// Waits for the signal, then until every request in flight has its response.
+/// Waits for the signal, then until every request in flight has ended and its response was sent.
 async fn wait_for_shutdown(
     shutdown: &ShutdownSignal,
     in_flight: &ShutdownSignal,
--- a/crates/entry/tests/dispatch.rs
+++ b/crates/entry/tests/dispatch.rs
@@ -1,4 +1,4 @@
-//! Tests of the entry's state machine: admission, outcomes, time-outs and recovery.
+//! Tests of the entry's state machine: admission, outcomes, timeouts and recovery.
 
 use std::sync::Arc;
 
@@ -196,8 +196,8 @@
         let waiting = make_submission(&mut state, now + 60_000, false);
         state.submit(now, waiting);
     }
-    let hopeless = make_submission(&mut state, now + 500, false);
-    let actions = state.submit(now, hopeless);
+    let late_submission = make_submission(&mut state, now + 500, false);
+    let actions = state.submit(now, late_submission);
     assert_matches!(
         caller_events(&actions)[..],
         [CallerEvent::NotRun { reason: NotRunReason::DeadlineUnreachable, retry_after }] if *retry_after > 1_000
