--- a/crates/agent/src/gate/action.rs
+++ b/crates/agent/src/gate/action.rs
@@ -34,7 +34,7 @@
     pub body: bytes::Bytes,
 }
 
-/// An effect for the caller of the state machine to carry out.
+/// An effect, carried out by [`GateService`](crate::service::GateService).
 #[derive(Clone, Debug)]
 pub enum GateAction {
     /// Send a message to an entry.
--- a/crates/agent/src/gate/counts.rs
+++ b/crates/agent/src/gate/counts.rs
@@ -15,7 +15,8 @@
     pub steps: u64,
     /// Repeated steps for which the last output was sent again.
     pub repeated_steps: u64,
-    /// Steps dropped: repeated, of an abandoned attempt, or of a request that is not in flight here.
+    /// Steps dropped: repeated, of an abandoned attempt, or of a request that is not in flight
+    /// here.
     pub dropped_steps: u64,
     /// Steps refused because earlier positions are missing or the step is for another layer.
     pub gaps: u64,
--- a/crates/agent/src/gate/mod.rs
+++ b/crates/agent/src/gate/mod.rs
@@ -356,8 +356,8 @@
         vec![GateAction::to_entry(entry, Body::VoidAnswer(answer))]
     }
 
-    /// Decides whether a request that is not here yet is admitted. `slots` is the maximum number of
-    /// requests in flight for this kind of request.
+    /// Decides whether a request that this agent does not hold yet is admitted. `slots` is the
+    /// maximum number of requests in flight for this kind of request.
     fn admit(
         &mut self,
         id: RequestId,
@@ -380,7 +380,7 @@
         }
     }
 
-    /// Releases a request, unless a later attempt than that of the message is running here.
+    /// Releases a request, unless a later attempt than that of the message is running.
     fn on_release(&mut self, release: link::Release) -> Vec<GateAction> {
         let Some(id) = release.request.map(RequestId::from) else {
             return self.unexpected();
--- a/crates/agent/src/gate/steps.rs
+++ b/crates/agent/src/gate/steps.rs
@@ -142,7 +142,7 @@
         self.emit_token(id, step.resend.saturating_sub(1))
     }
 
-    /// Handles the loss of the engine: all requests here fail, since their KV caches are lost.
+    /// Handles the loss of the engine: all requests of this agent fail, since their KV caches are lost.
     pub fn engine_lost(&mut self) -> Vec<GateAction> {
         self.set_endpoint_down();
         let ids: Vec<RequestId> = self.requests.keys().copied().collect();
@@ -178,7 +178,7 @@
         vec![GateAction::to_entry(entry, Body::Refusal(refusal))]
     }
 
-    /// Admits a request if it is not here yet, and applies the route of `attempt`.
+    /// Admits a request if this agent does not hold it yet, and applies the route of `attempt`.
     fn ensure_request(
         &mut self,
         id: RequestId,
--- a/crates/agent/tests/gate.rs
+++ b/crates/agent/tests/gate.rs
@@ -404,8 +404,8 @@
         (CallOutcome::NotSent, RefusalReason::EndpointUnreached),
         (CallOutcome::Unknown, RefusalReason::EndpointFailed),
     ];
-    for (end, expected) in table {
-        assert_eq!(refusal(&gate.on_call_outcome(&first, end)), Some(expected));
+    for (outcome, expected) in table {
+        assert_eq!(refusal(&gate.on_call_outcome(&first, outcome)), Some(expected));
     }
     assert_eq!(gate.in_flight(), 1);
 }
--- a/crates/entry/src/bin/switchfold-entry.rs
+++ b/crates/entry/src/bin/switchfold-entry.rs
@@ -1,4 +1,4 @@
-//! Command line of the entry.
+//! Command-line program of the entry.
 
 use std::{path::PathBuf, process::ExitCode};
 
--- a/crates/entry/src/commands/tables.rs
+++ b/crates/entry/src/commands/tables.rs
@@ -251,8 +251,8 @@
     Ok(table)
 }
 
-/// Lists the entries whose versions differed from those of this entry at the last exchange, or that
-/// have not exchanged yet.
+/// Lists the entries whose versions differed from those of this entry at the last digest exchange,
+/// and those without an exchange so far.
 async fn laggards(context: &CommandContext) -> Result<ResultTable, CommandError> {
     let statuses = context.config.send(ReadPeers).await.map_err(|_| CommandError::Stopping)?;
     let now = switchfold_kernel::clock::now_millis();
--- a/crates/entry/src/dispatch/action.rs
+++ b/crates/entry/src/dispatch/action.rs
@@ -7,7 +7,7 @@
 
 use super::submission::{CallerEvent, Outcome, Submission};
 
-/// An effect for the caller of the state machine to carry out.
+/// An effect, carried out by [`DispatchService`](crate::service::DispatchService).
 #[derive(Clone, Debug)]
 pub enum DispatchAction {
     /// Send a message to an agent.
--- a/crates/entry/src/dispatch/recovery.rs
+++ b/crates/entry/src/dispatch/recovery.rs
@@ -1,8 +1,8 @@
 //! Recovery of requests that lost a stage or make no progress.
 //!
 //! - If a request may be repeated, only the lost stage is replaced: the stage before it replays its
-//!   log to the replacement, and the other stages compute nothing twice. If the first stage is lost,
-//!   the entry replays the prompt and the delivered tokens.
+//!   log to the replacement, and the other stages compute nothing twice. If the first stage is
+//!   lost, the entry replays the prompt and the delivered tokens.
 //! - If no replica holds the same layers, or the log was truncated, the request restarts on a new
 //!   path with the delivered tokens as a prefix. This costs one retry from the budget.
 //! - A request that must not be repeated ends as unknown, unless the agent of its first stage
--- a/crates/entry/src/dispatch/replica.rs
+++ b/crates/entry/src/dispatch/replica.rs
@@ -1,4 +1,4 @@
-//! State of a replica, as an entry knows it.
+//! State of a replica, as last reported to an entry.
 
 use switchfold_core::{Millis, ejection::ReplicaHealth, route::LayerRange};
 use switchfold_proto::link;
--- a/crates/entry/src/dispatch/request.rs
+++ b/crates/entry/src/dispatch/request.rs
@@ -25,7 +25,7 @@
     pub(super) retry_after: Millis,
 }
 
-/// Phase of a request.
+/// Phase of a request that has not ended.
 #[derive(Debug)]
 pub(super) enum RequestPhase {
     /// The request waits in the queue: it was not sent out yet, or certainly did not run.
@@ -60,7 +60,7 @@
 pub(super) struct PendingVoid {
     /// Process name of the lost agent.
     pub(super) process: String,
-    /// Incarnation of the lost agent; a later one knows nothing of the request.
+    /// Incarnation of the lost agent; a later one has no record of the request.
     pub(super) incarnation: u64,
     /// Time at which the request ends as unknown.
     pub(super) deadline: Millis,
--- a/crates/entry/src/error.rs
+++ b/crates/entry/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors that keep an entry from running.
+//! Errors that stop an entry.
 
 use derive_more::{Display, Error};
 use switchfold_kernel::{listen::ListenError, metrics::MetricsError, registry::RegistryError};
--- a/crates/entry/src/links.rs
+++ b/crates/entry/src/links.rs
@@ -29,7 +29,7 @@
     connection: u64,
 }
 
-/// Task that holds a link to one agent open and reconnects with backoff. Dropping it closes the
+/// Task that holds a link to one agent open and reconnects with back-off. Dropping it closes the
 /// link.
 #[derive(Debug)]
 pub(crate) struct AgentLink {
--- a/crates/entry/src/service.rs
+++ b/crates/entry/src/service.rs
@@ -187,8 +187,8 @@
             match action {
                 DispatchAction::Send { process, body } => {
                     if !self.send(&process, body) {
-                        // The state machine must learn that the message was not sent, or it would
-                        // wait for the reply without end.
+                        // Otherwise the state machine would wait forever for a reply to a message
+                        // that was not sent.
                         pending.extend(self.state.on_link_lost(now_millis(), &process));
                     }
                 }
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -48,7 +48,8 @@
     /// starts.
     #[serde(default = "default_stall_ms")]
     pub stall_ms: u64,
-    /// Milliseconds without an offer after which an agent counts as lost.
+    /// Milliseconds without a message after which an agent that runs requests of this entry counts
+    /// as lost. An idle agent is given at least 3,500 ms.
     #[serde(default = "default_silence_ms")]
     pub silence_ms: u64,
     /// Milliseconds without contact to the store or any other entry after which the entry reports
@@ -172,7 +173,7 @@
             "silence_ms",
             FieldKind::Integer(50, 600_000),
             false,
-            "milliseconds without an offer after which an agent counts as lost"
+            "milliseconds without a message after which an agent counts as lost"
         ),
         rule!(
             "cut_off_ms",
