--- a/crates/agent/src/gate/steps.rs
+++ b/crates/agent/src/gate/steps.rs
@@ -142,7 +142,8 @@
         self.emit_token(id, step.resend.saturating_sub(1))
     }
 
-    /// Handles the loss of the engine: all requests of this agent fail, since their KV caches are lost.
+    /// Handles the loss of the engine: all requests of this agent fail, since their KV caches are
+    /// lost.
     pub fn engine_lost(&mut self) -> Vec<GateAction> {
         self.set_endpoint_down();
         let ids: Vec<RequestId> = self.requests.keys().copied().collect();
