--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -44,17 +44,17 @@
 }
 
 impl StoreMeter {
-    /// Returns the count of reads and lists, retries included.
+    /// Returns the number of reads and lists, retries included.
     pub fn reads(&self) -> u64 {
         self.reads.load(Ordering::Relaxed)
     }
 
-    /// Returns the count of writes and deletes, retries included, whatever their outcome.
+    /// Returns the number of writes and deletes, retries included, whatever their outcome.
     pub fn writes(&self) -> u64 {
         self.writes.load(Ordering::Relaxed)
     }
 
-    /// Returns the count of watches.
+    /// Returns the number of watches.
     pub fn watches(&self) -> u64 {
         self.watches.load(Ordering::Relaxed)
     }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -12,8 +12,8 @@
 //! | `GET /v1/vms` | the live and leaving VMs; may lag behind |
 //!
 //! Versions are revisions of the whole store and only grow. A write is accepted, refused, or has an
-//! unknown outcome: the response was lost, and only reading the object back shows whether it took effect.
-//! [`StoreError`] distinguishes these cases.
+//! unknown outcome: the response was lost, and only reading the object back shows whether the write
+//! took effect. [`StoreError`] distinguishes these cases.
 
 mod client;
 mod error;
