--- a/crates/entry/src/web/idempotency.rs
+++ b/crates/entry/src/web/idempotency.rs
@@ -104,7 +104,7 @@
     let outcome =
         if is_done { Outcome::Done } else { Outcome::Unknown(UnknownReason::AlreadyClaimed) };
     let message =
-        format!("request {} holds this key; the outcome is of that request", holder.request);
+        format!("request {} holds this key; this is the outcome of that request", holder.request);
     let mut response = responses::with_outcome(StatusCode::CONFLICT, id, outcome, &message);
     set_header(&mut response, "switchfold-original", &holder.request.to_string());
     set_header(&mut response, responses::REASON_HEADER, "already-claimed");
