--- a/crates/core/src/subset.rs
+++ b/crates/core/src/subset.rs
@@ -4,8 +4,8 @@
 //! would exceed the budget for control traffic. Each entry therefore connects to a subset of the
 //! replicas of every layer range. There are two algorithms, so that they can be compared by
 //! measurement: [`rendezvous_subset`], which changes least when members change, and
-//! [`balanced_subset`], which assigns every replica to the same number of entries, give or take
-//! one.
+//! [`balanced_subset`], which assigns every replica to nearly the same number of entries: the
+//! numbers differ by at most one.
 
 use crate::hash::{hash_bytes, hash_pair};
 
--- a/crates/core/tests/queues.rs
+++ b/crates/core/tests/queues.rs
@@ -152,7 +152,7 @@
     }
 
     /// The shares never add up to more than the limit, and an entry whose demand is not met gets as
-    /// much as any other entry, give or take one.
+    /// much as any other entry, up to a difference of one.
     #[test]
     fn limits_are_split_by_max_min_fairness(limit in 0_u64..10_000, demands in prop::collection::vec(0_u64..2_000, 1..30)) {
         let shares = split_limit(limit, &demands);
--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -359,7 +359,7 @@
     }
 }
 
-/// Converts the outcome of a call that changes nothing: whatever went wrong, it may be repeated.
+/// Converts the outcome of a call that changes nothing, so it may be repeated after any error.
 fn read_outcome(response: Result<FullResponse, CallError>) -> Result<FullResponse, StoreError> {
     response.map_err(|error| StoreError::Unavailable { detail: error.to_string() })
 }
