--- a/crates/standin/src/bin/switchfold-standin.rs
+++ b/crates/standin/src/bin/switchfold-standin.rs
@@ -31,8 +31,8 @@
 
 #[derive(Debug, Subcommand)]
 enum StandinKind {
-    /// Platform with an object store and a VM list; `POST /standin/faults` sets faults and `POST
-    /// /standin/vms` adds VMs.
+    /// Platform with an object store and a VM list; `POST /standin/faults` sets faults and
+    /// `POST /standin/vms` adds VMs.
     Platform {
         /// Address to listen on.
         #[arg(long)]
--- a/crates/standin/src/model.rs
+++ b/crates/standin/src/model.rs
@@ -43,8 +43,8 @@
         self.caches.iter().flat_map(|cache| cache.to_le_bytes()).collect()
     }
 
-    /// Restores exported caches; returns `None` if the size does not match the layers `[first,
-    /// end)`.
+    /// Restores exported caches; returns `None` if the size does not match the layers
+    /// `[first, end)`.
     pub fn from_bytes(first: u32, end: u32, bytes: &[u8]) -> Option<Self> {
         let chunks = bytes.chunks_exact(8);
         let caches: Vec<u64> =
