--- a/crates/ctl/src/account.rs
+++ b/crates/ctl/src/account.rs
@@ -78,27 +78,27 @@
         return "stream broken".to_owned();
     }
     let (Some(status), Some(head_ms)) = (summary.status, summary.head_ms) else {
-        return "no response: the caller disconnected or the relay exited".to_owned();
+        return "no answer: the caller left, or the relay ended".to_owned();
     };
     if status >= 400 {
-        return format!("response with status {status}");
+        return format!("answered with status {status}");
     }
     if summary.is_stream && summary.longest_pause_ms.is_none() {
-        return "stream not ended: the caller disconnected or the relay exited".to_owned();
+        return "stream not ended: the caller left, or the relay ended".to_owned();
     }
     let objective_ms = summary.objective_ms.unwrap_or(DEFAULT_OBJECTIVE_MS);
     let waited_long = summary.waited_ms.unwrap_or(0) * 100 >= objective_ms * LONG_WAIT_PERCENT;
     if head_ms > objective_ms {
         return match summary.failed_attempts {
-            0 if waited_long => "late: waited for capacity",
-            0 => "late: slow to respond",
+            0 if waited_long => "late: waited for room",
+            0 => "late: slow to begin",
             _ => "late: after a failed attempt",
         }
         .to_owned();
     }
     if summary.longest_pause_ms.unwrap_or(0) > summary.gap_ms.unwrap_or(DEFAULT_GAP_MS) {
         return match (summary.resumed, summary.path_changed) {
-            (true, _) => "pause: resumed at another replica",
+            (true, _) => "pause: taken up at another replica",
             (false, true) => "pause: moved to another path",
             (false, false) => "pause: slow engines",
         }
--- a/crates/ctl/src/explain.rs
+++ b/crates/ctl/src/explain.rs
@@ -98,7 +98,7 @@
     text.push_str(&format!("\ndecided by {:?} at {}\n", deciding.event, deciding.source));
     let changes = state_changes_before(&lines, deciding);
     if !changes.is_empty() {
-        text.push_str("\nstate changes of that process shortly before:\n");
+        text.push_str("\nwhat that process came to believe shortly before:\n");
         changes.iter().for_each(|line| text.push_str(&format!("  {}\n", line.render())));
     }
     Ok(text)
--- a/crates/ctl/src/inspect.rs
+++ b/crates/ctl/src/inspect.rs
@@ -164,7 +164,7 @@
         })
         .collect();
     let bound = flow_bound(&replicas, &links, deployment.layers);
-    let mut text = format!("bound: {:.1} tokens/s\nlimited by:\n", bound.milli_rate as f64 / 1e3);
+    let mut text = format!("bound: {:.1} tokens/s\nheld back by:\n", bound.milli_rate as f64 / 1e3);
     for part in &bound.cut {
         text += &match part {
             CutPart::Replica(name) => format!("  vm {name}\n"),
--- a/crates/soak/src/bin/switchfold-soak.rs
+++ b/crates/soak/src/bin/switchfold-soak.rs
@@ -150,7 +150,7 @@
     for (outcome, count) in outcomes {
         println!("{count:8} {outcome}");
     }
-    println!("{passed} seeds without violations, {failed} with violations");
+    println!("{passed} seeds without a broken promise, {failed} with");
     Ok(failed == 0)
 }
 
@@ -158,7 +158,7 @@
     let calls: usize = report.outcomes.values().sum();
     let (after, served) = report.after_faults;
     println!(
-        "seed {}: {} faults, {calls} calls, {served} of {after} served after them, {} violations",
+        "seed {}: {} faults, {calls} calls, {served} of {after} served after them, {} broken",
         report.seed,
         report.faults,
         report.violations.len()
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -138,7 +138,7 @@
     };
     match &call.outcome {
         CallOutcome::NotConnected => format!("{kind} not connected"),
-        CallOutcome::NoResponse => format!("{kind} no response"),
+        CallOutcome::NoResponse => format!("{kind} no answer"),
         CallOutcome::Responded(response) if response.complete => {
             format!("{kind} {}", response.status)
         }
