--- a/crates/ctl/src/account.rs
+++ b/crates/ctl/src/account.rs
@@ -26,9 +26,10 @@
 /// response.
 const LONG_WAIT_PERCENT: u64 = 40;
 
-/// What the log lines say about one attempt.
+/// Data of one attempt, collected from its log lines.
 #[derive(Clone, Debug, Default)]
 struct AttemptSummary {
+    /// Time of its first log line, in milliseconds since midnight.
     began_at: u64,
     refusal: Option<String>,
     stream_broken: bool,
--- a/crates/local/src/vm.rs
+++ b/crates/local/src/vm.rs
@@ -19,8 +19,8 @@
 }
 
 impl LocalVm {
-    /// Starts a VM that runs `work` until it completes or the VM is killed. `work` receives the signal
-    /// that [`stop`](Self::stop) raises.
+    /// Starts a VM that runs `work` until it completes or the VM is killed. `work` receives the
+    /// signal that [`stop`](Self::stop) raises.
     ///
     /// # Errors
     ///
@@ -63,7 +63,7 @@
     /// Ends the VM immediately, closes all its connections and waits for its thread.
     pub fn kill(&mut self) {
         if let Some(kill) = self.kill.take() {
-            let _ended_by_itself = kill.send(());
+            let _already_ended = kill.send(());
         }
         self.join();
     }
