--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -46,7 +46,7 @@
     pub false_not_run: u64,
     /// Requests with unknown outcome that were in flight during planned changes and no other fault.
     pub cut_in_flight: u64,
-    /// Requests that VMs accepted more than 3 s after they were told to leave or stop.
+    /// Requests that VMs accepted more than 3 s after they were marked as leaving or stopped.
     pub work_to_leaving: u64,
     /// Times that an entry went back to an older version of a configuration object.
     pub config_reverted: u64,
@@ -74,14 +74,15 @@
     pub ms: f64,
     /// Number of streams in flight when the fault was injected.
     pub in_flight: usize,
-    /// Number of these streams that waited for more than three times the median time between tokens.
+    /// Number of these streams that waited for more than three times the median time between
+    /// tokens.
     pub held_up: usize,
 }
 
 /// Number of calls of the store.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize)]
 pub struct StoreUse {
-    /// Reads that are no watches.
+    /// Reads other than watches.
     pub reads: u64,
     /// Writes and deletes.
     pub writes: u64,
@@ -133,7 +134,8 @@
     pub store_calls: StoreUse,
     /// Resource use by process.
     pub control: BTreeMap<String, ControlUse>,
-    /// Ratio of superfluous to necessary positions run by engines; 0.1 means 10 % more than necessary.
+    /// Ratio of superfluous to necessary positions run by engines; 0.1 means 10 % more than
+    /// necessary.
     pub repeated_work: f64,
 }
 
@@ -166,11 +168,12 @@
 /// Delay from which a send counts as late, in microseconds.
 const LATE_SEND_MICROS: u64 = 10_000;
 
-/// Time at the start of the surge that is left out of the throughput, because the pipelines still fill
-/// up.
+/// Time at the start of the surge that is left out of the throughput, because the pipelines still
+/// fill up.
 const RAMP_MICROS: u64 = 1_000_000;
 
-/// Largest value that the histograms can hold, in microseconds; larger ones are recorded as this value.
+/// Largest value that the histograms can hold, in microseconds; larger ones are recorded as this
+/// value.
 const MAX_MICROS: u64 = 600_000_000;
 
 /// Builds the report of a run from its record and the data of the deployment.
@@ -263,7 +266,7 @@
     Percentiles { p50: quantile_ms(0.5), p95: quantile_ms(0.95), p99: quantile_ms(0.99) }
 }
 
-/// Measures how long it took until every stream that was in flight at the fault had received a token or
+/// Measures the time until every stream that was in flight at the fault had received a token or
 /// ended.
 fn measure_recovery(fault: &InjectedFault, calls: &[CallRecord], median: u64) -> FaultRecovery {
     let at = fault.at_micros;
--- a/crates/relay/src/engines.rs
+++ b/crates/relay/src/engines.rs
@@ -157,16 +157,16 @@
 }
 
 /// Orders an engine to load other layers. The engine accepts the order only if it has taken
-/// `orders_taken` orders so far.
+/// `orders_accepted` orders so far.
 pub async fn order_layers(
     relay: &Relay,
     address: SocketAddr,
     range: LayerRange,
     unload_mode: UnloadMode,
-    orders_taken: u64,
+    orders_accepted: u64,
 ) -> OrderOutcome {
     count(&relay.counts.orders);
-    order(relay, address, encode_place_order(range, unload_mode, orders_taken)).await
+    order(relay, address, encode_place_order(range, unload_mode, orders_accepted)).await
 }
 
 /// Orders the first engine of a request's path to continue over another path.
@@ -231,8 +231,10 @@
 }
 
 async fn probe(relay: &Relay, address: SocketAddr) -> ProbeOutcome {
-    probe_with_retry(async |fresh| {
-        exchange(relay, address, Method::GET, REPORT_PATH, Vec::new(), fresh).await.map(drop)
+    probe_with_retry(async |new_connection| {
+        exchange(relay, address, Method::GET, REPORT_PATH, Vec::new(), new_connection)
+            .await
+            .map(drop)
     })
     .await
 }
@@ -255,11 +257,12 @@
     method: Method,
     path: &str,
     body: Vec<u8>,
-    fresh: bool,
+    new_connection: bool,
 ) -> Result<(StatusCode, Bytes), SendError> {
     let request = engine_request(address, method, path, body);
     let sent_at = now_millis();
-    let (response, connection) = relay.pool.send(address, request, fresh, || Ok(())).await?;
+    let (response, connection) =
+        relay.pool.send(address, request, new_connection, || Ok(())).await?;
     let (parts, body) = response.into_parts();
     let headers = read_response_headers(&parts.headers);
     apply_notices_at(
--- a/crates/soak/src/bin/switchfold-soak.rs
+++ b/crates/soak/src/bin/switchfold-soak.rs
@@ -18,16 +18,16 @@
 };
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Exit code if at least one promise was broken.
+/// Exit code if at least one guarantee was violated.
 const EXIT_VIOLATION: u8 = 1;
 
 /// Exit code if a run could not be carried out.
 const EXIT_RUN_FAILED: u8 = 3;
 
-/// Injects randomized faults into relays that run as processes, and checks the relay's promises.
+/// Injects randomized faults into relays that run as processes, and checks the relay's guarantees.
 ///
-/// Exit codes: 0 no promise broken; 1 at least one promise broken, logs kept; 2 invalid arguments;
-/// 3 a run could not be carried out.
+/// Exit codes: 0 no violations; 1 violations, logs kept; 2 invalid arguments; 3 a run could not be
+/// carried out.
 #[derive(Debug, Parser)]
 #[command(version, after_help = "Example:\n  switchfold-soak run --seed 1 --seeds 50 --jobs 3")]
 struct SoakArguments {
@@ -37,7 +37,7 @@
 
 #[derive(Debug, Subcommand)]
 enum SoakCommand {
-    /// Runs seeds and reports which promises were broken.
+    /// Runs seeds and reports violated guarantees.
     Run(RunArguments),
     /// Runs one stand-in replica. The soak starts these processes itself.
     Replica(ReplicaArguments),
--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -44,17 +44,17 @@
 }
 
 impl StoreMeter {
-    /// Returns the count of reads and lists, retries included.
+    /// Returns the number of reads and lists, retries included.
     pub fn reads(&self) -> u64 {
         self.reads.load(Ordering::Relaxed)
     }
 
-    /// Returns the count of writes and deletes, retries included, whatever their outcome.
+    /// Returns the number of writes and deletes, retries included, whatever their outcome.
     pub fn writes(&self) -> u64 {
         self.writes.load(Ordering::Relaxed)
     }
 
-    /// Returns the count of watches.
+    /// Returns the number of watches.
     pub fn watches(&self) -> u64 {
         self.watches.load(Ordering::Relaxed)
     }
@@ -247,9 +247,9 @@
             Err(StoreError::Malformed { detail }) => return Err(StoreError::Malformed { detail }),
             Err(error) => return Err(StoreError::OutcomeUnknown { detail: error.to_string() }),
         };
-        let own = stored.value.as_deref().is_some_and(is_own);
+        let is_written = stored.value.as_deref().is_some_and(is_own);
         match stored.version {
-            version if own => Ok(WriteState::Written(version)),
+            version if is_written => Ok(WriteState::Written(version)),
             version if version == expected => Ok(WriteState::Unwritten),
             version => Err(StoreError::Conflict { version }),
         }
@@ -359,7 +359,7 @@
     }
 }
 
-/// Converts the outcome of a call that changes nothing: whatever went wrong, it may be repeated.
+/// Converts the outcome of a call that changes nothing, so it may be repeated after any error.
 fn read_outcome(response: Result<FullResponse, CallError>) -> Result<FullResponse, StoreError> {
     response.map_err(|error| StoreError::Unavailable { detail: error.to_string() })
 }
